--- a/internal/control/follow/follow.go
+++ b/internal/control/follow/follow.go
@@ -20,7 +20,8 @@
 
 // Publisher is where one control machine listens.
 type Publisher struct {
-	Address, Region string
+	Address string `json:"Address"`
+	Region  string `json:"Region"`
 }
 
 // Settings are what a Follower needs to know.
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -19,16 +19,16 @@
 
 // Run is the outcome of one setting on some seeds.
 type Run struct {
-	Name      string
-	Digest    string // of the scenario's text: another text is another run
-	Incidents []fleet.Failure
-	Days      []Seeded // in order of seeds, from 1
+	Name      string          `json:"Name"`
+	Digest    string          `json:"Digest"` // of the scenario's text: another text is another run
+	Incidents []fleet.Failure `json:"Incidents"`
+	Days      []Seeded        `json:"Days"` // in order of seeds, from 1
 }
 
 // Seeded is the outcome of one seed.
 type Seeded struct {
-	Seed    uint64
-	Outcome *fleet.Outcome
+	Seed    uint64         `json:"Seed"`
+	Outcome *fleet.Outcome `json:"Outcome"`
 }
 
 // Stop ends a run after the days that are under way.
@@ -139,7 +139,7 @@
 
 // line is a day as the state file has it.
 type line struct {
-	Digest string
+	Digest string `json:"Digest"`
 	Seeded
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -77,13 +77,13 @@
 
 // Failure is one thing that goes wrong.
 type Failure struct {
-	Kind   FailureKind
-	At     int64
-	For    int64
-	Share  float64 // of the boxes
-	First  int     // the first of them; they follow by number
-	Factor float64 // Slow: of the speed. Die, Deploy: of the speed at the return
-	Warm   int64   // Die, Deploy: until the full speed
+	Kind   FailureKind `json:"Kind"`
+	At     int64       `json:"At"`
+	For    int64       `json:"For"`
+	Share  float64     `json:"Share"`  // of the boxes
+	First  int         `json:"First"`  // the first of them; they follow by number
+	Factor float64     `json:"Factor"` // Slow: of the speed. Die, Deploy: of the speed at the return
+	Warm   int64       `json:"Warm"`   // Die, Deploy: until the full speed
 }
 
 // Day is what is played.
--- a/internal/lab/fleet/score.go
+++ b/internal/lab/fleet/score.go
@@ -16,29 +16,44 @@
 // Parts are the parts of a score, each from 0 to 1: worth served in time over
 // worth asked for, by work.
 type Parts struct {
-	Whole, WorstWindow, WorstClass, WorstTeam float64
-	Score                                     float64 // weighed by the module's goal
+	Whole       float64 `json:"Whole"`
+	WorstWindow float64 `json:"WorstWindow"`
+	WorstClass  float64 `json:"WorstClass"`
+	WorstTeam   float64 `json:"WorstTeam"`
+	Score       float64 `json:"Score"` // weighed by the module's goal
 }
 
 // Group is what became of the requests of one class or team.
 type Group struct {
-	Name                                 string
-	Asked, InTime, Late, Refused, Failed int
-	MedianMS, P99MS                      float64 // of what was served, from when it was asked
-	Share                                float64 // of the worth
+	Name     string  `json:"Name"`
+	Asked    int     `json:"Asked"`
+	InTime   int     `json:"InTime"`
+	Late     int     `json:"Late"`
+	Refused  int     `json:"Refused"`
+	Failed   int     `json:"Failed"`
+	MedianMS float64 `json:"MedianMS"` // of what was served, from when it was asked
+	P99MS    float64 `json:"P99MS"`    // likewise
+	Share    float64 `json:"Share"`    // of the worth
 }
 
 // Outcome is what became of a day.
 type Outcome struct {
-	Boxes, Asked, Tries, Runs, Deaths int
-	Calls, Skips                      int // calls below that were made; runs that went on without theirs
-	Fallen                            int // boxes that fell over
-	Overdue, Twice                    int // rules broken: answers after their due time, second runs of a key on one box
+	Boxes   int `json:"Boxes"`
+	Asked   int `json:"Asked"`
+	Tries   int `json:"Tries"`
+	Runs    int `json:"Runs"`
+	Deaths  int `json:"Deaths"`
+	Calls   int `json:"Calls"`   // calls below that were made
+	Skips   int `json:"Skips"`   // runs that went on without theirs
+	Fallen  int `json:"Fallen"`  // boxes that fell over
+	Overdue int `json:"Overdue"` // rule broken: answers after their due time
+	Twice   int `json:"Twice"`   // rule broken: second runs of a key on one box
 	Parts
-	Classes, Teams []Group
-	Windows        []float64   // the part of the worth served, by second
-	Refused        []int       // requests that ended refused, by the second they were asked in
-	Percentiles    [][]float64 // by class: latency in ms at each of Quantiles
+	Classes     []Group     `json:"Classes"`
+	Teams       []Group     `json:"Teams"`
+	Windows     []float64   `json:"Windows"`     // the part of the worth served, by second
+	Refused     []int       `json:"Refused"`     // requests that ended refused, by the second they were asked in
+	Percentiles [][]float64 `json:"Percentiles"` // by class: latency in ms at each of Quantiles
 }
 
 // Quantiles are those of Percentiles, in percent.
--- a/internal/lab/scale/figures/figures.go
+++ b/internal/lab/scale/figures/figures.go
@@ -52,56 +52,56 @@
 
 // File is what one run measured.
 type File struct {
-	Machine string   // the processor's model
-	Cores   int      // that the run could use
-	Build   string   // git describe of the source measured
-	Go      string   // version of Go that built the measurement
-	Date    string   // when the run began, RFC 3339
-	Command string   // how to measure it again
-	Slopes  []Slope  `json:",omitempty"`
-	Figures []Figure `json:",omitempty"`
+	Machine string   `json:"Machine"` // the processor's model
+	Cores   int      `json:"Cores"`   // that the run could use
+	Build   string   `json:"Build"`   // git describe of the source measured
+	Go      string   `json:"Go"`      // version of Go that built the measurement
+	Date    string   `json:"Date"`    // when the run began, RFC 3339
+	Command string   `json:"Command"` // how to measure it again
+	Slopes  []Slope  `json:"Slopes,omitempty"`
+	Figures []Figure `json:"Figures,omitempty"`
 }
 
 // Slope is one figure by one size, everything else alike.
 type Slope struct {
-	Name      string  // its own, such as "decision/tenants/held=50"
-	Role      string  // one of Roles
-	Of        string  // what is measured, in plain words
-	Unit      string  // of the figure
-	By        string  // what the size counts
-	Points    []Point // by size; the largest is left out of the fit
-	Fixed     float64 // the fit: figure = Fixed + PerUnit*size
-	PerUnit   float64
-	Residual  float64 // root mean square of the fitted points' misses, as part of the point; the largest is not among them
-	Predicted float64 // by the fit for the largest size
-	Miss      float64 // |measured - predicted| / measured at the largest size
-	Knee      string  `json:",omitempty"` // between which sizes the slope changes, where the miss says so
-	Bound     float64 `json:",omitempty"` // the figure must not pass this at Target; 0 = no bound
-	Target    float64 `json:",omitempty"` // the size at the operators' target; 0 = none
+	Name      string  `json:"Name"`   // its own, such as "decision/tenants/held=50"
+	Role      string  `json:"Role"`   // one of Roles
+	Of        string  `json:"Of"`     // what is measured, in plain words
+	Unit      string  `json:"Unit"`   // of the figure
+	By        string  `json:"By"`     // what the size counts
+	Points    []Point `json:"Points"` // by size; the largest is left out of the fit
+	Fixed     float64 `json:"Fixed"`  // the fit: figure = Fixed + PerUnit*size
+	PerUnit   float64 `json:"PerUnit"`
+	Residual  float64 `json:"Residual"`         // root mean square of the fitted points' misses, as part of the point; the largest is not among them
+	Predicted float64 `json:"Predicted"`        // by the fit for the largest size
+	Miss      float64 `json:"Miss"`             // |measured - predicted| / measured at the largest size
+	Knee      string  `json:"Knee,omitempty"`   // between which sizes the slope changes, where the miss says so
+	Bound     float64 `json:"Bound,omitempty"`  // the figure must not pass this at Target; 0 = no bound
+	Target    float64 `json:"Target,omitempty"` // the size at the operators' target; 0 = none
 }
 
 // Point is the figure at one size: Value is the one of the fit (the median of
 // Raw, or its least where a disturbance can only add).
 type Point struct {
-	Size  float64
-	Value float64
-	Raw   []float64 `json:",omitempty"` // one for each repetition, in their order
+	Size  float64   `json:"Size"`
+	Value float64   `json:"Value"`
+	Raw   []float64 `json:"Raw,omitempty"` // one for each repetition, in their order
 }
 
 // Figure is one figure at the target, with what it must be.
 type Figure struct {
-	Name  string
-	Role  string // one of Roles
-	When  string // one of When
-	Unit  string
-	Value float64 // the mean, or the one value that there is
-	P99   float64 `json:",omitempty"` // 0 = not taken
-	Worst float64 `json:",omitempty"` // 0 = not taken
-	Bound float64 `json:",omitempty"` // 0 = none
-	Least bool    `json:",omitempty"` // the bound is the least that is allowed, not the most
-	OK    bool    // within the bound, or there is none
-	Run   string  // the run that gave it, and what it was
-	Trial bool    `json:",omitempty"` // from a short form: never taken onto the page
+	Name  string  `json:"Name"`
+	Role  string  `json:"Role"` // one of Roles
+	When  string  `json:"When"` // one of When
+	Unit  string  `json:"Unit"`
+	Value float64 `json:"Value"`           // the mean, or the one value that there is
+	P99   float64 `json:"P99,omitempty"`   // 0 = not taken
+	Worst float64 `json:"Worst,omitempty"` // 0 = not taken
+	Bound float64 `json:"Bound,omitempty"` // 0 = none
+	Least bool    `json:"Least,omitempty"` // the bound is the least that is allowed, not the most
+	OK    bool    `json:"OK"`              // within the bound, or there is none
+	Run   string  `json:"Run"`             // the run that gave it, and what it was
+	Trial bool    `json:"Trial,omitempty"` // from a short form: never taken onto the page
 }
 
 // New is a file of this machine, build and moment.
--- a/internal/lab/scale/hollow/callers.go
+++ b/internal/lab/scale/hollow/callers.go
@@ -16,27 +16,27 @@
 
 // CallersSpec says what a process of callers is to be.
 type CallersSpec struct {
-	Seed     uint64
-	Start    int64 // Unix microseconds: the first requests are due then
-	Length   int64 // microseconds: nothing is due after that
-	Deadline int64 // of each request, microseconds
-	Slack    int64 // by the rules: an answer may be so much later
-	WorkUS   int   // of each request, at the engine
-	Teams    []string
-	Classes  []string // that are safe to repeat
-	Targets  []Target
-	Own      []int  // the targets whose callers are in this process
-	Records  string // the file that the records go to
+	Seed     uint64   `json:"Seed"`
+	Start    int64    `json:"Start"`    // Unix microseconds: the first requests are due then
+	Length   int64    `json:"Length"`   // microseconds: nothing is due after that
+	Deadline int64    `json:"Deadline"` // of each request, microseconds
+	Slack    int64    `json:"Slack"`    // by the rules: an answer may be so much later
+	WorkUS   int      `json:"WorkUS"`   // of each request, at the engine
+	Teams    []string `json:"Teams"`
+	Classes  []string `json:"Classes"` // that are safe to repeat
+	Targets  []Target `json:"Targets"`
+	Own      []int    `json:"Own"`     // the targets whose callers are in this process
+	Records  string   `json:"Records"` // the file that the records go to
 }
 
 // Target is a server, with the callers whose own it is.
 type Target struct {
-	Name    string
-	Address string
-	Group   int     // those of one group stand in for each other
-	Rate    float64 // requests a second
-	Callers int
-	Draws   uint64 // targets with one value get the same requests at the same times
+	Name    string  `json:"Name"`
+	Address string  `json:"Address"`
+	Group   int     `json:"Group"` // those of one group stand in for each other
+	Rate    float64 `json:"Rate"`  // requests a second
+	Callers int     `json:"Callers"`
+	Draws   uint64  `json:"Draws"` // targets with one value get the same requests at the same times
 }
 
 // The callers' ways.
--- a/internal/lab/scale/hollow/servers.go
+++ b/internal/lab/scale/hollow/servers.go
@@ -23,17 +23,17 @@
 
 // ServersSpec says what a process of hollow servers is to be.
 type ServersSpec struct {
-	Operator string // the operator's file of each, as a real server's
-	WaitUS   int64  // how long a start waits for a publisher, microseconds
-	Seed     uint64
-	Servers  []Server
+	Operator string   `json:"Operator"` // the operator's file of each, as a real server's
+	WaitUS   int64    `json:"WaitUS"`   // how long a start waits for a publisher, microseconds
+	Seed     uint64   `json:"Seed"`
+	Servers  []Server `json:"Servers"`
 }
 
 // Server is a hollow server.
 type Server struct {
-	Name       string
-	Region     string
-	Publishers []follow.Publisher
+	Name       string             `json:"Name"`
+	Region     string             `json:"Region"`
+	Publishers []follow.Publisher `json:"Publishers"`
 }
 
 // The commands to a process of hollow servers, each with a server's name and the
@@ -47,16 +47,16 @@
 
 // State is how a hollow server stands.
 type State struct {
-	Name      string
-	Number    uint64
-	Digest    string
-	Sent      int64
-	Received  int64
-	Applied   int
-	Snapshots int
-	Switches  int
-	Refused   string
-	Fork      bool
+	Name      string `json:"Name"`
+	Number    uint64 `json:"Number"`
+	Digest    string `json:"Digest"`
+	Sent      int64  `json:"Sent"`
+	Received  int64  `json:"Received"`
+	Applied   int    `json:"Applied"`
+	Snapshots int    `json:"Snapshots"`
+	Switches  int    `json:"Switches"`
+	Refused   string `json:"Refused"`
+	Fork      bool   `json:"Fork"`
 }
 
 // gcPercent is that of a real server.
