--- a/Makefile
+++ b/Makefile
@@ -71,6 +71,7 @@
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
 	go vet ./...
+	go tool staticcheck -checks all ./...
 
 # A server by itself, with the uwsgi front, as deploy/operator.toml sets it up.
 run: build
--- a/internal/control/follow/fake_test.go
+++ b/internal/control/follow/fake_test.go
@@ -271,15 +271,6 @@
 	return nil
 }
 
-func (s *server) number() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.inForce == nil {
-		return 0
-	}
-	return s.inForce.Header().Number
-}
-
 // following is a follower under test, with its server.
 type following struct {
 	*Follower
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -13,7 +13,6 @@
 	books [2]*book // the old process and the new one
 	way   [2][]func(to *Core)
 	cut   bool
-	to    int64 // until when the survivor of a cut is in doubt
 }
 
 // wire is one side's way to the other.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -149,14 +149,6 @@
 	}
 }
 
-func (p *peer) feed(b []byte) int {
-	used, err := p.link.Feed(b)
-	if err != nil {
-		p.t.Fatalf("%v", err)
-	}
-	return used
-}
-
 // cut ends the link, with all that is under way on it.
 func (p *peer) cut() {
 	p.up, p.unread, p.pending = false, nil, nil
--- a/internal/server/session_test.go
+++ b/internal/server/session_test.go
@@ -30,7 +30,6 @@
 	legal   map[uint32][]byte
 	body    map[uint32]string
 	highest uint32
-	open    int // long runs without an answer
 	faults  int // requests that cannot be read: there may be faultsMost
 	checks  int
 }
