--- a/calls_sum_test.go
+++ b/calls_sum_test.go
@@ -68,7 +68,7 @@
 		for i, w := range c.workers {
 			if c.now%every == 0 {
 				c.next++
-				batch[i] = append(batch[i], Event{Kind: Arrive, ID: c.next, Class: 1, SizeKB: 20, Hint: 10_000})
+				batch[i] = append(batch[i], Event{Kind: Arrive, ID: c.next, Class: 1, SizeKB: 20, WorkHint: 10_000})
 			}
 			batch[i] = append(batch[i], Event{Kind: Timer})
 			for _, a := range w.Step(c.now, batch[i], nil) {
@@ -81,7 +81,7 @@
 func (c *crowdOf) act(i int, a Action) {
 	switch a.Kind {
 	case Run:
-		c.put(due{at: c.now + 20_000, worker: i, event: Event{Kind: Needs, ID: a.ID}})
+		c.put(due{at: c.now + 20_000, worker: i, event: Event{Kind: NeedsCall, ID: a.ID}})
 	case Call:
 		c.inHand++
 		c.most = max(c.most, c.inHand)
@@ -90,9 +90,9 @@
 		gone := took // from the dependency
 		if took > a.After {
 			took, outcome = a.After, TimedOut
-			gone = min(gone, a.After+c.workers[i].set.Lingers)
+			gone = min(gone, a.After+c.workers[i].set.MaxCallLinger)
 		}
-		c.put(due{at: c.now + took, worker: i, event: Event{Kind: Called, ID: a.ID, Outcome: outcome, Elapsed: took}})
+		c.put(due{at: c.now + took, worker: i, event: Event{Kind: CallDone, ID: a.ID, Outcome: outcome, Elapsed: took}})
 		c.put(due{at: c.now + gone, worker: i, event: Event{Kind: Timer}, hand: -1})
 		if outcome == OK {
 			c.served++
@@ -147,7 +147,7 @@
 // A dependency that turns all away is sent no more than its budget's calls: what
 // is turned away at once comes back at once otherwise, from every worker.
 func TestSumOfCallsToOneThatRefuses(t *testing.T) {
-	for _, outcome := range []Outcome{Full, Unreachable, Failed} {
+	for _, outcome := range []Outcome{Rejected, Unreachable, Failed} {
 		for _, share := range []float64{0.3, 0.8, 1.3, 2.5} {
 			const n, usual = 30, 200_000 // a call takes so long once the dependency is well
 			c := newCrowd(t, n, share, func(now int64) (int64, Outcome) {
@@ -157,7 +157,7 @@
 				return usual, OK
 			})
 			c.play(20_000_000, 100_000)
-			over := c.workers[0].set.CallsOver
+			over := c.workers[0].set.CallShareWindow
 			if budget := n * share * float64(over) / usual; float64(c.window(over)) > bound(budget) {
 				t.Errorf("outcome %d, a share of %v: %d calls in %d s, %.0f allowed", outcome, share, c.window(over), over/1_000_000, bound(budget))
 			}
--- a/cmd/kiteslip/check.go
+++ b/cmd/kiteslip/check.go
@@ -72,12 +72,12 @@
 		class := &cfg.Module.Classes[i]
 		if i < listed {
 			fmt.Fprintf(w, "class %s: %s, aim %d ms, deadline %d ms, window %d ms, worth %g, body %d bytes, served by %s\n", name,
-				effects[class.Effect], class.Aim/1000, class.Limit/1000, class.Window/1000, class.Worth,
+				effects[class.Effect], class.TargetTime/1000, class.Timeout/1000, class.Window/1000, class.Worth,
 				cfg.UWSGI.Contracts[i].MaxBody, or(cfg.Backends[i], "the engine"))
 			continue
 		}
 		counts[class.Effect]++
-		longest = max(longest, class.Limit)
+		longest = max(longest, class.Timeout)
 		backends[cfg.Backends[i]] = true
 	}
 	if n := len(cfg.Classes) - listed; n > 0 {
--- a/cmd/kiteslip/control_same_test.go
+++ b/cmd/kiteslip/control_same_test.go
@@ -137,7 +137,7 @@
 		d.until(d.now + 50 + draw.Int64N(900))
 		class, team := classes[draw.IntN(len(classes))], teams[draw.IntN(len(teams))]
 		r := &core.Request{Name: fmt.Sprintf("%016x", i+1), Class: class, Tenant: team, Arrived: d.now, SizeKB: 16 + float64(draw.IntN(64)),
-			Due: d.now + cfg.Module.Classes[class].Limit, Body: make([]byte, 1+draw.IntN(40))}
+			Due: d.now + cfg.Module.Classes[class].Timeout, Body: make([]byte, 1+draw.IntN(40))}
 		r.From = noting{d, r}
 		if err := d.core.Arrive(d.now, r); err != nil {
 			d.t.Fatal(err)
--- a/cmd/simhost/hosts_test.go
+++ b/cmd/simhost/hosts_test.go
@@ -33,10 +33,10 @@
 	event kiteslip.Event
 }
 
-var outcomes = map[string]kiteslip.Outcome{"ok": kiteslip.OK, "failed": kiteslip.Failed, "full": kiteslip.Full, "timedout": kiteslip.TimedOut,
-	"unreachable": kiteslip.Unreachable, "reset": kiteslip.Reset, "cancelled": kiteslip.Cancelled, "moot": kiteslip.Moot}
+var outcomes = map[string]kiteslip.Outcome{"ok": kiteslip.OK, "failed": kiteslip.Failed, "full": kiteslip.Rejected, "timedout": kiteslip.TimedOut,
+	"unreachable": kiteslip.Unreachable, "reset": kiteslip.Reset, "cancelled": kiteslip.Cancelled, "moot": kiteslip.NotStarted}
 
-var kinds = map[string]kiteslip.EventKind{"arrive": kiteslip.Arrive, "need": kiteslip.Needs, "gone": kiteslip.Gone, "called": kiteslip.Called,
+var kinds = map[string]kiteslip.EventKind{"arrive": kiteslip.Arrive, "need": kiteslip.NeedsCall, "gone": kiteslip.Disconnected, "called": kiteslip.CallDone,
 	"done": kiteslip.Done, "drain": kiteslip.Drain}
 
 const origin = 1_000_000_000 // of the scripts' clock, microseconds
@@ -77,12 +77,12 @@
 				case "timeout":
 					e.Deadline = h.at + number(value)*1000
 				case "again":
-					e.Again = true
+					e.Retry = true
 				case "prior":
-					e.Prior = kiteslip.RequestID(number(value))
+					e.DuplicateOf = kiteslip.RequestID(number(value))
 				}
 			}
-		case kiteslip.Called, kiteslip.Done:
+		case kiteslip.CallDone, kiteslip.Done:
 			e.Outcome = outcomes[words[3]]
 		}
 		all = append(all, h)
@@ -197,15 +197,15 @@
 		switch e.Kind {
 		case kiteslip.Arrive:
 			bits := uint8(0)
-			if e.Again {
+			if e.Retry {
 				bits |= 2
 			}
-			add(1, id, uint16(e.Class), uint16(0), uint64(0), e.Deadline, uint32(0), e.SizeKB, e.Rank, bits, uint16(0), uint32(0), uint32(e.Prior))
-		case kiteslip.Needs:
+			add(1, id, uint16(e.Class), uint16(0), uint64(0), e.Deadline, uint32(0), e.SizeKB, e.Rank, bits, uint16(0), uint32(0), uint32(e.DuplicateOf))
+		case kiteslip.NeedsCall:
 			add(9, id)
-		case kiteslip.Gone:
+		case kiteslip.Disconnected:
 			add(7, id)
-		case kiteslip.Called:
+		case kiteslip.CallDone:
 			add(4, id, uint16(e.Outcome), uint32(now-s.calledAt[e.ID]))
 		case kiteslip.Done:
 			add(8, id, uint16(e.Outcome), uint32(now-s.ranAt[e.ID]))
@@ -326,23 +326,23 @@
 		req := r.open[e.ID]
 		switch e.Kind {
 		case kiteslip.Arrive:
-			req = &core.Request{Name: fmt.Sprint(e.ID), Class: e.Class, Arrived: now, Due: e.Deadline, Again: e.Again, SizeKB: e.SizeKB, Rank: e.Rank,
+			req = &core.Request{Name: fmt.Sprint(e.ID), Class: e.Class, Arrived: now, Due: e.Deadline, Again: e.Retry, SizeKB: e.SizeKB, Rank: e.Rank,
 				Stream: uint32(e.ID), From: r, Body: []byte("body")}
 			if e.Class == 1 {
 				req.Key = fmt.Sprint("key of ", e.ID)
-				if e.Prior != 0 {
-					req.Key = r.open[e.Prior].Key
+				if e.DuplicateOf != 0 {
+					req.Key = r.open[e.DuplicateOf].Key
 				}
 			}
 			r.open[e.ID], r.ids[req] = req, e.ID
 			if err := r.core.Arrive(now, req); err != nil {
 				r.t.Fatal(err)
 			}
-		case kiteslip.Needs:
+		case kiteslip.NeedsCall:
 			r.core.Needs(req, uint64(e.ID), nil)
-		case kiteslip.Gone:
+		case kiteslip.Disconnected:
 			r.core.Gone(req)
-		case kiteslip.Called:
+		case kiteslip.CallDone:
 			r.core.Called(now, r.calls[e.ID], e.Outcome, nil)
 		case kiteslip.Done:
 			r.core.Done(req, e.Outcome, 0, nil)
--- a/groups.go
+++ b/groups.go
@@ -100,7 +100,7 @@
 	k := c.inRequests(x)
 	m.asked += k
 	m.askedBase += k * w.classes[class].base
-	m.askedAim += k * float64(c.Aim)
+	m.askedAim += k * float64(c.TargetTime)
 	w.enliven(class, c.inRequests(g.asked))
 }
 
@@ -148,7 +148,7 @@
 // shortestAim is the shortest aim among the classes that weigh enough, and the first one.
 func (w *Worker) shortestAim() float64 {
 	m := &w.weights
-	shortest := float64(w.set.Classes[0].Aim)
+	shortest := float64(w.set.Classes[0].TargetTime)
 	for i, word := range m.live {
 		for ; word != 0; word &= word - 1 {
 			bit := bits.TrailingZeros64(word)
@@ -178,7 +178,7 @@
 	m, classes := &w.weights, w.set.Classes
 	aims := make([]float64, len(classes))
 	for i := range classes {
-		aims[i] = float64(classes[i].Aim)
+		aims[i] = float64(classes[i].TargetTime)
 	}
 	slices.Sort(aims)
 	aims = slices.Compact(aims)
@@ -187,7 +187,7 @@
 		m.byAim[i] = aimed{aim, math.MinInt64}
 	}
 	for i := range classes {
-		aim := float64(classes[i].Aim)
+		aim := float64(classes[i].TargetTime)
 		w.classes[i].rank, _ = slices.BinarySearch(aims, aim)
 		m.bases.add(w.classes[i].base)
 		m.aims += aim
--- a/groups_test.go
+++ b/groups_test.go
@@ -30,11 +30,11 @@
 			*c = old[i]
 		} else {
 			c.Effect = Effect(rng.IntN(3))
-			c.Calls = rng.IntN(4) == 0
-			c.Limit = 2_000_000 + rng.Int64N(4_000_000)
-			c.Window = c.Limit
+			c.CallsDownstream = rng.IntN(4) == 0
+			c.Timeout = 2_000_000 + rng.Int64N(4_000_000)
+			c.Window = c.Timeout
 		}
-		c.Aim = 400_000 + 1000*rng.Int64N(1600)
+		c.TargetTime = 400_000 + 1000*rng.Int64N(1600)
 		if c.Worth = 5 * rng.Float64(); rng.IntN(20) == 0 {
 			c.Worth = 0
 		}
@@ -53,7 +53,7 @@
 		if w.born < 0 {
 			w.born = now
 		}
-		acts = append(acts, Action{Kind: Health, On: true, Stored: true})
+		acts = append(acts, Action{Kind: Health, On: true, Cached: true})
 		w.now = now
 		w.callFirst()
 	}
@@ -108,10 +108,10 @@
 	for i, c := range w.set.Classes {
 		k := w.fading.touch(&w.classes[i].group).asked/max(c.Worth, 1e-9) + 1e-6
 		meanBase += k * w.classes[i].base
-		meanAim += k * float64(c.Aim)
+		meanAim += k * float64(c.TargetTime)
 		n += k
 		if k > 1e-3 || i == 0 {
-			leastAim = min(leastAim, float64(c.Aim))
+			leastAim = min(leastAim, float64(c.TargetTime))
 		}
 	}
 	return max(meanBase/n, 1), max(meanAim/n, 1), max(leastAim, 1)
@@ -196,7 +196,7 @@
 	for seed, size := range sizes {
 		rng := rand.New(rand.NewPCG(uint64(seed), 11))
 		s := manyGroups(rng, size.tenants, size.classes)
-		s.Stop, s.Free = Stop(seed%3), Free(seed%4)
+		s.Stop, s.LoadSignal = Stop(seed%3), LoadSignal(seed%4)
 		kept, err := New(s, uint64(seed))
 		if err != nil {
 			t.Fatal(err)
@@ -218,9 +218,9 @@
 				id++
 				e := Event{Kind: Arrive, ID: id, Class: int(float64(len(kept.set.Classes)) * math.Pow(rng.Float64(), 2)),
 					Tenant: int(float64(len(kept.set.Tenants)) * math.Pow(rng.Float64(), 3)),
-					SizeKB: 5 + 60*rng.Float64(), Again: rng.IntN(6) == 0, Waited: rng.Int64N(20_000)}
+					SizeKB: 5 + 60*rng.Float64(), Retry: rng.IntN(6) == 0, Waited: rng.Int64N(20_000)}
 				if rng.IntN(8) == 0 && id > 20 {
-					e.Prior = id - 1 - RequestID(rng.IntN(20))
+					e.DuplicateOf = id - 1 - RequestID(rng.IntN(20))
 				}
 				m.held = append(m.held, id)
 				events = append(events, e)
@@ -229,14 +229,14 @@
 				e := Event{Kind: Done, ID: take(rng, &m.running), Outcome: OK}
 				switch rng.IntN(12) {
 				case 0:
-					e.Outcome = Outcome(rng.IntN(int(Moot)))
+					e.Outcome = Outcome(rng.IntN(int(NotStarted)))
 				case 1, 2:
-					e.Kind = Needs
+					e.Kind = NeedsCall
 				}
 				events = append(events, e)
 			}
 			for len(m.calls) > 0 && rng.IntN(3) == 0 {
-				e := Event{Kind: Called, ID: take(rng, &m.calls), Outcome: OK}
+				e := Event{Kind: CallDone, ID: take(rng, &m.calls), Outcome: OK}
 				if rng.IntN(5) == 0 {
 					e.Outcome = TimedOut
 				} else {
@@ -245,10 +245,10 @@
 				events = append(events, e)
 			}
 			if len(m.held) > 0 && rng.IntN(30) == 0 {
-				events = append(events, Event{Kind: Gone, ID: take(rng, &m.held)})
+				events = append(events, Event{Kind: Disconnected, ID: take(rng, &m.held)})
 			}
 			if len(m.running) > 0 && rng.IntN(10) == 0 { // its run goes on until it is stopped
-				events = append(events, Event{Kind: Gone, ID: m.running[rng.IntN(len(m.running))]})
+				events = append(events, Event{Kind: Disconnected, ID: m.running[rng.IntN(len(m.running))]})
 			}
 			m.step(now, events)
 			if batch%50 == 0 {
@@ -257,7 +257,7 @@
 			if batch%500 == 499 {
 				regroup(rng, &s, len(s.Tenants)+rng.IntN(30), min(60, len(s.Classes)+rng.IntN(2)))
 				s.Workers += rng.IntN(2)
-				if err := kept.Retune(s); err != nil {
+				if err := kept.Reconfigure(s); err != nil {
 					t.Fatal(err)
 				}
 				for i := range s.Tenants {
@@ -266,11 +266,11 @@
 							s.Tenants[i].Quota, s.Workers)
 					}
 				}
-				plain.Retune(s)
+				plain.Reconfigure(s)
 			}
 		}
 	}
-	for _, kind := range []ActionKind{Run, Refuse, Fail, Halt, Call, Keep, Reuse, Say} {
+	for _, kind := range []ActionKind{Run, Refuse, Fail, Halt, Call, Retain, Reuse, SetLoadSignal} {
 		if total[kind] < 20 {
 			t.Errorf("the streams brought action %d %d times: they show nothing of it", kind, total[kind])
 		}
@@ -279,8 +279,8 @@
 
 // The shortest aim counts for as long as its class weighs enough, to the microsecond; the first class's always.
 func TestShortestAimWhileItsClassIsLively(t *testing.T) {
-	w, err := New(Settings{Cores: 1, MemoryKB: 1000, Classes: []Class{{Aim: 900, Limit: 1000, Worth: 1}, {Aim: 300, Limit: 1000, Worth: 2},
-		{Aim: 500, Limit: 1000, Worth: 0.1}, {Aim: 500, Limit: 1000, Worth: 3}, {Aim: 1500, Limit: 2000, Worth: 1}, {Aim: 10, Limit: 90}}}, 1)
+	w, err := New(Settings{Cores: 1, MemoryKB: 1000, Classes: []Class{{TargetTime: 900, Timeout: 1000, Worth: 1}, {TargetTime: 300, Timeout: 1000, Worth: 2},
+		{TargetTime: 500, Timeout: 1000, Worth: 0.1}, {TargetTime: 500, Timeout: 1000, Worth: 3}, {TargetTime: 1500, Timeout: 2000, Worth: 1}, {TargetTime: 10, Timeout: 90}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,9 +363,9 @@
 
 func newDecisions(t testing.TB, tenants, classes, held int) *decisions {
 	s := Settings{Cores: 2, MemoryKB: 1e9, Goal: Goal{Whole: 1, WorstClass: 0.2, WorstTenant: 0.5}, OverShareWorth: 0.2,
-		Workers: 3, CrowdMultiple: 1.25, Tick: 2000, Tenants: make([]Tenant, tenants), Classes: make([]Class, classes)}
+		Workers: 3, MaxRunsPerCore: 1.25, Tick: 2000, Tenants: make([]Tenant, tenants), Classes: make([]Class, classes)}
 	for i := range s.Classes {
-		s.Classes[i] = Class{Aim: 1e12 + int64(i)*1e6, Limit: 4e12, Worth: 1 + float64(i%7)}
+		s.Classes[i] = Class{TargetTime: 1e12 + int64(i)*1e6, Timeout: 4e12, Worth: 1 + float64(i%7)}
 	}
 	for i := range s.Tenants {
 		s.Tenants[i].Quota = 200 / float64(tenants)
@@ -452,7 +452,7 @@
 			sets = append(sets, s)
 		}
 		if n := testing.AllocsPerRun(len(sets)-1, func() {
-			if err := w.Retune(sets[0]); err != nil {
+			if err := w.Reconfigure(sets[0]); err != nil {
 				t.Fatal(err)
 			}
 			sets = sets[1:]
@@ -490,7 +490,7 @@
 					s.Classes[7].Worth++
 				}
 				b.StartTimer()
-				if err := w.Retune(s); err != nil {
+				if err := w.Reconfigure(s); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -504,7 +504,7 @@
 func TestShareOfAThinQuota(t *testing.T) {
 	worker := func(quota ...float64) *bench {
 		return start(t, func(s *Settings) {
-			s.Cores, s.Workers, s.OverShareWorth, s.Below = 1, 470, 0.05, BelowNone
+			s.Cores, s.Workers, s.OverShareWorth, s.Downstream = 1, 470, 0.05, DownstreamNone
 			for _, q := range quota {
 				s.Tenants = append(s.Tenants, Tenant{Quota: q})
 			}
@@ -561,8 +561,8 @@
 		t.Fatal(err)
 	}
 	w.Step(1000, []Event{arrival(1, 0), arrival(2, 1)}, nil)
-	s.Tenants[1].Quota, s.Classes[1].Aim, s.Classes[0].Worth = 4, 500_000, 7
-	if err := w.Retune(s); err != nil {
+	s.Tenants[1].Quota, s.Classes[1].TargetTime, s.Classes[0].Worth = 4, 500_000, 7
+	if err := w.Reconfigure(s); err != nil {
 		t.Fatal(err)
 	}
 	w.Step(2000, nil, nil)
--- a/internal/config/calls.go
+++ b/internal/config/calls.go
@@ -32,15 +32,15 @@
 	if err := ledger.Check(m.Ledger); err != nil {
 		errs.add("machine.ledger", "%v", err)
 	}
-	c.Module.Below, c.Module.CallsOver, c.Module.Lingers = kiteslip.BelowTier, callsOver, lingers
+	c.Module.Downstream, c.Module.CallShareWindow, c.Module.MaxCallLinger = kiteslip.DownstreamTier, callsOver, lingers
 }
 
 // calls enters what one contract says of calls; ledger is where they would go.
 func calls(t *Contract, ledger string, m *kiteslip.Class, add func(name, format string, args ...any)) {
 	if t.Calls != nil {
-		m.Calls = *t.Calls
+		m.CallsDownstream = *t.Calls
 	}
-	if m.Calls && ledger == "" {
+	if m.CallsDownstream && ledger == "" {
 		add("calls", "is true, and there is no ledger")
 	}
 	if t.SkipWorth == nil {
@@ -48,7 +48,7 @@
 	}
 	if !(*t.SkipWorth >= 0) || *t.SkipWorth > 1 {
 		add("skip_worth", "is %v, want 0 to 1", *t.SkipWorth)
-	} else if *t.SkipWorth > 0 && !m.Calls {
+	} else if *t.SkipWorth > 0 && !m.CallsDownstream {
 		add("skip_worth", "is %v, and the class makes no calls", *t.SkipWorth)
 	}
 	m.SkipWorth = *t.SkipWorth
@@ -56,5 +56,5 @@
 
 // Calling says whether any class calls below.
 func (c *Config) Calling() bool {
-	return slices.ContainsFunc(c.Module.Classes, func(class kiteslip.Class) bool { return class.Calls })
+	return slices.ContainsFunc(c.Module.Classes, func(class kiteslip.Class) bool { return class.CallsDownstream })
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	draw := kiteslip.Class{Effect: kiteslip.Keyed, Aim: 300_000, Limit: 900_000, Window: 2_000_000, Worth: 3, LateWorth: 0.5}
+	draw := kiteslip.Class{Effect: kiteslip.Keyed, TargetTime: 300_000, Timeout: 900_000, Window: 2_000_000, Worth: 3, LateWorth: 0.5}
 	if len(c.Module.Classes) != 3 || c.Module.Classes[2] != draw || c.Classes[2] != "draw" || c.Backends[2] != "127.0.0.1:3032" || c.Backends[0] != "" {
 		t.Errorf("classes %+v %v %v", c.Module.Classes, c.Classes, c.Backends)
 	}
@@ -160,7 +160,7 @@
 		if c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s, %s: %v, want %q", c.machine, c.contract, err, c.want)
 		}
-		if c.want == "" && (err != nil || !got.Module.Classes[0].Calls || got.Module.Classes[0].SkipWorth != 0.5 || got.Module.Stop != kiteslip.StopFreeze) {
+		if c.want == "" && (err != nil || !got.Module.Classes[0].CallsDownstream || got.Module.Classes[0].SkipWorth != 0.5 || got.Module.Stop != kiteslip.StopFreeze) {
 			t.Errorf("%+v, %v", got, err)
 		}
 	}
--- a/internal/config/places.go
+++ b/internal/config/places.go
@@ -100,7 +100,7 @@
 func openFor(c *Config) int64 {
 	longest := int64(0)
 	for i := range c.Module.Classes {
-		longest = max(longest, c.Module.Classes[i].Limit)
+		longest = max(longest, c.Module.Classes[i].Timeout)
 	}
 	return 2*longest + lingersMore
 }
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -49,7 +49,7 @@
 // plain is a class that no contract speaks of.
 func plain(class kiteslip.Class) route {
 	return route{class: class, result: defaultResult, front: uwsgi.Contract{Keyed: class.Effect == kiteslip.Keyed,
-		Deadline: class.Limit, MaxBody: defaultBody, HeldKB: defaultHeldKB}}
+		Deadline: class.Timeout, MaxBody: defaultBody, HeldKB: defaultHeldKB}}
 }
 
 // route returns the class of that name as the platform has it.
@@ -241,25 +241,25 @@
 			set(*value * unit)
 		}
 	}
-	figure("aim_ms", t.AimMS, hourMS, 1000, func(v float64) { m.Aim = int64(v) })
-	figure("deadline_ms", t.DeadlineMS, hourMS, 1000, func(v float64) { m.Limit = int64(v) })
+	figure("aim_ms", t.AimMS, hourMS, 1000, func(v float64) { m.TargetTime = int64(v) })
+	figure("deadline_ms", t.DeadlineMS, hourMS, 1000, func(v float64) { m.Timeout = int64(v) })
 	figure("window_ms", t.WindowMS, hourMS, 1000, func(v float64) { m.Window = int64(v) })
 	figure("worth", t.Worth, 1e6, 1, func(v float64) { m.Worth = v })
 	figure("late_worth", t.LateWorth, 1, 1, func(v float64) { m.LateWorth = v })
 	calls(t, e.machine.Ledger, m, add)
-	if m.Limit == 0 {
+	if m.Timeout == 0 {
 		add("deadline_ms", "is absent")
 	}
-	if m.Aim == 0 {
-		m.Aim = m.Limit
+	if m.TargetTime == 0 {
+		m.TargetTime = m.Timeout
 	}
-	if m.Aim > m.Limit {
+	if m.TargetTime > m.Timeout {
 		add("aim_ms", "is past the deadline")
 	}
-	if m.Effect == kiteslip.Keyed && m.Window < m.Limit {
+	if m.Effect == kiteslip.Keyed && m.Window < m.Timeout {
 		add("window_ms", "is shorter than the deadline: a later try would run again")
 	}
-	r.front = uwsgi.Contract{Keyed: m.Effect == kiteslip.Keyed, Deadline: m.Limit, MaxBody: t.MaxBody, HeldKB: t.HeldKB, Path: t.Path}
+	r.front = uwsgi.Contract{Keyed: m.Effect == kiteslip.Keyed, Deadline: m.Timeout, MaxBody: t.MaxBody, HeldKB: t.HeldKB, Path: t.Path}
 	r.backend, r.result = backend, t.MaxResult
 	f := &r.front
 	if f.MaxBody == 0 {
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -130,7 +130,7 @@
 		} else {
 			c.answer(r, Answer{Code: Failed, Cause: Overdue})
 		}
-		c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Gone, ID: r.id})
+		c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Disconnected, ID: r.id})
 		if r.phase != running {
 			c.drop(r)
 		}
--- a/internal/core/arrivals.go
+++ b/internal/core/arrivals.go
@@ -25,7 +25,7 @@
 	class := &c.set.Module.Classes[r.Class]
 	told := r.Due
 	if r.Due == 0 {
-		r.Due = r.Arrived + class.Limit // the client waits no longer, whatever its caller does
+		r.Due = r.Arrived + class.Timeout // the client waits no longer, whatever its caller does
 	}
 	// Guards what the module learns, of the time to be read and of patience,
 	// against figures that no caller of this site can mean.
@@ -34,8 +34,8 @@
 		return turnedDown("key_absent", "a request of a keyed class has no key")
 	case r.Arrived > now+stampAhead:
 		return turnedDown("stamp_ahead", "the stamp lies %d ms ahead of the clock", (r.Arrived-now)/1000)
-	case r.Due-r.Arrived > PatienceMost*class.Limit:
-		return turnedDown("wait_too_long", "a wait of %d ms, where clients wait %d", (r.Due-r.Arrived)/1000, class.Limit/1000)
+	case r.Due-r.Arrived > PatienceMost*class.Timeout:
+		return turnedDown("wait_too_long", "a wait of %d ms, where clients wait %d", (r.Due-r.Arrived)/1000, class.Timeout/1000)
 	case r.Due <= now:
 		c.tooLate(r)
 		return nil
@@ -66,8 +66,8 @@
 		c.dueAt = r.Due - dueMargin
 	}
 	c.events = append(c.events, kiteslip.Event{
-		Kind: kiteslip.Arrive, ID: r.id, Prior: c.prior(now, r), Class: r.Class, Tenant: r.Tenant,
-		Sender: r.Caller, Key: r.Subject, Deadline: told, Again: r.Again, Waited: max(0, now-r.Arrived), Hint: r.Hint,
+		Kind: kiteslip.Arrive, ID: r.id, DuplicateOf: c.prior(now, r), Class: r.Class, Tenant: r.Tenant,
+		Caller: r.Caller, Key: r.Subject, Deadline: told, Retry: r.Again, Waited: max(0, now-r.Arrived), WorkHint: r.Hint,
 		SizeKB: r.SizeKB, Rank: r.Rank, Write: r.Write,
 	})
 	return nil
@@ -162,7 +162,7 @@
 	}
 	c.counts.Gone++
 	c.settle(r)
-	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Gone, ID: r.id})
+	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Disconnected, ID: r.id})
 	if r.phase == held || r.phase == copying || r.phase == paused {
 		c.drop(r)
 	}
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -53,7 +53,7 @@
 	}
 	c.abandon(r)
 	r.stand = &stand{notice: notice, body: body}
-	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Needs, ID: r.id})
+	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.NeedsCall, ID: r.id})
 }
 
 // call makes the call that r stands at.
@@ -63,7 +63,7 @@
 		return
 	}
 	if patience <= 0 {
-		patience = c.set.Module.Classes[r.Class].Limit
+		patience = c.set.Module.Classes[r.Class].Timeout
 	}
 	c.calls.last++
 	s.token, s.since = c.calls.last, now
@@ -89,7 +89,7 @@
 		r.stand = nil
 		c.calls.engine.Feed(r, reply)
 	}
-	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Called, ID: r.id, Outcome: outcome, Elapsed: max(0, now-s.since)})
+	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.CallDone, ID: r.id, Outcome: outcome, Elapsed: max(0, now-s.since)})
 	return true
 }
 
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -12,9 +12,9 @@
 // tills is a small site whose runs call below and can be paused.
 func tills() kiteslip.Settings {
 	s := site()
-	s.Below, s.Stop, s.CallsOver, s.Lingers = kiteslip.BelowTier, kiteslip.StopFreeze, 5_000_000, 200_000
-	s.Classes[0].Calls, s.Classes[0].SkipWorth = true, 0.5
-	s.Classes[1].Calls = true
+	s.Downstream, s.Stop, s.CallShareWindow, s.MaxCallLinger = kiteslip.DownstreamTier, kiteslip.StopFreeze, 5_000_000, 200_000
+	s.Classes[0].CallsDownstream, s.Classes[0].SkipWorth = true, 0.5
+	s.Classes[1].CallsDownstream = true
 	return s
 }
 
@@ -125,7 +125,7 @@
 	r := b.out[token]
 	delete(b.out, token)
 	b.ended[token] = true
-	if outcome != kiteslip.Full && outcome != kiteslip.Unreachable && outcome != kiteslip.Moot && outcome != kiteslip.OK {
+	if outcome != kiteslip.Rejected && outcome != kiteslip.Unreachable && outcome != kiteslip.NotStarted && outcome != kiteslip.OK {
 		b.effects[r]++
 	}
 	if !b.core.Called(b.now, token, outcome, []byte("reply to "+r.Name)) {
@@ -192,8 +192,8 @@
 						least = token
 					}
 				}
-				b.called(least, kiteslip.Outcome(rapid.SampledFrom([]int{int(kiteslip.OK), int(kiteslip.Failed), int(kiteslip.Full), int(kiteslip.TimedOut),
-					int(kiteslip.Unreachable), int(kiteslip.Reset), int(kiteslip.Moot)}).Draw(t, "outcome")))
+				b.called(least, kiteslip.Outcome(rapid.SampledFrom([]int{int(kiteslip.OK), int(kiteslip.Failed), int(kiteslip.Rejected), int(kiteslip.TimedOut),
+					int(kiteslip.Unreachable), int(kiteslip.Reset), int(kiteslip.NotStarted)}).Draw(t, "outcome")))
 			},
 			"finish": func(t *rapid.T) {
 				if len(b.running) > 0 {
@@ -277,7 +277,7 @@
 	if err := b.core.Arrive(b.now, r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Due != r.Arrived+tills().Classes[0].Limit {
+	if r.Due != r.Arrived+tills().Classes[0].Timeout {
 		t.Errorf("due %d us after it came", r.Due-r.Arrived)
 	}
 	if e := b.core.events[len(b.core.events)-1]; e.Deadline != 0 {
@@ -296,7 +296,7 @@
 	second := b.arrive(1, "k", 0, 1_500_000)
 	second.Again = true
 	b.core.Step(b.now)
-	b.called(1, kiteslip.Full)
+	b.called(1, kiteslip.Rejected)
 	b.pass(20_000)
 	b.called(2, kiteslip.OK)
 	b.pass(20_000)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -119,7 +119,7 @@
 	if c.drainAt != 0 {
 		module.DrainGrace = min(module.DrainGrace, c.set.Module.DrainGrace)
 	}
-	if err := c.worker.Retune(module); err != nil {
+	if err := c.worker.Reconfigure(module); err != nil {
 		return err
 	}
 	longer := longerWindow(c.set.Module.Classes, module.Classes)
@@ -157,7 +157,7 @@
 }
 
 // Warmth tells when the machine's cores came up, and whether they were cold then.
-func (c *Core) Warmth(cold bool, since int64) { c.worker.Warmth(cold, since) }
+func (c *Core) Warmth(cold bool, since int64) { c.worker.SetWarmup(cold, since) }
 
 // Gauges takes in the machine's own readings.
 func (c *Core) Gauges(g kiteslip.Gauges) { c.gauges = g }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -13,10 +13,10 @@
 func site() kiteslip.Settings {
 	return kiteslip.Settings{
 		Cores: 2, MemoryKB: 4000, RunFactor: 4, KeyKB: 20, Tick: 4000, MaxRetryAfter: 1_000_000,
-		DrainGrace: 2_000_000, AnswerSlack: 60_000, CrowdMultiple: 8, CrowdOver: 1_500_000,
+		DrainGrace: 2_000_000, AnswerSlack: 60_000, MaxRunsPerCore: 8, MaxRunsWindow: 1_500_000,
 		Classes: []kiteslip.Class{
-			{Effect: kiteslip.Repeatable, Aim: 500_000, Limit: 1_500_000, Worth: 1},
-			{Effect: kiteslip.Keyed, Aim: 500_000, Limit: 1_500_000, Worth: 4, Window: 3_000_000},
+			{Effect: kiteslip.Repeatable, TargetTime: 500_000, Timeout: 1_500_000, Worth: 1},
+			{Effect: kiteslip.Keyed, TargetTime: 500_000, Timeout: 1_500_000, Worth: 4, Window: 3_000_000},
 		},
 	}
 }
@@ -107,7 +107,7 @@
 func (b *book) finish(i int, outcome kiteslip.Outcome) {
 	r := b.running[i]
 	b.running = append(b.running[:i], b.running[i+1:]...)
-	if outcome == kiteslip.Moot {
+	if outcome == kiteslip.NotStarted {
 		b.ran[r] = false
 		if b.lastRun[r.Key] == r {
 			delete(b.lastRun, r.Key)
@@ -154,7 +154,7 @@
 					t.Skip("nothing runs")
 				}
 				b.finish(rapid.IntRange(0, len(b.running)-1).Draw(t, "which"),
-					rapid.SampledFrom([]kiteslip.Outcome{kiteslip.OK, kiteslip.OK, kiteslip.Failed, kiteslip.Cancelled, kiteslip.Moot}).Draw(t, "how"))
+					rapid.SampledFrom([]kiteslip.Outcome{kiteslip.OK, kiteslip.OK, kiteslip.Failed, kiteslip.Cancelled, kiteslip.NotStarted}).Draw(t, "how"))
 			},
 			"gone": func(t *rapid.T) {
 				if len(b.sent) == 0 {
@@ -367,7 +367,7 @@
 // Figures that no caller can mean stay out of what the module learns.
 func TestWildFiguresStayOut(t *testing.T) {
 	b := newBook(t)
-	limit := site().Classes[0].Limit
+	limit := site().Classes[0].Timeout
 	for what, r := range map[string]*Request{
 		"a stamp from the future":  {Arrived: b.now + 60_000_000, Due: b.now + 61_000_000},
 		"a stamp from long ago":    {Arrived: 0, Due: limit},
@@ -411,7 +411,7 @@
 	longer := site()
 	longer.Classes = append([]kiteslip.Class(nil), longer.Classes...)
 	longer.Classes[1].Window = 8_000_000
-	longer.Classes = append(longer.Classes, kiteslip.Class{Effect: kiteslip.Repeatable, Aim: 500_000, Limit: 1_500_000, Worth: 1})
+	longer.Classes = append(longer.Classes, kiteslip.Class{Effect: kiteslip.Repeatable, TargetTime: 500_000, Timeout: 1_500_000, Worth: 1})
 	if err := b.core.Retune(longer, nil, nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/journal.go
+++ b/internal/core/journal.go
@@ -37,7 +37,7 @@
 	if c.granting == nil {
 		c.granting, c.ends = map[kiteslip.RequestID]grant{}, map[kiteslip.RequestID]*Request{}
 	}
-	c.worker.Retune(c.prepared(c.set.Module)) //nolint:errcheck // these settings are in use
+	c.worker.Reconfigure(c.prepared(c.set.Module)) //nolint:errcheck // these settings are in use
 }
 
 // prepared returns settings in which keyed classes are prepared where there is
@@ -117,7 +117,7 @@
 		c.Granted(now, token)
 	case c.claims[id] != nil:
 		delete(c.claims, id)
-		c.unclaim(r, kiteslip.Moot, nil)
+		c.unclaim(r, kiteslip.NotStarted, nil)
 	case r.phase != held:
 	case err == nil:
 		c.ready(r)
@@ -132,7 +132,7 @@
 	if !r.answered {
 		c.answer(r, Answer{Code: Refused, HoldOff: c.set.Module.MaxRetryAfter})
 	}
-	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Gone, ID: r.id})
+	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Disconnected, ID: r.id})
 	c.drop(r)
 }
 
@@ -169,7 +169,7 @@
 		return false
 	}
 	rec := c.recordOf(r, c.guardOf(r))
-	if r.outcome == kiteslip.Moot {
+	if r.outcome == kiteslip.NotStarted {
 		c.journal.Never(rec)
 		return false
 	}
--- a/internal/core/journal_test.go
+++ b/internal/core/journal_test.go
@@ -152,7 +152,7 @@
 			case 7, 8:
 				if len(b.running) > 0 {
 					b.finish(rapid.IntRange(0, len(b.running)-1).Draw(t, "which"),
-						rapid.SampledFrom([]kiteslip.Outcome{kiteslip.OK, kiteslip.OK, kiteslip.Failed, kiteslip.Moot}).Draw(t, "outcome"))
+						rapid.SampledFrom([]kiteslip.Outcome{kiteslip.OK, kiteslip.OK, kiteslip.Failed, kiteslip.NotStarted}).Draw(t, "outcome"))
 				}
 			case 9:
 				if n := len(b.sent); n > 0 {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -160,9 +160,9 @@
 	}
 	delete(c.claims, r.id)
 	if r.answered {
-		c.unclaim(r, kiteslip.Moot, nil)
+		c.unclaim(r, kiteslip.NotStarted, nil)
 		if !c.owner && c.peer != nil {
-			c.peer.Ended(r.Class, r.Key, r.Arrived, kiteslip.Moot, nil)
+			c.peer.Ended(r.Class, r.Key, r.Arrived, kiteslip.NotStarted, nil)
 		}
 		return
 	}
@@ -182,7 +182,7 @@
 // only claimed. Guards that against an owner that says nothing.
 func (c *Core) letGo(r *Request) {
 	if c.claims[r.id] != nil {
-		c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.Moot})
+		c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.NotStarted})
 	}
 }
 
@@ -194,11 +194,11 @@
 	if outcome != kiteslip.OK {
 		r.outcome = kiteslip.Failed // another try may have run: no refusal
 	}
-	if e := c.table[r.entry]; outcome == kiteslip.Moot && e != nil && e.ran == r {
+	if e := c.table[r.entry]; outcome == kiteslip.NotStarted && e != nil && e.ran == r {
 		e.ran, e.guard = nil, 0
 		c.unrecord(r)
 	}
-	c.over(r, 0, kiteslip.Moot)
+	c.over(r, 0, kiteslip.NotStarted)
 }
 
 // Ended takes in the end of a run of the other process.
@@ -237,7 +237,7 @@
 	}
 	for _, id := range r.claims {
 		outcome := r.outcome
-		if outcome == kiteslip.Moot {
+		if outcome == kiteslip.NotStarted {
 			outcome = kiteslip.Failed
 		}
 		c.peer.Had(id, outcome, r.result)
@@ -256,7 +256,7 @@
 	if c.pools != nil {
 		c.pools.Beside(c.now, runs)
 	}
-	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Beside, Runs: runs, SizeKB: sizeKB})
+	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.PeerLoad, Runs: runs, SizeKB: sizeKB})
 }
 
 // KeyedRuns is the number of keyed requests that run here, or are about to.
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -101,7 +101,7 @@
 				b := p.books[rapid.IntRange(0, 1).Draw(t, "side")]
 				if len(b.running) > 0 {
 					b.finish(rapid.IntRange(0, len(b.running)-1).Draw(t, "run"), rapid.SampledFrom([]kiteslip.Outcome{
-						kiteslip.OK, kiteslip.OK, kiteslip.Failed, kiteslip.Moot}).Draw(t, "outcome"))
+						kiteslip.OK, kiteslip.OK, kiteslip.Failed, kiteslip.NotStarted}).Draw(t, "outcome"))
 				}
 			},
 			"cut": func(t *rapid.T) { // messages under way are lost; the one that dies says nothing more
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -74,7 +74,7 @@
 		return
 	}
 	c.movePools(now)
-	c.worker.Ceil(c.pools.Ceilings(now, c.worker.Limit()))
+	c.worker.SetCeilings(c.pools.Ceilings(now, c.worker.Limit()))
 }
 
 // repool takes over other pools, with requests in flight. The settings passed
@@ -83,7 +83,7 @@
 	c.set.Pools = s
 	if s == nil {
 		c.pools = nil
-		c.worker.Ceil(nil)
+		c.worker.SetCeilings(nil)
 	} else if c.pools != nil {
 		c.movePools(c.now)
 		return c.pools.Set(*s)
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -64,9 +64,9 @@
 		c.timers = append(c.timers, timer{now + a.After, a.Token})
 		return
 	case kiteslip.Health:
-		c.good, c.stored = a.On, a.Stored
+		c.good, c.stored = a.On, a.Cached
 		return
-	case kiteslip.Idle:
+	case kiteslip.SetIdleTimeout:
 		c.idle = a.After
 		return
 	case kiteslip.Log:
@@ -100,7 +100,7 @@
 		c.halt(r)
 	case kiteslip.Reuse:
 		c.reuse(r)
-	case kiteslip.Keep:
+	case kiteslip.Retain:
 		if r.entry != "" {
 			e := c.table[r.entry]
 			if e == nil {
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -15,7 +15,7 @@
 	r.phase, r.outcome, r.result, r.endedAt = ended, outcome, result, r.began+elapsed
 	c.touch(r)
 	r.unknown = r.unknown && outcome != kiteslip.OK
-	if e := c.table[r.entry]; outcome == kiteslip.Moot && e != nil && e.ran == r {
+	if e := c.table[r.entry]; outcome == kiteslip.NotStarted && e != nil && e.ran == r {
 		e.ran, e.guard = nil, 0 // proved never to have run
 	}
 	if outcome == kiteslip.Cancelled && !r.answered {
@@ -56,7 +56,7 @@
 		switch r.outcome {
 		case kiteslip.OK:
 			c.answer(r, Answer{Code: Served, Result: r.result})
-		case kiteslip.Moot:
+		case kiteslip.NotStarted:
 			c.answer(r, Answer{Code: Refused})
 		default:
 			cause := RunFailed
@@ -120,7 +120,7 @@
 		if c.inDoubt(r.Arrived) {
 			c.answer(r, Answer{Code: Failed, Cause: InDoubt})
 			c.drop(r)
-			c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.Moot})
+			c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.NotStarted})
 			return
 		}
 		e.ran, e.guard = r, c.windowEnd(r)
@@ -146,7 +146,7 @@
 		c.answer(r, Answer{Code: Refused})
 	}
 	c.drop(r)
-	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.Moot})
+	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.NotStarted})
 }
 
 // reuse serves r from the request that it repeats.
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -62,7 +62,7 @@
 		} else {
 			l.Expire()
 		}
-		if got := fmt.Sprint(e.seen); got != fmt.Sprintf("[early %d]", kiteslip.Moot) {
+		if got := fmt.Sprint(e.seen); got != fmt.Sprintf("[early %d]", kiteslip.NotStarted) {
 			t.Errorf("a link comes %v: %s", comes, got)
 		}
 		runs := 0
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -281,7 +281,7 @@
 		if len(words) >= 3 && string(words[1]) == "RUN" {
 			if u := l.runs[string(words[2])]; u != nil {
 				delete(l.runs, u.r.Name)
-				l.events.Done(u.r, kiteslip.Moot, 0, nil)
+				l.events.Done(u.r, kiteslip.NotStarted, 0, nil)
 			}
 		}
 	default:
@@ -291,7 +291,7 @@
 }
 
 var outcomes = map[string]kiteslip.Outcome{
-	"complete": kiteslip.OK, "error": kiteslip.Failed, "cancelled": kiteslip.Cancelled, "unknown": kiteslip.Moot,
+	"complete": kiteslip.OK, "error": kiteslip.Failed, "cancelled": kiteslip.Cancelled, "unknown": kiteslip.NotStarted,
 }
 
 // content reads the length that a line ends with, and takes as many bytes and
@@ -379,7 +379,7 @@
 // begun, and nobody waits for it any more.
 func (l *Link) unwritten(u *run) {
 	delete(l.runs, u.r.Name)
-	l.events.Done(u.r, kiteslip.Moot, 0, nil)
+	l.events.Done(u.r, kiteslip.NotStarted, 0, nil)
 }
 
 // Expire ends, as failed, runs in doubt of which nothing was heard until they
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -27,7 +27,7 @@
 	m := Broker(8)
 	m.MemoryKB = 1e9
 	for i := range m.Classes {
-		m.Classes[i].Aim, m.Classes[i].Limit = 3600*Second, 3600*Second
+		m.Classes[i].TargetTime, m.Classes[i].Timeout = 3600*Second, 3600*Second
 	}
 	var s *pool.Settings
 	if pools {
@@ -62,7 +62,7 @@
 					return err
 				}
 			}
-			c.Gauges(kiteslip.Gauges{Set: true, Busy: 1, Runnable: batch}) // the running limit stays at the cores
+			c.Gauges(kiteslip.Gauges{Valid: true, Busy: 1, Runnable: batch}) // the running limit stays at the cores
 			c.Step(now)
 		}
 		return nil
--- a/internal/lab/fleet/callers.go
+++ b/internal/lab/fleet/callers.go
@@ -75,7 +75,7 @@
 // stream, so that it is the same whatever becomes of others.
 func (w *world) ask(class int) {
 	s, c := &w.streams[class], &w.day.Classes[class]
-	r := &request{class: class, first: s.next, due: s.next + c.Limit, work: c.Least + (c.Most-c.Least)*s.rng.Float64(), last: -1}
+	r := &request{class: class, first: s.next, due: s.next + c.Timeout, work: c.Least + (c.Most-c.Least)*s.rng.Float64(), last: -1}
 	r.team = pickPart(s.rng.Float64(), len(w.day.Teams), func(i int) float64 { return w.day.Teams[i].Part })
 	x := s.rng.Float64() * w.weights[len(w.weights)-1]
 	for r.caller < len(w.weights)-1 && x >= w.weights[r.caller] {
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -63,7 +63,7 @@
 	case now < l.downTo:
 		return now, kiteslip.Unreachable
 	case part(0) < l.Turns:
-		return now, kiteslip.Full
+		return now, kiteslip.Rejected
 	}
 	start := max(now, l.free[0])
 	l.free[0] = start + l.Least + int64(part(16)*float64(l.Most-l.Least))
@@ -89,7 +89,7 @@
 // begin puts the first piece of a run on the cores.
 func (m *machine) begin(r *core.Request, work float64) {
 	p := &piece{began: m.w.now}
-	if m.w.ledger != nil && m.w.day.Classes[r.Class].Calls {
+	if m.w.ledger != nil && m.w.day.Classes[r.Class].CallsDownstream {
 		p.rest = work / 2
 	}
 	m.pieces[r] = p
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -380,7 +380,7 @@
 	m.w.names++
 	due := r.due
 	if a.t.due = due; m.w.day.Untold {
-		due, a.t.due = 0, a.at+m.w.day.Classes[r.class].Limit
+		due, a.t.due = 0, a.at+m.w.day.Classes[r.class].Timeout
 	}
 	err := m.core.Arrive(m.w.now, &core.Request{Name: strconv.FormatUint(m.w.names, 16), Class: r.class, Tenant: r.team, Caller: r.caller,
 		Key: r.name, Subject: r.subject, Arrived: a.at, Due: due, SizeKB: 16, Again: m.w.day.Module.MarksRetries && r.tries > 1, Body: strconv.AppendInt(nil, int64(r.work), 10),
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -189,7 +189,7 @@
 	}
 	day.Module = kiteslip.Settings{Cores: s.Fleet.Cores, MemoryKB: or(s.Server.MemoryMB, 256) * 1024, RunFactor: or(s.Server.RunFactor, 4),
 		KeyKB: 8, MaxRetryAfter: us(or(s.Server.MaxRetryMS, 1000)), OverShareWorth: 0.05, WorthByWork: true, Tick: 4_000,
-		DrainGrace: 2_000_000, AnswerSlack: 60_000, CrowdMultiple: s.Server.Crowd, CrowdOver: 1_500_000,
+		DrainGrace: 2_000_000, AnswerSlack: 60_000, MaxRunsPerCore: s.Server.Crowd, MaxRunsWindow: 1_500_000,
 		Goal: kiteslip.Goal{Whole: 0.5, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.2}}
 	s.below(&day, fail)
 	places := map[string]int{}
@@ -206,8 +206,8 @@
 		if c.AimMS <= 0 || c.LimitMS < c.AimMS {
 			fail(key+".aim_ms", "is %v, want above 0 and at most the deadline of %v", c.AimMS, c.LimitMS)
 		}
-		class := kiteslip.Class{Effect: effect, Aim: us(c.AimMS), Limit: us(c.LimitMS), Window: us(c.WindowMS),
-			Worth: or(c.Worth, 1), LateWorth: c.LateWorth, Calls: c.Calls, SkipWorth: c.SkipWorth}
+		class := kiteslip.Class{Effect: effect, TargetTime: us(c.AimMS), Timeout: us(c.LimitMS), Window: us(c.WindowMS),
+			Worth: or(c.Worth, 1), LateWorth: c.LateWorth, CallsDownstream: c.Calls, SkipWorth: c.SkipWorth}
 		if c.Calls && s.Ledger == nil {
 			fail(key+".calls", "is true, and there is no [ledger]")
 		}
@@ -281,5 +281,5 @@
 		fail("ledger.turns_away", "is %v and never_answers %v, want shares", l.Turns, l.Loses)
 	}
 	day.Below = &Below{Places: max(1, l.Places), Least: us(l.MS[0]), Most: us(l.MS[1]), Turns: l.Turns, Loses: l.Loses}
-	day.Module.Below, day.Module.CallsOver, day.Module.Lingers = kiteslip.BelowTier, 5*Second, 200_000
+	day.Module.Downstream, day.Module.CallShareWindow, day.Module.MaxCallLinger = kiteslip.DownstreamTier, 5*Second, 200_000
 }
--- a/internal/lab/fleet/score.go
+++ b/internal/lab/fleet/score.go
@@ -122,7 +122,7 @@
 			t.group.Refused++
 		case a.Code != core.Served:
 			t.group.Failed++
-		case now <= r.first+c.Aim:
+		case now <= r.first+c.TargetTime:
 			t.group.InTime++
 			t.got += c.Worth * r.work
 		default:
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -156,7 +156,7 @@
 		w.arrive()
 		if day.Gauges {
 			n := float32(w.Box.Runs())
-			w.Core.Gauges(kiteslip.Gauges{Set: true, Busy: min(1, n/float32(day.Box.Cores)), Runnable: n})
+			w.Core.Gauges(kiteslip.Gauges{Valid: true, Busy: min(1, n/float32(day.Box.Cores)), Runnable: n})
 		}
 		w.Core.Step(w.now)
 		if day.Watch != nil && w.now >= watch {
@@ -217,7 +217,7 @@
 			s := &w.day.Streams[i]
 			least, most := s.Work(w.now - epoch)
 			t := &try{class: s.Class, tenant: s.Tenant, first: w.next[i], work: least + (most-least)*w.rng.Float64()}
-			t.due = t.first + w.day.Module.Classes[t.class].Limit
+			t.due = t.first + w.day.Module.Classes[t.class].Timeout
 			t.counted = t.first >= epoch+w.day.From
 			t.key = strconv.Itoa(len(w.tries))
 			if t.counted {
@@ -292,7 +292,7 @@
 		c.Refused++
 	case a.Code == core.Failed:
 		c.Failed++
-	case w.now <= t.first+w.day.Module.Classes[t.class].Aim:
+	case w.now <= t.first+w.day.Module.Classes[t.class].TargetTime:
 		c.InTime++
 		c.InTimeWork += t.work
 	default:
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -117,7 +117,7 @@
 	effects := map[kiteslip.Effect]string{kiteslip.Repeatable: "repeatable", kiteslip.Keyed: "by_key"}
 	for i := range f.day.Classes {
 		c := &f.day.Classes[i]
-		classes = append(classes, map[string]any{"name": c.Name, "effect": effects[c.Effect], "on_time_us": c.Aim, "hard_limit_us": c.Limit,
+		classes = append(classes, map[string]any{"name": c.Name, "effect": effects[c.Effect], "on_time_us": c.TargetTime, "hard_limit_us": c.Timeout,
 			"window_us": c.Window, "worth": c.Worth, "late_worth": c.LateWorth})
 	}
 	for i := range f.day.Teams {
@@ -132,7 +132,7 @@
 			"family_info": map[string]any{"cores": m.Cores, "memory_kb": m.MemoryKB, "blowup": m.RunFactor, "key_kb": m.KeyKB, "idle_us": 60_000_000, "callers": len(f.day.Callers)},
 			"goal": map[string]any{"whole": m.Goal.Whole, "worst_class": m.Goal.WorstClass, "worst_tenant": m.Goal.WorstTenant,
 				"worst_window": m.Goal.WorstWindow},
-			"rules":            map[string]any{"answer_slack_us": m.AnswerSlack, "drain_grace_us": m.DrainGrace, "fall_multiple": m.CrowdMultiple, "fall_us": m.CrowdOver},
+			"rules":            map[string]any{"answer_slack_us": m.AnswerSlack, "drain_grace_us": m.DrainGrace, "fall_multiple": m.MaxRunsPerCore, "fall_us": m.MaxRunsWindow},
 			"over_share_worth": m.OverShareWorth, "worth_by": "work", "tick_us": m.Tick, "group_size": f.day.Boxes,
 		},
 	})
--- a/internal/lab/scale/slopes/decision.go
+++ b/internal/lab/scale/slopes/decision.go
@@ -90,7 +90,7 @@
 	d.now += 500
 	d.held[d.id] = true
 	d.step(kiteslip.Event{Kind: kiteslip.Arrive, ID: d.id, Class: d.rng.IntN(len(d.set.Classes)), Tenant: d.rng.IntN(max(1, len(d.set.Tenants))),
-		Sender: d.rng.IntN(4200), SizeKB: 16, Key: uint64(d.id)})
+		Caller: d.rng.IntN(4200), SizeKB: 16, Key: uint64(d.id)})
 }
 
 // request is one request's three batches.
@@ -103,7 +103,7 @@
 		d.step(kiteslip.Event{Kind: kiteslip.Done, Outcome: kiteslip.OK, ID: id, Elapsed: runTime})
 	}
 	d.now += 2_000
-	d.step(kiteslip.Event{Kind: kiteslip.Timer, Token: d.token, Gauges: kiteslip.Gauges{Set: true, Busy: 1, Runnable: float32(len(d.running))}})
+	d.step(kiteslip.Event{Kind: kiteslip.Timer, Token: d.token, Gauges: kiteslip.Gauges{Valid: true, Busy: 1, Runnable: float32(len(d.running))}})
 }
 
 // cost is the mean processor time of one request, microseconds, over such a
--- a/internal/lab/scale/slopes/site.go
+++ b/internal/lab/scale/slopes/site.go
@@ -88,7 +88,7 @@
 		m.Tenants = append(m.Tenants, kiteslip.Tenant{Quota: teamQuota(i)})
 	}
 	for i := range s.routes {
-		m.Classes = append(m.Classes, kiteslip.Class{Effect: kiteslip.Repeatable, Aim: hour / 30, Limit: hour, LateWorth: 1, Worth: float64(1 + i%3)})
+		m.Classes = append(m.Classes, kiteslip.Class{Effect: kiteslip.Repeatable, TargetTime: hour / 30, Timeout: hour, LateWorth: 1, Worth: float64(1 + i%3)})
 	}
 	return m
 }
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -26,10 +26,10 @@
 	return kiteslip.Settings{
 		Cores: cores, MemoryKB: 256 * 1024, RunFactor: 4, KeyKB: 8, MaxRetryAfter: Second,
 		Classes: []kiteslip.Class{
-			{Effect: kiteslip.Repeatable, Aim: 1_400_000, Limit: 4_200_000, Worth: 1, LateWorth: 0.2},
-			{Effect: kiteslip.Repeatable, Aim: 1_400_000, Limit: 4_200_000, Worth: 1, LateWorth: 0.2},
-			{Effect: kiteslip.Repeatable, Aim: 1_100_000, Limit: 3_500_000, Worth: 2, LateWorth: 0.2},
-			{Effect: kiteslip.Keyed, Aim: 1_800_000, Limit: 5_300_000, Window: 15_765_000, Worth: 4, LateWorth: 0.2},
+			{Effect: kiteslip.Repeatable, TargetTime: 1_400_000, Timeout: 4_200_000, Worth: 1, LateWorth: 0.2},
+			{Effect: kiteslip.Repeatable, TargetTime: 1_400_000, Timeout: 4_200_000, Worth: 1, LateWorth: 0.2},
+			{Effect: kiteslip.Repeatable, TargetTime: 1_100_000, Timeout: 3_500_000, Worth: 2, LateWorth: 0.2},
+			{Effect: kiteslip.Keyed, TargetTime: 1_800_000, Timeout: 5_300_000, Window: 15_765_000, Worth: 4, LateWorth: 0.2},
 		},
 		Tenants:        []kiteslip.Tenant{{Quota: 1e6}},
 		OverShareWorth: 0.05, WorthByWork: true, Tick: 4_000, DrainGrace: 2_000_000, AnswerSlack: 60_000,
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -56,12 +56,12 @@
 		end     End
 	}{
 		{"good", standin.Act{}, kiteslip.OK, OK},
-		{"turned away", standin.Act{Status: 503, Untouched: true}, kiteslip.Full, TurnedAway},
+		{"turned away", standin.Act{Status: 503, Untouched: true}, kiteslip.Rejected, TurnedAway},
 		{"503 without a word", standin.Act{Status: 503}, kiteslip.Failed, Unproved},
 		{"error", standin.Act{Status: 500}, kiteslip.Failed, Errored},
 		{"error that claims nothing ran", standin.Act{Status: 500, Untouched: true}, kiteslip.Failed, Errored},
 		{"out of time", standin.Act{Status: 504}, kiteslip.TimedOut, Expired},
-		{"no run", standin.Act{Status: 409, Untouched: true}, kiteslip.Moot, NoRun},
+		{"no run", standin.Act{Status: 409, Untouched: true}, kiteslip.NotStarted, NoRun},
 		{"409 without a word", standin.Act{Status: 409}, kiteslip.Failed, Unproved},
 		{"another status", standin.Act{Status: 302, Untouched: true}, kiteslip.Failed, Status},
 		{"broken", standin.Act{Break: true}, kiteslip.Reset, Broken},
--- a/internal/ledger/post.go
+++ b/internal/ledger/post.go
@@ -126,11 +126,11 @@
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable:
 		if r.End = Unproved; untouched {
-			r.Outcome, r.End = kiteslip.Full, TurnedAway
+			r.Outcome, r.End = kiteslip.Rejected, TurnedAway
 		}
 	case http.StatusConflict:
 		if r.End = Unproved; untouched {
-			r.Outcome, r.End = kiteslip.Moot, NoRun
+			r.Outcome, r.End = kiteslip.NotStarted, NoRun
 		}
 	case http.StatusInternalServerError:
 		r.End = Errored
--- a/internal/pool/ceilings.go
+++ b/internal/pool/ceilings.go
@@ -92,7 +92,7 @@
 	b.places = max(1, limit)
 	onCore := b.running + b.beside
 	b.crowd = b.findCrowd()
-	b.out.Places = int(min(1e6, b.crowd))
+	b.out.MaxRuns = int(min(1e6, b.crowd))
 	places := b.shared()
 	booked, claimed := 0.0, 0.0
 	for i := range b.pools {
@@ -113,9 +113,9 @@
 		most := max(int(p.limit.limit), p.own, p.running+b.set.Cores-onCore, spare)
 		p.most = max(1, min(most, max(p.own, int(math.Ceil(p.MostPlaces()*float64(b.places))))))
 		rate := b.drain(now, p)
-		out.Own, out.Most, out.Spare = p.own, p.most, spare
-		out.Cores = min(max(p.Share*float64(b.set.Cores), float64(p.own))+float64(spare), float64(b.set.Cores))
-		out.Waiting = b.mayWait(p, rate)
+		out.GuaranteedRuns, out.MaxRuns, out.ReservedRuns = p.own, p.most, spare
+		out.GuaranteedCores = min(max(p.Share*float64(b.set.Cores), float64(p.own))+float64(spare), float64(b.set.Cores))
+		out.MaxQueued = b.mayWait(p, rate)
 		own := p.OwnMemory() * b.set.MemoryKB
 		kb := p.heldKB + p.ranKB
 		mine := 0.0
@@ -123,14 +123,14 @@
 			mine = max(0, own-kb)
 		}
 		free := b.set.MemoryKB - (booked - kb) - (claimed - mine)
-		out.OwnKB = own
-		out.MostKB = min(p.MostMemory()*b.set.MemoryKB, max(own, free))
-		out.After = b.advice(p, rate, out.Waiting)
+		out.GuaranteedKB = own
+		out.MaxKB = min(p.MostMemory()*b.set.MemoryKB, max(own, free))
+		out.RetryAfter = b.advice(p, rate, out.MaxQueued)
 	}
 	b.findCheapest()
-	b.out.Cheap, b.out.CheapSpare = b.cheap, 0
+	b.out.CheapestClass, b.out.CheapestReserved = b.cheap, 0
 	if b.cheap >= 0 {
-		b.out.CheapSpare = b.set.Beyond(b.set.CheapReserve)
+		b.out.CheapestReserved = b.set.Beyond(b.set.CheapReserve)
 	}
 	return &b.out
 }
@@ -192,11 +192,11 @@
 	for i := range b.pools {
 		p := &b.pools[i]
 		own := int(math.Round(p.Share * float64(b.set.Cores)))
-		list = append(list, Figure{Name: p.Name, Limit: min(p.most, b.out.Places), Running: p.running, Waiting: p.waiting, Own: own,
+		list = append(list, Figure{Name: p.Name, Limit: min(p.most, b.out.MaxRuns), Running: p.running, Waiting: p.waiting, Own: own,
 			Borrowed: max(0, p.running-own), Lent: max(0, own-p.running-p.waiting), Refused: p.refused,
 			Saved:    int(max(0, p.credit/p.run)),
 			BookedKB: p.heldKB + p.ranKB, Cheapest: b.cheap >= 0 && b.of[b.cheap] == i,
-			MayWait: b.out.Pools[i].Waiting})
+			MayWait: b.out.Pools[i].MaxQueued})
 	}
 	return list
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -49,7 +49,7 @@
 func For(m *kiteslip.Settings) *Settings {
 	s := &Settings{Cores: m.Cores, MemoryKB: m.MemoryKB, RunFactor: m.RunFactor, MaxAdvice: m.MaxRetryAfter}
 	for i := range m.Classes {
-		s.Classes = append(s.Classes, Class{Aim: m.Classes[i].Aim, Limit: m.Classes[i].Limit})
+		s.Classes = append(s.Classes, Class{Aim: m.Classes[i].TargetTime, Limit: m.Classes[i].Timeout})
 	}
 	return s
 }
@@ -242,7 +242,7 @@
 	for i := range b.pools {
 		b.pools[i].run = b.meanCost(&b.pools[i])
 	}
-	b.out = kiteslip.Ceilings{Of: b.of, Pools: make([]kiteslip.Ceiling, len(b.pools))}
+	b.out = kiteslip.Ceilings{PoolOf: b.of, Pools: make([]kiteslip.Ceiling, len(b.pools))}
 	return nil
 }
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -133,8 +133,8 @@
 			kb[at] += o.kb
 		}
 	}
-	if out.Places < s.Cores {
-		t.Fatalf("%d places on %d cores", out.Places, s.Cores)
+	if out.MaxRuns < s.Cores {
+		t.Fatalf("%d places on %d cores", out.MaxRuns, s.Cores)
 	}
 	for i, f := range b.Figures() {
 		c := out.Pools[i]
@@ -146,15 +146,15 @@
 			most = s.Pools[i-1].MostPlaces()
 		}
 		idle := min(s.Cores-total, int(math.Ceil(most*float64(limit)))-running[i])
-		if c.Most < 1 || idle > 0 && c.Most < running[i]+idle {
-			t.Fatalf("pool %s may have %d runs, has %d, and %d of %d cores are idle", f.Name, c.Most, running[i], s.Cores-total, s.Cores)
+		if c.MaxRuns < 1 || idle > 0 && c.MaxRuns < running[i]+idle {
+			t.Fatalf("pool %s may have %d runs, has %d, and %d of %d cores are idle", f.Name, c.MaxRuns, running[i], s.Cores-total, s.Cores)
 		}
-		if c.Own < 0 || c.Own > 64 || c.Waiting < 1 || c.MostKB < 0 || c.MostKB > s.MemoryKB || c.OwnKB > c.MostKB+1e-6 ||
-			c.After < 1000 || c.After > s.MaxAdvice || c.Cores < 0 || c.Cores > float64(s.Cores) || math.IsNaN(c.Cores) {
+		if c.GuaranteedRuns < 0 || c.GuaranteedRuns > 64 || c.MaxQueued < 1 || c.MaxKB < 0 || c.MaxKB > s.MemoryKB || c.GuaranteedKB > c.MaxKB+1e-6 ||
+			c.RetryAfter < 1000 || c.RetryAfter > s.MaxAdvice || c.GuaranteedCores < 0 || c.GuaranteedCores > float64(s.Cores) || math.IsNaN(c.GuaranteedCores) {
 			t.Fatalf("pool %s: %+v", f.Name, c)
 		}
-		if i > 0 && running[i] == 0 && waiting[i] > 0 && c.Own < int(s.Pools[i-1].Share*float64(s.Cores)) {
-			t.Fatalf("pool %s has %d places of its own, its share is %v of %d", f.Name, c.Own, s.Pools[i-1].Share, s.Cores)
+		if i > 0 && running[i] == 0 && waiting[i] > 0 && c.GuaranteedRuns < int(s.Pools[i-1].Share*float64(s.Cores)) {
+			t.Fatalf("pool %s has %d places of its own, its share is %v of %d", f.Name, c.GuaranteedRuns, s.Pools[i-1].Share, s.Cores)
 		}
 	}
 }
@@ -272,8 +272,8 @@
 	if b.Cheapest() != 1 {
 		t.Errorf("cheapest is %d after class 2 got dear, want 1", b.Cheapest())
 	}
-	if out := b.Ceilings(now, 8); out.Cheap != 1 || out.CheapSpare != 1 {
-		t.Errorf("the reserve is %d places for class %d", out.CheapSpare, out.Cheap)
+	if out := b.Ceilings(now, 8); out.CheapestClass != 1 || out.CheapestReserved != 1 {
+		t.Errorf("the reserve is %d places for class %d", out.CheapestReserved, out.CheapestClass)
 	}
 }
 
@@ -287,12 +287,12 @@
 	now := play(b, second, 2, 2, 50_000, 2*second, nil)
 	b.Arrive(now+3600*second, 2, 1)
 	out := b.Ceilings(now+3600*second, 8)
-	if own := out.Pools[2].Own; own < 2 || float64(own) > 2+creditRuns*4*0.4 {
+	if own := out.Pools[2].GuaranteedRuns; own < 2 || float64(own) > 2+creditRuns*4*0.4 {
 		t.Errorf("after an hour %d places are the pool's own", own)
 	}
 	now = play(b, now+3600*second, 2, 8, 50_000, 3*second, nil)
 	b.Arrive(now, 2, 1)
-	if own := b.Ceilings(now, 8).Pools[2].Own; own > 2 {
+	if own := b.Ceilings(now, 8).Pools[2].GuaranteedRuns; own > 2 {
 		t.Errorf("a pool that owes has %d places of its own", own)
 	}
 }
@@ -309,18 +309,18 @@
 		b.Arrive(second, 0, 100) // 7,000 of 10,000 KB
 	}
 	out := b.Ceilings(second, 4)
-	if kb := out.Pools[1].MostKB; kb != 10_000 {
+	if kb := out.Pools[1].MaxKB; kb != 10_000 {
 		t.Errorf("alone a pool may book %v KB of 10,000", kb)
 	}
 	b.Arrive(second, 2, 100)
 	out = b.Ceilings(second, 4)
-	if kb := out.Pools[1].MostKB; kb != 6_000 {
+	if kb := out.Pools[1].MaxKB; kb != 6_000 {
 		t.Errorf("beside a pool with a share of 0.4 another may book %v KB, want 6,000", kb)
 	}
-	if kb := out.Pools[2].MostKB; kb < 4_000 {
+	if kb := out.Pools[2].MaxKB; kb < 4_000 {
 		t.Errorf("a pool may book %v KB of its own 4,000", kb)
 	}
-	if kb := out.Pools[3].MostKB; kb > 5_000 {
+	if kb := out.Pools[3].MaxKB; kb > 5_000 {
 		t.Errorf("a pool with a bound of half may book %v KB", kb)
 	}
 	var none kiteslip.Ceiling
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -82,7 +82,7 @@
 func (s *Server) longest() int64 {
 	longest := int64(lingerClose)
 	for i := range s.cfg.Module.Classes {
-		longest = max(longest, s.cfg.Module.Classes[i].Limit)
+		longest = max(longest, s.cfg.Module.Classes[i].Timeout)
 	}
 	return longest
 }
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -276,7 +276,7 @@
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	cfg := platform(t, engine.Address, "")
 	for i := range cfg.Module.Classes {
-		cfg.Module.Classes[i].Limit = 200_000
+		cfg.Module.Classes[i].Timeout = 200_000
 	}
 	r := launch(t, cfg)
 	result := make([]byte, frame.MaxResult)
--- a/internal/server/links_test.go
+++ b/internal/server/links_test.go
@@ -94,7 +94,7 @@
 	}()
 	cfg := platform(t, l.Addr().String(), "")
 	for i := range cfg.Module.Classes {
-		cfg.Module.Classes[i].Limit = 1_000_000
+		cfg.Module.Classes[i].Timeout = 1_000_000
 	}
 	r := launch(t, cfg)
 	<-quiet
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -156,7 +156,7 @@
 			return nil
 		}
 	}
-	if m.Outcome > uint8(kiteslip.Moot) {
+	if m.Outcome > uint8(kiteslip.NotStarted) {
 		return errOrder
 	}
 	switch m.Kind {
@@ -522,7 +522,7 @@
 func (s *Server) handOff(t int64) {
 	longest := int64(0)
 	for i := range s.cfg.Module.Classes {
-		longest = max(longest, s.cfg.Module.Classes[i].Limit)
+		longest = max(longest, s.cfg.Module.Classes[i].Timeout)
 	}
 	s.leaving = leavingTimes(t, min(longest, leaveMost)+leaveRest, 0)
 	s.closeAt = t
--- a/internal/server/web.go
+++ b/internal/server/web.go
@@ -238,7 +238,7 @@
 	}
 	s.backends[b] = struct{}{}
 	if len(s.backends) > s.calls { // Guards the limit on sockets, whatever the module runs.
-		b.end(kiteslip.Moot, nil)
+		b.end(kiteslip.NotStarted, nil)
 		return
 	}
 	go func() {
@@ -252,7 +252,7 @@
 			s.log.Debug("backend", zap.String("address", address), zap.Error(err))
 			s.onLoop(func() {
 				if b.conn == nil { // nothing was sent, so nothing ran
-					b.end(kiteslip.Moot, nil)
+					b.end(kiteslip.NotStarted, nil)
 				}
 			})
 		}
@@ -282,7 +282,7 @@
 	}
 	head, err := uwsgi.AppendRequest(nil, vars)
 	if err != nil {
-		b.end(kiteslip.Moot, nil)
+		b.end(kiteslip.NotStarted, nil)
 		return
 	}
 	b.s.called++
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -79,10 +79,10 @@
 	effects = map[string]kiteslip.Effect{
 		"repeatable": kiteslip.Repeatable, "by_key": kiteslip.Keyed, "once": kiteslip.Once,
 	}
-	belows = map[string]kiteslip.Below{"one_for_all": kiteslip.BelowShared, "tier": kiteslip.BelowTier}
+	belows = map[string]kiteslip.Downstream{"one_for_all": kiteslip.DownstreamShared, "tier": kiteslip.DownstreamTier}
 	stops  = map[string]kiteslip.Stop{"discard": kiteslip.StopDiscard, "freeze": kiteslip.StopFreeze}
-	frees  = map[string]kiteslip.Free{
-		"floor": kiteslip.FreeFloor, "allowance": kiteslip.FreeAllowance, "weight": kiteslip.FreeWeight,
+	frees  = map[string]kiteslip.LoadSignal{
+		"floor": kiteslip.LoadSignalMinRank, "allowance": kiteslip.LoadSignalAllowance, "weight": kiteslip.LoadSignalWeight,
 	}
 )
 
@@ -100,11 +100,11 @@
 		Goal: kiteslip.Goal{Whole: raw.Goal.Whole, WorstClass: raw.Goal.WorstClass,
 			WorstTenant: raw.Goal.WorstTenant, WorstWindow: raw.Goal.WorstWindow},
 		Workers: raw.GroupSize, Callers: f.Callers, Stage: raw.Stage, Tick: raw.Tick,
-		Stop: pick(stops, f.Preemption), Free: pick(frees, f.Say), FreeFor: f.HeededFor,
+		Stop: pick(stops, f.Preemption), LoadSignal: pick(frees, f.Say), LoadSignalTTL: f.HeededFor,
 		ReuseFor: f.ShareFor, IdleAfter: f.IdleAfter, MarksRetries: raw.Clients.MarksRetry,
-		Below: pick(belows, f.Below), CallShare: f.DepShare, CallsOver: f.CallsOver, Lingers: f.Lingers,
-		JustStarted: f.JustStarted, ColdFrom: raw.Rules.ColdFrom, WarmWithin: raw.Rules.WarmWithin,
-		CrowdMultiple: raw.Rules.FallMultiple, CrowdOver: raw.Rules.FallOver,
+		Downstream: pick(belows, f.Below), CallShare: f.DepShare, CallShareWindow: f.CallsOver, MaxCallLinger: f.Lingers,
+		JustStarted: f.JustStarted, ColdSpeed: raw.Rules.ColdFrom, WarmupTime: raw.Rules.WarmWithin,
+		MaxRunsPerCore: raw.Rules.FallMultiple, MaxRunsWindow: raw.Rules.FallOver,
 		DrainGrace: raw.Rules.DrainGrace, AnswerSlack: raw.Rules.AnswerSlack,
 		WastePrice: raw.Fees.Waste, LateFailPrice: raw.Fees.LateFail,
 	}
@@ -117,10 +117,10 @@
 			return s, nil, fmt.Errorf("settings: classes[%d].effect is %q, want repeatable, by_key or once",
 				i, c.Effect)
 		}
-		class := kiteslip.Class{Effect: effect, Aim: c.OnTime, Limit: c.HardLimit, Window: c.Window,
+		class := kiteslip.Class{Effect: effect, TargetTime: c.OnTime, Timeout: c.HardLimit, Window: c.Window,
 			Worth: c.Worth, LateWorth: c.LateWorth}
 		if i < len(f.ClassCalls) {
-			class.Calls = f.ClassCalls[i]
+			class.CallsDownstream = f.ClassCalls[i]
 		}
 		if i < len(f.ClassSkipWorth) {
 			class.SkipWorth = f.ClassSkipWorth[i]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -144,21 +144,21 @@
 		e.Kind = kiteslip.Arrive
 		e.ID = c.id()
 		e.Class, e.Tenant = int(c.u16()), int(c.u16())
-		e.Key, e.Deadline, e.Hint = c.u64(), int64(c.u64()), int64(c.u32())
+		e.Key, e.Deadline, e.WorkHint = c.u64(), int64(c.u64()), int64(c.u32())
 		e.SizeKB, e.Rank = c.f32(), c.f32()
 		bits := c.u8()
-		e.Again, e.Write = bits&2 != 0, bits&4 != 0
+		e.Retry, e.Write = bits&2 != 0, bits&4 != 0
 		if bits&1 == 0 {
-			e.Hint = 0
+			e.WorkHint = 0
 		}
-		e.Sender, e.Waited, e.Prior = int(c.u16()), int64(c.u32()), c.id()
+		e.Caller, e.Waited, e.DuplicateOf = int(c.u16()), int64(c.u32()), c.id()
 	case codeDrain:
 		e.Kind, e.Deadline = kiteslip.Drain, int64(c.u64())
 	case codeEnlist:
 		rec.Kind, rec.Seed = Enlist, c.u64()
 		rec.Settings = c.take(int(c.u32()))
 	case codeCalled:
-		e.Kind, e.ID = kiteslip.Called, c.id()
+		e.Kind, e.ID = kiteslip.CallDone, c.id()
 		e.Outcome, e.Elapsed = kiteslip.Outcome(c.u16()), int64(c.u32())
 	case codeElapsed:
 		e.Kind, e.Token = kiteslip.Timer, c.u64()
@@ -166,12 +166,12 @@
 	case codeShutdown:
 		rec.Kind = Shutdown
 	case codeGone:
-		e.Kind, e.ID = kiteslip.Gone, c.id()
+		e.Kind, e.ID = kiteslip.Disconnected, c.id()
 	case codeDone:
 		e.Kind, e.ID = kiteslip.Done, c.id()
 		e.Outcome, e.Elapsed = kiteslip.Outcome(c.u16()), int64(c.u32())
 	case codeNeeds:
-		e.Kind, e.ID = kiteslip.Needs, c.id()
+		e.Kind, e.ID = kiteslip.NeedsCall, c.id()
 	default:
 		if !c.short {
 			return rec, fmt.Errorf("byte %d: record code %d, expected 1 to 9", start, code)
@@ -201,7 +201,7 @@
 			break
 		}
 		v := values[i]
-		g.Set = true
+		g.Valid = true
 		switch name {
 		case "cpu_busy":
 			g.Busy = v
@@ -210,7 +210,7 @@
 		case "mem_used":
 			g.MemoryUsed = v
 		case "sockets":
-			g.Connection = v
+			g.Connections = v
 		}
 	}
 	return g
@@ -258,20 +258,20 @@
 		r.b = append(le.AppendUint16(r.b, uint16(len(text))), text...)
 	case kiteslip.Health:
 		open(69)
-		r.b = append(r.b, flag(a.On), flag(a.Stored))
-	case kiteslip.Idle:
+		r.b = append(r.b, flag(a.On), flag(a.Cached))
+	case kiteslip.SetIdleTimeout:
 		open(70)
 		r.b = le.AppendUint32(r.b, clip(a.After))
 	case kiteslip.Halt:
 		named(71)
-	case kiteslip.Say:
+	case kiteslip.SetLoadSignal:
 		open(72)
 		r.b = le.AppendUint32(r.b, math.Float32bits(float32(a.Value)))
 	case kiteslip.Reuse:
 		named(73)
 	case kiteslip.Forget:
 		named(74)
-	case kiteslip.Keep:
+	case kiteslip.Retain:
 		named(75)
 		r.b = le.AppendUint32(r.b, clip(a.After))
 	case kiteslip.Fail:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("now %d, records %+v", now, recs)
 	}
 	want := kiteslip.Event{Kind: kiteslip.Arrive, ID: 1, Class: 1, Tenant: 2, Deadline: 4096, SizeKB: 10,
-		Rank: 0.5, Again: true, Write: true, Sender: 3, Waited: 100, Prior: 9}
+		Rank: 0.5, Retry: true, Write: true, Caller: 3, Waited: 100, DuplicateOf: 9}
 	if recs[0].Event != want {
 		t.Errorf("got %+v, want %+v", recs[0].Event, want)
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Cores != 3 || s.Below != kiteslip.BelowTier || s.Free != kiteslip.FreeFloor || s.MaxRetryAfter != 0 ||
+	if s.Cores != 3 || s.Downstream != kiteslip.DownstreamTier || s.LoadSignal != kiteslip.LoadSignalMinRank || s.MaxRetryAfter != 0 ||
 		s.Stop != kiteslip.StopFreeze || s.Classes[0].Effect != kiteslip.Keyed || !s.WorthByWork || len(gauges) != 1 {
 		t.Errorf("got %+v %v", s, gauges)
 	}
@@ -109,7 +109,7 @@
 
 func TestReadGauges(t *testing.T) {
 	g := ReadGauges(frame(t, "0000003f 00004040"), []string{"mem_used", "runnable", "sockets"})
-	if !g.Set || g.MemoryUsed != 0.5 || g.Runnable != 3 || g.Connection != 0 {
+	if !g.Valid || g.MemoryUsed != 0.5 || g.Runnable != 3 || g.Connections != 0 {
 		t.Errorf("got %+v", g)
 	}
 }
--- a/policy.go
+++ b/policy.go
@@ -76,7 +76,7 @@
 		if w.born < 0 {
 			w.born = now
 		}
-		acts = append(acts, Action{Kind: Health, On: true, Stored: true})
+		acts = append(acts, Action{Kind: Health, On: true, Cached: true})
 		w.now = now
 		w.callFirst()
 	}
@@ -102,7 +102,7 @@
 	dt := now - w.last
 	w.now, w.last = now, now
 	w.share += float64(dt) * min(1, float64(w.set.Cores)/float64(max(w.onCore, 1)))
-	w.calls = slices.DeleteFunc(w.calls, func(c span) bool { return c.until <= now-w.set.CallsOver })
+	w.calls = slices.DeleteFunc(w.calls, func(c span) bool { return c.until <= now-w.set.CallShareWindow })
 	w.fading.next(now, dt)
 	w.arrivals *= w.fading.step
 	w.fadeAll()
@@ -120,13 +120,13 @@
 	case Handover:
 		w.stop, w.replaced = e.Deadline, true
 		w.margin = min(stopMargin, (w.stop-w.now)/2)
-	case Beside:
+	case PeerLoad:
 		w.besideRuns, w.besideKB = max(0, e.Runs), max(0, e.SizeKB)
 	case Timer:
 		if e.Token == w.timerToken {
 			w.timerAt = 0
 		}
-		if e.Gauges.Set {
+		if e.Gauges.Valid {
 			w.gauges = e.Gauges
 		}
 	}
@@ -134,15 +134,15 @@
 	case r == nil:
 	case e.Kind == Done:
 		w.done(r, e)
-	case e.Kind == Needs:
+	case e.Kind == NeedsCall:
 		w.offCore(r)
 		w.progress = w.now
 		r.phase, r.callAt, r.tries = atCall, w.now, 0
-	case e.Kind == Called:
+	case e.Kind == CallDone:
 		w.called(r, e)
 	case e.Kind == Ready:
 		r.ready = true
-	case e.Kind == Gone:
+	case e.Kind == Disconnected:
 		acts = w.drop(r, acts)
 	}
 	return acts
@@ -157,24 +157,24 @@
 		return append(acts, Action{Kind: Refuse, ID: e.ID})
 	}
 	c := &w.set.Classes[e.Class]
-	r := request{id: e.ID, head: e.Prior, class: e.Class, reached: w.now - e.Waited, size: e.SizeKB,
+	r := request{id: e.ID, head: e.DuplicateOf, class: e.Class, reached: w.now - e.Waited, size: e.SizeKB,
 		tenant: max(0, min(e.Tenant, len(w.tenants)-1))}
 	if !(r.size > 0) {
 		r.size = w.largest
 	}
-	r.due, r.aim = cmp.Or(max(e.Deadline, 0), r.reached+c.Limit), r.reached+c.Aim
+	r.due, r.aim = cmp.Or(max(e.Deadline, 0), r.reached+c.Timeout), r.reached+c.TargetTime
 	r.aim -= w.age(e, r.due-r.reached, c)
-	if r.hope = r.aim; e.Again { // its client has waited, but nothing says how long
-		r.hope -= int64((1 - againAim) * float64(c.Aim))
+	if r.hope = r.aim; e.Retry { // its client has waited, but nothing says how long
+		r.hope -= int64((1 - againAim) * float64(c.TargetTime))
 	}
 	w.arrivals++
 	w.refused *= 1 - learn
 	w.unread += (float64(e.Waited) - w.unread) * 2 * learn
 	w.largest = max(w.largest, r.size)
-	if !e.Again {
+	if !e.Retry {
 		w.fading.touch(&w.tenants[r.tenant].group).arrived++
 	}
-	if e.Prior == 0 {
+	if e.DuplicateOf == 0 {
 		w.ask(r.class, c.Worth)
 		w.askTenant(r.tenant, c.Worth*w.inShare(r.tenant))
 	}
@@ -189,7 +189,7 @@
 // answers after the aim, worth nothing; it harms where callers of many different patiences send alike.
 func (w *Worker) age(e *Event, left int64, c *Class) int64 {
 	if e.Deadline > 0 {
-		i := int(max(0, min(float64(left)/float64(c.Limit), 1)) * (patienceBins - 1))
+		i := int(max(0, min(float64(left)/float64(c.Timeout), 1)) * (patienceBins - 1))
 		w.patience[i]++
 		if w.told++; w.told > toldMost {
 			w.told /= 2
@@ -199,7 +199,7 @@
 		}
 		for j := i; j < patienceBins; j++ {
 			if w.patience[j] >= usualShare*w.told {
-				return c.Limit * int64(j-i) / (patienceBins - 1)
+				return c.Timeout * int64(j-i) / (patienceBins - 1)
 			}
 		}
 	}
--- a/policy_admit.go
+++ b/policy_admit.go
@@ -39,11 +39,11 @@
 		}
 		p := refuseChance(w.memory, w.top()) // the memory in use holds this arrival already
 		if u, ceil := w.pool(r.class); ceil != nil {
-			if u.held > ceil.Waiting || u.kb > ceil.MostKB {
-				acts = w.refuse(r, ceil.After, false, acts)
+			if u.held > ceil.MaxQueued || u.kb > ceil.MaxKB {
+				acts = w.refuse(r, ceil.RetryAfter, false, acts)
 				continue
 			}
-			if u.kb <= ceil.OwnKB && p < 1 { // guards a pool's own memory against a flood that fills the rest
+			if u.kb <= ceil.GuaranteedKB && p < 1 { // guards a pool's own memory against a flood that fills the rest
 				p = 0
 			}
 		}
--- a/policy_advise.go
+++ b/policy_advise.go
@@ -12,7 +12,7 @@
 	healthy := (w.stop == 0 || w.replaced) && w.failing < failOff && !w.stalled()
 	if healthy != w.healthy {
 		w.healthy = healthy
-		acts = append(acts, Action{Kind: Health, On: healthy, Stored: true})
+		acts = append(acts, Action{Kind: Health, On: healthy, Cached: true})
 		acts = append(acts, Action{Kind: Log, Text: fmt.Sprintf("health %v: failing %.2f, last progress %d ms ago",
 			healthy, w.failing, (w.now-w.progress)/1000)})
 	}
@@ -21,12 +21,12 @@
 	}
 	w.adviseAt = w.now + idleTimer
 	acts = w.connections(acts)
-	if w.set.Free == FreeNone {
+	if w.set.LoadSignal == LoadSignalNone {
 		return acts
 	}
 	v := 0.0
 	switch {
-	case w.set.Free == FreeFloor:
+	case w.set.LoadSignal == LoadSignalMinRank:
 		move := w.pressure - 1
 		if !healthy {
 			move = 1
@@ -34,7 +34,7 @@
 		// Up to the least valuable class (equal portions of rank): taking more, it swings from nothing to all.
 		w.floor = max(0, min(1/float64(len(w.set.Classes)), w.floor+floorStep*max(-1, min(2, move))))
 		v = w.floor
-	case healthy && w.set.Free == FreeAllowance:
+	case healthy && w.set.LoadSignal == LoadSignalAllowance:
 		v = allowAim * w.meanAim * float64(w.set.Cores) / w.meanBase / float64(w.set.Callers)
 		v *= (1 - w.failing) / max(1, w.pressure)
 	case healthy:
@@ -42,7 +42,7 @@
 	}
 	if math.Abs(v-w.said) > 0.01 {
 		w.said = v
-		acts = append(acts, Action{Kind: Say, Value: v})
+		acts = append(acts, Action{Kind: SetLoadSignal, Value: v})
 	}
 	return acts
 }
@@ -61,7 +61,7 @@
 	if w.closing = closing; closing {
 		after = min(after, shortIdle)
 	}
-	return append(acts, Action{Kind: Idle, After: after})
+	return append(acts, Action{Kind: SetIdleTimeout, After: after})
 }
 
 // stalled says that none of what is on the cores gets on; one long run on a small machine is no stall.
--- a/policy_answers.go
+++ b/policy_answers.go
@@ -23,7 +23,7 @@
 // against a line that never gets shorter: advice of just that much brings all back at once, when others
 // have come too, and what callers spread evenly stays with the slow. It harms where one caller sends most.
 func (w *Worker) away(over int64, c *Class) int64 {
-	return int64(awayTimes*float64(over) + awayAim*float64(c.Aim))
+	return int64(awayTimes*float64(over) + awayAim*float64(c.TargetTime))
 }
 
 // refuse answers a request that never ran, or that may run again.
--- a/policy_calls.go
+++ b/policy_calls.go
@@ -34,7 +34,7 @@
 		r.phase, r.callAt = atCall, w.now
 		r.tries++
 		c := &w.set.Classes[r.class]
-		unrun := e.Outcome == Full || e.Outcome == Unreachable || e.Outcome == Moot
+		unrun := e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotStarted
 		if c.Effect != Repeatable && !unrun || c.SkipWorth > 0 && e.Outcome == TimedOut {
 			r.tries = math.MaxInt32 // it may have taken effect, or better do without
 		}
@@ -65,12 +65,12 @@
 	if w.callLimit < 1 && w.callMean > callSlow*w.callBase {
 		part = min(part, w.callLimit)
 	}
-	usual := cmp.Or(w.callMean, callShort*float64(w.set.CallsOver))
+	usual := cmp.Or(w.callMean, callShort*float64(w.set.CallShareWindow))
 	if failed {
 		took = max(took, usual)
 	}
 	after := func(from int64, pause float64) int64 {
-		return max(w.now, from) + int64(min(pause, float64(w.set.CallsOver))*(0.5+w.rng.Float64()))
+		return max(w.now, from) + int64(min(pause, float64(w.set.CallShareWindow))*(0.5+w.rng.Float64()))
 	}
 	w.callNext = after(w.callNext, took*(1/part-1))
 	if failed && w.callFailed {
@@ -89,7 +89,7 @@
 // called at once is their part by chance, and the rest comes over the told span.
 func (w *Worker) callFirst() {
 	if part := w.callPart(); w.shared && w.rng.Float64() >= part {
-		w.callNext = w.now + int64(w.rng.Float64()*float64(w.set.CallsOver))
+		w.callNext = w.now + int64(w.rng.Float64()*float64(w.set.CallShareWindow))
 	}
 }
 
@@ -107,9 +107,9 @@
 	}
 	booked := int64(0)
 	for _, c := range w.calls {
-		booked += c.until - max(c.from, w.now-w.set.CallsOver)
+		booked += c.until - max(c.from, w.now-w.set.CallShareWindow)
 	}
-	return int64(w.budget) - booked - w.set.Lingers
+	return int64(w.budget) - booked - w.set.MaxCallLinger
 }
 
 // callBelow makes, leaves out or gives up the calls that requests stand at.
@@ -151,14 +151,14 @@
 			left = min(left, int64(callPatience*w.callMean))
 		}
 		patience := max(min(left, room), w.set.Tick, 1000)
-		need := min(float64(w.set.CallsOver)*callShort, (w.budget-float64(w.set.Lingers))/2, float64(left))
+		need := min(float64(w.set.CallShareWindow)*callShort, (w.budget-float64(w.set.MaxCallLinger))/2, float64(left))
 		if patience > room || float64(patience) < need {
 			continue
 		}
 		acts = append(acts, Action{Kind: Call, ID: r.id, After: patience})
 		r.waits += w.now - r.callAt
 		r.phase, r.callAt = calling, w.now
-		w.calls = append(w.calls, span{r.id, w.now, w.now + patience + w.set.Lingers})
+		w.calls = append(w.calls, span{r.id, w.now, w.now + patience + w.set.MaxCallLinger})
 		w.out++
 	}
 	return acts
--- a/policy_keys.go
+++ b/policy_keys.go
@@ -10,7 +10,7 @@
 	r.kept = true
 	w.table = append(w.table, entry{r.id, until})
 	w.memory += w.set.KeyKB
-	return append(acts, Action{Kind: Keep, ID: r.id, After: until - w.now})
+	return append(acts, Action{Kind: Retain, ID: r.id, After: until - w.now})
 }
 
 // repeat deals with an arrival that repeats a kept request: it waits while that is held, and is served from
--- a/policy_limit.go
+++ b/policy_limit.go
@@ -6,7 +6,7 @@
 
 // done takes in the end of a run or reuse, and moves the limit.
 func (w *Worker) done(r *request, e *Event) {
-	if e.Outcome == Moot {
+	if e.Outcome == NotStarted {
 		r.phase = over
 		return
 	}
@@ -49,7 +49,7 @@
 	w.spanDone++
 	if late {
 		w.spanLate++
-	} else if full && w.now <= r.due && !(w.gauges.Set && w.gauges.Runnable >= float32(w.set.Cores)) {
+	} else if full && w.now <= r.due && !(w.gauges.Valid && w.gauges.Runnable >= float32(w.set.Cores)) {
 		// Only with a core to spare: more runs would only share out cores that reading needs too.
 		w.limit = min(w.limit+1, int(w.crowd()))
 	}
@@ -86,16 +86,16 @@
 
 // crowd is how many begun requests are safe, with the slowest warming that the settings allow.
 func (w *Worker) crowd() float64 {
-	if w.set.CrowdMultiple <= 0 {
+	if w.set.MaxRunsPerCore <= 0 {
 		return math.MaxInt32
 	}
-	return max(1, crowdRoom*float64(w.set.Cores)*(1+(w.set.CrowdMultiple-1)*w.speed()))
+	return max(1, crowdRoom*float64(w.set.Cores)*(1+(w.set.MaxRunsPerCore-1)*w.speed()))
 }
 
 // speed is the least share of their full speed that the settings allow the cores to have now.
 func (w *Worker) speed() float64 {
-	if !w.set.JustStarted || w.set.WarmWithin <= 0 {
+	if !w.set.JustStarted || w.set.WarmupTime <= 0 {
 		return 1
 	}
-	return min(1, w.set.ColdFrom+(1-w.set.ColdFrom)*float64(max(0, w.now-w.born))/float64(w.set.WarmWithin))
+	return min(1, w.set.ColdSpeed+(1-w.set.ColdSpeed)*float64(max(0, w.now-w.born))/float64(w.set.WarmupTime))
 }
--- a/policy_order.go
+++ b/policy_order.go
@@ -63,7 +63,7 @@
 // place is what orders request i.
 func (w *Worker) place(i int) place {
 	r := &w.reqs[i]
-	newest := w.pressure > 1 && (w.ceil == nil || !w.uses[w.ceil.Of[r.class]].light)
+	newest := w.pressure > 1 && (w.ceil == nil || !w.uses[w.ceil.PoolOf[r.class]].light)
 	return place{density: r.density, aim: r.aim, id: r.id, index: int32(i), newest: newest}
 }
 
@@ -79,7 +79,7 @@
 			if r.head != 0 || r.answered {
 				continue
 			}
-			if c := &w.set.Classes[r.class]; c.Calls && c.SkipWorth == 0 {
+			if c := &w.set.Classes[r.class]; c.CallsDownstream && c.SkipWorth == 0 {
 				w.wanting++
 			}
 			r.density = w.gain(r)
@@ -118,8 +118,8 @@
 			begin = max(0, ahead/cores-w.meanBase/2)
 		}
 		u, ceil := w.pool(r.class)
-		if ceil != nil && ceil.Cores > 0 { // what is a pool's own does not wait behind others
-			begin = min(begin, u.ahead/ceil.Cores)
+		if ceil != nil && ceil.GuaranteedCores > 0 { // what is a pool's own does not wait behind others
+			begin = min(begin, u.ahead/ceil.GuaranteedCores)
 		}
 		c := &w.set.Classes[r.class]
 		finish := w.now + int64(begin+b*runAllowance+w.classes[r.class].wait)
--- a/policy_start.go
+++ b/policy_start.go
@@ -27,7 +27,7 @@
 		}
 	}
 	if w.ceil != nil {
-		limit = min(limit, max(1, w.ceil.Places))
+		limit = min(limit, max(1, w.ceil.MaxRuns))
 	}
 	for own := w.ceil != nil; ; own = false { // first what pools have of their own
 		owed := 0
@@ -45,7 +45,7 @@
 			}
 			if r.phase == held {
 				// What runs and then waits for its call too long is lost, and a keyed one for good: it is held.
-				if c := &w.set.Classes[r.class]; w.shared && c.Calls && c.SkipWorth == 0 &&
+				if c := &w.set.Classes[r.class]; w.shared && c.CallsDownstream && c.SkipWorth == 0 &&
 					(float64(w.must) >= w.callLimit || w.callNext > w.now+int64(w.classes[r.class].base*restShare)) {
 					continue
 				}
@@ -62,7 +62,7 @@
 			w.onCore++
 			if u, _ := w.pool(r.class); u != nil {
 				u.running, u.held = u.running+1, u.held-1
-				if r.class == w.ceil.Cheap {
+				if r.class == w.ceil.CheapestClass {
 					w.cheapRuns++
 				}
 			}
@@ -83,13 +83,13 @@
 	case c == nil:
 		return true
 	case !own:
-		return u.running < c.Most
+		return u.running < c.MaxRuns
 	}
 	spare := 0
-	if r.class == w.ceil.Cheap {
-		spare = w.ceil.CheapSpare
+	if r.class == w.ceil.CheapestClass {
+		spare = w.ceil.CheapestReserved
 	}
-	return w.onCore < limit+spare && u.running < c.Own || u.running < c.Spare || w.cheapRuns < spare
+	return w.onCore < limit+spare && u.running < c.GuaranteedRuns || u.running < c.ReservedRuns || w.cheapRuns < spare
 }
 
 // owed is how many held requests may start in places of their pools' own, or beyond the limit.
@@ -97,17 +97,17 @@
 	n := 0
 	for i := range w.uses {
 		u, c := &w.uses[i], &w.ceil.Pools[i]
-		n += max(0, min(u.held, c.Own-u.running))
+		n += max(0, min(u.held, c.GuaranteedRuns-u.running))
 	}
 	n = min(n, max(0, limit-w.onCore))
 	for i := range w.uses {
 		u, c := &w.uses[i], &w.ceil.Pools[i]
-		n += max(0, min(u.held, c.Spare-u.running))
+		n += max(0, min(u.held, c.ReservedRuns-u.running))
 	}
-	if w.ceil.Cheap >= 0 {
-		u, c := w.pool(w.ceil.Cheap)
-		room := min(limit+w.ceil.CheapSpare-w.onCore, c.Own-u.running)
-		n += max(0, min(u.held, max(room, w.ceil.CheapSpare-w.cheapRuns)))
+	if w.ceil.CheapestClass >= 0 {
+		u, c := w.pool(w.ceil.CheapestClass)
+		room := min(limit+w.ceil.CheapestReserved-w.onCore, c.GuaranteedRuns-u.running)
+		n += max(0, min(u.held, max(room, w.ceil.CheapestReserved-w.cheapRuns)))
 	}
 	return n
 }
--- a/policy_test.go
+++ b/policy_test.go
@@ -18,13 +18,13 @@
 	return Settings{
 		Cores: 2, MemoryKB: 10000, RunFactor: 8, KeyKB: 20,
 		Classes: []Class{
-			{Effect: Repeatable, Aim: 2_000_000, Limit: 5_000_000, Worth: 1, Calls: true, SkipWorth: 0.5},
-			{Effect: Keyed, Aim: 800_000, Limit: 2_000_000, Window: 8_000_000, Worth: 3, LateWorth: 0.2, Calls: true},
-			{Effect: Once, Aim: 800_000, Limit: 2_000_000, Worth: 1},
+			{Effect: Repeatable, TargetTime: 2_000_000, Timeout: 5_000_000, Worth: 1, CallsDownstream: true, SkipWorth: 0.5},
+			{Effect: Keyed, TargetTime: 800_000, Timeout: 2_000_000, Window: 8_000_000, Worth: 3, LateWorth: 0.2, CallsDownstream: true},
+			{Effect: Once, TargetTime: 800_000, Timeout: 2_000_000, Worth: 1},
 		},
 		Goal: Goal{Whole: 1}, Workers: 4, Callers: 2, Tick: 2000, Stop: StopDiscard,
-		MaxRetryAfter: 1_000_000, Below: BelowShared, CallShare: 4, CallsOver: 5_000_000, Lingers: 200_000,
-		ColdFrom: 0.2, WarmWithin: 17_000_000, CrowdMultiple: 8, CrowdOver: 2_000_000,
+		MaxRetryAfter: 1_000_000, Downstream: DownstreamShared, CallShare: 4, CallShareWindow: 5_000_000, MaxCallLinger: 200_000,
+		ColdSpeed: 0.2, WarmupTime: 17_000_000, MaxRunsPerCore: 8, MaxRunsWindow: 2_000_000,
 		DrainGrace: 2_000_000, AnswerSlack: 100_000,
 	}
 }
@@ -87,8 +87,8 @@
 		"IdleAfter":         func(s *Settings) { s.IdleAfter = -1 },
 		"Classes":           func(s *Settings) { s.Classes = nil },
 		"Classes[0].Effect": func(s *Settings) { s.Classes[0].Effect = 9 },
-		"Classes[1].Limit":  func(s *Settings) { s.Classes[1].Limit = 0 },
-		"Classes[1].Aim":    func(s *Settings) { s.Classes[1].Aim = -1 },
+		"Classes[1].Limit":  func(s *Settings) { s.Classes[1].Timeout = 0 },
+		"Classes[1].Aim":    func(s *Settings) { s.Classes[1].TargetTime = -1 },
 		"Classes[2].Window": func(s *Settings) { s.Classes[2].Window = -1 },
 		"Classes[2].Worth":  func(s *Settings) { s.Classes[2].Worth = math.NaN() },
 		"Tenants[1].Quota":  func(s *Settings) { s.Tenants = []Tenant{{Quota: 1}, {Quota: -2}} },
@@ -106,7 +106,7 @@
 	acts := b.step(1000, arrival(1, 1))
 	for _, a := range acts {
 		switch a.Kind {
-		case Keep:
+		case Retain:
 			if a.After < 8_000_000 {
 				t.Fatalf("kept for %d, under the window", a.After)
 			}
@@ -121,13 +121,13 @@
 func TestRepeatIsServedFromTheFirst(t *testing.T) {
 	b := start(t, nil)
 	twin := arrival(2, 1)
-	twin.Prior = 1
+	twin.DuplicateOf = 1
 	acts := b.step(1000, arrival(1, 1), twin)
 	b.want(acts, Run, 1, true)
 	b.want(acts, Reuse, 2, true)
 	b.want(acts, Run, 2, false)
 	late := arrival(3, 1)
-	late.Prior = 1
+	late.DuplicateOf = 1
 	b.step(200_000, Event{Kind: Done, ID: 1, Outcome: OK, Elapsed: 199_000})
 	acts = b.step(300_000, late)
 	b.want(acts, Reuse, 3, true)
@@ -138,11 +138,11 @@
 	b := start(t, nil)
 	b.step(1000, arrival(1, 0), arrival(2, 0)) // the cores are full
 	twin := arrival(4, 1)
-	twin.Prior = 3
+	twin.DuplicateOf = 3
 	acts := b.step(2000, arrival(3, 1), twin)
 	b.want(acts, Run, 3, false)
-	acts = b.step(3000, Event{Kind: Gone, ID: 3})
-	b.want(acts, Keep, 4, true)
+	acts = b.step(3000, Event{Kind: Disconnected, ID: 3})
+	b.want(acts, Retain, 4, true)
 	acts = b.step(4000, Event{Kind: Done, ID: 1, Outcome: OK, Elapsed: 3000})
 	b.want(acts, Run, 4, true)
 }
@@ -157,11 +157,11 @@
 }
 
 func TestCallOfKeyedNotRepeatedUnlessItNeverRan(t *testing.T) {
-	for outcome, again := range map[Outcome]bool{Full: true, Unreachable: true, TimedOut: false, Reset: false, Failed: false} {
+	for outcome, again := range map[Outcome]bool{Rejected: true, Unreachable: true, TimedOut: false, Reset: false, Failed: false} {
 		b := start(t, nil)
 		b.step(1000, arrival(1, 1))
-		b.want(b.step(10_000, Event{Kind: Needs, ID: 1}), Call, 1, true)
-		acts := b.step(20_000, Event{Kind: Called, ID: 1, Outcome: outcome, Elapsed: 10_000})
+		b.want(b.step(10_000, Event{Kind: NeedsCall, ID: 1}), Call, 1, true)
+		acts := b.step(20_000, Event{Kind: CallDone, ID: 1, Outcome: outcome, Elapsed: 10_000})
 		b.want(acts, Call, 1, again)
 		b.want(acts, Fail, 1, !again)
 	}
@@ -172,7 +172,7 @@
 		b := start(t, nil)
 		b.step(1000, arrival(1, 1))
 		if stage != "running" {
-			b.step(2000, Event{Kind: Needs, ID: 1})
+			b.step(2000, Event{Kind: NeedsCall, ID: 1})
 		}
 		acts := b.step(2_000_000, Event{Kind: Timer})
 		b.want(acts, Fail, 1, true)
@@ -217,7 +217,7 @@
 	for runnable, grows := range map[float32]bool{1: true, 2: false, 6: false} {
 		b := start(t, nil)
 		now, id := int64(1000), RequestID(1)
-		b.step(now, Event{Kind: Timer, Gauges: Gauges{Set: true, Runnable: runnable}}, arrival(1, 0), arrival(2, 0))
+		b.step(now, Event{Kind: Timer, Gauges: Gauges{Valid: true, Runnable: runnable}}, arrival(1, 0), arrival(2, 0))
 		for range 8 {
 			now += 100_000
 			b.step(now, Event{Kind: Done, ID: id, Outcome: OK}, arrival(id+2, 0), arrival(id+100, 0))
@@ -235,7 +235,7 @@
 	var arrivals, needs []Event
 	for id := RequestID(1); id <= 8; id++ {
 		arrivals = append(arrivals, arrival(id, 1))
-		needs = append(needs, Event{Kind: Needs, ID: id})
+		needs = append(needs, Event{Kind: NeedsCall, ID: id})
 	}
 	b.step(1000, arrivals...)
 	calls := 0
@@ -255,7 +255,7 @@
 	for _, took := range []int64{30_000, 400_000, 3_000_000, 60_000_000} { // the last: only patience ends them
 		b := start(t, func(s *Settings) {
 			s.CallShare, s.MemoryKB = 0.46, 1e6
-			s.Classes[1].Aim, s.Classes[1].Limit = 2_800_000, 8_600_000
+			s.Classes[1].TargetTime, s.Classes[1].Timeout = 2_800_000, 8_600_000
 		})
 		type call struct {
 			id         RequestID
@@ -280,7 +280,7 @@
 					outcome, lingers = TimedOut, 200_000
 				}
 				held = append(held, [2]int64{c.from, now + lingers})
-				events = append(events, Event{Kind: Called, ID: c.id, Outcome: outcome})
+				events = append(events, Event{Kind: CallDone, ID: c.id, Outcome: outcome})
 				if outcome == OK {
 					events = append(events, Event{Kind: Done, ID: c.id, Outcome: OK})
 				}
@@ -291,7 +291,7 @@
 			for _, a := range acts {
 				switch a.Kind {
 				case Run:
-					events = append(events, Event{Kind: Needs, ID: a.ID})
+					events = append(events, Event{Kind: NeedsCall, ID: a.ID})
 				case Call:
 					made++
 					open = append(open, call{a.ID, now, now + min(took, a.After), took > a.After})
@@ -323,7 +323,7 @@
 func TestNoRunThatMustCallIsBegunWhileOneWaitsForRoom(t *testing.T) {
 	b := start(t, func(s *Settings) { s.Cores, s.MemoryKB, s.CallShare = 4, 1e6, 0.4 })
 	b.step(1000, arrival(1, 1), arrival(2, 1))
-	b.step(2000, Event{Kind: Needs, ID: 1}, Event{Kind: Needs, ID: 2}) // the call of one takes the room
+	b.step(2000, Event{Kind: NeedsCall, ID: 1}, Event{Kind: NeedsCall, ID: 2}) // the call of one takes the room
 	acts := b.step(3000, arrival(3, 1), arrival(4, 0))
 	b.want(acts, Run, 3, false)
 	b.want(acts, Refuse, 3, false)
@@ -332,7 +332,7 @@
 
 // Slow readers were sent their full part: the free value must count what waits unread.
 func TestUnreadWaitRaisesTheFloor(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Free = FreeFloor })
+	b := start(t, func(s *Settings) { s.LoadSignal = LoadSignalMinRank })
 	for i := range RequestID(20) {
 		e := arrival(i+1, 0)
 		e.Waited = 1_500_000
@@ -374,7 +374,7 @@
 func TestUnknownThings(t *testing.T) {
 	b := start(t, nil)
 	acts := b.step(1000, Event{Kind: Arrive, ID: 1, Class: 77, Tenant: 9, SizeKB: 1}, Event{Kind: Done, ID: 5},
-		Event{Kind: Called, ID: 6}, Event{Kind: Needs, ID: 7}, Event{Kind: Gone, ID: 8}, Event{Kind: 99})
+		Event{Kind: CallDone, ID: 6}, Event{Kind: NeedsCall, ID: 7}, Event{Kind: Disconnected, ID: 8}, Event{Kind: 99})
 	b.want(acts, Refuse, 1, true)
 	if n := len(b.step(2000, Event{Kind: Done, ID: 1, Outcome: OK})); n > 1 {
 		t.Fatalf("%d actions about what is over", n)
@@ -413,7 +413,7 @@
 		if rng.Float64() < 0.3 && now < 15_000_000 {
 			e := arrival(id, rng.IntN(3))
 			e.SizeKB = 5 + 60*rng.Float64()
-			tries[id] = &try{class: e.Class, due: now + s.Classes[e.Class].Limit}
+			tries[id] = &try{class: e.Class, due: now + s.Classes[e.Class].Timeout}
 			live = append(live, id)
 			events = append(events, e)
 			id++
@@ -489,7 +489,7 @@
 
 func Example() {
 	w, err := New(Settings{Cores: 1, MemoryKB: 1 << 20, Classes: []Class{
-		{Effect: Repeatable, Aim: 1_000_000, Limit: 3_000_000, Worth: 1}}}, 42)
+		{Effect: Repeatable, TargetTime: 1_000_000, Timeout: 3_000_000, Worth: 1}}}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -538,11 +538,11 @@
 	b := start(t, nil)
 	first, twin := arrival(1, 1), arrival(2, 1)
 	first.Waited = 1_990_000 // due at once
-	twin.Prior = 1
+	twin.DuplicateOf = 1
 	acts := b.step(2_000_000, first, twin)
 	b.want(acts, Refuse, 1, true)
 	b.want(acts, Reuse, 2, false)
-	b.want(acts, Keep, 2, true)
+	b.want(acts, Retain, 2, true)
 	b.want(acts, Run, 2, true)
 }
 
@@ -551,10 +551,10 @@
 	first := arrival(1, 0)
 	first.Key = 5
 	acts := b.step(1000, first)
-	b.want(acts, Keep, 1, true)
+	b.want(acts, Retain, 1, true)
 	b.want(acts, Run, 1, true)
 	again := arrival(2, 0)
-	again.Key, again.Prior = 5, 1
+	again.Key, again.DuplicateOf = 5, 1
 	acts = b.step(2000, again)
 	b.want(acts, Reuse, 2, true)
 	b.want(acts, Run, 2, false)
@@ -564,7 +564,7 @@
 	b := start(t, nil)
 	b.step(1000, arrival(1, 0))
 	b.w.callMean, b.w.callBase = 3_000_000, 3_000_000 // calls take longer than the aim
-	acts := b.step(10_000, Event{Kind: Needs, ID: 1})
+	acts := b.step(10_000, Event{Kind: NeedsCall, ID: 1})
 	b.want(acts, Skip, 1, true)
 	b.want(acts, Call, 1, false)
 }
@@ -620,7 +620,7 @@
 }
 
 func TestHangTurnsHealthBadAndBack(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Classes[1].Limit = 8_000_000 })
+	b := start(t, func(s *Settings) { s.Classes[1].Timeout = 8_000_000 })
 	b.step(1000, arrival(1, 1))
 	turned := func(acts []Action, on bool) bool {
 		for _, a := range acts {
@@ -639,10 +639,10 @@
 }
 
 func TestAllowanceAndWeightFollowThePressure(t *testing.T) {
-	for _, free := range []Free{FreeAllowance, FreeWeight} {
+	for _, free := range []LoadSignal{LoadSignalAllowance, LoadSignalWeight} {
 		said := map[bool]float64{}
 		for _, behind := range []bool{false, true} {
-			b := start(t, func(s *Settings) { s.Free, s.Cores = free, 16 })
+			b := start(t, func(s *Settings) { s.LoadSignal, s.Cores = free, 16 })
 			if behind {
 				b.w.unread = 2_000_000
 			}
@@ -692,14 +692,14 @@
 	for _, over := range []int64{0, 50_000, 400_000, 2_000_000} {
 		b.w.reqs = append(b.w.reqs[:0], request{id: 1, phase: held, due: 9_000_000, aim: 2_000_000})
 		acts := b.w.refuse(&b.w.reqs[0], b.w.away(over, c), true, nil)
-		if got := acts[0].After; got > b.w.set.MaxRetryAfter || got < min(2*over+c.Aim/10, b.w.set.MaxRetryAfter) {
+		if got := acts[0].After; got > b.w.set.MaxRetryAfter || got < min(2*over+c.TargetTime/10, b.w.set.MaxRetryAfter) {
 			t.Errorf("%d us too late: stay away for %d us", over, got)
 		}
 	}
 	refused := 0
 	for _, a := range b.crowd() {
 		if a.Kind == Refuse {
-			if refused++; a.After < c.Aim/10 {
+			if refused++; a.After < c.TargetTime/10 {
 				t.Errorf("%d was refused for %d us", a.ID, a.After)
 			}
 		}
@@ -729,7 +729,7 @@
 			acts := b.step(int64(id)*200_000, arrival(id, 0))
 			acts = append(acts, b.step(int64(id)*200_000+100_000, Event{Kind: Done, ID: id, Outcome: OK})...)
 			for _, a := range acts {
-				if a.Kind == Idle {
+				if a.Kind == SetIdleTimeout {
 					after = a.After
 				}
 			}
@@ -739,7 +739,7 @@
 		}
 	}
 	b := start(t, nil)
-	if has(b.step(1000, arrival(1, 0)), Idle, 0) {
+	if has(b.step(1000, arrival(1, 0)), SetIdleTimeout, 0) {
 		t.Error("connections are steered where no idle time is told")
 	}
 }
@@ -763,7 +763,7 @@
 
 // A floor of one a caller asked hundreds of callers for hundreds of requests on two cores.
 func TestAllowanceOfManyCallersIsAFraction(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Free, s.Callers = FreeAllowance, 300 })
+	b := start(t, func(s *Settings) { s.LoadSignal, s.Callers = LoadSignalAllowance, 300 })
 	b.step(1000, Event{Kind: Timer})
 	if b.w.said <= 0 || b.w.said >= 1 {
 		t.Errorf("300 callers are allowed %v each on two cores", b.w.said)
@@ -786,7 +786,7 @@
 		if id%20 == 0 || id%4 == 1 {
 			b.step(now+20_000, Event{Kind: Done, ID: id, Outcome: OK})
 		} else {
-			b.step(now+20_000, Event{Kind: Gone, ID: id})
+			b.step(now+20_000, Event{Kind: Disconnected, ID: id})
 		}
 	}
 	if flood, within := b.w.lag(&b.w.tenants[0].group, &b.w.allTenants), b.w.lag(&b.w.tenants[1].group, &b.w.allTenants); flood >= within {
@@ -800,19 +800,19 @@
 	giant := arrival(1, 0)
 	giant.SizeKB = 9000
 	b.step(1000, giant)
-	b.step(2000, Event{Kind: Done, ID: 1, Outcome: OK}, Event{Kind: Gone, ID: 1})
+	b.step(2000, Event{Kind: Done, ID: 1, Outcome: OK}, Event{Kind: Disconnected, ID: 1})
 	b.want(b.step(3000, arrival(2, 0)), Run, 2, true)
 }
 
 // Repeats that wait on one run can neither be refused nor shed; they must not outgrow the memory.
 func TestRepeatsDoNotOutgrowTheMemory(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Classes[1].Limit, s.Classes[1].Aim = 60_000_000, 50_000_000 })
+	b := start(t, func(s *Settings) { s.Classes[1].Timeout, s.Classes[1].TargetTime = 60_000_000, 50_000_000 })
 	first := arrival(1, 1)
 	b.step(1000, first)
 	waiting := 0
 	for id := RequestID(2); id < 1200; id++ {
 		again := arrival(id, 1)
-		again.Prior = 1
+		again.DuplicateOf = 1
 		if has(b.step(int64(id)*1000, again), Reuse, id) {
 			waiting++
 		}
@@ -828,7 +828,7 @@
 // One run of five means turned a small machine's health bad, and callers that check went away.
 func TestOneLongRunIsNoStall(t *testing.T) {
 	for runs, healthy := range map[int]bool{1: true, 2: false} {
-		b := start(t, func(s *Settings) { s.Classes[0].Aim = 4_000_000 })
+		b := start(t, func(s *Settings) { s.Classes[0].TargetTime = 4_000_000 })
 		for id := RequestID(1); id <= RequestID(runs); id++ {
 			b.step(1000, arrival(id, 0))
 		}
@@ -841,7 +841,7 @@
 
 // A floor over the class that most ask for turned nearly all away, fell to zero, and rose again.
 func TestFloorStopsAtTheLeastValuableClass(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Free = FreeFloor })
+	b := start(t, func(s *Settings) { s.LoadSignal = LoadSignalMinRank })
 	for now := int64(1); now < 20; now++ {
 		b.w.unread = 3_000_000
 		b.step(now*1_000_000, Event{Kind: Timer})
@@ -895,7 +895,7 @@
 	b := start(t, nil)
 	b.w.rebase(0, 200_000)
 	b.w.classes[0].runs = 100
-	b.w.set.Classes[0].Aim, b.w.set.Classes[0].Limit = 20_000_000, 20_000_000
+	b.w.set.Classes[0].TargetTime, b.w.set.Classes[0].Timeout = 20_000_000, 20_000_000
 	b.step(1000, arrival(1, 0))
 	b.step(6_001_000, Event{Kind: Done, ID: 1, Outcome: OK})
 	if b.w.classes[0].base > 260_000 {
@@ -905,7 +905,7 @@
 
 // Two heavy runs on two cores kept all else out, and turned health off for want of progress.
 func TestHeavyRunsLeaveRoomForOthers(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Classes[0].Aim, s.Classes[0].Limit = 20_000_000, 20_000_000 })
+	b := start(t, func(s *Settings) { s.Classes[0].TargetTime, s.Classes[0].Timeout = 20_000_000, 20_000_000 })
 	b.w.rebase(0, 200_000)
 	b.w.classes[0].runs = 100
 	b.step(1000, arrival(1, 0), arrival(2, 0))
@@ -922,7 +922,7 @@
 	left := func(b *bench, id RequestID) int64 { return b.w.find(id).hope - b.w.find(id).reached }
 	b := start(t, nil)
 	marked := arrival(2, 0)
-	marked.Again = true
+	marked.Retry = true
 	b.step(1000, arrival(1, 0), marked)
 	if left(b, 1) != 2_000_000 || left(b, 2) != 1_400_000 {
 		t.Errorf("a first try has %d left, a marked one %d", left(b, 1), left(b, 2))
@@ -952,7 +952,7 @@
 	for byWork, first := range map[bool]RequestID{false: 2, true: 1} {
 		b := start(t, func(s *Settings) {
 			s.Cores, s.WorthByWork = 1, byWork
-			s.Classes = []Class{{Aim: 3_000_000, Limit: 5_000_000, Worth: 2}, {Aim: 3_000_000, Limit: 5_000_000, Worth: 1}}
+			s.Classes = []Class{{TargetTime: 3_000_000, Timeout: 5_000_000, Worth: 2}, {TargetTime: 3_000_000, Timeout: 5_000_000, Worth: 1}}
 		})
 		b.w.rebase(0, 400_000)
 		b.w.rebase(1, 100_000)
@@ -966,7 +966,7 @@
 		for _, phase := range []string{"held", "running", "at call", "calling", "copying"} {
 			b := start(t, func(s *Settings) {
 				s.Cores, s.Stop, s.CallShare = 1, stop, 40
-				s.Classes[0].Limit, s.ReuseFor, s.Classes[0].SkipWorth = 9_000_000, 1000, 0
+				s.Classes[0].Timeout, s.ReuseFor, s.Classes[0].SkipWorth = 9_000_000, 1000, 0
 			})
 			e := arrival(1, 0)
 			switch phase {
@@ -976,7 +976,7 @@
 				b.step(1000, arrival(9, 2))
 				b.step(1000, e)
 			case "copying":
-				e.Prior = 9
+				e.DuplicateOf = 9
 				b.step(1000, arrival(9, 0))
 				b.want(b.step(1000, e), Reuse, 1, true)
 			default:
@@ -986,7 +986,7 @@
 				if phase == "at call" {
 					b.w.callNext = 1 << 60
 				}
-				b.step(2000, Event{Kind: Needs, ID: 1})
+				b.step(2000, Event{Kind: NeedsCall, ID: 1})
 			}
 			acts := b.step(2_001_001, Event{Kind: Timer}) // its aim has passed, late worth is nothing
 			ended := has(acts, Refuse, 1) || has(acts, Fail, 1)
@@ -1002,7 +1002,7 @@
 	b := start(t, func(s *Settings) { s.Callers, s.IdleAfter = 1000, 30_000_000 })
 	idle := func(now int64) (after int64) {
 		for _, a := range b.step(now, Event{Kind: Timer}) {
-			if a.Kind == Idle {
+			if a.Kind == SetIdleTimeout {
 				after = a.After
 			}
 		}
@@ -1054,11 +1054,11 @@
 		b.want(acts, Fail, 1, true)
 		b.want(b.step(701_000, Event{Kind: Done, ID: 1, Outcome: Failed}), Run, 1, false)
 	}
-	for outcome, again := range map[Outcome]bool{Full: true, Unreachable: true, TimedOut: false, Reset: false, Failed: false} {
+	for outcome, again := range map[Outcome]bool{Rejected: true, Unreachable: true, TimedOut: false, Reset: false, Failed: false} {
 		b := start(t, nil) // an uncertain call is not made again
 		b.step(1000, arrival(1, 2))
-		b.step(10_000, Event{Kind: Needs, ID: 1})
-		acts := b.step(20_000, Event{Kind: Called, ID: 1, Outcome: outcome})
+		b.step(10_000, Event{Kind: NeedsCall, ID: 1})
+		acts := b.step(20_000, Event{Kind: CallDone, ID: 1, Outcome: outcome})
 		b.want(acts, Call, 1, again)
 		b.want(acts, Refuse, 1, false)
 	}
@@ -1093,7 +1093,7 @@
 func TestCallsThatReturnTogetherAreNoCrowd(t *testing.T) {
 	for cold, most := range map[bool]float64{false: 2 * 5, true: 2 * (1 + 4*0.32)} {
 		b := start(t, func(s *Settings) {
-			s.JustStarted, s.ColdFrom, s.CrowdMultiple, s.CallShare, s.MemoryKB = cold, 0.32, 5, 400, 1e6
+			s.JustStarted, s.ColdSpeed, s.MaxRunsPerCore, s.CallShare, s.MemoryKB = cold, 0.32, 5, 400, 1e6
 		})
 		b.w.limit = 100
 		var calling []Event
@@ -1102,9 +1102,9 @@
 				if a.Kind != Run {
 					continue
 				}
-				for _, c := range b.step(1000+int64(id), Event{Kind: Needs, ID: a.ID}) {
+				for _, c := range b.step(1000+int64(id), Event{Kind: NeedsCall, ID: a.ID}) {
 					if c.Kind == Call {
-						calling = append(calling, Event{Kind: Called, ID: c.ID, Outcome: OK})
+						calling = append(calling, Event{Kind: CallDone, ID: c.ID, Outcome: OK})
 					}
 				}
 			}
@@ -1148,7 +1148,9 @@
 }
 
 func TestHandoverIsNoDrain(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Below, s.Classes[0].Calls, s.Classes[0].SkipWorth = BelowNone, false, 0 })
+	b := start(t, func(s *Settings) {
+		s.Downstream, s.Classes[0].CallsDownstream, s.Classes[0].SkipWorth = DownstreamNone, false, 0
+	})
 	b.step(0)
 	acts := b.step(1000, Event{Kind: Handover, Deadline: 6_000_000})
 	for _, a := range acts {
@@ -1164,14 +1166,16 @@
 }
 
 func TestRunsBesideCountAsOurs(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Below, s.Classes[0].Calls, s.Classes[0].SkipWorth = BelowNone, false, 0 })
+	b := start(t, func(s *Settings) {
+		s.Downstream, s.Classes[0].CallsDownstream, s.Classes[0].SkipWorth = DownstreamNone, false, 0
+	})
 	b.step(0)
-	b.want(b.step(1000, Event{Kind: Beside, Runs: 2, SizeKB: 100}, arrival(1, 0)), Run, 1, false)
-	b.want(b.step(2000, Event{Kind: Beside}), Run, 1, true)
+	b.want(b.step(1000, Event{Kind: PeerLoad, Runs: 2, SizeKB: 100}, arrival(1, 0)), Run, 1, false)
+	b.want(b.step(2000, Event{Kind: PeerLoad}), Run, 1, true)
 	b.step(3000, Event{Kind: Done, ID: 1, Outcome: OK, Elapsed: 1000})
-	b.step(4000, Event{Kind: Beside, SizeKB: 10_000})
+	b.step(4000, Event{Kind: PeerLoad, SizeKB: 10_000})
 	b.want(b.step(5000, arrival(2, 0)), Refuse, 2, true) // the memory is full of what is beside
-	b.step(6000, Event{Kind: Beside, Runs: 2})
+	b.step(6000, Event{Kind: PeerLoad, Runs: 2})
 	for now := int64(10_000); now < 60_000_000; now += 10_000 {
 		for _, a := range b.step(now) {
 			if a.Kind == Health && !a.On {
@@ -1187,9 +1191,9 @@
 	open := b.step(1000, arrival(1, 1))
 	b.want(open, Run, 1, true)
 	next := settings()
-	next.Classes = append(next.Classes, Class{Effect: Repeatable, Aim: 1_000_000, Limit: 2_000_000, Worth: 1})
+	next.Classes = append(next.Classes, Class{Effect: Repeatable, TargetTime: 1_000_000, Timeout: 2_000_000, Worth: 1})
 	next.Tenants = []Tenant{{Quota: 5}, {Quota: 7}}
-	if err := b.w.Retune(next); err != nil {
+	if err := b.w.Reconfigure(next); err != nil {
 		t.Fatal(err)
 	}
 	late := arrival(2, 3)
@@ -1201,7 +1205,7 @@
 	}
 	before := b.w.set.Classes
 	for what, s := range map[string]Settings{"fewer classes": settings(), "no classes": {Cores: 1, MemoryKB: 1}} {
-		if err := b.w.Retune(s); err == nil || !reflect.DeepEqual(b.w.set.Classes, before) {
+		if err := b.w.Reconfigure(s); err == nil || !reflect.DeepEqual(b.w.set.Classes, before) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -1212,13 +1216,13 @@
 func TestCeilings(t *testing.T) {
 	t.Parallel()
 	s := settings()
-	s.Below, s.Classes[0].Calls, s.Classes[1].Calls, s.CrowdMultiple, s.ColdFrom = 0, false, false, 0, 0
+	s.Downstream, s.Classes[0].CallsDownstream, s.Classes[1].CallsDownstream, s.MaxRunsPerCore, s.ColdSpeed = 0, false, false, 0, 0
 	play := func(c *Ceilings, classes ...int) (runs, refused []int) {
 		w, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Ceil(c)
+		w.SetCeilings(c)
 		var events []Event
 		for i, class := range classes {
 			events = append(events, Event{Kind: Arrive, ID: RequestID(i + 1), Class: class, SizeKB: 10, Deadline: 1_800_000})
@@ -1233,9 +1237,9 @@
 		}
 		return runs, refused
 	}
-	open := Ceiling{Most: 9, Waiting: 9, OwnKB: 1e4, MostKB: 1e4, Cores: 2}
+	open := Ceiling{MaxRuns: 9, MaxQueued: 9, GuaranteedKB: 1e4, MaxKB: 1e4, GuaranteedCores: 2}
 	with := func(f func(a, b *Ceiling, c *Ceilings)) *Ceilings {
-		c := &Ceilings{Of: []int{0, 1, 0}, Pools: []Ceiling{open, open}, Places: 2, Cheap: -1}
+		c := &Ceilings{PoolOf: []int{0, 1, 0}, Pools: []Ceiling{open, open}, MaxRuns: 2, CheapestClass: -1}
 		f(&c.Pools[0], &c.Pools[1], c)
 		return c
 	}
@@ -1246,13 +1250,15 @@
 	}{
 		"none":       {nil, cheap, nil},
 		"no bounds":  {with(func(a, b *Ceiling, c *Ceilings) {}), cheap, nil},
-		"own places": {with(func(a, b *Ceiling, c *Ceilings) { a.Own = 1 }), []int{0, 1}, nil},
-		"most":       {with(func(a, b *Ceiling, c *Ceilings) { b.Most = 1 }), []int{1, 0}, nil},
-		"spare":      {with(func(a, b *Ceiling, c *Ceilings) { a.Spare = 1 }), []int{0, 1}, nil},
-		"cheap":      {with(func(a, b *Ceiling, c *Ceilings) { c.Cheap, c.CheapSpare, a.Own, b.Own = 0, 1, 1, 2 }), []int{1, 1, 0}, nil},
-		"places":     {with(func(a, b *Ceiling, c *Ceilings) { c.Places = 1 }), []int{1}, nil},
-		"waiting":    {with(func(a, b *Ceiling, c *Ceilings) { b.Waiting = 2 }), cheap, []int{1}},
-		"memory":     {with(func(a, b *Ceiling, c *Ceilings) { a.MostKB = 15 }), cheap, []int{0}},
+		"own places": {with(func(a, b *Ceiling, c *Ceilings) { a.GuaranteedRuns = 1 }), []int{0, 1}, nil},
+		"most":       {with(func(a, b *Ceiling, c *Ceilings) { b.MaxRuns = 1 }), []int{1, 0}, nil},
+		"spare":      {with(func(a, b *Ceiling, c *Ceilings) { a.ReservedRuns = 1 }), []int{0, 1}, nil},
+		"cheap": {with(func(a, b *Ceiling, c *Ceilings) {
+			c.CheapestClass, c.CheapestReserved, a.GuaranteedRuns, b.GuaranteedRuns = 0, 1, 1, 2
+		}), []int{1, 1, 0}, nil},
+		"places":  {with(func(a, b *Ceiling, c *Ceilings) { c.MaxRuns = 1 }), []int{1}, nil},
+		"waiting": {with(func(a, b *Ceiling, c *Ceilings) { b.MaxQueued = 2 }), cheap, []int{1}},
+		"memory":  {with(func(a, b *Ceiling, c *Ceilings) { a.MaxKB = 15 }), cheap, []int{0}},
 	} {
 		if runs, away := play(c.ceil, dear...); !slices.Equal(runs, c.runs) || !slices.Equal(away, c.away) {
 			t.Errorf("%s: runs %v, refuses %v; want %v, %v", name, runs, away, c.runs, c.away)
@@ -1265,7 +1271,7 @@
 func TestPrepare(t *testing.T) {
 	t.Parallel()
 	s := settings()
-	s.Below, s.Classes[0].Calls, s.Classes[1].Calls = 0, false, false
+	s.Downstream, s.Classes[0].CallsDownstream, s.Classes[1].CallsDownstream = 0, false, false
 	s.Classes[1].Prepare = true
 	w, err := New(s, 1)
 	if err != nil {
@@ -1296,7 +1302,7 @@
 	if prepare, run = step(20_000, Event{Kind: Ready, ID: 2}); !slices.Equal(run, []RequestID{2}) {
 		t.Errorf("with one ready: runs %v", run)
 	}
-	if prepare, run = step(30_000, Event{Kind: Gone, ID: 1}); !slices.Equal(prepare, []RequestID{3, 4}) || run != nil {
+	if prepare, run = step(30_000, Event{Kind: Disconnected, ID: 1}); !slices.Equal(prepare, []RequestID{3, 4}) || run != nil {
 		t.Errorf("with one gone: prepares %v, runs %v", prepare, run)
 	}
 }
--- a/state.go
+++ b/state.go
@@ -22,19 +22,19 @@
 	need(size(s.KeyKB), "KeyKB", s.KeyKB)
 	need(size(s.CallShare), "CallShare", s.CallShare)
 	need(s.IdleAfter >= 0, "IdleAfter", s.IdleAfter)
-	need(size(s.CrowdMultiple), "CrowdMultiple", s.CrowdMultiple)
-	need(s.ColdFrom >= 0 && s.ColdFrom <= 1, "ColdFrom", s.ColdFrom)
+	need(size(s.MaxRunsPerCore), "CrowdMultiple", s.MaxRunsPerCore)
+	need(s.ColdSpeed >= 0 && s.ColdSpeed <= 1, "ColdFrom", s.ColdSpeed)
 	need(len(s.Classes) > 0, "Classes", s.Classes)
 	// Nothing is worded for what is sound: there are thousands of entries, and Retune holds the loop meanwhile.
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		if c.Effect <= Once && c.Aim >= 0 && c.Limit > 0 && c.Window >= 0 && size(c.Worth) {
+		if c.Effect <= Once && c.TargetTime >= 0 && c.Timeout > 0 && c.Window >= 0 && size(c.Worth) {
 			continue
 		}
 		at := fmt.Sprintf("Classes[%d].", i)
 		need(c.Effect <= Once, at+"Effect", c.Effect)
-		need(c.Aim >= 0, at+"Aim", c.Aim)
-		need(c.Limit > 0, at+"Limit", c.Limit)
+		need(c.TargetTime >= 0, at+"Aim", c.TargetTime)
+		need(c.Timeout > 0, at+"Limit", c.Timeout)
 		need(c.Window >= 0, at+"Window", c.Window)
 		need(size(c.Worth), at+"Worth", c.Worth)
 	}
@@ -55,9 +55,9 @@
 	}
 }
 
-// Warmth tells when the cores came up, and whether they were cold then, to a
+// SetWarmup tells when the cores came up, and whether they were cold then, to a
 // worker whose host learns it only after the start.
-func (w *Worker) Warmth(cold bool, since int64) {
+func (w *Worker) SetWarmup(cold bool, since int64) {
 	w.set.JustStarted, w.born = cold, max(since, 0)
 }
 
@@ -68,9 +68,9 @@
 	light         bool    // all that it holds could start in places of its own
 }
 
-// Ceil hands in the ceilings of the pools for the batches that follow; nil =
+// SetCeilings hands in the ceilings of the pools for the batches that follow; nil =
 // there are none. They must name a pool for each class.
-func (w *Worker) Ceil(c *Ceilings) {
+func (w *Worker) SetCeilings(c *Ceilings) {
 	w.ceil = c
 	if c == nil {
 		w.uses = nil
@@ -87,15 +87,15 @@
 	if w.ceil == nil {
 		return nil, nil
 	}
-	at := w.ceil.Of[class]
+	at := w.ceil.PoolOf[class]
 	return &w.uses[at], &w.ceil.Pools[at]
 }
 
-// Retune takes over new settings. Classes and tenants keep their places, new
+// Reconfigure takes over new settings. Classes and tenants keep their places, new
 // ones follow; what was learned stays. On an error nothing has changed. The
 // slices in s are the worker's from then on: what changes in them comes by
 // another Retune, which is cheaper with fresh slices.
-func (w *Worker) Retune(s Settings) error {
+func (w *Worker) Reconfigure(s Settings) error {
 	if err := s.check(); err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 	before := w.set
 	w.set = s
 	for _, c := range s.Classes[len(w.classes):] {
-		w.classes = append(w.classes, class{base: float64(c.Aim) / firstGuess})
+		w.classes = append(w.classes, class{base: float64(c.TargetTime) / firstGuess})
 	}
 	if more := len(s.Tenants) - len(w.tenants); more > 0 {
 		w.tenants = append(w.tenants, make([]tenant, more)...)
@@ -117,8 +117,8 @@
 		w.weigh()
 	}
 	w.limit = max(w.limit, s.Cores)
-	w.shared = s.Below == BelowShared && s.CallShare > 0 && s.CallsOver > 0
-	w.budget = shareSafe * s.CallShare * float64(s.CallsOver)
+	w.shared = s.Downstream == DownstreamShared && s.CallShare > 0 && s.CallShareWindow > 0
+	w.budget = shareSafe * s.CallShare * float64(s.CallShareWindow)
 	w.moveCalls(w.callLimit)
 	return nil
 }
@@ -183,14 +183,14 @@
 		if u != nil {
 			u.running++
 			u.kb += r.size * w.set.RunFactor
-			if r.class == w.ceil.Cheap {
+			if r.class == w.ceil.CheapestClass {
 				w.cheapRuns++
 			}
 		}
 	}
 	for i := range w.uses {
 		u := &w.uses[i]
-		u.light = u.held+u.running <= w.ceil.Pools[i].Own
+		u.light = u.held+u.running <= w.ceil.Pools[i].GuaranteedRuns
 	}
 	w.memory += float64(len(w.table)) * w.set.KeyKB
 }
@@ -217,7 +217,7 @@
 		if c := &w.calls[i]; c.id != r.id || c.from != r.callAt {
 			continue
 		} else if how == TimedOut {
-			c.until = min(c.until, w.now+w.set.Lingers)
+			c.until = min(c.until, w.now+w.set.MaxCallLinger)
 		} else {
 			c.until = min(c.until, w.now)
 		}
--- a/state_test.go
+++ b/state_test.go
@@ -5,15 +5,15 @@
 // A worker that hears late how its cores started bears fewer runs while they
 // are cold, counted from when they came up.
 func TestWarmth(t *testing.T) {
-	s := Settings{Cores: 4, MemoryKB: 1000, Classes: []Class{{Aim: 1000, Limit: 1000}},
-		CrowdMultiple: 8, ColdFrom: 0.2, WarmWithin: 10_000_000}
+	s := Settings{Cores: 4, MemoryKB: 1000, Classes: []Class{{TargetTime: 1000, Timeout: 1000}},
+		MaxRunsPerCore: 8, ColdSpeed: 0.2, WarmupTime: 10_000_000}
 	crowd := func(tell bool, cold bool, since int64) float64 {
 		w, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if tell {
-			w.Warmth(cold, since)
+			w.SetWarmup(cold, since)
 		}
 		w.Step(20_000_000, nil, nil)
 		return w.crowd()
--- a/worker.go
+++ b/worker.go
@@ -115,17 +115,17 @@
 	}
 	s.fill()
 	w := &Worker{
-		shared: s.Below == BelowShared && s.CallShare > 0 && s.CallsOver > 0,
+		shared: s.Downstream == DownstreamShared && s.CallShare > 0 && s.CallShareWindow > 0,
 		set:    s, rng: rand.New(rand.NewPCG(seed, 0)), at: map[RequestID]int{}, limit: s.Cores,
 		classes: make([]class, len(s.Classes)), tenants: make([]tenant, max(len(s.Tenants), 1)),
 		healthy: true, born: -1, said: -1,
 	}
 	for i, c := range s.Classes {
-		w.classes[i].base = float64(c.Aim) / firstGuess
+		w.classes[i].base = float64(c.TargetTime) / firstGuess
 	}
 	w.weigh()
 	w.allot(nil, 0)
-	w.budget = shareSafe * s.CallShare * float64(s.CallsOver)
+	w.budget = shareSafe * s.CallShare * float64(s.CallShareWindow)
 	w.moveCalls(float64(s.Cores))
 	return w, nil
 }
