--- a/cmd/kitelab/lab.go
+++ b/cmd/kitelab/lab.go
@@ -276,11 +276,11 @@
 
 // halved is a day on which one pool of all classes has half of the running places.
 func halved(day fleet.Day) fleet.Day {
-	all := pool.Spec{Name: "all", Most: 0.5}
+	all := pool.Spec{Name: "all", MaxShare: 0.5}
 	for i := range day.Classes {
 		all.Classes = append(all.Classes, i)
 	}
-	day.Pools = pool.For(&day.Module)
+	day.Pools = pool.SettingsFor(&day.Module)
 	day.Pools.Pools = []pool.Spec{all}
 	return day
 }
--- a/cmd/kiteslip/check.go
+++ b/cmd/kiteslip/check.go
@@ -103,10 +103,10 @@
 			waiting = fmt.Sprint(p.Waiting)
 		}
 		fmt.Fprintf(w, "pool %s: %s; of %d places %.2f its own, %.2f at most, %d beyond the limit; of %.0f MB %.1f its own, %.1f at most; waiting: %s\n",
-			p.Name, strings.Join(names, ", "), s.Cores, spec.Share*float64(s.Cores), spec.MostPlaces()*float64(s.Cores),
-			s.Beyond(spec.Reserve), s.MemoryKB/1024, spec.OwnMemory()*s.MemoryKB/1024, spec.MostMemory()*s.MemoryKB/1024, waiting)
+			p.Name, strings.Join(names, ", "), s.Cores, spec.Share*float64(s.Cores), spec.EffectiveMaxShare()*float64(s.Cores),
+			s.ReservedRuns(spec.Reserve), s.MemoryKB/1024, spec.GuaranteedMemory()*s.MemoryKB/1024, spec.EffectiveMaxMemory()*s.MemoryKB/1024, waiting)
 	}
 	if cfg.CheapReserve > 0 {
-		fmt.Fprintf(w, "cheapest class, as learned: %d places beyond the limit\n", s.Beyond(cfg.CheapReserve))
+		fmt.Fprintf(w, "cheapest class, as learned: %d places beyond the limit\n", s.ReservedRuns(cfg.CheapReserve))
 	}
 }
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -52,15 +52,15 @@
 	if len(c.Pools) == 0 {
 		return nil
 	}
-	s := pool.For(&c.Module)
+	s := pool.SettingsFor(&c.Module)
 	s.CheapReserve = c.CheapReserve
 	pools := map[string][]int{} // by class: those that name it, one where all is well
 	for i, p := range c.Pools {
 		for _, class := range p.Classes {
 			pools[class] = append(pools[class], i)
 		}
-		spec := pool.Spec{Name: p.Name, Share: p.Share, Most: p.Most, Reserve: p.Reserve, Memory: p.Memory,
-			MemoryMost: p.MemoryMost, Waiting: p.Waiting}
+		spec := pool.Spec{Name: p.Name, Share: p.Share, MaxShare: p.Most, Reserve: p.Reserve, MemoryShare: p.Memory,
+			MaxMemoryShare: p.MemoryMost, MaxQueued: p.Waiting}
 		s.Pools = append(s.Pools, spec)
 	}
 	for i, class := range c.Classes {
--- a/internal/control/document/check.go
+++ b/internal/control/document/check.go
@@ -179,7 +179,7 @@
 func micros(ms *float64) int64 { return int64(*ms * 1000) }
 
 func (a about) pool(p *Pool) {
-	if p.Name == pool.Rest {
+	if p.Name == pool.DefaultPool {
 		a.add("name", "is that of the classes which no pool names")
 	}
 	if len(p.Classes) == 0 {
@@ -206,6 +206,6 @@
 
 // ownMemory is the part of the memory that is the pool's own.
 func ownMemory(p *Pool) float64 {
-	spec := pool.Spec{Share: p.Share, Memory: p.Memory}
-	return spec.OwnMemory()
+	spec := pool.Spec{Share: p.Share, MemoryShare: p.Memory}
+	return spec.GuaranteedMemory()
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -61,8 +61,8 @@
 
 	journal Journal // nil = there is none
 	journalled
-	pools   *pool.Book // nil = there are none
-	touched []*Request // may have moved in the pools' book
+	pools   *pool.Allocator // nil = there are none
+	touched []*Request      // may have moved in the pools' book
 
 	withdrawn bool // by an operator
 
@@ -88,7 +88,7 @@
 	if set.Log == nil {
 		set.Log = func(string) {}
 	}
-	var pools *pool.Book
+	var pools *pool.Allocator
 	if set.Pools != nil {
 		if pools, err = pool.New(*set.Pools); err != nil {
 			return nil, err
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -254,7 +254,7 @@
 // Beside takes in what the other process has on the engine that both share.
 func (c *Core) Beside(runs int, sizeKB float64) {
 	if c.pools != nil {
-		c.pools.Beside(c.now, runs)
+		c.pools.SetPeerLoad(c.now, runs)
 	}
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.PeerLoad, Runs: runs, SizeKB: sizeKB})
 }
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -86,7 +86,7 @@
 		c.worker.SetCeilings(nil)
 	} else if c.pools != nil {
 		c.movePools(c.now)
-		return c.pools.Set(*s)
+		return c.pools.Reconfigure(*s)
 	} else if book, err := pool.New(*s); err != nil {
 		return err
 	} else {
@@ -105,9 +105,9 @@
 }
 
 // Pools returns the figures of the pools; nil = there are none.
-func (c *Core) Pools() []pool.Figure {
+func (c *Core) Pools() []pool.Stats {
 	if c.pools == nil {
 		return nil
 	}
-	return c.pools.Figures()
+	return c.pools.Stats()
 }
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -84,7 +84,7 @@
 	case kiteslip.Refuse, kiteslip.Fail:
 		if !r.answered {
 			if a.Kind == kiteslip.Refuse && r.phase == held && c.pools != nil {
-				c.pools.Refused(r.Class)
+				c.pools.CountRefused(r.Class)
 			}
 			c.answer(r, c.giveUp(now, r, a))
 		}
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -33,7 +33,7 @@
 	if pools {
 		s = BrokerPools(&m)
 		for i := range s.Pools {
-			s.Pools[i].Waiting = 1 << 30
+			s.Pools[i].MaxQueued = 1 << 30
 		}
 	}
 	to := &sink{}
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -244,10 +244,10 @@
 	if len(s.Server.Pools) == 0 {
 		return
 	}
-	day.Pools = pool.For(&day.Module)
+	day.Pools = pool.SettingsFor(&day.Module)
 	day.Pools.CheapReserve = s.Server.CheapReserve
 	for i, p := range s.Server.Pools {
-		spec := pool.Spec{Name: p.Name, Share: p.Share, Most: p.Most, Reserve: p.Reserve}
+		spec := pool.Spec{Name: p.Name, Share: p.Share, MaxShare: p.Most, Reserve: p.Reserve}
 		for _, name := range p.Classes {
 			at, known := places[name]
 			if !known {
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -158,7 +158,7 @@
 		for _, c := range s.Classes {
 			classes += strconv.Quote(f.day.Classes[c].Name) + ", "
 		}
-		text += fmt.Sprintf("[[pool]]\nname = %q\nclasses = [%s]\nshare = %f\nmost = %f\nreserve = %f\n", s.Name, classes, s.Share, s.Most, s.Reserve)
+		text += fmt.Sprintf("[[pool]]\nname = %q\nclasses = [%s]\nshare = %f\nmost = %f\nreserve = %f\n", s.Name, classes, s.Share, s.MaxShare, s.Reserve)
 	}
 	return text
 }
--- a/internal/lab/pools_test.go
+++ b/internal/lab/pools_test.go
@@ -164,7 +164,7 @@
 	cheapest := map[string]int64{}
 	day.Watch = func(w *World, at int64) {
 		for _, f := range w.Core.Pools() {
-			if f.Cheapest {
+			if f.HasCheapest {
 				cheapest[f.Name] = at
 			}
 		}
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -39,7 +39,7 @@
 
 // BrokerPools are the pools of the same broker.
 func BrokerPools(m *kiteslip.Settings) *pool.Settings {
-	s := pool.For(m)
+	s := pool.SettingsFor(m)
 	s.CheapReserve = 0.25
 	s.Pools = []pool.Spec{
 		{Name: "lookups", Classes: []int{CodeToPoint, PointToCode}, Share: 0.15},
--- a/internal/pool/ceilings.go
+++ b/internal/pool/ceilings.go
@@ -20,18 +20,18 @@
 
 // shared is the number of places that shares are counted on. What runs shares
 // the cores evenly, so a part of the cores is that part of what runs.
-func (b *Book) shared() float64 {
+func (b *Allocator) shared() float64 {
 	return max(float64(b.set.Cores), min(float64(b.running+b.beside), b.crowd))
 }
 
 // findCrowd works out how many runs together may share the cores: so many that none takes
 // more than a part of its aim. It is a delay target for the runs, below the
 // module's running limit, which looks at the mean of all classes.
-func (b *Book) findCrowd() float64 {
+func (b *Allocator) findCrowd() float64 {
 	stretch := math.Inf(1)
 	for c := range b.classes {
 		if k := &b.classes[c]; k.seen >= stretchSeen && (k.running > 0 || k.waiting > 0) {
-			stretch = min(stretch, stretchPart*float64(b.set.Classes[c].Aim)/k.mean)
+			stretch = min(stretch, stretchPart*float64(b.set.Classes[c].TargetTime)/k.mean)
 		}
 	}
 	return float64(b.set.Cores) * max(1, stretch)
@@ -39,7 +39,7 @@
 
 // earn moves the credits: a pool earns its share and pays for the places that
 // it has. What it has saved up, or owes, is bounded.
-func (b *Book) earn(dt float64) {
+func (b *Allocator) earn(dt float64) {
 	places := b.shared()
 	for i := range b.pools {
 		p := &b.pools[i]
@@ -52,14 +52,14 @@
 }
 
 // meanCost is the mean work of the pool's classes, weighed by what is there of them.
-func (b *Book) meanCost(p *state) float64 {
+func (b *Allocator) meanCost(p *state) float64 {
 	sum, n := 0.0, 0.0
 	for _, c := range p.Classes {
 		k := &b.classes[c]
 		w := float64(k.waiting+k.running) + 1e-3
 		base := k.mean
 		if k.seen == 0 {
-			base = firstBase * float64(b.set.Classes[c].Aim)
+			base = firstBase * float64(b.set.Classes[c].TargetTime)
 		}
 		sum, n = sum+w*base, n+w
 	}
@@ -73,7 +73,7 @@
 // credit and down while it owes, and one more for each whole run that it has
 // saved up, so that a pool which asks for less than its share does not queue
 // for the chance that several of its requests come together.
-func (b *Book) own(p *state, places float64) int {
+func (b *Allocator) own(p *state, places float64) int {
 	exact := p.Share * places
 	n := math.Floor(exact)
 	if p.credit > 0 && exact > 0 {
@@ -87,7 +87,7 @@
 
 // Ceilings works out what the module is to keep to in the next batch. limit is
 // the module's running limit. What is returned is valid until the next call.
-func (b *Book) Ceilings(now int64, limit int) *kiteslip.Ceilings {
+func (b *Allocator) Ceilings(now int64, limit int) *kiteslip.Ceilings {
 	b.advance(now)
 	b.places = max(1, limit)
 	onCore := b.running + b.beside
@@ -101,22 +101,22 @@
 		kb := p.heldKB + p.ranKB
 		booked += kb
 		if p.waiting+p.running > 0 {
-			claimed += max(0, p.OwnMemory()*b.set.MemoryKB-kb)
+			claimed += max(0, p.GuaranteedMemory()*b.set.MemoryKB-kb)
 		}
 	}
 	for i := range b.pools {
 		p := &b.pools[i]
 		out := &b.out.Pools[i]
 		p.own = b.own(p, places)
-		spare := b.set.Beyond(p.Reserve)
+		spare := b.set.ReservedRuns(p.Reserve)
 		// The limit binds only beyond the cores: none is left idle for it.
 		most := max(int(p.limit.limit), p.own, p.running+b.set.Cores-onCore, spare)
-		p.most = max(1, min(most, max(p.own, int(math.Ceil(p.MostPlaces()*float64(b.places))))))
+		p.most = max(1, min(most, max(p.own, int(math.Ceil(p.EffectiveMaxShare()*float64(b.places))))))
 		rate := b.drain(now, p)
 		out.GuaranteedRuns, out.MaxRuns, out.ReservedRuns = p.own, p.most, spare
 		out.GuaranteedCores = min(max(p.Share*float64(b.set.Cores), float64(p.own))+float64(spare), float64(b.set.Cores))
 		out.MaxQueued = b.mayWait(p, rate)
-		own := p.OwnMemory() * b.set.MemoryKB
+		own := p.GuaranteedMemory() * b.set.MemoryKB
 		kb := p.heldKB + p.ranKB
 		mine := 0.0
 		if p.waiting+p.running > 0 {
@@ -124,79 +124,79 @@
 		}
 		free := b.set.MemoryKB - (booked - kb) - (claimed - mine)
 		out.GuaranteedKB = own
-		out.MaxKB = min(p.MostMemory()*b.set.MemoryKB, max(own, free))
+		out.MaxKB = min(p.EffectiveMaxMemory()*b.set.MemoryKB, max(own, free))
 		out.RetryAfter = b.advice(p, rate, out.MaxQueued)
 	}
 	b.findCheapest()
 	b.out.CheapestClass, b.out.CheapestReserved = b.cheap, 0
 	if b.cheap >= 0 {
-		b.out.CheapestReserved = b.set.Beyond(b.set.CheapReserve)
+		b.out.CheapestReserved = b.set.ReservedRuns(b.set.CheapReserve)
 	}
 	return &b.out
 }
 
 // drain is how many requests a second the pool gets done: as seen of late, or
 // as its share promises if that is more.
-func (b *Book) drain(now int64, p *state) float64 {
+func (b *Allocator) drain(now int64, p *state) float64 {
 	promised := p.Share * float64(b.set.Cores) / p.run * 1e6
 	return max(p.rate.perSecond(now), promised, 1e-3)
 }
 
 // mayWait is how many requests may wait: by Little's law what is done within
 // the longest deadline. What comes behind that can't be served.
-func (b *Book) mayWait(p *state, rate float64) int {
-	if p.Waiting > 0 {
-		return p.Waiting
+func (b *Allocator) mayWait(p *state, rate float64) int {
+	if p.MaxQueued > 0 {
+		return p.MaxQueued
 	}
 	longest := int64(0)
 	for _, c := range p.Classes {
-		longest = max(longest, b.set.Classes[c].Limit)
+		longest = max(longest, b.set.Classes[c].Timeout)
 	}
-	if p.Name == Rest {
+	if p.Name == DefaultPool {
 		return mostWaiting
 	}
 	return max(leastWaiting, int(min(waitPart*rate*float64(longest)/1e6, mostWaiting)))
 }
 
 // advice is how long what a pool turns away should stay away: until the excess has drained.
-func (b *Book) advice(p *state, rate float64, most int) int64 {
-	if b.set.MaxAdvice == 0 {
+func (b *Allocator) advice(p *state, rate float64, most int) int64 {
+	if b.set.MaxRetryAfter == 0 {
 		return 0
 	}
 	over := max(0, float64(p.waiting-most)) + 1 + float64(p.waiting)/4
 	aim := int64(0)
 	for _, c := range p.Classes {
-		aim = max(aim, b.set.Classes[c].Aim)
+		aim = max(aim, b.set.Classes[c].TargetTime)
 	}
 	after := min(int64(over/rate*1e6), int64(idleAdvice*float64(aim)))
-	return max(1000, min(after, b.set.MaxAdvice))
+	return max(1000, min(after, b.set.MaxRetryAfter))
 }
 
-// Figure is what operators see of one pool.
-type Figure struct {
+// Stats is what operators see of one pool.
+type Stats struct {
 	Name             string
 	Limit            int // runs that it may have now
 	Running, Waiting int
-	Own              int // places of its own: its share of the cores
-	Saved            int // runs saved up, which it may have beyond its own places
+	Guaranteed       int // places of its own: its share of the cores
+	SavedRuns        int // runs saved up, which it may have beyond its own places
 	Borrowed, Lent   int // runs beyond its own; own places that it leaves to others
 	Refused          int // since the start
 	BookedKB         float64
-	Cheapest         bool // the cheapest class is one of its own
-	MayWait          int
+	HasCheapest      bool // the cheapest class is one of its own
+	MaxQueued        int
 }
 
-// Figures lists the pools, the rest first.
-func (b *Book) Figures() []Figure {
-	list := make([]Figure, 0, len(b.pools))
+// Stats lists the pools, the rest first.
+func (b *Allocator) Stats() []Stats {
+	list := make([]Stats, 0, len(b.pools))
 	for i := range b.pools {
 		p := &b.pools[i]
 		own := int(math.Round(p.Share * float64(b.set.Cores)))
-		list = append(list, Figure{Name: p.Name, Limit: min(p.most, b.out.MaxRuns), Running: p.running, Waiting: p.waiting, Own: own,
+		list = append(list, Stats{Name: p.Name, Limit: min(p.most, b.out.MaxRuns), Running: p.running, Waiting: p.waiting, Guaranteed: own,
 			Borrowed: max(0, p.running-own), Lent: max(0, own-p.running-p.waiting), Refused: p.refused,
-			Saved:    int(max(0, p.credit/p.run)),
-			BookedKB: p.heldKB + p.ranKB, Cheapest: b.cheap >= 0 && b.of[b.cheap] == i,
-			MayWait: b.out.Pools[i].MaxQueued})
+			SavedRuns: int(max(0, p.credit/p.run)),
+			BookedKB:  p.heldKB + p.ranKB, HasCheapest: b.cheap >= 0 && b.of[b.cheap] == i,
+			MaxQueued: b.out.Pools[i].MaxQueued})
 	}
 	return list
 }
--- a/internal/pool/cost.go
+++ b/internal/pool/cost.go
@@ -44,7 +44,7 @@
 }
 
 // findCheapest keeps the class that costs least for one request.
-func (b *Book) findCheapest() {
+func (b *Allocator) findCheapest() {
 	best := -1
 	for c := range b.classes {
 		if k := &b.classes[c]; k.seen >= cheapSeen && (best < 0 || k.mean < b.classes[best].mean) {
@@ -59,9 +59,9 @@
 	}
 }
 
-// Cheapest is the class that does the least work for one request, as learned;
+// CheapestClass is the class that does the least work for one request, as learned;
 // -1 = not known yet.
-func (b *Book) Cheapest() int { return b.cheap }
+func (b *Allocator) CheapestClass() int { return b.cheap }
 
 // rate counts events a second with a fading memory.
 type rate struct {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -21,47 +21,49 @@
 
 // Spec declares one pool.
 type Spec struct {
-	Name       string
-	Classes    []int
-	Share      float64 // of the running places: its own whenever it wants them
-	Most       float64 // of the running places: never more; 0 = all
-	Reserve    float64 // of the cores: places beyond the running limit, not lent
-	Memory     float64 // of the memory: its own; 0 = as Share
-	MemoryMost float64 // of the memory: never more; 0 = all
-	Waiting    int     // requests that may wait; 0 = what can be served in time
+	Name           string
+	Classes        []int
+	Share          float64 // of the running places: its own whenever it wants them
+	MaxShare       float64 // of the running places: never more; 0 = all
+	Reserve        float64 // of the cores: places beyond the running limit, not lent
+	MemoryShare    float64 // of the memory: its own; 0 = as Share
+	MaxMemoryShare float64 // of the memory: never more; 0 = all
+	MaxQueued      int     // requests that may wait; 0 = what can be served in time
 }
 
 // Class is what a Book must know of a class.
-type Class struct{ Aim, Limit int64 }
+type Class struct{ TargetTime, Timeout int64 }
 
 // Settings declare the pools of one server.
 type Settings struct {
-	Cores        int
-	MemoryKB     float64
-	RunFactor    float64 // memory of a running request over that of a held one
-	MaxAdvice    int64   // longest advice to stay away; 0 = none is given
-	Classes      []Class
-	Pools        []Spec
-	CheapReserve float64 // of the cores: places beyond the running limit for the cheapest class
+	Cores         int
+	MemoryKB      float64
+	RunFactor     float64 // memory of a running request over that of a held one
+	MaxRetryAfter int64   // longest advice to stay away; 0 = none is given
+	Classes       []Class
+	Pools         []Spec
+	CheapReserve  float64 // of the cores: places beyond the running limit for the cheapest class
 }
 
-// For returns settings for the machine and classes of a module, without pools.
-func For(m *kiteslip.Settings) *Settings {
-	s := &Settings{Cores: m.Cores, MemoryKB: m.MemoryKB, RunFactor: m.RunFactor, MaxAdvice: m.MaxRetryAfter}
+// SettingsFor returns settings for the machine and classes of a module, without pools.
+func SettingsFor(m *kiteslip.Settings) *Settings {
+	s := &Settings{Cores: m.Cores, MemoryKB: m.MemoryKB, RunFactor: m.RunFactor, MaxRetryAfter: m.MaxRetryAfter}
 	for i := range m.Classes {
-		s.Classes = append(s.Classes, Class{Aim: m.Classes[i].TargetTime, Limit: m.Classes[i].Timeout})
+		s.Classes = append(s.Classes, Class{TargetTime: m.Classes[i].TargetTime, Timeout: m.Classes[i].Timeout})
 	}
 	return s
 }
 
-// Beyond is how many places beyond the running limit a reserve amounts to.
-func (s *Settings) Beyond(reserve float64) int { return int(math.Ceil(reserve * float64(s.Cores))) }
+// ReservedRuns is how many places beyond the running limit a reserve amounts to.
+func (s *Settings) ReservedRuns(reserve float64) int {
+	return int(math.Ceil(reserve * float64(s.Cores)))
+}
 
-// Rest is the name of the pool of all classes that no other names. It has no share.
-const Rest = "rest"
+// DefaultPool is the name of the pool of all classes that no other names. It has no share.
+const DefaultPool = "rest"
 
-// Most pools of one server. A decision takes time for each of them.
-const Most = 64
+// MaxPools pools of one server. A decision takes time for each of them.
+const MaxPools = 64
 
 // ErrSettings is wrapped by all errors about settings.
 var ErrSettings = errors.New("pool")
@@ -83,16 +85,16 @@
 	if !(s.MemoryKB > 0) || math.IsInf(s.MemoryKB, 0) {
 		fail("memory", "is %v, want above 0", s.MemoryKB)
 	}
-	if len(s.Pools) > Most {
-		fail("pool", "is there %d times, want %d at most", len(s.Pools), Most)
+	if len(s.Pools) > MaxPools {
+		fail("pool", "is there %d times, want %d at most", len(s.Pools), MaxPools)
 	}
 	part("pools.cheap_reserve", s.CheapReserve)
-	names, owner := map[string]bool{Rest: true}, map[int]string{}
+	names, owner := map[string]bool{DefaultPool: true}, map[int]string{}
 	share, memory := 0.0, 0.0
 	for i := range s.Pools {
 		p, key := &s.Pools[i], fmt.Sprintf("pool[%d]", i)
 		if p.Name == "" || names[p.Name] {
-			fail(key+".name", "is %q, want a name of its own other than %q", p.Name, Rest)
+			fail(key+".name", "is %q, want a name of its own other than %q", p.Name, DefaultPool)
 		}
 		names[p.Name] = true
 		if len(p.Classes) == 0 {
@@ -108,21 +110,21 @@
 			}
 		}
 		part(key+".share", p.Share)
-		part(key+".most", p.Most)
+		part(key+".most", p.MaxShare)
 		part(key+".reserve", p.Reserve)
-		part(key+".memory", p.Memory)
-		part(key+".memory_most", p.MemoryMost)
-		if p.Most > 0 && p.Most < p.Share {
-			fail(key+".most", "is %v, less than the share of %v", p.Most, p.Share)
+		part(key+".memory", p.MemoryShare)
+		part(key+".memory_most", p.MaxMemoryShare)
+		if p.MaxShare > 0 && p.MaxShare < p.Share {
+			fail(key+".most", "is %v, less than the share of %v", p.MaxShare, p.Share)
 		}
-		if p.MemoryMost > 0 && p.MemoryMost < p.OwnMemory() {
-			fail(key+".memory_most", "is %v, less than its own %v", p.MemoryMost, p.OwnMemory())
+		if p.MaxMemoryShare > 0 && p.MaxMemoryShare < p.GuaranteedMemory() {
+			fail(key+".memory_most", "is %v, less than its own %v", p.MaxMemoryShare, p.GuaranteedMemory())
 		}
-		if p.Waiting < 0 {
-			fail(key+".waiting", "is %d, want 0 or more", p.Waiting)
+		if p.MaxQueued < 0 {
+			fail(key+".waiting", "is %d, want 0 or more", p.MaxQueued)
 		}
 		share += p.Share
-		memory += p.OwnMemory()
+		memory += p.GuaranteedMemory()
 	}
 	const rounding = 1e-9
 	if share > 1+rounding {
@@ -134,26 +136,26 @@
 	return errors.Join(errs...)
 }
 
-// OwnMemory is the part of the memory that is the pool's own.
-func (p *Spec) OwnMemory() float64 {
-	if p.Memory > 0 {
-		return p.Memory
+// GuaranteedMemory is the part of the memory that is the pool's own.
+func (p *Spec) GuaranteedMemory() float64 {
+	if p.MemoryShare > 0 {
+		return p.MemoryShare
 	}
 	return p.Share
 }
 
-// MostPlaces is the part of the running places that the pool never passes.
-func (p *Spec) MostPlaces() float64 {
-	if p.Most > 0 {
-		return p.Most
+// EffectiveMaxShare is the part of the running places that the pool never passes.
+func (p *Spec) EffectiveMaxShare() float64 {
+	if p.MaxShare > 0 {
+		return p.MaxShare
 	}
 	return 1
 }
 
-// MostMemory is the part of the memory that the pool never passes.
-func (p *Spec) MostMemory() float64 {
-	if p.MemoryMost > 0 {
-		return p.MemoryMost
+// EffectiveMaxMemory is the part of the memory that the pool never passes.
+func (p *Spec) EffectiveMaxMemory() float64 {
+	if p.MaxMemoryShare > 0 {
+		return p.MaxMemoryShare
 	}
 	return 1
 }
@@ -172,8 +174,8 @@
 	most             int
 }
 
-// Book is the state of all pools of a server. The pool at 0 is the rest.
-type Book struct {
+// Allocator is the state of all pools of a server. The pool at 0 is the rest.
+type Allocator struct {
 	set     Settings
 	pools   []state
 	of      []int // by class: its pool
@@ -189,19 +191,19 @@
 }
 
 // New returns a book for settings that pass their Check.
-func New(s Settings) (*Book, error) {
-	b := &Book{cheap: -1}
-	if err := b.Set(s); err != nil {
+func New(s Settings) (*Allocator, error) {
+	b := &Allocator{cheap: -1}
+	if err := b.Reconfigure(s); err != nil {
 		return nil, err
 	}
 	return b, nil
 }
 
-// Set takes over new settings, in which classes have the places that they had
+// Reconfigure takes over new settings, in which classes have the places that they had
 // and new ones follow. A pool that keeps its name keeps its credit and limit;
 // what waits and runs is counted in the pool that its class is in now. On an
 // error nothing has changed.
-func (b *Book) Set(s Settings) error {
+func (b *Allocator) Reconfigure(s Settings) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
@@ -212,7 +214,7 @@
 	b.set = s
 	b.places = max(b.places, s.Cores)
 	b.pools = make([]state, len(s.Pools)+1)
-	b.pools[0].Spec = Spec{Name: Rest}
+	b.pools[0].Spec = Spec{Name: DefaultPool}
 	b.of = make([]int, len(s.Classes))
 	for i := range s.Pools {
 		b.pools[i+1].Spec = s.Pools[i]
@@ -248,7 +250,7 @@
 
 // advance moves the clocks. The share clock counts the work that one run gets
 // done where all that runs shares the cores evenly.
-func (b *Book) advance(now int64) {
+func (b *Allocator) advance(now int64) {
 	dt := now - b.now
 	if b.now == 0 || dt <= 0 {
 		b.now = max(b.now, now)
@@ -260,7 +262,7 @@
 }
 
 // Arrive enters a request that waits from now on.
-func (b *Book) Arrive(now int64, class int, kb float64) {
+func (b *Allocator) Arrive(now int64, class int, kb float64) {
 	b.advance(now)
 	k, p := &b.classes[class], &b.pools[b.of[class]]
 	k.waiting++
@@ -270,7 +272,7 @@
 }
 
 // Leave takes out a request that waited.
-func (b *Book) Leave(now int64, class int, kb float64) {
+func (b *Allocator) Leave(now int64, class int, kb float64) {
 	b.advance(now)
 	k, p := &b.classes[class], &b.pools[b.of[class]]
 	k.waiting--
@@ -281,7 +283,7 @@
 
 // Begin notes that a request which waited runs from now on. What it returns is
 // wanted by End.
-func (b *Book) Begin(now int64, class int, kb float64) (mark float64) {
+func (b *Allocator) Begin(now int64, class int, kb float64) (mark float64) {
 	b.Leave(now, class, kb)
 	k, p := &b.classes[class], &b.pools[b.of[class]]
 	kb *= max(1, b.set.RunFactor)
@@ -295,7 +297,7 @@
 
 // End takes in the end of a run that took so long. Only one that ended well is
 // learned from: a failure may be quick or slow for reasons of its own.
-func (b *Book) End(now int64, class int, kb, mark float64, elapsed int64, ok bool) {
+func (b *Allocator) End(now int64, class int, kb, mark float64, elapsed int64, ok bool) {
 	b.advance(now)
 	work := b.share - mark
 	k, p := &b.classes[class], &b.pools[b.of[class]]
@@ -314,11 +316,11 @@
 	p.limit.end(now, float64(elapsed)/k.base, full && p.running+1 >= p.most, k.base)
 }
 
-// Refused counts a request that was turned away while it waited.
-func (b *Book) Refused(class int) { b.pools[b.of[class]].refused++ }
+// CountRefused counts a request that was turned away while it waited.
+func (b *Allocator) CountRefused(class int) { b.pools[b.of[class]].refused++ }
 
-// Beside takes in how many runs of another process share the cores.
-func (b *Book) Beside(now int64, runs int) {
+// SetPeerLoad takes in how many runs of another process share the cores.
+func (b *Allocator) SetPeerLoad(now int64, runs int) {
 	b.advance(now)
 	b.beside = max(0, runs)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -14,12 +14,12 @@
 
 // four is a small broker: three pools on four cores, the last class in none.
 func four() Settings {
-	return Settings{Cores: 4, MemoryKB: 10_000, RunFactor: 4, MaxAdvice: second, CheapReserve: 0.25,
+	return Settings{Cores: 4, MemoryKB: 10_000, RunFactor: 4, MaxRetryAfter: second, CheapReserve: 0.25,
 		Classes: []Class{{second, 4 * second}, {second, 4 * second}, {second, 3 * second}, {second, 4 * second}},
 		Pools: []Spec{
 			{Name: "slow", Classes: []int{0}, Share: 0.3},
 			{Name: "cheap", Classes: []int{2}, Share: 0.4, Reserve: 0.25},
-			{Name: "other", Classes: []int{1}, Share: 0.2, Most: 0.5, MemoryMost: 0.5},
+			{Name: "other", Classes: []int{1}, Share: 0.2, MaxShare: 0.5, MaxMemoryShare: 0.5},
 		}}
 }
 
@@ -33,18 +33,18 @@
 		"cores":                func(s *Settings) { s.Cores = 0 },
 		"memory ":              func(s *Settings) { s.MemoryKB = math.NaN() },
 		"pools.cheap_reserve":  func(s *Settings) { s.CheapReserve = 1.5 },
-		"pool[0].name":         func(s *Settings) { s.Pools[0].Name = Rest },
+		"pool[0].name":         func(s *Settings) { s.Pools[0].Name = DefaultPool },
 		"pool[1].name":         func(s *Settings) { s.Pools[1].Name = "slow" },
 		"pool[0].classes":      func(s *Settings) { s.Pools[0].Classes = nil },
 		"pool[2].classes":      func(s *Settings) { s.Pools[2].Classes = []int{0} },
 		"pool[1].classes":      func(s *Settings) { s.Pools[1].Classes = []int{9} },
 		"pool[0].share":        func(s *Settings) { s.Pools[0].Share = -0.1 },
-		"pool[2].most":         func(s *Settings) { s.Pools[2].Most = 0.1 },
+		"pool[2].most":         func(s *Settings) { s.Pools[2].MaxShare = 0.1 },
 		"pool[1].reserve":      func(s *Settings) { s.Pools[1].Reserve = math.NaN() },
-		"pool[2].memory_most":  func(s *Settings) { s.Pools[2].MemoryMost = 0.1 },
-		"pool[2].waiting":      func(s *Settings) { s.Pools[2].Waiting = -1 },
-		"pool.share adds up":   func(s *Settings) { s.Pools[0].Share, s.Pools[0].Memory = 0.9, 0.1 },
-		"pool.memory adds up":  func(s *Settings) { s.Pools[0].Memory = 0.9 },
+		"pool[2].memory_most":  func(s *Settings) { s.Pools[2].MaxMemoryShare = 0.1 },
+		"pool[2].waiting":      func(s *Settings) { s.Pools[2].MaxQueued = -1 },
+		"pool.share adds up":   func(s *Settings) { s.Pools[0].Share, s.Pools[0].MemoryShare = 0.9, 0.1 },
+		"pool.memory adds up":  func(s *Settings) { s.Pools[0].MemoryShare = 0.9 },
 		"pool is there 65 tim": func(s *Settings) { s.Pools = append(make([]Spec, 62), s.Pools...) },
 	} {
 		s := four()
@@ -52,7 +52,7 @@
 		if err := s.Check(); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
-		if b, err := New(four()); err != nil || b.Set(s) == nil {
+		if b, err := New(four()); err != nil || b.Reconfigure(s) == nil {
 			t.Errorf("%s: a faulty change is taken (%v)", key, err)
 		}
 	}
@@ -102,7 +102,7 @@
 			default:
 				next := four()
 				next.Pools = next.Pools[rapid.IntRange(0, 2).Draw(t, "dropped"):]
-				if err := b.Set(next); err != nil {
+				if err := b.Reconfigure(next); err != nil {
 					t.Fatal(err)
 				}
 				s = next
@@ -112,7 +112,7 @@
 	})
 }
 
-func check(t *rapid.T, b *Book, s *Settings, now int64, all []one) {
+func check(t *rapid.T, b *Allocator, s *Settings, now int64, all []one) {
 	limit := rapid.IntRange(1, 40).Draw(t, "limit")
 	out := b.Ceilings(now, limit)
 	of := map[int]int{}
@@ -136,21 +136,21 @@
 	if out.MaxRuns < s.Cores {
 		t.Fatalf("%d places on %d cores", out.MaxRuns, s.Cores)
 	}
-	for i, f := range b.Figures() {
+	for i, f := range b.Stats() {
 		c := out.Pools[i]
 		if f.Running != running[i] || f.Waiting != waiting[i] || math.Abs(f.BookedKB-kb[i]) > 1e-6 {
 			t.Fatalf("pool %s: %+v, want %d running, %d waiting, %v KB", f.Name, f, running[i], waiting[i], kb[i])
 		}
 		most := 1.0
 		if i > 0 {
-			most = s.Pools[i-1].MostPlaces()
+			most = s.Pools[i-1].EffectiveMaxShare()
 		}
 		idle := min(s.Cores-total, int(math.Ceil(most*float64(limit)))-running[i])
 		if c.MaxRuns < 1 || idle > 0 && c.MaxRuns < running[i]+idle {
 			t.Fatalf("pool %s may have %d runs, has %d, and %d of %d cores are idle", f.Name, c.MaxRuns, running[i], s.Cores-total, s.Cores)
 		}
 		if c.GuaranteedRuns < 0 || c.GuaranteedRuns > 64 || c.MaxQueued < 1 || c.MaxKB < 0 || c.MaxKB > s.MemoryKB || c.GuaranteedKB > c.MaxKB+1e-6 ||
-			c.RetryAfter < 1000 || c.RetryAfter > s.MaxAdvice || c.GuaranteedCores < 0 || c.GuaranteedCores > float64(s.Cores) || math.IsNaN(c.GuaranteedCores) {
+			c.RetryAfter < 1000 || c.RetryAfter > s.MaxRetryAfter || c.GuaranteedCores < 0 || c.GuaranteedCores > float64(s.Cores) || math.IsNaN(c.GuaranteedCores) {
 			t.Fatalf("pool %s: %+v", f.Name, c)
 		}
 		if i > 0 && running[i] == 0 && waiting[i] > 0 && c.GuaranteedRuns < int(s.Pools[i-1].Share*float64(s.Cores)) {
@@ -161,7 +161,7 @@
 
 // play runs one class at a time on a machine whose cores are shared evenly:
 // keep runs are in hand all along, each of which takes that much work.
-func play(b *Book, now int64, class, keep int, work float64, length int64, watch func(now int64)) int64 {
+func play(b *Allocator, now int64, class, keep int, work float64, length int64, watch func(now int64)) int64 {
 	type run struct {
 		mark  float64
 		began int64
@@ -254,23 +254,23 @@
 		t.Fatal(err)
 	}
 	now := play(b, second, 0, 2, 80_000, 3*second, nil)
-	if b.Cheapest() != 0 {
-		t.Errorf("the only class that runs is not the cheapest, but %d", b.Cheapest())
+	if b.CheapestClass() != 0 {
+		t.Errorf("the only class that runs is not the cheapest, but %d", b.CheapestClass())
 	}
 	now = play(b, now, 2, 2, 20_000, 3*second, nil)
-	if b.Cheapest() != 2 {
-		t.Errorf("cheapest is %d, want 2", b.Cheapest())
+	if b.CheapestClass() != 2 {
+		t.Errorf("cheapest is %d, want 2", b.CheapestClass())
 	}
 	for range 5 { // like costs, in turn
 		now = play(b, now, 1, 2, 19_000, second, nil)
 		now = play(b, now, 2, 2, 21_000, second, nil)
-		if b.Cheapest() != 2 {
-			t.Fatalf("the reserve moved to %d for a tenth", b.Cheapest())
+		if b.CheapestClass() != 2 {
+			t.Fatalf("the reserve moved to %d for a tenth", b.CheapestClass())
 		}
 	}
 	now = play(b, now, 2, 2, 90_000, 8*second, nil)
-	if b.Cheapest() != 1 {
-		t.Errorf("cheapest is %d after class 2 got dear, want 1", b.Cheapest())
+	if b.CheapestClass() != 1 {
+		t.Errorf("cheapest is %d after class 2 got dear, want 1", b.CheapestClass())
 	}
 	if out := b.Ceilings(now, 8); out.CheapestClass != 1 || out.CheapestReserved != 1 {
 		t.Errorf("the reserve is %d places for class %d", out.CheapestReserved, out.CheapestClass)
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -151,8 +151,8 @@
 		f.Classes = append(f.Classes, figures.Class{Name: s.cfg.Classes[i], OK: n.Served, Shed: n.Refused, Errors: n.Failed})
 	}
 	for _, p := range s.core.Pools() {
-		f.Pools = append(f.Pools, figures.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Own: p.Own,
-			Borrowed: p.Borrowed, Lent: p.Lent, MayWait: p.MayWait, Saved: p.Saved, Refused: p.Refused, BookedKB: int(p.BookedKB), Cheapest: p.Cheapest})
+		f.Pools = append(f.Pools, figures.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Own: p.Guaranteed,
+			Borrowed: p.Borrowed, Lent: p.Lent, MayWait: p.MaxQueued, Saved: p.SavedRuns, Refused: p.Refused, BookedKB: int(p.BookedKB), Cheapest: p.HasCheapest})
 	}
 	f.RejectedBy = s.rejects.Totals()
 	f.Ledger = s.ledgerFigures()
