--- a/cmd/kiteslip/control_same_test.go
+++ b/cmd/kiteslip/control_same_test.go
@@ -74,7 +74,7 @@
 }
 
 func (d *day) Run(r *core.Request) {
-	d.log = append(d.log, fmt.Sprintf("%d run %s", d.now, r.Name))
+	d.log = append(d.log, fmt.Sprintf("%d run %s", d.now, r.TryID))
 	d.runs = append(d.runs, run{r, d.now + int64(len(r.Body))*1000})
 }
 
@@ -85,8 +85,8 @@
 }
 
 func (a noting) Answer(_ uint32, b core.Answer) {
-	a.d.log = append(a.d.log, fmt.Sprintf("%d %s: Code:%d %d bytes, hold off %d, no more %t, cause %v", a.d.now, a.r.Name, b.Code,
-		len(b.Result), b.HoldOff, b.NoMore, b.Cause))
+	a.d.log = append(a.d.log, fmt.Sprintf("%d %s: Code:%d %d bytes, hold off %d, no more %t, cause %v", a.d.now, a.r.TryID, b.Code,
+		len(b.Result), b.RetryAfter, b.NoFailover, b.Cause))
 }
 
 // until lets time go by, with the ends of runs and the core's own times.
@@ -96,7 +96,7 @@
 		for _, r := range d.runs {
 			next = min(next, r.end)
 		}
-		if at := d.core.Next(); at != 0 {
+		if at := d.core.NextStep(); at != 0 {
 			next = min(next, max(at, d.now+1))
 		}
 		d.now = max(d.now, next)
@@ -136,10 +136,10 @@
 	for i := range 3000 {
 		d.until(d.now + 50 + draw.Int64N(900))
 		class, team := classes[draw.IntN(len(classes))], teams[draw.IntN(len(teams))]
-		r := &core.Request{Name: fmt.Sprintf("%016x", i+1), Class: class, Tenant: team, Arrived: d.now, SizeKB: 16 + float64(draw.IntN(64)),
-			Due: d.now + cfg.Module.Classes[class].Timeout, Body: make([]byte, 1+draw.IntN(40))}
-		r.From = noting{d, r}
-		if err := d.core.Arrive(d.now, r); err != nil {
+		r := &core.Request{TryID: fmt.Sprintf("%016x", i+1), Class: class, Tenant: team, Arrived: d.now, SizeKB: 16 + float64(draw.IntN(64)),
+			Deadline: d.now + cfg.Module.Classes[class].Timeout, Body: make([]byte, 1+draw.IntN(40))}
+		r.ReplyTo = noting{d, r}
+		if err := d.core.Submit(d.now, r); err != nil {
 			d.t.Fatal(err)
 		}
 	}
@@ -151,7 +151,7 @@
 	t.Helper()
 	d := &day{t: t, now: 1_000_000_000_000}
 	var err error
-	if d.core, err = core.New(core.Settings{Module: cfg.Module, Seed: 9, Pools: cfg.PoolSettings()}, d); err != nil {
+	if d.core, err = core.New(core.Settings{Policy: cfg.Module, Seed: 9, Pools: cfg.PoolSettings()}, d); err != nil {
 		t.Fatal(err)
 	}
 	d.core.Step(d.now)
@@ -227,7 +227,7 @@
 		d := newDay(t, cfg)
 		ch, err := change()
 		if err == nil {
-			err = d.core.Retune(ch.Config.Module, ch.Config.ClassesOff, ch.Pools)
+			err = d.core.Reconfigure(ch.Config.Module, ch.Config.ClassesOff, ch.Pools)
 		}
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/kiteslip/pcap.go
+++ b/cmd/kiteslip/pcap.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	fmt.Printf("connections %d (%d unfinished, %d with packets missing)\nrequests %d: served %d, refused %d, failed %d; malformed %d\n",
-		r.Connections, r.Unfinished, r.Broken, r.Read, r.Served, r.Refused, r.Failed, r.Malformed)
+		r.Connections, r.Unfinished, r.Broken, r.Received, r.Served, r.Refused, r.Failed, r.Malformed)
 	return nil
 }
 
--- a/cmd/simhost/hosts_test.go
+++ b/cmd/simhost/hosts_test.go
@@ -311,14 +311,14 @@
 		t.Fatal(err)
 	}
 	r := &real{t: t, open: map[kiteslip.RequestID]*core.Request{}, ids: map[*core.Request]kiteslip.RequestID{}, calls: map[kiteslip.RequestID]uint64{}}
-	if r.core, err = core.New(core.Settings{Module: settings, Seed: 7}, r); err != nil {
+	if r.core, err = core.New(core.Settings{Policy: settings, Seed: 7}, r); err != nil {
 		t.Fatal(err)
 	}
-	r.core.Below(r)
+	r.core.SetLedger(r)
 	return r
 }
 
-func (r *real) next() int64 { return r.core.Next() }
+func (r *real) next() int64 { return r.core.NextStep() }
 
 func (r *real) step(now int64, events []kiteslip.Event) {
 	r.now = now
@@ -326,8 +326,8 @@
 		req := r.open[e.ID]
 		switch e.Kind {
 		case kiteslip.Arrive:
-			req = &core.Request{Name: fmt.Sprint(e.ID), Class: e.Class, Arrived: now, Due: e.Deadline, Again: e.Retry, SizeKB: e.SizeKB, Rank: e.Rank,
-				Stream: uint32(e.ID), From: r, Body: []byte("body")}
+			req = &core.Request{TryID: fmt.Sprint(e.ID), Class: e.Class, Arrived: now, Deadline: e.Deadline, Retry: e.Retry, SizeKB: e.SizeKB, Rank: e.Rank,
+				Stream: uint32(e.ID), ReplyTo: r, Body: []byte("body")}
 			if e.Class == 1 {
 				req.Key = fmt.Sprint("key of ", e.ID)
 				if e.DuplicateOf != 0 {
@@ -335,15 +335,15 @@
 				}
 			}
 			r.open[e.ID], r.ids[req] = req, e.ID
-			if err := r.core.Arrive(now, req); err != nil {
+			if err := r.core.Submit(now, req); err != nil {
 				r.t.Fatal(err)
 			}
 		case kiteslip.NeedsCall:
-			r.core.Needs(req, uint64(e.ID), nil)
+			r.core.NeedsCall(req, uint64(e.ID), nil)
 		case kiteslip.Disconnected:
-			r.core.Gone(req)
+			r.core.Disconnected(req)
 		case kiteslip.CallDone:
-			r.core.Called(now, r.calls[e.ID], e.Outcome, nil)
+			r.core.CallDone(now, r.calls[e.ID], e.Outcome, nil)
 		case kiteslip.Done:
 			r.core.Done(req, e.Outcome, 0, nil)
 		case kiteslip.Drain:
@@ -361,12 +361,12 @@
 func (r *real) Resume(q *core.Request)         { r.say("run %d", r.ids[q]) }
 func (r *real) Halt(q *core.Request)           { r.say("halt %d", r.ids[q]) }
 func (r *real) Skip(q *core.Request, _ uint64) { r.say("skip %d", r.ids[q]) }
-func (r *real) Feed(*core.Request, []byte)     {}
+func (r *real) Reply(*core.Request, []byte)    {}
 func (r *real) Abandon(uint64)                 {}
 func (r *real) Answer(stream uint32, a core.Answer) {
 	switch a.Code {
 	case core.Refused:
-		r.say("refuse %d %d %v", stream, a.HoldOff/1000, a.NoMore)
+		r.say("refuse %d %d %v", stream, a.RetryAfter/1000, a.NoFailover)
 	case core.Failed:
 		if a.Cause != core.RunFailed {
 			r.say("fail %d", stream)
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -11,10 +11,10 @@
 // module has not done so.
 const dueMargin = 2_000
 
-// Answers counts final answers by their code.
-type Answers struct{ Served, Refused, Failed int }
+// AnswerCounts counts final answers by their code.
+type AnswerCounts struct{ Served, Refused, Failed int }
 
-func (n *Answers) add(code Code) {
+func (n *AnswerCounts) add(code Code) {
 	switch code {
 	case Served:
 		n.Served++
@@ -30,22 +30,22 @@
 // callers are promised that what is refused never ran, so that one fails.
 func (c *Core) giveUp(now int64, r *Request, a *kiteslip.Action) Answer {
 	if a.Kind == kiteslip.Refuse && r.phase == held && !r.begun {
-		return Answer{Code: Refused, HoldOff: a.After, NoMore: a.On}
+		return Answer{Code: Refused, RetryAfter: a.After, NoFailover: a.On}
 	}
-	if now >= r.Due-c.slack() {
-		return Answer{Code: Failed, Cause: Overdue}
+	if now >= r.Deadline-c.slack() {
+		return Answer{Code: Failed, Cause: DeadlineExceeded}
 	}
-	return Answer{Code: Failed, Cause: GivenUp}
+	return Answer{Code: Failed, Cause: Abandoned}
 }
 
 // slack is how near to its due time the module gives up what it cannot wait for.
-func (c *Core) slack() int64 { return 2*c.set.Module.Tick + 50_000 }
+func (c *Core) slack() int64 { return 2*c.set.Policy.Tick + 50_000 }
 
 // answer gives r its one final answer.
 func (c *Core) answer(r *Request, a Answer) {
 	c.counts.add(a.Code)
 	c.classes[r.Class].add(a.Code)
-	from := r.From
+	from := r.ReplyTo
 	c.settle(r)
 	from.Answer(r.Stream, a)
 }
@@ -53,7 +53,7 @@
 // settle notes that nothing is owed for r any longer. What r came through is
 // let go: r itself may be kept for its result.
 func (c *Core) settle(r *Request) {
-	r.answered, r.From = true, nil
+	r.answered, r.ReplyTo = true, nil
 	c.letCallGo(r)
 	c.touch(r)
 	c.owed--
@@ -66,7 +66,7 @@
 	r.phase = dropped
 	c.touch(r)
 	delete(c.open, r.id)
-	delete(c.names, r.Name)
+	delete(c.names, r.TryID)
 	c.serveCopies(r)
 	r.Body = nil
 }
@@ -89,7 +89,7 @@
 		if r.answered {
 			continue
 		}
-		if at := r.Due - dueMargin; at > now {
+		if at := r.Deadline - dueMargin; at > now {
 			if c.dueAt == 0 || at < c.dueAt {
 				c.dueAt = at
 			}
@@ -100,9 +100,9 @@
 	c.endAll(late)
 }
 
-// Conclude answers all that is still owed, since the process ends now, and says
+// AnswerOutstanding answers all that is still owed, since the process ends now, and says
 // how many that were.
-func (c *Core) Conclude() int {
+func (c *Core) AnswerOutstanding() int {
 	var owed []*Request
 	for _, r := range c.open {
 		if !r.answered {
@@ -124,11 +124,11 @@
 			c.finish(r)
 			continue
 		}
-		c.counts.Guarded++
+		c.counts.PolicyViolations++
 		if r.phase == held && !r.begun {
 			c.answer(r, Answer{Code: Refused})
 		} else {
-			c.answer(r, Answer{Code: Failed, Cause: Overdue})
+			c.answer(r, Answer{Code: Failed, Cause: DeadlineExceeded})
 		}
 		c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Disconnected, ID: r.id})
 		if r.phase != running {
--- a/internal/core/arrivals.go
+++ b/internal/core/arrivals.go
@@ -11,21 +11,21 @@
 // stampAhead is how far a caller's clock may be ahead of this one, and
 // PatienceMost how many times the class's deadline a caller may say it waits.
 const (
-	stampAhead   = 5_000_000
-	PatienceMost = 2
+	stampAhead      = 5_000_000
+	MaxWaitMultiple = 2
 )
 
-// Arrive takes in a request that was read at now; it may be answered before
+// Submit takes in a request that was read at now; it may be answered before
 // Arrive returns. An error means that the request was not taken and nothing is
 // owed for it by the Core.
-func (c *Core) Arrive(now int64, r *Request) error {
-	if c.names[r.Name] != nil {
-		return turnedDown("id_in_use", "the id %q names an open request", r.Name)
+func (c *Core) Submit(now int64, r *Request) error {
+	if c.names[r.TryID] != nil {
+		return turnedDown("id_in_use", "the id %q names an open request", r.TryID)
 	}
-	class := &c.set.Module.Classes[r.Class]
-	told := r.Due
-	if r.Due == 0 {
-		r.Due = r.Arrived + class.Timeout // the client waits no longer, whatever its caller does
+	class := &c.set.Policy.Classes[r.Class]
+	told := r.Deadline
+	if r.Deadline == 0 {
+		r.Deadline = r.Arrived + class.Timeout // the client waits no longer, whatever its caller does
 	}
 	// Guards what the module learns, of the time to be read and of patience,
 	// against figures that no caller of this site can mean.
@@ -34,9 +34,9 @@
 		return turnedDown("key_absent", "a request of a keyed class has no key")
 	case r.Arrived > now+stampAhead:
 		return turnedDown("stamp_ahead", "the stamp lies %d ms ahead of the clock", (r.Arrived-now)/1000)
-	case r.Due-r.Arrived > PatienceMost*class.Timeout:
-		return turnedDown("wait_too_long", "a wait of %d ms, where clients wait %d", (r.Due-r.Arrived)/1000, class.Timeout/1000)
-	case r.Due <= now:
+	case r.Deadline-r.Arrived > MaxWaitMultiple*class.Timeout:
+		return turnedDown("wait_too_long", "a wait of %d ms, where clients wait %d", (r.Deadline-r.Arrived)/1000, class.Timeout/1000)
+	case r.Deadline <= now:
 		c.tooLate(r)
 		return nil
 	}
@@ -45,7 +45,7 @@
 		if c.foreign(r) {
 			return turnedDown("key_foreign", "the key %.40q belongs to a request with another body", r.Key)
 		}
-	} else if class.Effect == kiteslip.Repeatable && r.Subject != 0 && c.set.Module.ReuseFor > 0 {
+	} else if class.Effect == kiteslip.Repeatable && r.Subject != 0 && c.set.Policy.ReuseFor > 0 {
 		r.entry = fmt.Sprint(r.Class, ":", r.Subject)
 	}
 	if c.retired(r) {
@@ -58,16 +58,16 @@
 	r.Arrived = min(r.Arrived, now)
 	c.nextID++
 	r.id = c.nextID
-	c.open[r.id], c.names[r.Name] = r, r
+	c.open[r.id], c.names[r.TryID] = r, r
 	c.touch(r)
 	c.owed++
-	c.counts.Read++
-	if c.dueAt == 0 || r.Due-dueMargin < c.dueAt {
-		c.dueAt = r.Due - dueMargin
+	c.counts.Received++
+	if c.dueAt == 0 || r.Deadline-dueMargin < c.dueAt {
+		c.dueAt = r.Deadline - dueMargin
 	}
 	c.events = append(c.events, kiteslip.Event{
 		Kind: kiteslip.Arrive, ID: r.id, DuplicateOf: c.prior(now, r), Class: r.Class, Tenant: r.Tenant,
-		Caller: r.Caller, Key: r.Subject, Deadline: told, Retry: r.Again, Waited: max(0, now-r.Arrived), WorkHint: r.Hint,
+		Caller: r.Caller, Key: r.Subject, Deadline: told, Retry: r.Retry, Waited: max(0, now-r.Arrived), WorkHint: r.ExpectedWork,
 		SizeKB: r.SizeKB, Rank: r.Rank, Write: r.Write,
 	})
 	return nil
@@ -82,16 +82,16 @@
 
 // tooLate answers a request whose caller had given up when it was read.
 func (c *Core) tooLate(r *Request) {
-	if c.set.Module.Classes[r.Class].Effect == kiteslip.Repeatable {
+	if c.set.Policy.Classes[r.Class].Effect == kiteslip.Repeatable {
 		c.turnAway(r, Answer{Code: Refused})
 	} else { // another try may have run
-		c.turnAway(r, Answer{Code: Failed, Cause: Overdue})
+		c.turnAway(r, Answer{Code: Failed, Cause: DeadlineExceeded})
 	}
 }
 
 // turnAway answers a request that the module never hears of.
 func (c *Core) turnAway(r *Request, a Answer) {
-	c.counts.Read++
+	c.counts.Received++
 	c.owed++
 	r.phase = dropped
 	c.answer(r, a)
@@ -100,7 +100,7 @@
 // retired says whether r is of a class that is no longer served, which callers
 // may learn late. A key that has run, or may have, is still answered as ever.
 func (c *Core) retired(r *Request) bool {
-	if r.Class >= len(c.set.Off) || !c.set.Off[r.Class] {
+	if r.Class >= len(c.set.RetiredClasses) || !c.set.RetiredClasses[r.Class] {
 		return false
 	}
 	e := c.table[r.entry]
@@ -128,7 +128,7 @@
 
 // windowEnd is until when no other try of the key of r may run, if r does.
 func (c *Core) windowEnd(r *Request) int64 {
-	return max(r.Arrived, r.stamp) + max(r.window, c.set.Module.Classes[r.Class].Window) + keyMargin
+	return max(r.Arrived, r.stamp) + max(r.window, c.set.Policy.Classes[r.Class].Window) + keyMargin
 }
 
 // prior finds the request that r repeats, and enters r where there is none.
@@ -136,7 +136,7 @@
 	if r.entry == "" {
 		return 0
 	}
-	keyed := c.set.Module.Classes[r.Class].Effect == kiteslip.Keyed
+	keyed := c.set.Policy.Classes[r.Class].Effect == kiteslip.Keyed
 	e := c.table[r.entry]
 	switch {
 	case e == nil:
@@ -145,22 +145,22 @@
 	case e.kept != nil && r.Arrived <= e.until && e.kept.phase == held && !e.kept.answered:
 		return e.kept.id
 	case !keyed && e.kept != nil && r.Arrived <= e.until && (e.kept.phase == running ||
-		e.kept.phase == ended && e.kept.outcome == kiteslip.OK && r.Arrived <= e.kept.endedAt+c.set.Module.ReuseFor):
+		e.kept.phase == ended && e.kept.outcome == kiteslip.OK && r.Arrived <= e.kept.endedAt+c.set.Policy.ReuseFor):
 		return e.kept.id
 	}
 	if keyed && (e == nil || e.ran == nil) {
 		// Two that come in one batch know of each other before the module has kept the first.
-		c.table[r.entry] = &entry{kept: r, until: max(now, r.Arrived) + c.set.Module.Classes[r.Class].Window}
+		c.table[r.entry] = &entry{kept: r, until: max(now, r.Arrived) + c.set.Policy.Classes[r.Class].Window}
 	}
 	return 0
 }
 
-// Gone takes in that nobody waits for r any longer.
-func (c *Core) Gone(r *Request) {
+// Disconnected takes in that nobody waits for r any longer.
+func (c *Core) Disconnected(r *Request) {
 	if r.answered {
 		return
 	}
-	c.counts.Gone++
+	c.counts.Disconnected++
 	c.settle(r)
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Disconnected, ID: r.id})
 	if r.phase == held || r.phase == copying || r.phase == paused {
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -12,7 +12,7 @@
 	Runner
 	Halt(r *Request)                // stop it, in the way that the settings name; ends with a Done
 	Resume(r *Request)              // go on with a paused one
-	Feed(r *Request, reply []byte)  // go on with the reply to its call
+	Reply(r *Request, reply []byte) // go on with the reply to its call
 	Skip(r *Request, notice uint64) // go on without the call that was asked for under that number
 }
 
@@ -39,15 +39,15 @@
 	out    map[uint64]*Request // by token
 }
 
-// Below makes l the one that calls go to; nil = each call ends as unreachable.
-func (c *Core) Below(l Ledger) { c.calls.ledger = l }
+// SetLedger makes l the one that calls go to; nil = each call ends as unreachable.
+func (c *Core) SetLedger(l Ledger) { c.calls.ledger = l }
 
-// Calling is the number of calls that are out.
-func (c *Core) Calling() int { return len(c.calls.out) }
+// CallsInFlight is the number of calls that are out.
+func (c *Core) CallsInFlight() int { return len(c.calls.out) }
 
-// Needs takes in that the run of r stands at a call. What stood before is over:
+// NeedsCall takes in that the run of r stands at a call. What stood before is over:
 // a run asks again only once it has gone on.
-func (c *Core) Needs(r *Request, notice uint64, body []byte) {
+func (c *Core) NeedsCall(r *Request, notice uint64, body []byte) {
 	if r.phase != running {
 		return
 	}
@@ -63,21 +63,21 @@
 		return
 	}
 	if patience <= 0 {
-		patience = c.set.Module.Classes[r.Class].Timeout
+		patience = c.set.Policy.Classes[r.Class].Timeout
 	}
 	c.calls.last++
 	s.token, s.since = c.calls.last, now
 	c.calls.out[s.token] = r
 	if c.calls.ledger == nil {
-		c.Called(now, s.token, kiteslip.Unreachable, nil)
+		c.CallDone(now, s.token, kiteslip.Unreachable, nil)
 		return
 	}
-	c.calls.ledger.Call(s.token, r.Name, s.body, patience)
+	c.calls.ledger.Call(s.token, r.TryID, s.body, patience)
 }
 
-// Called takes in the end of a call and reports whether anybody waited for it.
+// CallDone takes in the end of a call and reports whether anybody waited for it.
 // Where it went well the run goes on with the reply; else it stands as before.
-func (c *Core) Called(now int64, token uint64, outcome kiteslip.Outcome, reply []byte) bool {
+func (c *Core) CallDone(now int64, token uint64, outcome kiteslip.Outcome, reply []byte) bool {
 	r := c.calls.out[token]
 	if r == nil {
 		return false // its run is over, or it was given up
@@ -87,7 +87,7 @@
 	s.token = 0
 	if outcome == kiteslip.OK {
 		r.stand = nil
-		c.calls.engine.Feed(r, reply)
+		c.calls.engine.Reply(r, reply)
 	}
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.CallDone, ID: r.id, Outcome: outcome, Elapsed: max(0, now-s.since)})
 	return true
@@ -116,7 +116,7 @@
 // waits for, where running it anew does no harm. What has an effect goes on:
 // another try may want the result.
 func (c *Core) letCallGo(r *Request) {
-	if c.set.Module.Classes[r.Class].Effect == kiteslip.Repeatable {
+	if c.set.Policy.Classes[r.Class].Effect == kiteslip.Repeatable {
 		c.abandon(r)
 	}
 }
@@ -138,9 +138,9 @@
 		return false
 	}
 	switch {
-	case c.set.Module.Stop == kiteslip.StopFreeze:
+	case c.set.Policy.Stop == kiteslip.StopFreeze:
 		r.phase = paused
-	case c.set.Module.Classes[r.Class].Effect == kiteslip.Repeatable:
+	case c.set.Policy.Classes[r.Class].Effect == kiteslip.Repeatable:
 		r.phase = held
 	default:
 		return false
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -38,17 +38,17 @@
 	b.book = &book{t: t, now: 1_000_000_000, ran: map[*Request]bool{}, answers: map[*Request][]Answer{},
 		gone: map[*Request]bool{}, lastRun: map[string]*Request{}}
 	var err error
-	if b.core, err = New(Settings{Module: module, Seed: 7}, b); err != nil {
+	if b.core, err = New(Settings{Policy: module, Seed: 7}, b); err != nil {
 		t.Fatalf("%v", err)
 	}
-	b.core.Below(b)
+	b.core.SetLedger(b)
 	b.core.Step(b.now)
 	return b
 }
 
-func (b *below) Feed(r *Request, reply []byte) {
-	if b.stands[r] == 0 || string(reply) != "reply to "+r.Name {
-		b.t.Fatalf("%s is fed %q, standing at %d", r.Name, reply, b.stands[r])
+func (b *below) Reply(r *Request, reply []byte) {
+	if b.stands[r] == 0 || string(reply) != "reply to "+r.TryID {
+		b.t.Fatalf("%s is fed %q, standing at %d", r.TryID, reply, b.stands[r])
 	}
 	delete(b.stands, r)
 	b.fed[r]++
@@ -56,7 +56,7 @@
 
 func (b *below) Skip(r *Request, notice uint64) {
 	if notice == 0 || b.stands[r] != notice {
-		b.t.Fatalf("%s skips notice %d, standing at %d", r.Name, notice, b.stands[r])
+		b.t.Fatalf("%s skips notice %d, standing at %d", r.TryID, notice, b.stands[r])
 	}
 	delete(b.stands, r)
 	b.fed[r]++
@@ -64,7 +64,7 @@
 
 func (b *below) Halt(r *Request) {
 	if !b.isRunning(r) {
-		b.t.Fatalf("%s is halted and does not run", r.Name)
+		b.t.Fatalf("%s is halted and does not run", r.TryID)
 	}
 	if b.stands[r] == 0 {
 		b.stopped[r] = true
@@ -73,7 +73,7 @@
 
 func (b *below) Resume(r *Request) {
 	if !b.stopped[r] {
-		b.t.Fatalf("%s goes on and was not stopped", r.Name)
+		b.t.Fatalf("%s goes on and was not stopped", r.TryID)
 	}
 	delete(b.stopped, r)
 	b.running = append(b.running, r)
@@ -91,7 +91,7 @@
 func (b *below) Call(token uint64, ref string, body []byte, patience int64) {
 	var r *Request
 	for _, o := range b.running {
-		if o.Name == ref {
+		if o.TryID == ref {
 			r = o
 		}
 	}
@@ -99,7 +99,7 @@
 		b.t.Fatalf("call %d for %q with patience %d and body %q", token, ref, patience, body)
 	}
 	if r.Key != "" && b.effects[r] > 0 {
-		b.t.Fatalf("%s calls again though its last call may have had its effect", r.Name)
+		b.t.Fatalf("%s calls again though its last call may have had its effect", r.TryID)
 	}
 	b.out[token] = r
 }
@@ -118,7 +118,7 @@
 	b.stands[r] = b.notice
 	b.needs[r]++
 	b.effects[r] = 0 // the next call is another one
-	b.core.Needs(r, b.notice, []byte("need of "+r.Name))
+	b.core.NeedsCall(r, b.notice, []byte("need of "+r.TryID))
 }
 
 func (b *below) called(token uint64, outcome kiteslip.Outcome) {
@@ -128,10 +128,10 @@
 	if outcome != kiteslip.Rejected && outcome != kiteslip.Unreachable && outcome != kiteslip.NotStarted && outcome != kiteslip.OK {
 		b.effects[r]++
 	}
-	if !b.core.Called(b.now, token, outcome, []byte("reply to "+r.Name)) {
+	if !b.core.CallDone(b.now, token, outcome, []byte("reply to "+r.TryID)) {
 		b.t.Fatalf("nobody waits for call %d", token)
 	}
-	if b.core.Called(b.now, token, kiteslip.OK, nil) {
+	if b.core.CallDone(b.now, token, kiteslip.OK, nil) {
 		b.t.Fatalf("call %d ends twice", token)
 	}
 }
@@ -206,7 +206,7 @@
 				if len(b.sent) > 0 {
 					if r := b.sent[pick(len(b.sent))]; len(b.answers[r]) == 0 && !b.gone[r] {
 						b.gone[r] = true
-						b.core.Gone(r)
+						b.core.Disconnected(r)
 					}
 				}
 			},
@@ -219,16 +219,16 @@
 		}
 		for _, r := range b.sent {
 			if len(b.answers[r]) != 1 && !b.gone[r] {
-				t.Fatalf("%s has %d answers", r.Name, len(b.answers[r]))
+				t.Fatalf("%s has %d answers", r.TryID, len(b.answers[r]))
 			}
 		}
 		for _, r := range append([]*Request(nil), b.running...) {
 			b.finish(r, kiteslip.OK)
 		}
-		if b.core.Calling() != 0 {
-			t.Fatalf("%d calls are out after all runs have ended", b.core.Calling())
+		if b.core.CallsInFlight() != 0 {
+			t.Fatalf("%d calls are out after all runs have ended", b.core.CallsInFlight())
 		}
-		if requests, _ := b.core.Held(); requests != 0 {
+		if requests, _ := b.core.Tracked(); requests != 0 {
 			t.Fatalf("%d requests are left", requests)
 		}
 	})
@@ -246,7 +246,7 @@
 		if r.phase != paused {
 			t.Fatalf("phase %d after the halt", r.phase)
 		}
-		if _, kb := b.core.OnEngine(); kb != r.SizeKB*site().RunFactor {
+		if _, kb := b.core.EngineLoad(); kb != r.SizeKB*site().RunFactor {
 			t.Errorf("%v KB are booked for a paused run of %v", kb, r.SizeKB)
 		}
 		if due {
@@ -272,13 +272,13 @@
 // A request that says nothing of its patience is due when its class gives up.
 func TestUntoldDeadline(t *testing.T) {
 	b := newBelow(t, tills())
-	r := &Request{Name: "untold", Class: 0, Arrived: b.now - 1000, SizeKB: 20, Body: []byte("untold")}
-	r.From = caller{b.book, r}
-	if err := b.core.Arrive(b.now, r); err != nil {
+	r := &Request{TryID: "untold", Class: 0, Arrived: b.now - 1000, SizeKB: 20, Body: []byte("untold")}
+	r.ReplyTo = caller{b.book, r}
+	if err := b.core.Submit(b.now, r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Due != r.Arrived+tills().Classes[0].Timeout {
-		t.Errorf("due %d us after it came", r.Due-r.Arrived)
+	if r.Deadline != r.Arrived+tills().Classes[0].Timeout {
+		t.Errorf("due %d us after it came", r.Deadline-r.Arrived)
 	}
 	if e := b.core.events[len(b.core.events)-1]; e.Deadline != 0 {
 		t.Errorf("the module is told a patience of %d us that nobody stated", e.Deadline-r.Arrived)
@@ -294,7 +294,7 @@
 	b.need(first)
 	b.core.Step(b.now)
 	second := b.arrive(1, "k", 0, 1_500_000)
-	second.Again = true
+	second.Retry = true
 	b.core.Step(b.now)
 	b.called(1, kiteslip.Rejected)
 	b.pass(20_000)
@@ -304,7 +304,7 @@
 	b.pass(20_000)
 	for _, r := range []*Request{first, second} {
 		if got := b.answers[r]; len(got) != 1 || got[0].Code != Served {
-			t.Errorf("%s: %+v", r.Name, got)
+			t.Errorf("%s: %+v", r.TryID, got)
 		}
 	}
 	if b.ran[second] {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,11 +13,11 @@
 
 // Settings are what a Core needs to know besides the module's own settings.
 type Settings struct {
-	Module kiteslip.Settings
-	Seed   uint64
-	Log    func(line string) // takes the module's lines for the operators
-	Off    []bool            // classes that are no longer served
-	Pools  *pool.Settings    // nil = there are none
+	Policy         kiteslip.Settings
+	Seed           uint64
+	Log            func(line string) // takes the module's lines for the operators
+	RetiredClasses []bool            // classes that are no longer served
+	Pools          *pool.Settings    // nil = there are none
 }
 
 // keyMargin lengthens the window of a key here: a try that came within it and
@@ -57,7 +57,7 @@
 	sweepAt int64
 	dueAt   int64
 	counts  Counts
-	classes []Answers
+	classes []AnswerCounts
 
 	journal Journal // nil = there is none
 	journalled
@@ -74,14 +74,14 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Read, Gone int
-	Answers
-	Guarded int // actions that a rule forbade, and answers that the module left out
+	Received, Disconnected int
+	AnswerCounts
+	PolicyViolations int // actions that a rule forbade, and answers that the module left out
 }
 
 // New returns a Core that gives its runs to runner.
 func New(set Settings, runner Runner) (*Core, error) {
-	worker, err := kiteslip.New(set.Module, set.Seed)
+	worker, err := kiteslip.New(set.Policy, set.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -98,18 +98,18 @@
 	return &Core{
 		set: set, pools: pools, worker: worker, runner: runner, good: true, stored: true, owner: true,
 		open: map[kiteslip.RequestID]*Request{}, names: map[string]*Request{}, table: map[string]*entry{},
-		claims: map[kiteslip.RequestID]*Request{}, calls: calls{engine: e, out: map[uint64]*Request{}}, classes: make([]Answers, len(set.Module.Classes)),
+		claims: map[kiteslip.RequestID]*Request{}, calls: calls{engine: e, out: map[uint64]*Request{}}, classes: make([]AnswerCounts, len(set.Policy.Classes)),
 	}, nil
 }
 
-// Retune takes over new settings, in which classes and tenants have the places
+// Reconfigure takes over new settings, in which classes and tenants have the places
 // that they had, and new ones follow. On an error nothing has changed. A key
 // whose request ran under a shorter window is kept for the longer one, and no
 // window that was promised, nor the grace of a drain under way, gets longer or
 // shorter by it: what the older settings forbade stays forbidden. Pools that are
 // the very record in force (the same pointer) are the same, and cost nothing.
-func (c *Core) Retune(module kiteslip.Settings, off []bool, pools *pool.Settings) error {
-	same := pools != nil && pools == c.set.Pools && len(module.Classes) == len(c.set.Module.Classes)
+func (c *Core) Reconfigure(module kiteslip.Settings, off []bool, pools *pool.Settings) error {
+	same := pools != nil && pools == c.set.Pools && len(module.Classes) == len(c.set.Policy.Classes)
 	if pools != nil && !same {
 		if err := pools.Check(); err != nil {
 			return err
@@ -117,20 +117,20 @@
 	}
 	module = c.prepared(module)
 	if c.drainAt != 0 {
-		module.DrainGrace = min(module.DrainGrace, c.set.Module.DrainGrace)
+		module.DrainGrace = min(module.DrainGrace, c.set.Policy.DrainGrace)
 	}
 	if err := c.worker.Reconfigure(module); err != nil {
 		return err
 	}
-	longer := longerWindow(c.set.Module.Classes, module.Classes)
-	c.set.Module, c.set.Off = module, off
+	longer := longerWindow(c.set.Policy.Classes, module.Classes)
+	c.set.Policy, c.set.RetiredClasses = module, off
 	if !same {
 		if err := c.repool(pools); err != nil {
 			return err
 		}
 	}
 	for len(c.classes) < len(module.Classes) {
-		c.classes = append(c.classes, Answers{})
+		c.classes = append(c.classes, AnswerCounts{})
 	}
 	if !longer { // what is kept bounds the cost only of a change that concerns it
 		return nil
@@ -156,11 +156,11 @@
 	return false
 }
 
-// Warmth tells when the machine's cores came up, and whether they were cold then.
-func (c *Core) Warmth(cold bool, since int64) { c.worker.SetWarmup(cold, since) }
+// SetWarmup tells when the machine's cores came up, and whether they were cold then.
+func (c *Core) SetWarmup(cold bool, since int64) { c.worker.SetWarmup(cold, since) }
 
-// Gauges takes in the machine's own readings.
-func (c *Core) Gauges(g kiteslip.Gauges) { c.gauges = g }
+// SetGauges takes in the machine's own readings.
+func (c *Core) SetGauges(g kiteslip.Gauges) { c.gauges = g }
 
 // Drain takes in the notice to leave: the process is stopped at stop.
 func (c *Core) Drain(now, stop int64) {
@@ -174,29 +174,29 @@
 // Draining says whether the notice to leave has come.
 func (c *Core) Draining() bool { return c.drainAt != 0 }
 
-// Owed is the number of requests that still need a final answer.
-func (c *Core) Owed() int { return c.owed }
+// Outstanding is the number of requests that still need a final answer.
+func (c *Core) Outstanding() int { return c.owed }
 
 // Counts returns the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
-// Classes returns the final answers since the start, by class.
-func (c *Core) Classes() []Answers { return c.classes }
+// AnswersByClass returns the final answers since the start, by class.
+func (c *Core) AnswersByClass() []AnswerCounts { return c.classes }
 
-// Withdraw takes in that an operator wants the server off the callers' list,
+// SetWithdrawn takes in that an operator wants the server off the callers' list,
 // or on it again. Only health is told of it: what comes is served as ever.
-func (c *Core) Withdraw(on bool) { c.withdrawn = on }
+func (c *Core) SetWithdrawn(on bool) { c.withdrawn = on }
 
 // Withdrawn says whether an operator has taken the server off the list.
 func (c *Core) Withdrawn() bool { return c.withdrawn }
 
-// Held is the number of requests in the book, running ones included, and of keys.
-func (c *Core) Held() (requests, keys int) { return len(c.open), len(c.table) }
+// Tracked is the number of requests in the book, running ones included, and of keys.
+func (c *Core) Tracked() (requests, keys int) { return len(c.open), len(c.table) }
 
 // Health is what checks are told: whether all is good, and whether that is to
 // be told as stored or only after a trial run.
 func (c *Core) Health() (good, stored bool) { return c.good && !c.withdrawn, c.stored }
 
-// IdleAfter is how long a connection may carry nothing before it should be
+// IdleTimeout is how long a connection may carry nothing before it should be
 // closed; 0 = leave that to the caller.
-func (c *Core) IdleAfter() int64 { return c.idle }
+func (c *Core) IdleTimeout() int64 { return c.idle }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -43,7 +43,7 @@
 	b := &book{t: t, now: 1_000_000_000, ran: map[*Request]bool{}, answers: map[*Request][]Answer{},
 		gone: map[*Request]bool{}, lastRun: map[string]*Request{}}
 	var err error
-	if b.core, err = New(Settings{Module: module, Seed: 7}, b); err != nil {
+	if b.core, err = New(Settings{Policy: module, Seed: 7}, b); err != nil {
 		t.Fatalf("%v", err)
 	}
 	b.core.Step(b.now)
@@ -53,16 +53,16 @@
 // Run checks each start against the rules on keys and drains.
 func (b *book) Run(r *Request) {
 	if b.ran[r] || len(b.answers[r]) > 0 {
-		b.t.Fatalf("%s starts though it ran or was answered", r.Name)
+		b.t.Fatalf("%s starts though it ran or was answered", r.TryID)
 	}
 	b.ran[r] = true
 	b.running = append(b.running, r)
 	if b.drained != 0 && r.Arrived > b.drained+site().DrainGrace {
-		b.t.Fatalf("%s starts, %d us after the notice to leave", r.Name, r.Arrived-b.drained)
+		b.t.Fatalf("%s starts, %d us after the notice to leave", r.TryID, r.Arrived-b.drained)
 	}
 	if r.Key != "" {
 		if o := b.lastRun[r.Key]; o != nil && r.Arrived <= o.Arrived+site().Classes[1].Window+50_000 {
-			b.t.Fatalf("%s runs within the window of %s", r.Name, o.Name)
+			b.t.Fatalf("%s runs within the window of %s", r.TryID, o.TryID)
 		}
 		b.lastRun[r.Key] = r
 	}
@@ -77,27 +77,27 @@
 func (c caller) Answer(_ uint32, a Answer) {
 	b, r := c.b, c.r
 	if b.answers[r] = append(b.answers[r], a); len(b.answers[r]) > 1 || b.gone[r] {
-		b.t.Fatalf("%s: a second answer, or one that nobody waits for: %+v", r.Name, b.answers[r])
+		b.t.Fatalf("%s: a second answer, or one that nobody waits for: %+v", r.TryID, b.answers[r])
 	}
 	switch {
 	case a.Code == Refused && b.ran[r]:
-		b.t.Fatalf("%s was run and is refused", r.Name)
+		b.t.Fatalf("%s was run and is refused", r.TryID)
 	case a.Code == Served && string(a.Result) != "of "+string(r.Body) && r.Key == "":
-		b.t.Fatalf("%s is served with %q", r.Name, a.Result)
+		b.t.Fatalf("%s is served with %q", r.TryID, a.Result)
 	case a.Code == Served && r.Key != "" && string(a.Result) != "of "+r.Key:
-		b.t.Fatalf("%s is served with %q", r.Name, a.Result)
+		b.t.Fatalf("%s is served with %q", r.TryID, a.Result)
 	}
 }
 
 func (b *book) arrive(class int, key string, late, patience int64) *Request {
 	name := fmt.Sprintf("%016x", len(b.sent)+1)
-	r := &Request{Name: name, Class: class, Key: key, Arrived: b.now - late, Due: b.now - late + patience,
+	r := &Request{TryID: name, Class: class, Key: key, Arrived: b.now - late, Deadline: b.now - late + patience,
 		SizeKB: 20, Body: []byte(name)}
 	if key != "" {
 		r.Body = []byte(key)
 	}
-	r.From = caller{b, r}
-	if err := b.core.Arrive(b.now, r); err != nil {
+	r.ReplyTo = caller{b, r}
+	if err := b.core.Submit(b.now, r); err != nil {
 		b.t.Fatalf("%v", err)
 	}
 	b.sent = append(b.sent, r)
@@ -120,7 +120,7 @@
 func (b *book) pass(span int64) {
 	for end := b.now + span; ; {
 		b.core.Step(b.now)
-		next := b.core.Next()
+		next := b.core.NextStep()
 		if next == 0 || next >= end {
 			b.now = end
 			b.core.Step(b.now)
@@ -129,8 +129,8 @@
 		b.now = max(next, b.now+1)
 	}
 	for _, r := range b.sent {
-		if b.now > r.Due+60_000 && len(b.answers[r]) == 0 && !b.gone[r] {
-			b.t.Fatalf("%s has no answer %d us past its due time", r.Name, b.now-r.Due)
+		if b.now > r.Deadline+60_000 && len(b.answers[r]) == 0 && !b.gone[r] {
+			b.t.Fatalf("%s has no answer %d us past its due time", r.TryID, b.now-r.Deadline)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 				if len(b.answers[r]) == 0 {
 					b.gone[r] = true
 				}
-				b.core.Gone(r)
+				b.core.Disconnected(r)
 			},
 			"pass": func(t *rapid.T) { b.pass(rapid.Int64Range(1, 900_000).Draw(t, "span")) },
 			"drain": func(t *rapid.T) {
@@ -176,14 +176,14 @@
 			},
 		})
 		b.pass(2_000_000)
-		if b.core.Owed() != 0 {
-			t.Fatalf("%d requests are owed an answer", b.core.Owed())
+		if b.core.Outstanding() != 0 {
+			t.Fatalf("%d requests are owed an answer", b.core.Outstanding())
 		}
 		for len(b.running) > 0 {
 			b.finish(0, kiteslip.OK)
 		}
 		b.pass(8_000_000) // all windows close
-		if requests, keys := b.core.Held(); requests != 0 || keys != 0 {
+		if requests, keys := b.core.Tracked(); requests != 0 || keys != 0 {
 			t.Fatalf("%d requests and %d keys are left", requests, keys)
 		}
 	})
@@ -192,7 +192,7 @@
 // one returns the only answer of r.
 func (b *book) one(r *Request) Answer {
 	if len(b.answers[r]) != 1 {
-		b.t.Fatalf("%s has answers %+v, want one", r.Name, b.answers[r])
+		b.t.Fatalf("%s has answers %+v, want one", r.TryID, b.answers[r])
 	}
 	return b.answers[r][0]
 }
@@ -213,7 +213,7 @@
 	b.pass(10_000)
 	for _, r := range []*Request{first, twin, during, after} {
 		if a := b.one(r); a.Code != Served || string(a.Result) != "of k" {
-			t.Errorf("%s: %+v", r.Name, a)
+			t.Errorf("%s: %+v", r.TryID, a)
 		}
 	}
 	b.pass(3_200_000) // past the window
@@ -230,7 +230,7 @@
 	first := b.arrive(1, "k", 0, 1_500_000)
 	b.pass(10_000)
 	b.gone[first] = true
-	b.core.Gone(first)
+	b.core.Disconnected(first)
 	next := b.arrive(1, "k", 0, 1_500_000)
 	b.pass(10_000)
 	b.finish(0, kiteslip.OK)
@@ -249,7 +249,7 @@
 	b.core.Step(b.now)
 	refused := 0
 	for _, answers := range b.answers {
-		if refused++; answers[0].Code != Refused || answers[0].HoldOff <= 0 {
+		if refused++; answers[0].Code != Refused || answers[0].RetryAfter <= 0 {
 			t.Errorf("%+v, want a refusal with advice", answers[0])
 		}
 	}
@@ -263,7 +263,7 @@
 	b := newBook(t)
 	r := b.arrive(0, "", 0, 300_000)
 	b.pass(400_000)
-	if a := b.one(r); !b.ran[r] || a.Code != Failed || a.Cause != Overdue {
+	if a := b.one(r); !b.ran[r] || a.Code != Failed || a.Cause != DeadlineExceeded {
 		t.Errorf("ran %v, %+v, want a failure", b.ran[r], a)
 	}
 }
@@ -281,7 +281,7 @@
 	b := newBook(t)
 	r := b.arrive(1, "k", 0, 400_000)
 	b.pass(500_000)
-	if a := b.one(r); a.Code != Failed || a.Cause != Overdue {
+	if a := b.one(r); a.Code != Failed || a.Cause != DeadlineExceeded {
 		t.Errorf("%+v, want overdue", a)
 	}
 }
@@ -289,10 +289,10 @@
 func TestArriveErrors(t *testing.T) {
 	b := newBook(t)
 	r := b.arrive(0, "", 0, 1_000_000)
-	if err := b.core.Arrive(b.now, &Request{Name: r.Name, Due: b.now + 1_000_000, From: caller{b, r}}); err == nil {
+	if err := b.core.Submit(b.now, &Request{TryID: r.TryID, Deadline: b.now + 1_000_000, ReplyTo: caller{b, r}}); err == nil {
 		t.Error("a second request of one name was taken")
 	}
-	if err := b.core.Arrive(b.now, &Request{Name: "x", Class: 1, Due: b.now + 1_000_000}); err == nil {
+	if err := b.core.Submit(b.now, &Request{TryID: "x", Class: 1, Deadline: b.now + 1_000_000}); err == nil {
 		t.Error("a keyed request without a key was taken")
 	}
 }
@@ -304,11 +304,11 @@
 	b := newBookOf(t, module)
 	read := func(subject uint64) *Request {
 		r := b.arrive(0, "", 0, 1_500_000)
-		b.core.Gone(r) // only its shape is wanted: it is sent again with a subject
+		b.core.Disconnected(r) // only its shape is wanted: it is sent again with a subject
 		b.gone[r] = true
-		r = &Request{Name: r.Name + "s", Arrived: b.now, Due: b.now + 1_500_000, SizeKB: 20, Subject: subject, Body: []byte("body")}
-		r.From = caller{b, r}
-		if err := b.core.Arrive(b.now, r); err != nil {
+		r = &Request{TryID: r.TryID + "s", Arrived: b.now, Deadline: b.now + 1_500_000, SizeKB: 20, Subject: subject, Body: []byte("body")}
+		r.ReplyTo = caller{b, r}
+		if err := b.core.Submit(b.now, r); err != nil {
 			t.Fatal(err)
 		}
 		b.sent = append(b.sent, r)
@@ -323,12 +323,12 @@
 	late := read(1)
 	for r, ran := range map[*Request]bool{first: true, during: false, other: true, after: false, late: true} {
 		if b.ran[r] != ran {
-			t.Errorf("%s of subject %d: ran %v, want %v", r.Name, r.Subject, b.ran[r], ran)
+			t.Errorf("%s of subject %d: ran %v, want %v", r.TryID, r.Subject, b.ran[r], ran)
 		}
 	}
 	for _, r := range []*Request{first, during, after} {
 		if a := b.one(r); a.Code != Served {
-			t.Errorf("%s: %+v", r.Name, a)
+			t.Errorf("%s: %+v", r.TryID, a)
 		}
 	}
 }
@@ -369,18 +369,18 @@
 	b := newBook(t)
 	limit := site().Classes[0].Timeout
 	for what, r := range map[string]*Request{
-		"a stamp from the future":  {Arrived: b.now + 60_000_000, Due: b.now + 61_000_000},
-		"a stamp from long ago":    {Arrived: 0, Due: limit},
-		"a caller that never ends": {Arrived: b.now, Due: b.now + 1000*limit},
+		"a stamp from the future":  {Arrived: b.now + 60_000_000, Deadline: b.now + 61_000_000},
+		"a stamp from long ago":    {Arrived: 0, Deadline: limit},
+		"a caller that never ends": {Arrived: b.now, Deadline: b.now + 1000*limit},
 	} {
-		r.Name, r.SizeKB, r.From = what, 20, caller{b, r}
-		err := b.core.Arrive(b.now, r)
+		r.TryID, r.SizeKB, r.ReplyTo = what, 20, caller{b, r}
+		err := b.core.Submit(b.now, r)
 		if late := r.Arrived == 0; late != (err == nil) || late != (len(b.answers[r]) == 1) {
 			t.Errorf("%s: %v, answers %v", what, err, b.answers[r])
 		}
 	}
-	if n, _ := b.core.Held(); n != 0 || b.core.Pending() || b.core.Owed() != 0 {
-		t.Errorf("%d are held, pending %v, owed %d", n, b.core.Pending(), b.core.Owed())
+	if n, _ := b.core.Tracked(); n != 0 || b.core.Pending() || b.core.Outstanding() != 0 {
+		t.Errorf("%d are held, pending %v, owed %d", n, b.core.Pending(), b.core.Outstanding())
 	}
 }
 
@@ -388,13 +388,13 @@
 func TestKeyWithAnotherBody(t *testing.T) {
 	b := newBook(t)
 	b.arrive(1, "k", 0, 1_000_000)
-	other := &Request{Name: "other", Class: 1, Key: "k", Arrived: b.now, Due: b.now + 1_000_000, SizeKB: 20, Body: []byte("x")}
-	if err := b.core.Arrive(b.now, other); err == nil {
+	other := &Request{TryID: "other", Class: 1, Key: "k", Arrived: b.now, Deadline: b.now + 1_000_000, SizeKB: 20, Body: []byte("x")}
+	if err := b.core.Submit(b.now, other); err == nil {
 		t.Error("it is taken while the first is held")
 	}
 	b.core.Step(b.now)
 	b.finish(0, kiteslip.OK)
-	if err := b.core.Arrive(b.now, other); err == nil {
+	if err := b.core.Submit(b.now, other); err == nil {
 		t.Error("it is taken after the first has run")
 	}
 	if r := b.arrive(1, "k", 0, 1_000_000); r == nil {
@@ -412,7 +412,7 @@
 	longer.Classes = append([]kiteslip.Class(nil), longer.Classes...)
 	longer.Classes[1].Window = 8_000_000
 	longer.Classes = append(longer.Classes, kiteslip.Class{Effect: kiteslip.Repeatable, TargetTime: 500_000, Timeout: 1_500_000, Worth: 1})
-	if err := b.core.Retune(longer, nil, nil); err != nil {
+	if err := b.core.Reconfigure(longer, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	b.pass(5_000_000)
@@ -421,14 +421,14 @@
 	b.finish(0, kiteslip.OK)
 	for _, r := range []*Request{first, again, fresh} {
 		if got := b.answers[r]; len(got) != 1 || got[0].Code != Served {
-			t.Errorf("%s: %+v", r.Name, got)
+			t.Errorf("%s: %+v", r.TryID, got)
 		}
 	}
 	if b.ran[again] {
 		t.Error("the key ran again within its longer window")
 	}
 	for what, s := range map[string]kiteslip.Settings{"fewer classes": site(), "no cores": {}} {
-		if b.core.Retune(s, nil, nil) == nil {
+		if b.core.Reconfigure(s, nil, nil) == nil {
 			t.Errorf("%s are taken", what)
 		}
 	}
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -51,7 +51,7 @@
 	b.core.Step(b.now)
 	for _, r := range []*Request{first, second} {
 		if a := b.answers[r]; len(a) != 1 || a[0].Code != Served {
-			t.Errorf("%s: %+v", r.Name, a)
+			t.Errorf("%s: %+v", r.TryID, a)
 		}
 	}
 	b.pass(400_000)
@@ -71,7 +71,7 @@
 		if begun {
 			b.core.Step(b.now)
 		}
-		if err := b.core.Retune(shortSite(0), nil, nil); err != nil {
+		if err := b.core.Reconfigure(shortSite(0), nil, nil); err != nil {
 			t.Fatal(err)
 		}
 		b.core.Step(b.now)
@@ -130,7 +130,7 @@
 	b := newBookOf(t, short)
 	b.core.Drain(b.now, b.now+20_000_000)
 	b.core.Step(b.now)
-	if err := b.core.Retune(site(), nil, nil); err != nil {
+	if err := b.core.Reconfigure(site(), nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	b.pass(200_000)
@@ -149,18 +149,18 @@
 	b.core.Step(b.now)
 	fresh := b.arrive(0, "", 0, 1_400_000)
 	repeat := b.arrive(1, "k", 0, 1_400_000)
-	if n := b.core.Conclude(); n != 4 || b.core.Owed() != 0 {
-		t.Errorf("%d concluded, %d owed", n, b.core.Owed())
+	if n := b.core.AnswerOutstanding(); n != 4 || b.core.Outstanding() != 0 {
+		t.Errorf("%d concluded, %d owed", n, b.core.Outstanding())
 	}
 	for r, code := range map[*Request]Code{held: Failed, keyed: Failed, fresh: Refused} {
 		if a := b.answers[r]; len(a) != 1 || a[0].Code != code {
-			t.Errorf("%s: %+v, want %d", r.Name, a, code)
+			t.Errorf("%s: %+v, want %d", r.TryID, a, code)
 		}
 	}
 	if a := b.answers[repeat]; len(a) != 1 || a[0].Code == Served {
 		t.Errorf("the repeat: %+v", a)
 	}
-	if n := b.core.Conclude(); n != 0 {
+	if n := b.core.AnswerOutstanding(); n != 0 {
 		t.Errorf("%d are concluded twice", n)
 	}
 	for len(b.running) > 0 {
--- a/internal/core/journal.go
+++ b/internal/core/journal.go
@@ -13,7 +13,7 @@
 type Journal interface {
 	Begin(token uint32, r Record)
 	End(token uint32, r Record)
-	Never(r Record) // the run did not start, and will not
+	Delete(r Record) // the run did not start, and will not
 }
 
 // journalled is what a Core keeps for its journal.
@@ -30,14 +30,14 @@
 	claim uint32
 }
 
-// Keep makes j the journal from now on; nil = there is none. unsafe says what to
+// SetJournal makes j the journal from now on; nil = there is none. unsafe says what to
 // do where it fails: to run all the same, or to refuse.
-func (c *Core) Keep(j Journal, unsafe bool) {
+func (c *Core) SetJournal(j Journal, unsafe bool) {
 	c.journal, c.unsafe = j, unsafe
 	if c.granting == nil {
 		c.granting, c.ends = map[kiteslip.RequestID]grant{}, map[kiteslip.RequestID]*Request{}
 	}
-	c.worker.Reconfigure(c.prepared(c.set.Module)) //nolint:errcheck // these settings are in use
+	c.worker.Reconfigure(c.prepared(c.set.Policy)) //nolint:errcheck // these settings are in use
 }
 
 // prepared returns settings in which keyed classes are prepared where there is
@@ -54,8 +54,8 @@
 
 // recordOf words what is known of r.
 func (c *Core) recordOf(r *Request, guard int64) Record {
-	return Record{Class: r.Class, Key: r.Key, Arrived: r.Arrived, Guard: guard, Sum: r.sum, Over: r.phase == ended,
-		Outcome: r.outcome, Result: r.result, Name: r.Name, Due: r.Due}
+	return Record{Class: r.Class, Key: r.Key, Arrived: r.Arrived, WindowEnd: guard, BodyHash: r.sum, Finished: r.phase == ended,
+		Outcome: r.outcome, Result: r.result, TryID: r.TryID, Deadline: r.Deadline}
 }
 
 func (c *Core) guardOf(r *Request) int64 {
@@ -130,7 +130,7 @@
 // not run, and will not.
 func (c *Core) refuseUnrecorded(r *Request) {
 	if !r.answered {
-		c.answer(r, Answer{Code: Refused, HoldOff: c.set.Module.MaxRetryAfter})
+		c.answer(r, Answer{Code: Refused, RetryAfter: c.set.Policy.MaxRetryAfter})
 	}
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Disconnected, ID: r.id})
 	c.drop(r)
@@ -146,7 +146,7 @@
 		g.r.phase, g.r.outcome = ended, kiteslip.Failed
 		c.serveCopies(g.r)
 		if c.peer != nil {
-			c.peer.Had(g.claim, kiteslip.Failed, nil)
+			c.peer.Deny(g.claim, kiteslip.Failed, nil)
 		}
 		return
 	}
@@ -158,7 +158,7 @@
 // unrecord takes the record of r back, which never ran.
 func (c *Core) unrecord(r *Request) {
 	if r.recorded && c.journal != nil {
-		c.journal.Never(c.recordOf(r, c.guardOf(r)))
+		c.journal.Delete(c.recordOf(r, c.guardOf(r)))
 	}
 	r.recorded = false
 }
@@ -170,7 +170,7 @@
 	}
 	rec := c.recordOf(r, c.guardOf(r))
 	if r.outcome == kiteslip.NotStarted {
-		c.journal.Never(rec)
+		c.journal.Delete(rec)
 		return false
 	}
 	r.ending = true
@@ -184,12 +184,12 @@
 	if c.journal == nil || !c.owner {
 		return
 	}
-	if rec := c.recordOf(e.ran, e.guard); rec.Over {
+	if rec := c.recordOf(e.ran, e.guard); rec.Finished {
 		c.journal.End(0, rec)
 	} else {
 		c.journal.Begin(0, rec)
 	}
 }
 
-// Unrecorded is the number of runs that started though nothing could be recorded.
-func (c *Core) Unrecorded() int { return c.noRecord }
+// UnrecordedRuns is the number of runs that started though nothing could be recorded.
+func (c *Core) UnrecordedRuns() int { return c.noRecord }
--- a/internal/core/journal_test.go
+++ b/internal/core/journal_test.go
@@ -19,7 +19,7 @@
 func newDisk() *disk { return &disk{kept: map[string]Record{}} }
 
 func (d *disk) put(token uint32, r Record, never bool) {
-	at := fmt.Sprint(r.Class, "/", r.Key, "/", r.Arrived, "/", r.Name)
+	at := fmt.Sprint(r.Class, "/", r.Key, "/", r.Arrived, "/", r.TryID)
 	r.Result = append([]byte(nil), r.Result...)
 	d.queue = append(d.queue, func(fail bool) uint32 {
 		if !fail {
@@ -32,7 +32,7 @@
 }
 func (d *disk) Begin(token uint32, r Record) { d.put(token, r, false) }
 func (d *disk) End(token uint32, r Record)   { d.put(token, r, false) }
-func (d *disk) Never(r Record)               { d.put(0, r, true) }
+func (d *disk) Delete(r Record)              { d.put(0, r, true) }
 
 // flush lets the next writes happen, or fail.
 func (d *disk) flush(b *book, n int, fail bool) {
@@ -60,19 +60,19 @@
 	merged := map[string]Record{}
 	for _, r := range d.kept {
 		at := keyName(r.Class, r.Key)
-		if o, there := merged[at]; !there || r.Over && !o.Over || r.Over == o.Over && r.Guard > o.Guard {
+		if o, there := merged[at]; !there || r.Finished && !o.Finished || r.Finished == o.Finished && r.WindowEnd > o.WindowEnd {
 			merged[at] = r
 		}
 	}
 	for _, r := range merged {
-		r.Unknown = !r.Over
-		if !r.Over {
+		r.OutcomeUnknown = !r.Finished
+		if !r.Finished {
 			r.Outcome = kiteslip.Failed
 		}
-		r.Over = true
-		b.core.Learn(r)
+		r.Finished = true
+		b.core.ImportRecord(r)
 	}
-	b.core.Keep(d, false)
+	b.core.SetJournal(d, false)
 	return b
 }
 
@@ -122,7 +122,7 @@
 		case len(b.answers[r]) == 0:
 		case b.answers[r][0].Code == Served && string(b.answers[r][0].Result) == "of k":
 			got = "served"
-		case b.answers[r][0].Code == Failed && b.answers[r][0].Cause == Unknown:
+		case b.answers[r][0].Code == Failed && b.answers[r][0].Cause == OutcomeUnknown:
 			got = "unknown"
 		}
 		if got != steps[kill].want {
@@ -159,7 +159,7 @@
 					r := b.sent[rapid.IntRange(0, n-1).Draw(t, "who")]
 					if !r.answered && !b.gone[r] {
 						b.gone[r] = true
-						b.core.Gone(r)
+						b.core.Disconnected(r)
 					}
 				}
 			case 10:
@@ -172,7 +172,7 @@
 			}
 		}
 		b.pass(4_000_000) // every request has its answer by its due time, however slow the disk
-		if owed := b.core.Owed(); owed != 0 {
+		if owed := b.core.Outstanding(); owed != 0 {
 			t.Fatalf("%d answers are owed at the end", owed)
 		}
 	})
@@ -205,7 +205,7 @@
 	b.pass(2_000_000)
 	for _, r := range keyed {
 		if a := b.one(r); a.Code == Served || b.ran[r] {
-			t.Errorf("%s: %+v", r.Name, a)
+			t.Errorf("%s: %+v", r.TryID, a)
 		}
 	}
 	for len(d.queue) > 0 { // what was recorded in vain is taken back
@@ -222,16 +222,16 @@
 	for _, unsafe := range []bool{false, true} {
 		d := newDisk()
 		b := d.life(t, nil)
-		b.core.Keep(d, unsafe)
+		b.core.SetJournal(d, unsafe)
 		r := b.arrive(1, "k", 0, 1_500_000)
 		b.core.Step(b.now)
 		d.flush(b, 1, true)
 		b.core.Step(b.now)
-		if b.ran[r] != unsafe || b.core.Unrecorded() != len(b.running) {
-			t.Errorf("unsafe %v: it ran %v, %d counted", unsafe, b.ran[r], b.core.Unrecorded())
+		if b.ran[r] != unsafe || b.core.UnrecordedRuns() != len(b.running) {
+			t.Errorf("unsafe %v: it ran %v, %d counted", unsafe, b.ran[r], b.core.UnrecordedRuns())
 		}
 		if !unsafe {
-			if a := b.one(r); a.Code != Refused || a.HoldOff == 0 {
+			if a := b.one(r); a.Code != Refused || a.RetryAfter == 0 {
 				t.Errorf("%+v", a)
 			}
 			continue
@@ -257,7 +257,7 @@
 	d.flush(b, 1, false)
 	longer := site()
 	longer.Classes[1].Window *= 3
-	if err := b.core.Retune(longer, nil, nil); err != nil {
+	if err := b.core.Reconfigure(longer, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	d.flush(b, 9, false)
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -15,22 +15,22 @@
 type Peer interface {
 	Claim(id uint32, class int, key string, arrived int64, sum uint64) // may this request start? Answered by Granted or Had
 	Grant(id uint32)                                                   // to Claimed: it may
-	Had(id uint32, outcome kiteslip.Outcome, result []byte)            // to Claimed: it may not; what became of its key
-	Ended(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte)
+	Deny(id uint32, outcome kiteslip.Outcome, result []byte)           // to Claimed: it may not; what became of its key
+	RunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte)
 }
 
 // Record is a key whose request was started.
 type Record struct {
-	Class          int
-	Key            string
-	Arrived, Guard int64
-	Sum            uint64
-	Over           bool
-	Outcome        kiteslip.Outcome
-	Result         []byte
-	Name           string // of the try, to the engine
-	Due            int64
-	Unknown        bool // it was begun in an earlier life, and its end is not known
+	Class              int
+	Key                string
+	Arrived, WindowEnd int64
+	BodyHash           uint64
+	Finished           bool
+	Outcome            kiteslip.Outcome
+	Result             []byte
+	TryID              string // of the try, to the engine
+	Deadline           int64
+	OutcomeUnknown     bool // it was begun in an earlier life, and its end is not known
 }
 
 // claimsMost bounds the claims that wait for one run.
@@ -42,17 +42,17 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Own makes this process the owner of the keys. Runs that a process before it
+// AcquireKeys makes this process the owner of the keys. Runs that a process before it
 // may have started without this one's knowledge came until doubt at the latest,
 // with their windows; 0 = there are none.
-func (c *Core) Own(doubt int64) { c.owner, c.doubt = true, doubt }
+func (c *Core) AcquireKeys(doubt int64) { c.owner, c.doubt = true, doubt }
 
-// Owner says whether this process owns the keys.
-func (c *Core) Owner() bool { return c.owner }
+// OwnsKeys says whether this process owns the keys.
+func (c *Core) OwnsKeys() bool { return c.owner }
 
-// Disown gives the ownership up: no run of a key starts but as peer says; nil =
+// ReleaseKeys gives the ownership up: no run of a key starts but as peer says; nil =
 // there is nobody to ask. It returns until when there is doubt, for the next owner.
-func (c *Core) Disown(peer Peer) (doubt int64) {
+func (c *Core) ReleaseKeys(peer Peer) (doubt int64) {
 	for _, r := range c.open {
 		if r.phase == held {
 			c.unrecord(r) // the next owner will record it when it is claimed
@@ -62,14 +62,14 @@
 	return c.doubt
 }
 
-// Meet takes in the other process, which asks this one.
-func (c *Core) Meet(peer Peer) { c.peer = peer }
+// SetPeer takes in the other process, which asks this one.
+func (c *Core) SetPeer(peer Peer) { c.peer = peer }
 
-// Window is the longest window of any class.
-func (c *Core) Window() int64 {
+// MaxWindow is the longest window of any class.
+func (c *Core) MaxWindow() int64 {
 	window := int64(0)
-	for i := range c.set.Module.Classes {
-		window = max(window, c.set.Module.Classes[i].Window)
+	for i := range c.set.Policy.Classes {
+		window = max(window, c.set.Policy.Classes[i].Window)
 	}
 	return window + keyMargin
 }
@@ -78,26 +78,26 @@
 func (c *Core) Records(yield func(Record) bool) {
 	for _, e := range c.table {
 		if r := e.ran; r != nil && c.keyed(r.Class) && !yield(Record{r.Class, r.Key, r.Arrived, e.guard, r.sum,
-			r.phase != running, r.outcome, r.result, r.Name, r.Due, r.unknown}) {
+			r.phase != running, r.outcome, r.result, r.TryID, r.Deadline, r.unknown}) {
 			return
 		}
 	}
 }
 
-func (c *Core) keyed(class int) bool { return c.set.Module.Classes[class].Effect == kiteslip.Keyed }
+func (c *Core) keyed(class int) bool { return c.set.Policy.Classes[class].Effect == kiteslip.Keyed }
 
-// Learn enters a key that the other process has started. What is known here
+// ImportRecord enters a key that the other process has started. What is known here
 // already stands, and so does the window of the settings here if it is longer.
 // A run whose end is not known may still go on at the engine: it is returned,
 // and ends with Done; nil = there is nothing to wait for.
-func (c *Core) Learn(rec Record) *Request {
-	rec.Guard = max(rec.Guard, rec.Arrived+c.set.Module.Classes[rec.Class].Window+keyMargin)
-	if e := c.table[keyName(rec.Class, rec.Key)]; e != nil && e.ran != nil && e.guard >= rec.Guard {
+func (c *Core) ImportRecord(rec Record) *Request {
+	rec.WindowEnd = max(rec.WindowEnd, rec.Arrived+c.set.Policy.Classes[rec.Class].Window+keyMargin)
+	if e := c.table[keyName(rec.Class, rec.Key)]; e != nil && e.ran != nil && e.guard >= rec.WindowEnd {
 		return nil
 	}
-	r := c.foreignRun(rec.Class, rec.Key, rec.Arrived, rec.Guard, rec.Sum)
-	r.Name, r.Due, r.unknown = rec.Name, rec.Due, rec.Unknown
-	if rec.Over {
+	r := c.foreignRun(rec.Class, rec.Key, rec.Arrived, rec.WindowEnd, rec.BodyHash)
+	r.TryID, r.Deadline, r.unknown = rec.TryID, rec.Deadline, rec.OutcomeUnknown
+	if rec.Finished {
 		r.phase, r.outcome, r.result = ended, rec.Outcome, rec.Result
 		return nil
 	}
@@ -129,20 +129,20 @@
 	e := c.table[keyName(class, key)]
 	switch {
 	case !c.owner || !c.keyed(class):
-		c.peer.Had(id, kiteslip.Failed, nil)
+		c.peer.Deny(id, kiteslip.Failed, nil)
 	case e != nil && e.ran != nil && (arrived <= max(e.guard, e.until) || e.ran.phase == running && e.ran.sum == sum):
 		switch r := e.ran; {
 		case r.sum != sum || r.phase == running && len(r.claims) >= claimsMost:
-			c.peer.Had(id, kiteslip.Failed, nil)
+			c.peer.Deny(id, kiteslip.Failed, nil)
 		case r.phase == running || r.ending:
 			r.claims = append(r.claims, id)
 		default:
-			c.peer.Had(id, r.outcome, r.result)
+			c.peer.Deny(id, r.outcome, r.result)
 		}
 	case c.inDoubt(arrived) || e != nil && e.kept != nil && e.kept.phase == held && !e.kept.answered && e.kept.sum != sum:
-		c.peer.Had(id, kiteslip.Failed, nil)
+		c.peer.Deny(id, kiteslip.Failed, nil)
 	default:
-		r := c.foreignRun(class, key, arrived, arrived+c.set.Module.Classes[class].Window+keyMargin, sum)
+		r := c.foreignRun(class, key, arrived, arrived+c.set.Policy.Classes[class].Window+keyMargin, sum)
 		if c.journal != nil {
 			c.granting[r.id] = grant{r, id}
 			c.record(r)
@@ -162,7 +162,7 @@
 	if r.answered {
 		c.unclaim(r, kiteslip.NotStarted, nil)
 		if !c.owner && c.peer != nil {
-			c.peer.Ended(r.Class, r.Key, r.Arrived, kiteslip.NotStarted, nil)
+			c.peer.RunEnded(r.Class, r.Key, r.Arrived, kiteslip.NotStarted, nil)
 		}
 		return
 	}
@@ -170,8 +170,8 @@
 	c.runner.Run(r)
 }
 
-// Had ends a request that was claimed and may not start.
-func (c *Core) Had(id uint32, outcome kiteslip.Outcome, result []byte) {
+// Denied ends a request that was claimed and may not start.
+func (c *Core) Denied(id uint32, outcome kiteslip.Outcome, result []byte) {
 	if r := c.claims[kiteslip.RequestID(id)]; r != nil {
 		delete(c.claims, r.id)
 		c.unclaim(r, outcome, result)
@@ -201,8 +201,8 @@
 	c.over(r, 0, kiteslip.NotStarted)
 }
 
-// Ended takes in the end of a run of the other process.
-func (c *Core) Ended(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
+// PeerRunEnded takes in the end of a run of the other process.
+func (c *Core) PeerRunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
 	if e := c.table[keyName(class, key)]; e != nil && e.ran != nil && e.ran.elsewhere && e.ran.Arrived == arrived {
 		c.Done(e.ran, outcome, 0, result)
 	}
@@ -233,26 +233,26 @@
 		return
 	}
 	if !c.owner && !r.elsewhere && c.keyed(r.Class) {
-		c.peer.Ended(r.Class, r.Key, r.Arrived, r.outcome, r.result)
+		c.peer.RunEnded(r.Class, r.Key, r.Arrived, r.outcome, r.result)
 	}
 	for _, id := range r.claims {
 		outcome := r.outcome
 		if outcome == kiteslip.NotStarted {
 			outcome = kiteslip.Failed
 		}
-		c.peer.Had(id, outcome, r.result)
+		c.peer.Deny(id, outcome, r.result)
 	}
 	r.claims = nil
 }
 
-// Leave takes in that another process has taken this one's place: it is
+// HandedOver takes in that another process has taken this one's place: it is
 // stopped at stop, and still answers what it reads.
-func (c *Core) Leave(stop int64) {
+func (c *Core) HandedOver(stop int64) {
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Handover, Deadline: stop})
 }
 
-// Beside takes in what the other process has on the engine that both share.
-func (c *Core) Beside(runs int, sizeKB float64) {
+// SetPeerLoad takes in what the other process has on the engine that both share.
+func (c *Core) SetPeerLoad(runs int, sizeKB float64) {
 	if c.pools != nil {
 		c.pools.SetPeerLoad(c.now, runs)
 	}
@@ -270,14 +270,14 @@
 	return n
 }
 
-// OnEngine is the number of requests that run here and the memory booked for all that is in hand.
-func (c *Core) OnEngine() (runs int, sizeKB float64) {
+// EngineLoad is the number of requests that run here and the memory booked for all that is in hand.
+func (c *Core) EngineLoad() (runs int, sizeKB float64) {
 	for _, r := range c.open {
 		if r.phase == running && c.claims[r.id] == nil {
 			runs++
-			sizeKB += r.SizeKB * max(1, c.set.Module.RunFactor)
+			sizeKB += r.SizeKB * max(1, c.set.Policy.RunFactor)
 		} else if r.phase == paused {
-			sizeKB += r.SizeKB * max(1, c.set.Module.RunFactor)
+			sizeKB += r.SizeKB * max(1, c.set.Policy.RunFactor)
 		} else if !r.answered {
 			sizeKB += r.SizeKB
 		}
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -28,29 +28,29 @@
 func (w wire) Grant(id uint32) {
 	w.put(func(to *Core) { to.Granted(w.p.books[1-w.from].now, id) })
 }
-func (w wire) Had(id uint32, outcome kiteslip.Outcome, result []byte) {
-	w.put(func(to *Core) { to.Had(id, outcome, result) })
+func (w wire) Deny(id uint32, outcome kiteslip.Outcome, result []byte) {
+	w.put(func(to *Core) { to.Denied(id, outcome, result) })
 }
-func (w wire) Ended(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
-	w.put(func(to *Core) { to.Ended(class, key, arrived, outcome, result) })
+func (w wire) RunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
+	w.put(func(to *Core) { to.PeerRunEnded(class, key, arrived, outcome, result) })
 }
 
 // newPair returns an old process that owns the keys and a new one that does not yet.
 func newPair(t failer) *pair {
 	p := &pair{books: [2]*book{newBook(t), newBook(t)}}
 	p.books[1].lastRun = p.books[0].lastRun // the rule on keys is that of one server
-	p.books[1].core.Disown(nil)
+	p.books[1].core.ReleaseKeys(nil)
 	return p
 }
 
 // hand passes the keys from the old process to the new one, message by message.
 func (p *pair) hand() {
 	old := p.books[0].core
-	doubt := old.Disown(wire{p, 0})
+	doubt := old.ReleaseKeys(wire{p, 0})
 	for r := range old.Records {
-		wire{p, 0}.put(func(to *Core) { to.Learn(r) })
+		wire{p, 0}.put(func(to *Core) { to.ImportRecord(r) })
 	}
-	wire{p, 0}.put(func(to *Core) { to.Own(doubt); to.Meet(wire{p, 1}) })
+	wire{p, 0}.put(func(to *Core) { to.AcquireKeys(doubt); to.SetPeer(wire{p, 1}) })
 }
 
 // deliver lets the next message of one side arrive.
@@ -114,24 +114,24 @@
 				for i, b := range p.books {
 					b.core.PeerLost()
 					if i == dead {
-						b.core.Disown(nil) // it runs nothing any more
+						b.core.ReleaseKeys(nil) // it runs nothing any more
 						continue
 					}
-					if !b.core.Owner() {
-						b.core.Own(b.now + b.core.Window())
+					if !b.core.OwnsKeys() {
+						b.core.AcquireKeys(b.now + b.core.MaxWindow())
 					}
 				}
 			},
 			"pass": func(t *rapid.T) { p.pass(rapid.Int64Range(1, 400_000).Draw(t, "span")) },
 			"": func(t *rapid.T) {
-				if p.books[0].core.Owner() && p.books[1].core.Owner() {
+				if p.books[0].core.OwnsKeys() && p.books[1].core.OwnsKeys() {
 					t.Fatal("two owners")
 				}
 			},
 		})
 		for i, b := range p.books {
-			if b.core.Owed() < 0 {
-				t.Fatalf("side %d owes %d", i, b.core.Owed())
+			if b.core.Outstanding() < 0 {
+				t.Fatalf("side %d owes %d", i, b.core.Outstanding())
 			}
 		}
 		p.pass(2_000_000)
@@ -150,7 +150,7 @@
 	for range 9 {
 		p.deliver(0)
 	}
-	if !young.core.Owner() || old.core.Owner() {
+	if !young.core.OwnsKeys() || old.core.OwnsKeys() {
 		t.Fatal("the keys are not handed over")
 	}
 	a, b := young.arrive(1, "done", 0, 1_000_000), young.arrive(1, "under", 0, 1_000_000)
@@ -177,7 +177,7 @@
 	if old.ran[c] || young.ran[a] || young.ran[b] {
 		t.Error("a key ran twice")
 	}
-	if x := young.core.Counts(); x.Served != 3 || x.Read != 3 {
+	if x := young.core.Counts(); x.Served != 3 || x.Received != 3 {
 		t.Errorf("the new process counts %+v", x)
 	}
 }
@@ -192,16 +192,16 @@
 	old.finish(0, kiteslip.OK)
 	p.hand()
 	old.core.PeerLost()
-	old.core.Own(old.now + old.core.Window())
+	old.core.AcquireKeys(old.now + old.core.MaxWindow())
 	again, other, read := old.arrive(1, "known", 0, 1_000_000), old.arrive(1, "other", 0, 1_000_000), old.arrive(0, "", 0, 1_000_000)
 	old.pass(5_000)
 	old.finish(0, kiteslip.OK)
 	for r, want := range map[*Request]Code{known: Served, again: Served, other: Failed, read: Served} {
 		if got := old.answers[r]; len(got) != 1 || got[0].Code != want {
-			t.Errorf("%s %s: %+v, want code %d", r.Name, r.Key, got, want)
+			t.Errorf("%s %s: %+v, want code %d", r.TryID, r.Key, got, want)
 		}
 	}
-	old.pass(old.core.Window() + 1_000_000)
+	old.pass(old.core.MaxWindow() + 1_000_000)
 	if late := old.arrive(1, "other", 0, 1_000_000); true {
 		old.pass(5_000)
 		if !old.ran[late] {
@@ -252,9 +252,9 @@
 	p.hand()
 	p.deliver(0)
 	send := func(b *book, body string) *Request {
-		r := &Request{Name: body, Class: 1, Key: "k", Arrived: b.now, Due: b.now + 1_000_000, SizeKB: 20, Body: []byte(body)}
-		r.From = caller{b, r}
-		if err := b.core.Arrive(b.now, r); err != nil {
+		r := &Request{TryID: body, Class: 1, Key: "k", Arrived: b.now, Deadline: b.now + 1_000_000, SizeKB: 20, Body: []byte(body)}
+		r.ReplyTo = caller{b, r}
+		if err := b.core.Submit(b.now, r); err != nil {
 			t.Fatal(err)
 		}
 		b.sent = append(b.sent, r)
@@ -272,7 +272,7 @@
 	for len(young.running) > 0 {
 		r := young.running[0]
 		young.running = young.running[1:]
-		young.core.Done(r, kiteslip.OK, 1000, []byte("of "+map[bool]string{true: r.Key, false: r.Name}[r.Key != ""]))
+		young.core.Done(r, kiteslip.OK, 1000, []byte("of "+map[bool]string{true: r.Key, false: r.TryID}[r.Key != ""]))
 		young.pass(5_000)
 	}
 	old.pass(5_000)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -14,11 +14,11 @@
 
 // Answer is a final answer.
 type Answer struct {
-	Code    Code
-	Result  []byte // Served: what the run made, unchanged
-	HoldOff int64  // Refused: the caller should stay away this long; 0 = no advice
-	NoMore  bool   // Refused: the caller should try no other server
-	Cause   Cause  // Failed: why
+	Code       Code
+	Result     []byte // Served: what the run made, unchanged
+	RetryAfter int64  // Refused: the caller should stay away this long; 0 = no advice
+	NoFailover bool   // Refused: the caller should try no other server
+	Cause      Cause  // Failed: why
 }
 
 // Cause says why a request failed.
@@ -26,15 +26,15 @@
 
 // The causes.
 const (
-	GivenUp   Cause = iota // the module gave it up
-	Overdue                // its due time has come
-	RunFailed              // its run ended in an error
-	InDoubt                // another process may have run its key
-	Unknown                // its key was begun by a process that has ended since, and how that ended is not known
+	Abandoned        Cause = iota // the module gave it up
+	DeadlineExceeded              // its due time has come
+	RunFailed                     // its run ended in an error
+	InDoubt                       // another process may have run its key
+	OutcomeUnknown                // its key was begun by a process that has ended since, and how that ended is not known
 )
 
-// UnknownText is what callers are told where the cause is Unknown.
-const UnknownText = "this key was begun before a restart; how it ended is not known, and it is not run again within its window"
+// OutcomeUnknownText is what callers are told where the cause is Unknown.
+const OutcomeUnknownText = "this key was begun before a restart; how it ended is not known, and it is not run again within its window"
 
 // Answerer takes the one final answer of a request. The stream tells apart
 // the requests of one caller's connection.
@@ -49,22 +49,22 @@
 
 // Request is one try of a request, as a front has read it.
 type Request struct {
-	Name    string // names this try to the engine
-	Class   int
-	Tenant  int
-	Caller  int
-	Key     string // the same for all tries of one request, of keyed classes
-	Subject uint64 // what a read is about; 0 = untold
-	Arrived int64  // when it came to the machine
-	Due     int64  // when its caller gives up; 0 = untold, until Arrive sets it by the class
-	Hint    int64  // the work to expect, 0 = untold
-	SizeKB  float64
-	Rank    float64
-	Write   bool
-	Again   bool // marked as a further try or second copy
-	Body    []byte
-	Stream  uint32
-	From    Answerer
+	TryID        string // names this try to the engine
+	Class        int
+	Tenant       int
+	Caller       int
+	Key          string // the same for all tries of one request, of keyed classes
+	Subject      uint64 // what a read is about; 0 = untold
+	Arrived      int64  // when it came to the machine
+	Deadline     int64  // when its caller gives up; 0 = untold, until Arrive sets it by the class
+	ExpectedWork int64  // the work to expect, 0 = untold
+	SizeKB       float64
+	Rank         float64
+	Write        bool
+	Retry        bool // marked as a further try or second copy
+	Body         []byte
+	Stream       uint32
+	ReplyTo      Answerer
 
 	id       kiteslip.RequestID
 	sum      uint64 // of the body, in keyed classes
--- a/internal/core/retune_test.go
+++ b/internal/core/retune_test.go
@@ -16,14 +16,14 @@
 	cost := func(keys int) time.Duration {
 		b := newBook(t)
 		for i := range keys {
-			b.core.Learn(Record{Class: 1, Key: fmt.Sprint("k", i), Arrived: b.now, Guard: b.now + 1_000_000, Over: true, Outcome: kiteslip.OK})
+			b.core.ImportRecord(Record{Class: 1, Key: fmt.Sprint("k", i), Arrived: b.now, WindowEnd: b.now + 1_000_000, Finished: true, Outcome: kiteslip.OK})
 		}
 		var took []time.Duration
 		for i := range 15 {
 			next := site()
 			next.Tenants = append(slices.Clone(next.Tenants), make([]kiteslip.Tenant, i)...)
 			began := time.Now()
-			if err := b.core.Retune(next, nil, nil); err != nil {
+			if err := b.core.Reconfigure(next, nil, nil); err != nil {
 				t.Fatal(err)
 			}
 			took = append(took, time.Since(began))
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -14,8 +14,8 @@
 // Pending says whether anything waits for the next Step.
 func (c *Core) Pending() bool { return len(c.events) > 0 }
 
-// Next is the time at which Step is wanted even if nothing happens; 0 = never.
-func (c *Core) Next() int64 {
+// NextStep is the time at which Step is wanted even if nothing happens; 0 = never.
+func (c *Core) NextStep() int64 {
 	next := c.dueAt
 	for _, t := range c.timers {
 		if next == 0 || t.at < next {
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -51,7 +51,7 @@
 // close answers the caller of r, which is over, and those that wait for the same.
 func (c *Core) close(r *Request) {
 	delete(c.open, r.id)
-	delete(c.names, r.Name)
+	delete(c.names, r.TryID)
 	if !r.answered {
 		switch r.outcome {
 		case kiteslip.OK:
@@ -61,7 +61,7 @@
 		default:
 			cause := RunFailed
 			if r.unknown {
-				cause = Unknown
+				cause = OutcomeUnknown
 			}
 			c.answer(r, Answer{Code: Failed, Cause: cause})
 		}
@@ -98,10 +98,10 @@
 	if r.phase != held {
 		return
 	}
-	class := &c.set.Module.Classes[r.Class]
+	class := &c.set.Policy.Classes[r.Class]
 	// Guards the drain: what came after the grace must not run, whatever the module holds.
-	if c.drainAt != 0 && r.Arrived > c.drainAt+c.set.Module.DrainGrace {
-		c.counts.Guarded++
+	if c.drainAt != 0 && r.Arrived > c.drainAt+c.set.Policy.DrainGrace {
+		c.counts.PolicyViolations++
 		c.never(r)
 		return
 	}
@@ -113,7 +113,7 @@
 		}
 		// Guards the single run of a key: a try that came in the window of one that ran takes its result.
 		if e.ran != nil && (r.Arrived <= e.guard || e.runsFor(r)) {
-			c.counts.Guarded++
+			c.counts.PolicyViolations++
 			c.copyOf(r, e.ran)
 			return
 		}
@@ -161,7 +161,7 @@
 	case e != nil && e.kept != nil && e.kept != r:
 		c.copyOf(r, e.kept)
 	default: // the other one was dropped without running
-		c.counts.Guarded++
+		c.counts.PolicyViolations++
 		r.phase = copying
 		c.serveCopy(r, &Request{outcome: kiteslip.Failed})
 	}
--- a/internal/engine/calls.go
+++ b/internal/engine/calls.go
@@ -18,16 +18,16 @@
 
 // Reply lets r go on with the reply to its call, which is sent unchanged.
 func (l *Link) Reply(r *core.Request, reply []byte) {
-	l.goOn(r, fmt.Appendf(nil, "FEED %s %d\r\n", r.Name, len(reply)), reply, crlf)
+	l.goOn(r, fmt.Appendf(nil, "FEED %s %d\r\n", r.TryID, len(reply)), reply, crlf)
 }
 
 // Skip lets r go on without the call that notice asked for.
 func (l *Link) Skip(r *core.Request, notice uint64) {
-	l.goOn(r, fmt.Appendf(nil, "SKIP %s %d\r\n", r.Name, notice))
+	l.goOn(r, fmt.Appendf(nil, "SKIP %s %d\r\n", r.TryID, notice))
 }
 
 func (l *Link) goOn(r *core.Request, parts ...[]byte) {
-	if u := l.runs[r.Name]; u != nil {
+	if u := l.runs[r.TryID]; u != nil {
 		u.reply = word{parts: parts}
 		l.tell(&u.reply)
 	}
@@ -36,8 +36,8 @@
 // Halt stops the run of r. It ends with a Done, and may go on by Resume or anew
 // by Run, as the settings say.
 func (l *Link) Halt(r *core.Request) {
-	if u := l.runs[r.Name]; u != nil {
-		u.halt = word{parts: [][]byte{fmt.Appendf(nil, "HALT %s\r\n", r.Name)}}
+	if u := l.runs[r.TryID]; u != nil {
+		u.halt = word{parts: [][]byte{fmt.Appendf(nil, "HALT %s\r\n", r.TryID)}}
 		l.tell(&u.halt)
 	}
 }
@@ -45,7 +45,7 @@
 // Resume goes on with a run that was stopped with its work kept.
 func (l *Link) Resume(r *core.Request) {
 	u := &run{r: r, resumed: true}
-	l.runs[r.Name] = u
+	l.runs[r.TryID] = u
 	if l.ready {
 		l.write(u)
 	}
--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -21,7 +21,7 @@
 func (e *ends) Tested(string, bool) {}
 func (e *ends) Stray(_, _ string)   { e.strays++ }
 func (e *ends) Done(r *core.Request, outcome kiteslip.Outcome, _ int64, _ []byte) {
-	e.seen = append(e.seen, fmt.Sprint(r.Name, " ", outcome))
+	e.seen = append(e.seen, fmt.Sprint(r.TryID, " ", outcome))
 }
 func (e *ends) Needs(*core.Request, uint64, []byte) {}
 
@@ -54,8 +54,8 @@
 		e, now := &ends{}, int64(1_000_000)
 		l := NewLink(e, func() int64 { return now })
 		l.Classes([]string{"look"}, []bool{true})
-		l.Run(&core.Request{Name: "early", Due: now + 100})
-		l.Run(&core.Request{Name: "late", Due: now + 10_000_000})
+		l.Run(&core.Request{TryID: "early", Deadline: now + 100})
+		l.Run(&core.Request{TryID: "late", Deadline: now + 10_000_000})
 		now += 1_000_000
 		if comes {
 			e.attach(t, l, "")
@@ -89,8 +89,8 @@
 		l := NewLink(e, func() int64 { return 1_000_000 })
 		l.Classes([]string{"look"}, []bool{true})
 		e.attach(t, l, "")
-		l.Run(&core.Request{Name: "a", Due: 5_000_000})
-		l.Run(&core.Request{Name: "b", Due: 5_000_000})
+		l.Run(&core.Request{TryID: "a", Deadline: 5_000_000})
+		l.Run(&core.Request{TryID: "b", Deadline: 5_000_000})
 		e.say(t, l, "NOTE 1 hi\r\n")
 		if _, err := l.Feed([]byte(bad)); err == nil {
 			t.Errorf("%q passes", bad)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -117,7 +117,7 @@
 // Run hands a request over, at once or when the link is up.
 func (l *Link) Run(r *core.Request) {
 	u := &run{r: r}
-	l.runs[r.Name] = u
+	l.runs[r.TryID] = u
 	if l.ready {
 		l.write(u)
 	}
@@ -127,7 +127,7 @@
 // have ended while nobody listened. It is never written again; where nothing is
 // heard of it until it was due, it has failed.
 func (l *Link) Await(r *core.Request) {
-	l.runs[r.Name] = &run{r: r, written: l.now(), lost: true, crossed: true}
+	l.runs[r.TryID] = &run{r: r, written: l.now(), lost: true, crossed: true}
 }
 
 func (l *Link) write(u *run) {
@@ -136,10 +136,10 @@
 	}
 	u.written, u.lost, u.crossed, u.heard = l.now(), false, false, false
 	if u.resumed {
-		l.send(fmt.Appendf(nil, "RESUME %s\r\n", u.r.Name))
+		l.send(fmt.Appendf(nil, "RESUME %s\r\n", u.r.TryID))
 		return
 	}
-	line := fmt.Appendf(nil, "RUN %s %s %d\r\n", u.r.Name, l.classes[u.r.Class], len(u.r.Body))
+	line := fmt.Appendf(nil, "RUN %s %s %d\r\n", u.r.TryID, l.classes[u.r.Class], len(u.r.Body))
 	l.send(line, u.r.Body, crlf)
 }
 
@@ -230,7 +230,7 @@
 			break
 		}
 		if u := l.runs[string(words[2])]; u != nil {
-			delete(l.runs, u.r.Name)
+			delete(l.runs, u.r.TryID)
 			l.events.Done(u.r, outcome, int64(ms*1000), result)
 		} else {
 			l.events.Stray("engine_stray_done", string(line))
@@ -280,7 +280,7 @@
 		// A RUN that was not carried out: nothing was started.
 		if len(words) >= 3 && string(words[1]) == "RUN" {
 			if u := l.runs[string(words[2])]; u != nil {
-				delete(l.runs, u.r.Name)
+				delete(l.runs, u.r.TryID)
 				l.events.Done(u.r, kiteslip.NotStarted, 0, nil)
 			}
 		}
@@ -319,7 +319,7 @@
 	}
 	l.last = number
 	if u := l.runs[string(id)]; u != nil {
-		delete(l.runs, u.r.Name)
+		delete(l.runs, u.r.TryID)
 		l.events.Done(u.r, kiteslip.Failed, max(0, l.now()-u.written), nil)
 	}
 }
@@ -363,11 +363,11 @@
 	l.ready = true
 	t := l.now()
 	for _, u := range l.runs {
-		if u.written == 0 && !u.resumed && u.r.Due != 0 && t > u.r.Due {
+		if u.written == 0 && !u.resumed && u.r.Deadline != 0 && t > u.r.Deadline {
 			l.unwritten(u)
 			continue
 		}
-		young := t-u.written < u.r.Hint/quickest
+		young := t-u.written < u.r.ExpectedWork/quickest
 		if u.written == 0 || u.lost && (young || u.resumed || l.safe[u.r.Class]) {
 			l.write(u)
 		}
@@ -378,7 +378,7 @@
 // unwritten ends a run that is due and was never written to a link: it has not
 // begun, and nobody waits for it any more.
 func (l *Link) unwritten(u *run) {
-	delete(l.runs, u.r.Name)
+	delete(l.runs, u.r.TryID)
 	l.events.Done(u.r, kiteslip.NotStarted, 0, nil)
 }
 
@@ -390,11 +390,11 @@
 func (l *Link) Expire() {
 	t := l.now()
 	for name, u := range l.runs {
-		if u.written == 0 && !u.resumed && u.r.Due != 0 && t > u.r.Due {
+		if u.written == 0 && !u.resumed && u.r.Deadline != 0 && t > u.r.Deadline {
 			l.unwritten(u)
 			continue
 		}
-		until := u.r.Due
+		until := u.r.Deadline
 		if !u.lost {
 			until += giveUp
 		}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -38,20 +38,20 @@
 func (p *peer) Stats([]float32)     {}
 func (p *peer) Tested(string, bool) {}
 func (p *peer) Done(r *core.Request, outcome kiteslip.Outcome, _ int64, result []byte) {
-	if p.ended[r.Name] {
-		p.t.Fatalf("%s ends twice", r.Name)
+	if p.ended[r.TryID] {
+		p.t.Fatalf("%s ends twice", r.TryID)
 	}
-	p.ended[r.Name] = true
-	if outcome == kiteslip.OK && string(result) != "r\r\n"+r.Name {
-		p.t.Fatalf("%s ends with %q", r.Name, result)
+	p.ended[r.TryID] = true
+	if outcome == kiteslip.OK && string(result) != "r\r\n"+r.TryID {
+		p.t.Fatalf("%s ends with %q", r.TryID, result)
 	}
 }
 
 func (p *peer) Stray(cause, _ string) { p.strays = append(p.strays, cause) }
 
 func (p *peer) Needs(r *core.Request, _ uint64, body []byte) {
-	if string(body) != "need\r\nof "+r.Name {
-		p.t.Fatalf("%s needs %q", r.Name, body)
+	if string(body) != "need\r\nof "+r.TryID {
+		p.t.Fatalf("%s needs %q", r.TryID, body)
 	}
 	p.asked = append(p.asked, r)
 }
@@ -68,9 +68,9 @@
 	r := p.asked[0]
 	p.asked = p.asked[1:]
 	if skip {
-		p.link.Skip(r, uint64(p.stands[r.Name]))
+		p.link.Skip(r, uint64(p.stands[r.TryID]))
 	} else {
-		p.link.Reply(r, []byte("re\r\n"+r.Name))
+		p.link.Reply(r, []byte("re\r\n"+r.TryID))
 	}
 }
 
@@ -214,8 +214,8 @@
 		began := map[string]int64{}
 		t.Repeat(map[string]func(*rapid.T){
 			"run": func(t *rapid.T) {
-				r := &core.Request{Name: fmt.Sprint("id", len(p.sent)), Class: rapid.IntRange(0, 1).Draw(t, "class"),
-					Body: []byte("body"), Hint: shortest * quickest, Due: p.now + 1_000_000}
+				r := &core.Request{TryID: fmt.Sprint("id", len(p.sent)), Class: rapid.IntRange(0, 1).Draw(t, "class"),
+					Body: []byte("body"), ExpectedWork: shortest * quickest, Deadline: p.now + 1_000_000}
 				p.sent = append(p.sent, r)
 				p.link.Run(r)
 			},
@@ -231,24 +231,24 @@
 			},
 			"end": func(t *rapid.T) {
 				for _, r := range p.sent {
-					if p.live[r.Name] && p.stands[r.Name] == 0 && p.now-began[r.Name] >= shortest {
-						p.end(r.Name)
+					if p.live[r.TryID] && p.stands[r.TryID] == 0 && p.now-began[r.TryID] >= shortest {
+						p.end(r.TryID)
 						return
 					}
 				}
 			},
 			"spoil": func(t *rapid.T) {
 				for _, r := range p.sent {
-					if p.live[r.Name] && p.stands[r.Name] == 0 && p.now-began[r.Name] >= shortest {
-						p.spoil(r.Name)
+					if p.live[r.TryID] && p.stands[r.TryID] == 0 && p.now-began[r.TryID] >= shortest {
+						p.spoil(r.TryID)
 						return
 					}
 				}
 			},
 			"need": func(t *rapid.T) {
 				for _, r := range p.sent {
-					if p.live[r.Name] && !p.needed[r.Name] {
-						p.need(r.Name)
+					if p.live[r.TryID] && !p.needed[r.TryID] {
+						p.need(r.TryID)
 						return
 					}
 				}
@@ -278,14 +278,14 @@
 			t.Fatalf("%d spoilt notices ended no link, or more than one", p.spoilt)
 		}
 		for _, r := range p.sent {
-			if r.Class == 1 && p.started[r.Name] > 1 {
-				t.Fatalf("keyed %s is started %d times", r.Name, p.started[r.Name])
+			if r.Class == 1 && p.started[r.TryID] > 1 {
+				t.Fatalf("keyed %s is started %d times", r.TryID, p.started[r.TryID])
 			}
-			if !p.ended[r.Name] {
-				t.Fatalf("%s never ends", r.Name)
+			if !p.ended[r.TryID] {
+				t.Fatalf("%s never ends", r.TryID)
 			}
-			if p.needed[r.Name] && p.started[r.Name] == 1 && p.fed[r.Name] != 1 {
-				t.Fatalf("%s goes on %d times from its call", r.Name, p.fed[r.Name])
+			if p.needed[r.TryID] && p.started[r.TryID] == 1 && p.fed[r.TryID] != 1 {
+				t.Fatalf("%s goes on %d times from its call", r.TryID, p.fed[r.TryID])
 			}
 		}
 		if p.link.Running() != 0 {
@@ -306,7 +306,7 @@
 		p := newPeer(t)
 		p.attach()
 		p.settle()
-		r := &core.Request{Name: "k", Class: 1, Body: []byte("body"), Hint: shortest * quickest, Due: 1_000_000}
+		r := &core.Request{TryID: "k", Class: 1, Body: []byte("body"), ExpectedWork: shortest * quickest, Deadline: 1_000_000}
 		p.link.Run(r)
 		if c.read {
 			p.read()
@@ -342,7 +342,7 @@
 		p := newPeer(t)
 		p.attach()
 		p.settle()
-		r := &core.Request{Name: "k", Class: 1, Body: []byte("body"), Hint: 1000, Due: 1_000_000}
+		r := &core.Request{TryID: "k", Class: 1, Body: []byte("body"), ExpectedWork: 1000, Deadline: 1_000_000}
 		p.link.Run(r)
 		p.read()
 		if sure {
@@ -360,7 +360,7 @@
 		p.deliver(len(p.pending))
 		p.read()
 		p.deliver(len(p.pending))
-		p.now = r.Due + 1
+		p.now = r.Deadline + 1
 		p.link.Expire()
 		if p.ended["k"] == sure {
 			t.Errorf("read for sure %v: given up %v", sure, p.ended["k"])
@@ -393,7 +393,7 @@
 		p := newPeer(t)
 		p.attach()
 		p.settle()
-		r := &core.Request{Name: "k", Class: 1, Body: []byte("body"), Due: 10_000_000}
+		r := &core.Request{TryID: "k", Class: 1, Body: []byte("body"), Deadline: 10_000_000}
 		p.link.Run(r)
 		p.read()
 		if c.kind != "HALT" {
@@ -436,7 +436,7 @@
 	p := newPeer(t)
 	p.attach()
 	p.settle()
-	r := &core.Request{Name: "k", Class: 0, Body: []byte("body"), Due: 10_000_000}
+	r := &core.Request{TryID: "k", Class: 0, Body: []byte("body"), Deadline: 10_000_000}
 	p.link.Run(r)
 	p.read()
 	p.link.Halt(r)
--- a/internal/frame/answer.go
+++ b/internal/frame/answer.go
@@ -10,18 +10,18 @@
 func Final(a *core.Answer) (code byte, fields []Field, body []byte) {
 	switch {
 	case a.Code == core.Refused:
-		if a.HoldOff > 0 {
-			fields = append(fields, Field{"holdoff", strconv.FormatInt((a.HoldOff+999)/1000, 10)})
+		if a.RetryAfter > 0 {
+			fields = append(fields, Field{"holdoff", strconv.FormatInt((a.RetryAfter+999)/1000, 10)})
 		}
-		if a.NoMore {
+		if a.NoFailover {
 			fields = append(fields, Field{"nomore", "1"})
 		}
 		return Refused, fields, nil
 	case a.Code == core.Served && len(a.Result) <= MaxResult:
 		return Served, nil, a.Result
 	}
-	if a.Code == core.Failed && a.Cause == core.Unknown {
-		return Failed, nil, []byte(core.UnknownText)
+	if a.Code == core.Failed && a.Cause == core.OutcomeUnknown {
+		return Failed, nil, []byte(core.OutcomeUnknownText)
 	}
 	return Failed, nil, nil // also a result that no frame may carry
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -33,21 +33,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Class != 1 || r.Tenant != 1 || r.Name != "9b1f03aa5c7e2d41" || r.Arrived != 1764576000123000 || !r.Write ||
-		r.Due != 1764576000603000 || r.Hint != 12500 || r.SizeKB != 24.5 || r.Rank != 0.625 || r.Caller != 4 ||
+	if r.Class != 1 || r.Tenant != 1 || r.TryID != "9b1f03aa5c7e2d41" || r.Arrived != 1764576000123000 || !r.Write ||
+		r.Deadline != 1764576000603000 || r.ExpectedWork != 12500 || r.SizeKB != 24.5 || r.Rank != 0.625 || r.Caller != 4 ||
 		r.Key != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" || string(r.Body) != "a\x00b" {
 		t.Errorf("%+v", r)
 	}
 	f := valid()
 	f["kind"], f["subject"] = "look", "7f3a9c21e0b4d655"
 	delete(f, "opkey")
-	if r, err = ParseRequest(payload(f, ""), names()); err != nil || r.Subject != 0x7f3a9c21e0b4d655 || r.Write || r.Again {
+	if r, err = ParseRequest(payload(f, ""), names()); err != nil || r.Subject != 0x7f3a9c21e0b4d655 || r.Write || r.Retry {
 		t.Errorf("%+v, %v", r, err)
 	}
 	// A caller need not say how long it waits, and marks a further try.
 	delete(f, "timeout")
 	f["resent"] = "1"
-	if r, err = ParseRequest(payload(f, ""), names()); err != nil || r.Due != 0 || !r.Again {
+	if r, err = ParseRequest(payload(f, ""), names()); err != nil || r.Deadline != 0 || !r.Retry {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -138,7 +138,7 @@
 		if fr, n, err := Split(b); err == nil && n > 0 && n != len(fr.Payload)+headSize {
 			t.Fatalf("%d bytes are used for a payload of %d", n, len(fr.Payload))
 		}
-		if r, err := ParseRequest(b, names()); err == nil && (r.Due != 0 && r.Due < r.Arrived || len(r.Body) > MaxBody) {
+		if r, err := ParseRequest(b, names()); err == nil && (r.Deadline != 0 && r.Deadline < r.Arrived || len(r.Body) > MaxBody) {
 			t.Fatalf("%+v", r)
 		}
 	})
--- a/internal/frame/request.go
+++ b/internal/frame/request.go
@@ -47,7 +47,7 @@
 		case "kind":
 			r.Class, ok = names.Classes[string(value)]
 		case "req":
-			r.Name, ok = string(value), hex16(value)
+			r.TryID, ok = string(value), hex16(value)
 		case "ts":
 			r.Arrived, ok = whole(value, maxStamp)
 			r.Arrived *= 1000
@@ -62,11 +62,11 @@
 			timeout, ok = whole(value, maxTimeout)
 			told = true
 		case "resent":
-			r.Again, ok = string(value) == "1", string(value) == "0" || string(value) == "1"
+			r.Retry, ok = string(value) == "1", string(value) == "0" || string(value) == "1"
 		case "ms":
 			var ms float64
 			ms, ok = decimal(value, 0, maxWorkMS)
-			r.Hint = int64(ms * 1000)
+			r.ExpectedWork = int64(ms * 1000)
 		case "need":
 			r.SizeKB, ok = decimal(value, 0, maxNeedKB)
 			ok = ok && r.SizeKB > 0 && r.SizeKB < maxNeedKB
@@ -89,7 +89,7 @@
 		return nil, bad
 	case r.Class < 0:
 		return nil, absent("kind")
-	case r.Name == "":
+	case r.TryID == "":
 		return nil, absent("req")
 	case r.Arrived < 0:
 		return nil, absent("ts")
@@ -104,7 +104,7 @@
 	r.Write = names.Keyed[r.Class]
 	r.Tenant = max(r.Tenant, 0)
 	if told {
-		r.Due = max(1, r.Arrived+timeout*1000)
+		r.Deadline = max(1, r.Arrived+timeout*1000)
 	}
 	r.Body = append([]byte(nil), body...)
 	return r, nil
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -37,7 +37,7 @@
 		}
 	}
 	to := &sink{}
-	c, err := core.New(core.Settings{Module: m, Pools: s}, to)
+	c, err := core.New(core.Settings{Policy: m, Pools: s}, to)
 	if err != nil {
 		return 0, err
 	}
@@ -45,7 +45,7 @@
 	arrive := func() error {
 		id++
 		name := strconv.Itoa(id)
-		return c.Arrive(now, &core.Request{Name: name, Class: id % 3, Key: name, Arrived: now, Due: now + 3600*Second, SizeKB: 16, From: to})
+		return c.Submit(now, &core.Request{TryID: name, Class: id % 3, Key: name, Arrived: now, Deadline: now + 3600*Second, SizeKB: 16, ReplyTo: to})
 	}
 	const batch = 8 // in both cases: what a batch costs is shared by its requests
 	play := func(n int) error {
@@ -62,13 +62,13 @@
 					return err
 				}
 			}
-			c.Gauges(kiteslip.Gauges{Valid: true, Busy: 1, Runnable: batch}) // the running limit stays at the cores
+			c.SetGauges(kiteslip.Gauges{Valid: true, Busy: 1, Runnable: batch}) // the running limit stays at the cores
 			c.Step(now)
 		}
 		return nil
 	}
 	fill := func(n int) error {
-		for requests, _ := c.Held(); requests < n; requests++ {
+		for requests, _ := c.Tracked(); requests < n; requests++ {
 			if err := arrive(); err != nil {
 				return err
 			}
@@ -85,7 +85,7 @@
 		return 0, err
 	}
 	took := time.Since(began) / time.Duration(n)
-	if requests, _ := c.Held(); requests < open*9/10 {
+	if requests, _ := c.Tracked(); requests < open*9/10 {
 		return 0, fmt.Errorf("lab: %d requests are open, want %d", requests, open)
 	}
 	return took, nil
--- a/internal/lab/fleet/callers.go
+++ b/internal/lab/fleet/callers.go
@@ -196,8 +196,8 @@
 func (w *world) answered(t *try, a core.Answer) {
 	r := t.r
 	c := &w.day.Callers[r.caller]
-	if a.Code == core.Refused && a.HoldOff > 0 && c.Heeds && w.boxes[t.box].life == t.life {
-		w.away[r.caller][t.box] = w.now + a.HoldOff
+	if a.Code == core.Refused && a.RetryAfter > 0 && c.Heeds && w.boxes[t.box].life == t.life {
+		w.away[r.caller][t.box] = w.now + a.RetryAfter
 	}
 	if r.over {
 		return
@@ -206,7 +206,7 @@
 		w.end(r, &a)
 		return
 	}
-	if w.now >= r.due || r.tries >= c.Tries || a.NoMore && c.Heeds {
+	if w.now >= r.due || r.tries >= c.Tries || a.NoFailover && c.Heeds {
 		if c.Hasty == 0 || r.tries >= c.Tries {
 			w.end(r, &a)
 		}
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -116,7 +116,7 @@
 		return
 	}
 	p.stands = true
-	m.core.Needs(r, p.id, nil)
+	m.core.NeedsCall(r, p.id, nil)
 }
 
 // over says whether the caller of r has its answer.
@@ -170,14 +170,14 @@
 	} else {
 		at += m.w.day.Delay
 	}
-	m.soon(at, func() { m.core.Called(m.w.now, token, outcome, nil) })
+	m.soon(at, func() { m.core.CallDone(m.w.now, token, outcome, nil) })
 }
 
 // Abandon gives a call up. The ledger goes on with it.
 func (m *machine) Abandon(uint64) {}
 
-// Feed goes on after a call.
-func (m *machine) Feed(r *core.Request, _ []byte) { m.proceed(r) }
+// Reply goes on after a call.
+func (m *machine) Reply(r *core.Request, _ []byte) { m.proceed(r) }
 
 // Skip goes on without it.
 func (m *machine) Skip(r *core.Request, _ uint64) {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -321,12 +321,12 @@
 	module.JustStarted = cold
 	module.Workers, module.Callers = day.Boxes, len(day.Callers)
 	var err error
-	m.core, err = core.New(core.Settings{Module: module, Pools: day.Pools, Seed: day.Seed<<20 ^ uint64(m.number)<<8 ^ uint64(m.life)}, m)
+	m.core, err = core.New(core.Settings{Policy: module, Pools: day.Pools, Seed: day.Seed<<20 ^ uint64(m.number)<<8 ^ uint64(m.life)}, m)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	if w.ledger != nil {
-		m.core.Below(m)
+		m.core.SetLedger(m)
 	}
 	return nil
 }
@@ -340,7 +340,7 @@
 	if len(m.inbox) > 0 {
 		at = m.inbox[0].at
 	}
-	for _, t := range []int64{m.box.Next(), m.core.Next()} {
+	for _, t := range []int64{m.box.Next(), m.core.NextStep()} {
 		if t != 0 {
 			at = min(at, t)
 		}
@@ -382,9 +382,9 @@
 	if a.t.due = due; m.w.day.Untold {
 		due, a.t.due = 0, a.at+m.w.day.Classes[r.class].Timeout
 	}
-	err := m.core.Arrive(m.w.now, &core.Request{Name: strconv.FormatUint(m.w.names, 16), Class: r.class, Tenant: r.team, Caller: r.caller,
-		Key: r.name, Subject: r.subject, Arrived: a.at, Due: due, SizeKB: 16, Again: m.w.day.Module.MarksRetries && r.tries > 1, Body: strconv.AppendInt(nil, int64(r.work), 10),
-		Stream: m.stream, From: m})
+	err := m.core.Submit(m.w.now, &core.Request{TryID: strconv.FormatUint(m.w.names, 16), Class: r.class, Tenant: r.team, Caller: r.caller,
+		Key: r.name, Subject: r.subject, Arrived: a.at, Deadline: due, SizeKB: 16, Retry: m.w.day.Module.MarksRetries && r.tries > 1, Body: strconv.AppendInt(nil, int64(r.work), 10),
+		Stream: m.stream, ReplyTo: m})
 	if err != nil {
 		m.Answer(m.stream, core.Answer{Code: core.Failed})
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -133,7 +133,7 @@
 	w.Box = box.New(day.Box, epoch)
 	w.Classes = make([]Tally, len(day.Module.Classes))
 	var err error
-	if w.Core, err = core.New(core.Settings{Module: day.Module, Seed: day.Seed, Pools: day.Pools}, w); err != nil {
+	if w.Core, err = core.New(core.Settings{Policy: day.Module, Seed: day.Seed, Pools: day.Pools}, w); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	w.next = make([]int64, len(day.Streams))
@@ -156,14 +156,14 @@
 		w.arrive()
 		if day.Gauges {
 			n := float32(w.Box.Runs())
-			w.Core.Gauges(kiteslip.Gauges{Valid: true, Busy: min(1, n/float32(day.Box.Cores)), Runnable: n})
+			w.Core.SetGauges(kiteslip.Gauges{Valid: true, Busy: min(1, n/float32(day.Box.Cores)), Runnable: n})
 		}
 		w.Core.Step(w.now)
 		if day.Watch != nil && w.now >= watch {
 			watch = w.now + Second/4
 			day.Watch(w, w.now-epoch)
 		}
-		if w.now > epoch+day.Length && w.Core.Owed() == 0 && w.Box.Runs() == 0 && len(w.backs) == 0 {
+		if w.now > epoch+day.Length && w.Core.Outstanding() == 0 && w.Box.Runs() == 0 && len(w.backs) == 0 {
 			break
 		}
 	}
@@ -176,7 +176,7 @@
 	for _, t := range w.next {
 		at = min(at, t)
 	}
-	for _, t := range []int64{w.Box.Next(), w.Core.Next()} {
+	for _, t := range []int64{w.Box.Next(), w.Core.NextStep()} {
 		if t != 0 {
 			at = min(at, t)
 		}
@@ -240,8 +240,8 @@
 func (w *World) send(t *try) {
 	w.tries = append(w.tries, t)
 	stream := uint32(len(w.tries) - 1)
-	err := w.Core.Arrive(w.now, &core.Request{Name: strconv.Itoa(int(stream)), Class: t.class, Tenant: t.tenant, Caller: 1, Key: t.key,
-		Arrived: w.now, Due: t.due, SizeKB: 16, Body: strconv.AppendInt(nil, int64(t.work), 10), Stream: stream, From: w})
+	err := w.Core.Submit(w.now, &core.Request{TryID: strconv.Itoa(int(stream)), Class: t.class, Tenant: t.tenant, Caller: 1, Key: t.key,
+		Arrived: w.now, Deadline: t.due, SizeKB: 16, Body: strconv.AppendInt(nil, int64(t.work), 10), Stream: stream, ReplyTo: w})
 	if err != nil {
 		panic(err) // the laboratory's own fault
 	}
@@ -271,9 +271,9 @@
 	if w.now > t.due {
 		w.Overdue++
 	}
-	if w.day.Again && a.Code == core.Refused && !a.NoMore && !t.again && a.HoldOff > 0 && w.now+a.HoldOff < t.due {
+	if w.day.Again && a.Code == core.Refused && !a.NoFailover && !t.again && a.RetryAfter > 0 && w.now+a.RetryAfter < t.due {
 		t.again = true
-		at := w.now + a.HoldOff
+		at := w.now + a.RetryAfter
 		i := len(w.backs)
 		for i > 0 && w.backs[i-1].at > at {
 			i--
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -393,9 +393,9 @@
 				switch string(name) {
 				case "holdoff":
 					ms, _ := strconv.ParseInt(string(value), 10, 64)
-					a.HoldOff = ms * 1000
+					a.RetryAfter = ms * 1000
 				case "nomore":
-					a.NoMore = true
+					a.NoFailover = true
 				}
 			}
 		}
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -51,7 +51,7 @@
 // Retune takes over other pools, as SIGHUP does.
 func Retune(pools *pool.Settings) func(*World) {
 	return func(w *World) {
-		if err := w.Core.Retune(w.day.Module, nil, pools); err != nil {
+		if err := w.Core.Reconfigure(w.day.Module, nil, pools); err != nil {
 			panic(err) // the scenario's own fault
 		}
 	}
--- a/internal/lab/pools_test.go
+++ b/internal/lab/pools_test.go
@@ -130,7 +130,7 @@
 		for _, f := range figures {
 			running, waiting = running+f.Running, waiting+f.Waiting
 		}
-		requests, _ := w.Core.Held()
+		requests, _ := w.Core.Tracked()
 		if figures != nil && (running != w.Box.Runs() || waiting != requests-running) {
 			t.Fatalf("at %d ms the book has %d running, %d waiting; the box runs %d, %d are open", at/1000, running, waiting, w.Box.Runs(), requests)
 		}
--- a/internal/lab/scale/hollow/servers.go
+++ b/internal/lab/scale/hollow/servers.go
@@ -205,7 +205,7 @@
 		cfg = with
 	}
 	places := config.NewPlaces(cfg)
-	c, err := core.New(core.Settings{Module: cfg.Module, Seed: cfg.Seed, Pools: cfg.PoolSettings()}, idle{})
+	c, err := core.New(core.Settings{Policy: cfg.Module, Seed: cfg.Seed, Pools: cfg.PoolSettings()}, idle{})
 	if err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 		places.At(time.Now().UnixMicro())
 		ch, err := places.Version(doc, delta)
 		if err == nil {
-			err = c.Retune(ch.Config.Module, ch.Config.ClassesOff, ch.Pools)
+			err = c.Reconfigure(ch.Config.Module, ch.Config.ClassesOff, ch.Pools)
 		}
 		if err != nil {
 			return err
--- a/internal/lab/scale/slopes/memory.go
+++ b/internal/lab/scale/slopes/memory.go
@@ -55,7 +55,7 @@
 	if c.config, err = config.ParseOperator(s.text(), nil); err != nil {
 		return nil, err
 	}
-	c.core, err = core.New(core.Settings{Module: c.config.Module}, c.to)
+	c.core, err = core.New(core.Settings{Policy: c.config.Module}, c.to)
 	return c, err
 }
 
@@ -100,7 +100,7 @@
 		set.Classes[i].Effect, set.Classes[i].Window = effect, hour
 	}
 	to := &nowhere{}
-	c, err := core.New(core.Settings{Module: set}, to)
+	c, err := core.New(core.Settings{Policy: set}, to)
 	if err != nil {
 		return 0, err
 	}
@@ -109,12 +109,12 @@
 		now := epoch
 		for i := range n {
 			now += requestEvery
-			r := &core.Request{Name: fmt.Sprintf("%016x", i), Class: i % 4, Tenant: i % 3, Arrived: now, Due: now + hour, SizeKB: 16,
-				Body: append([]byte(nil), body...), From: to}
+			r := &core.Request{TryID: fmt.Sprintf("%016x", i), Class: i % 4, Tenant: i % 3, Arrived: now, Deadline: now + hour, SizeKB: 16,
+				Body: append([]byte(nil), body...), ReplyTo: to}
 			if effect == kiteslip.Keyed {
 				r.Key = strconv.Itoa(i)
 			}
-			if err := c.Arrive(now, r); err != nil {
+			if err := c.Submit(now, r); err != nil {
 				return nil, err
 			}
 			c.Step(now)
@@ -132,7 +132,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if requests, keys := c.Held(); effect == kiteslip.Keyed && keys != n || effect != kiteslip.Keyed && requests != n {
+	if requests, keys := c.Tracked(); effect == kiteslip.Keyed && keys != n || effect != kiteslip.Keyed && requests != n {
 		return 0, fmt.Errorf("slopes: the core has %d requests and %d keys, want %d", requests, keys, n)
 	}
 	runtime.KeepAlive(to)
--- a/internal/lab/scale/slopes/version.go
+++ b/internal/lab/scale/slopes/version.go
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	f.places.Adopted(f.first)
-	f.core, err = core.New(core.Settings{Module: f.first.Config.Module}, &nowhere{})
+	f.core, err = core.New(core.Settings{Policy: f.first.Config.Module}, &nowhere{})
 	return f, err
 }
 
@@ -73,9 +73,9 @@
 	if len(ch.Tenants) != n {
 		return 0, 0, fmt.Errorf("slopes: a version with %d changed tenants changes %d", n, len(ch.Tenants))
 	}
-	loop, err = timed(func() error { return f.core.Retune(ch.Config.Module, ch.Config.ClassesOff, ch.Pools) })
+	loop, err = timed(func() error { return f.core.Reconfigure(ch.Config.Module, ch.Config.ClassesOff, ch.Pools) })
 	if err == nil {
-		err = f.core.Retune(f.first.Config.Module, f.first.Config.ClassesOff, f.first.Pools)
+		err = f.core.Reconfigure(f.first.Config.Module, f.first.Config.ClassesOff, f.first.Pools)
 	}
 	return beside, loop, err
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -78,7 +78,7 @@
 	}
 	p.book = uwsgi.Book{Classes: p.names.Classes, Tenants: p.names.Tenants, Contracts: cfg.UWSGI.Contracts}
 	var err error
-	if p.core, err = core.New(core.Settings{Module: cfg.Module, Seed: cfg.Seed}, p); err != nil {
+	if p.core, err = core.New(core.Settings{Policy: cfg.Module, Seed: cfg.Seed}, p); err != nil {
 		return Report{}, err
 	}
 	if opt.Write != nil {
@@ -128,7 +128,7 @@
 			p.core.Step(p.now)
 		}
 	}
-	for p.core.Owed() > 0 || len(p.runs) > 0 {
+	for p.core.Outstanding() > 0 || len(p.runs) > 0 {
 		p.pass(p.now + 100_000)
 	}
 	for l := range lines {
@@ -152,14 +152,14 @@
 
 // Run starts a run: all that is done is to note when it would end.
 func (p *player) Run(r *core.Request) {
-	p.runs = append(p.runs, run{p.now + max(r.Hint, unstated), r})
+	p.runs = append(p.runs, run{p.now + max(r.ExpectedWork, unstated), r})
 }
 
 // pass lets the time go on to the end, with all that falls due on the way.
 func (p *player) pass(end int64) {
 	for {
 		next := end
-		if at := p.core.Next(); at != 0 {
+		if at := p.core.NextStep(); at != 0 {
 			next = min(next, max(at, p.now))
 		}
 		for _, run := range p.runs {
@@ -181,7 +181,7 @@
 		}
 		p.runs = kept
 		for _, run := range over {
-			p.core.Done(run.r, kiteslip.OK, max(run.r.Hint, unstated), nil)
+			p.core.Done(run.r, kiteslip.OK, max(run.r.ExpectedWork, unstated), nil)
 		}
 		p.core.Step(p.now)
 	}
@@ -219,8 +219,8 @@
 		if f.Type == frame.Request {
 			r, err := frame.ParseRequest(f.Payload, &l.names)
 			if err == nil {
-				r.Stream, r.From = f.Stream, l
-				err = l.core.Arrive(l.now, r)
+				r.Stream, r.ReplyTo = f.Stream, l
+				err = l.core.Submit(l.now, r)
 			}
 			if err != nil {
 				l.malformed()
@@ -249,9 +249,9 @@
 	}
 	if err == nil {
 		l.webID++
-		r.Name = fmt.Sprintf("w%015x", l.webID)
-		r.Body, r.Stream, r.From = slices.Clone(l.buf[n:n+length]), 1, l
-		err = l.core.Arrive(l.now, r)
+		r.TryID = fmt.Sprintf("w%015x", l.webID)
+		r.Body, r.Stream, r.ReplyTo = slices.Clone(l.buf[n:n+length]), 1, l
+		err = l.core.Submit(l.now, r)
 	}
 	l.dead = true
 	if err != nil {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Read != 5 || r.Served != 3 || r.Refused != 1 || r.Failed != 1 || r.Malformed != 1 || r.Unfinished != 1 || r.Connections != 1 {
+	if r.Received != 5 || r.Served != 3 || r.Refused != 1 || r.Failed != 1 || r.Malformed != 1 || r.Unfinished != 1 || r.Connections != 1 {
 		t.Errorf("%+v", r)
 	}
 	// The capture that is written holds the same requests and one answer for each.
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Read != 3 || r.Served != 3 || r.Malformed != 2 || r.Unfinished != 1 || r.Connections != 6 {
+	if r.Received != 3 || r.Served != 3 || r.Malformed != 2 || r.Unfinished != 1 || r.Connections != 6 {
 		t.Errorf("%+v", r)
 	}
 	if n := bytes.Count(out.Bytes(), []byte("HTTP/1.1 200 OK")); n != 3 {
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -138,7 +138,7 @@
 func (s *Server) withdraw(on bool) {
 	if s.core.Withdrawn() != on {
 		s.log.Info("operator", zap.Bool("drain", on))
-		s.core.Withdraw(on)
+		s.core.SetWithdrawn(on)
 		s.reportAt = 0
 		s.schedule()
 	}
@@ -146,8 +146,8 @@
 
 // figures gathers what is counted where each event ends.
 func (s *Server) figures() figures.Figures {
-	f := figures.Figures{Tries: s.link.Tries() + s.called, Active: s.core.Owed(), Applied: s.applied, Rejected: s.rejected}
-	for i, n := range s.core.Classes() {
+	f := figures.Figures{Tries: s.link.Tries() + s.called, Active: s.core.Outstanding(), Applied: s.applied, Rejected: s.rejected}
+	for i, n := range s.core.AnswersByClass() {
 		f.Classes = append(f.Classes, figures.Class{Name: s.cfg.Classes[i], OK: n.Served, Shed: n.Refused, Errors: n.Failed})
 	}
 	for _, p := range s.core.Pools() {
@@ -161,7 +161,7 @@
 		k := w.Figures()
 		f.Keys = &figures.Keys{Restored: s.keys.restored, Unknown: s.keys.unknown, Commits: int(k.Commits), Records: int(k.Operations),
 			Errors: int(k.Errors), LongestMS: int(k.LongestUS / 1000), Waiting: k.Waiting, DiskKB: int(k.DiskBytes / 1024),
-			Unrecorded: s.core.Unrecorded()}
+			Unrecorded: s.core.UnrecordedRuns()}
 	} else if s.keys.failed != nil {
 		f.Keys = &figures.Keys{Errors: 1}
 	}
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -192,7 +192,7 @@
 		}
 	}
 	r.look(func() {
-		if n := r.core.Counts(); n.Read < 500 || n.Refused == 0 {
+		if n := r.core.Counts(); n.Received < 500 || n.Refused == 0 {
 			t.Errorf("that was no load: %+v", n)
 		}
 	})
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -30,7 +30,7 @@
 		return
 	default:
 		if s.below.client, err = ledger.New(s.cfg.Ledger, s.below.places, s.ledgerSaid); err == nil {
-			s.core.Below(s.below.client)
+			s.core.SetLedger(s.below.client)
 		}
 	}
 	if err != nil {
@@ -45,7 +45,7 @@
 		if r.End != ledger.OK {
 			s.reject(&reject.Caused{Cause: "ledger_" + r.End.String(), Err: r.Detail})
 		}
-		if !s.core.Called(now(), r.Token, r.Outcome, r.Reply) {
+		if !s.core.CallDone(now(), r.Token, r.Outcome, r.Reply) {
 			s.below.late++
 		}
 		s.schedule()
@@ -57,7 +57,7 @@
 	if s.below.client == nil {
 		return nil
 	}
-	f := &figures.Ledger{Out: s.core.Calling(), Late: s.below.late}
+	f := &figures.Ledger{Out: s.core.CallsInFlight(), Late: s.below.late}
 	for _, end := range ledger.Ends() {
 		f.Ends = append(f.Ends, reject.Total{Cause: end.String(), Count: s.below.ends[end]})
 	}
@@ -80,11 +80,13 @@
 // Resume goes on with a paused run.
 func (s *Server) Resume(r *core.Request) { s.link.Resume(r) }
 
-// Feed hands a run the reply to its call.
-func (s *Server) Feed(r *core.Request, reply []byte) { s.link.Reply(r, reply) }
+// Reply hands a run the reply to its call.
+func (s *Server) Reply(r *core.Request, reply []byte) { s.link.Reply(r, reply) }
 
 // Skip lets a run go on without its call.
 func (s *Server) Skip(r *core.Request, notice uint64) { s.link.Skip(r, notice) }
 
 // Needs takes in that a run stands at a call.
-func (s *Server) Needs(r *core.Request, notice uint64, body []byte) { s.core.Needs(r, notice, body) }
+func (s *Server) Needs(r *core.Request, notice uint64, body []byte) {
+	s.core.NeedsCall(r, notice, body)
+}
--- a/internal/server/calls_test.go
+++ b/internal/server/calls_test.go
@@ -179,7 +179,7 @@
 		t.Errorf("%+v, %v after it was due", got, got.At.Sub(due))
 	}
 	k.engine.Over("0000000000000001")
-	k.eventually(t, "its call is given up once the run is over", func() bool { return k.core.Calling() == 0 })
+	k.eventually(t, "its call is given up once the run is over", func() bool { return k.core.CallsInFlight() == 0 })
 }
 
 // A hundred runs stand at calls with few connections: none is lost, each goes on once.
@@ -223,9 +223,9 @@
 	c.Send(1, untold("find", "", 1), "1000*1 a")
 	<-came
 	c.Conn.Close()
-	k.eventually(t, "the call is given up", func() bool { return k.core.Calling() == 0 })
+	k.eventually(t, "the call is given up", func() bool { return k.core.CallsInFlight() == 0 })
 	k.engine.Over("0000000000000001")
-	k.eventually(t, "the run is over", func() bool { n, _ := k.core.Held(); return n == 0 })
+	k.eventually(t, "the run is over", func() bool { n, _ := k.core.Tracked(); return n == 0 })
 }
 
 // The engine's link breaks between NEED and FEED: the reply still reaches the run, once.
@@ -256,7 +256,7 @@
 	c.Send(1, untold("note", "a", 1), "1000*1 a")
 	<-came
 	c.Send(2, append(untold("note", "a", 2), frame.Field{Name: "resent", Value: "1"}), "1000*1 a")
-	k.eventually(t, "the repeat is in", func() bool { return k.core.Counts().Read == 2 })
+	k.eventually(t, "the repeat is in", func() bool { return k.core.Counts().Received == 2 })
 	close(release)
 	for range 2 {
 		if got, _ := c.Next(); got.Code != served || got.Body != "1000*1 a|posted call 0 of 1000*1 a" {
@@ -349,7 +349,7 @@
 	}
 	k.eventually(t, "the engine has stopped it", func() bool { return k.engine.Log().Halted == 1 })
 	k.engine.Over("0000000000000001")
-	k.eventually(t, "its place is free", func() bool { n, _ := k.core.Held(); return n == 0 && k.engine.Open() == 0 })
+	k.eventually(t, "its place is free", func() bool { n, _ := k.core.Tracked(); return n == 0 && k.engine.Open() == 0 })
 }
 
 // A connection may carry requests that state their patience and others that do not.
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -76,7 +76,7 @@
 
 // owing is how long what is owed on a connection may take to go out: callers may
 // say that they wait for a multiple of their class's time.
-func (s *Server) owing() int64 { return core.PatienceMost*s.longest() + s.linger() }
+func (s *Server) owing() int64 { return core.MaxWaitMultiple*s.longest() + s.linger() }
 
 // longest is how long any request may last at most.
 func (s *Server) longest() int64 {
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -113,7 +113,7 @@
 	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
 	c.Conn.Close()
 	began := time.Now()
-	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Gone == 1 && r.callers() == 0 })
+	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Disconnected == 1 && r.callers() == 0 })
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("that took %v", took)
 	}
@@ -197,7 +197,7 @@
 	if err := c.Conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		t.Fatal(err)
 	}
-	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Gone == 1 && r.callers() == 0 })
+	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Disconnected == 1 && r.callers() == 0 })
 }
 
 // Checks, cancels, requests of unknown classes, new connections and half frames
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -70,7 +70,7 @@
 // Hello takes in that the engine is up.
 func (s *Server) Hello(cold bool, up int64) {
 	s.log.Info("engine", zap.Bool("cold", cold), zap.Int64("up_ms", up/1000))
-	s.core.Warmth(cold, now()-up)
+	s.core.SetWarmup(cold, now()-up)
 }
 
 // Done takes in the end of a run.
@@ -79,7 +79,7 @@
 }
 
 // Stats takes in the gauges.
-func (s *Server) Stats(values []float32) { s.core.Gauges(wire.NameGauges(values, s.cfg.Gauges)) }
+func (s *Server) Stats(values []float32) { s.core.SetGauges(wire.NameGauges(values, s.cfg.Gauges)) }
 
 // Tested takes in the end of a deep health check's work.
 func (s *Server) Tested(tag string, ok bool) {
--- a/internal/server/fronts_test.go
+++ b/internal/server/fronts_test.go
@@ -350,7 +350,7 @@
 
 // free says that no connection, request or half-read byte is left.
 func (r *running) free() bool {
-	requests, _ := r.core.Held()
+	requests, _ := r.core.Tracked()
 	return len(r.sessions) == 1 && r.buffered == 0 && requests == 0 && r.webs == 0 && len(r.slots) == len(r.listeners)
 }
 
@@ -368,7 +368,7 @@
 	}
 	r.eventually(t, "all is freed", r.free)
 	r.look(func() {
-		if n := r.core.Counts().Read; n != 0 {
+		if n := r.core.Counts().Received; n != 0 {
 			t.Errorf("%d half-sent requests entered the core", n)
 		}
 	})
@@ -383,9 +383,9 @@
 	r := start(t, engine.Address, "", operator(""))
 	packet := standin.Packet(t, standin.Vars("note", "red", "k", time.Second), "slow one")
 	c := part(t, r, packet, len(packet))
-	r.eventually(t, "the request is in", func() bool { return r.core.Counts().Read == 1 })
+	r.eventually(t, "the request is in", func() bool { return r.core.Counts().Received == 1 })
 	c.Close()
-	r.eventually(t, "the caller is gone", func() bool { return r.core.Counts().Gone == 1 })
+	r.eventually(t, "the caller is gone", func() bool { return r.core.Counts().Disconnected == 1 })
 	// The run goes on, and the next try takes its result.
 	if reply := standin.Post(r.web, packet); reply.Status != 200 || reply.Body != "did slow one" {
 		t.Errorf("next try: %+v", reply)
@@ -523,7 +523,7 @@
 	})
 	r.eventually(t, "all is freed", r.free)
 	r.look(func() {
-		if n := r.core.Counts(); n.Read != whole || n.Served != whole {
+		if n := r.core.Counts(); n.Received != whole || n.Served != whole {
 			t.Errorf("%d whole requests, counts %+v", whole, n)
 		}
 	})
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -38,7 +38,7 @@
 		return
 	}
 	s.reapAt = t + reapEvery
-	after := s.core.IdleAfter()
+	after := s.core.IdleTimeout()
 	if after == 0 {
 		after = s.cfg.Module.IdleAfter
 	}
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	r.eventually(t, "nothing is held", func() bool { n, _ := r.core.Held(); return n == 0 })
+	r.eventually(t, "nothing is held", func() bool { n, _ := r.core.Tracked(); return n == 0 })
 }
 
 // A client that sends what cannot be read again and again is not listened to for ever.
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -39,11 +39,11 @@
 
 func (j journal) Begin(token uint32, r core.Record) { j.w.Put(token, j.s.stored(&r)) }
 func (j journal) End(token uint32, r core.Record)   { j.w.Put(token, j.s.stored(&r)) }
-func (j journal) Never(r core.Record)               { j.w.Delete(j.s.stored(&r)) }
+func (j journal) Delete(r core.Record)              { j.w.Delete(j.s.stored(&r)) }
 
 func (s *Server) stored(r *core.Record) keystore.Record {
-	return keystore.Record{Class: s.cfg.Classes[r.Class], Key: r.Key, Name: r.Name, Arrived: r.Arrived, Guard: r.Guard, Due: r.Due,
-		Sum: r.Sum, Over: r.Over, Outcome: uint8(r.Outcome), Result: r.Result}
+	return keystore.Record{Class: s.cfg.Classes[r.Class], Key: r.Key, Name: r.TryID, Arrived: r.Arrived, Guard: r.WindowEnd, Due: r.Deadline,
+		Sum: r.BodyHash, Over: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result}
 }
 
 // openKeys opens the store and reads what it holds. It blocks.
@@ -83,8 +83,8 @@
 		}
 		// The engine may still run what was begun, or have ended it while nobody listened.
 		waits := !r.Over && r.Name != "" && s.cfg.Backends[class] == ""
-		if run := s.core.Learn(core.Record{Class: class, Key: r.Key, Arrived: r.Arrived, Guard: r.Guard, Sum: r.Sum, Over: !waits,
-			Outcome: kiteslip.Outcome(outcome), Result: r.Result, Name: r.Name, Due: r.Due, Unknown: !r.Over}); run != nil {
+		if run := s.core.ImportRecord(core.Record{Class: class, Key: r.Key, Arrived: r.Arrived, WindowEnd: r.Guard, BodyHash: r.Sum, Finished: !waits,
+			Outcome: kiteslip.Outcome(outcome), Result: r.Result, TryID: r.Name, Deadline: r.Due, OutcomeUnknown: !r.Over}); run != nil {
 			s.link.Await(run)
 		}
 	}
@@ -97,7 +97,7 @@
 			s.schedule()
 		})
 	})
-	s.core.Keep(journal{s, s.keys.worker}, s.cfg.Keys.Unsafe)
+	s.core.SetJournal(journal{s, s.keys.worker}, s.cfg.Keys.Unsafe)
 	s.log.Info("keys are kept", zap.String("folder", s.cfg.Keys.Folder), zap.Int("restored", s.keys.restored),
 		zap.Int("unknown", s.keys.unknown), zap.Int64("shift_ms", store.Shift()/1000))
 }
@@ -106,7 +106,7 @@
 // folder that can't be used ends the start, unless the operator wants to go on
 // without it.
 func (s *Server) keepKeys() error {
-	if s.cfg.Keys.Folder == "" || !s.core.Owner() {
+	if s.cfg.Keys.Folder == "" || !s.core.OwnsKeys() {
 		return nil
 	}
 	store, records, err := s.openKeys()
@@ -116,11 +116,11 @@
 		}
 		s.keys.failed = err
 		s.log.Error("keys are not kept, and go on in memory", zap.Error(err))
-		s.core.Own(now() + s.core.Window()) // what an earlier life ran is not known here
+		s.core.AcquireKeys(now() + s.core.MaxWindow()) // what an earlier life ran is not known here
 		return nil
 	}
 	if u := &s.handing; s.wroteAll(store, u.doubt) {
-		s.core.Own(0)
+		s.core.AcquireKeys(0)
 	}
 	s.restore(store, records)
 	return nil
@@ -131,7 +131,7 @@
 // anything without a record.
 func (s *Server) wroteAll(store *keystore.Store, doubt int64) bool {
 	last := store.Last().Wall
-	return doubt != 0 && last != 0 && last+keysFresh >= doubt-s.core.Window() && !s.cfg.Keys.Unsafe
+	return doubt != 0 && last != 0 && last+keysFresh >= doubt-s.core.MaxWindow() && !s.cfg.Keys.Unsafe
 }
 
 // ownKeys takes the keys over while the server runs: the store is opened beside
@@ -165,7 +165,7 @@
 		s.keys.failed = err
 		s.log.Error("keys are not kept", zap.Error(err))
 		if s.cfg.Keys.Unsafe {
-			s.owned(max(doubt, now()+s.core.Window()))
+			s.owned(max(doubt, now()+s.core.MaxWindow()))
 		}
 		return // keyed requests fail: what ran is not known
 	}
@@ -188,7 +188,7 @@
 	go func() {
 		<-done
 		s.onLoop(func() {
-			s.core.Keep(nil, false)
+			s.core.SetJournal(nil, false)
 			then()
 		})
 	}()
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -224,7 +224,7 @@
 	other := standin.NewEngine(t, standin.Echo(20*time.Millisecond))
 	next := launch(t, s.process(t, other.Address, keysFile(folder)))
 	next.ready(t)
-	next.eventually(t, "it owns the keys and keeps them", func() bool { return next.core.Owner() && next.keys.worker != nil })
+	next.eventually(t, "it owns the keys and keeps them", func() bool { return next.core.OwnsKeys() && next.keys.worker != nil })
 	old.look(func() {
 		if old.keys.worker != nil {
 			t.Error("the old process still has the store")
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -127,7 +127,7 @@
 	if !ch.Whole && s.stopAt != 0 {
 		err = errLeaving
 	} else {
-		err = s.core.Retune(next.Module, next.ClassesOff, ch.Pools)
+		err = s.core.Reconfigure(next.Module, next.ClassesOff, ch.Pools)
 	}
 	if err != nil {
 		if ch.Whole {
--- a/internal/server/round.go
+++ b/internal/server/round.go
@@ -35,7 +35,7 @@
 	}
 	s.scheduled = false
 	t := now()
-	requests, _ := s.core.Held()
+	requests, _ := s.core.Tracked()
 	if requests > 0 && t >= s.statAt {
 		s.statAt = t + gaugeEvery
 		s.link.Stat()
@@ -62,7 +62,7 @@
 // arm sets the timer for the next thing that time brings.
 func (s *Server) arm() {
 	next := s.reportAt
-	if at := s.core.Next(); at != 0 {
+	if at := s.core.NextStep(); at != 0 {
 		next = min(next, at)
 	}
 	if s.stopAt != 0 {
@@ -124,11 +124,11 @@
 
 func (s *Server) status() {
 	n := s.core.Counts()
-	requests, keys := s.core.Held()
-	s.log.Info("totals", zap.Int("read", n.Read), zap.Int("served", n.Served), zap.Int("refused", n.Refused),
-		zap.Int("failed", n.Failed), zap.Int("gone", n.Gone), zap.Int("guarded", n.Guarded),
+	requests, keys := s.core.Tracked()
+	s.log.Info("totals", zap.Int("read", n.Received), zap.Int("served", n.Served), zap.Int("refused", n.Refused),
+		zap.Int("failed", n.Failed), zap.Int("gone", n.Disconnected), zap.Int("guarded", n.PolicyViolations),
 		zap.Int("in_hand", requests), zap.Int("keys", keys), zap.Int("connections", len(s.sessions)),
-		zap.Int("calling", s.core.Calling()), s.rejectedFields())
+		zap.Int("calling", s.core.CallsInFlight()), s.rejectedFields())
 }
 
 // gather writes the parts in as few system calls as they fit into, and
--- a/internal/server/session.go
+++ b/internal/server/session.go
@@ -70,7 +70,7 @@
 	f.s.lingered(&f.closing)
 	f.s.leaveSlot()
 	for _, r := range f.open {
-		f.s.core.Gone(r)
+		f.s.core.Disconnected(r)
 	}
 	clear(f.open)
 	for tag, c := range f.s.checks {
@@ -140,7 +140,7 @@
 	case frame.Cancel:
 		if r := f.open[fr.Stream]; r != nil {
 			delete(f.open, fr.Stream)
-			f.s.core.Gone(r)
+			f.s.core.Disconnected(r)
 		}
 	case frame.Check:
 		return f.health(fr)
@@ -166,9 +166,9 @@
 	f.highest = fr.Stream
 	r, err := frame.ParseRequest(fr.Payload, f.s.names)
 	if err == nil {
-		r.Stream, r.From = fr.Stream, f
+		r.Stream, r.ReplyTo = fr.Stream, f
 		f.open[fr.Stream] = r
-		err = f.s.core.Arrive(now(), r)
+		err = f.s.core.Submit(now(), r)
 	}
 	if err != nil {
 		delete(f.open, fr.Stream)
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -78,13 +78,13 @@
 	}
 	last := t >= s.lastAt
 	if last {
-		if n := s.core.Conclude(); n > 0 {
+		if n := s.core.AnswerOutstanding(); n > 0 {
 			s.log.Warn("answered at the last moment", zap.Int("requests", n))
 		}
 		s.flush()
 	}
 	listened := s.stopping.Load() && s.accepting == 0 && s.entering.Load() == 0
-	if s.partedAt == 0 && (last || listened && s.core.Owed() == 0 && s.unsent() == 0 && s.emptied()) {
+	if s.partedAt == 0 && (last || listened && s.core.Outstanding() == 0 && s.unsent() == 0 && s.emptied()) {
 		s.partedAt = t
 	}
 	if s.partedAt == 0 {
@@ -97,11 +97,11 @@
 		}
 		open++
 	}
-	if s.core.Owed() > 0 && !last { // a request crossed the end of our side
+	if s.core.Outstanding() > 0 && !last { // a request crossed the end of our side
 		s.partedAt = 0
 		return
 	}
-	if open == 0 && s.core.Owed() == 0 || t >= s.partedAt+lingerClose && s.core.Owed() == 0 && s.parted() || t >= s.exitAt {
+	if open == 0 && s.core.Outstanding() == 0 || t >= s.partedAt+lingerClose && s.core.Outstanding() == 0 && s.parted() || t >= s.exitAt {
 		s.over.Store(true)
 		s.status()
 		s.done <- nil
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -242,7 +242,7 @@
 			c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
 			c.Send(2, standin.Fields("note", "red", "k", 2, 3*time.Second), "b")
 			r := &running{Server: s}
-			r.eventually(t, "both are read", func() bool { return s.core.Owed() == 2 })
+			r.eventually(t, "both are read", func() bool { return s.core.Outstanding() == 2 })
 			stop <- Notice{syscall.SIGTERM, at}
 			if _, refused, failed, _ := count(rest(c)); refused+failed != 2 {
 				t.Errorf("%d of 2 answered", refused+failed)
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -10,8 +10,8 @@
 // The words of the answer log, one for each code and cause.
 var (
 	codeWords  = [...]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed"}
-	causeWords = [...]string{core.GivenUp: "given_up", core.Overdue: "overdue", core.RunFailed: "run_failed",
-		core.InDoubt: "in_doubt", core.Unknown: "unknown"}
+	causeWords = [...]string{core.Abandoned: "given_up", core.DeadlineExceeded: "overdue", core.RunFailed: "run_failed",
+		core.InDoubt: "in_doubt", core.OutcomeUnknown: "unknown"}
 )
 
 // word is the name of i in words, or "?" where there is none.
@@ -31,18 +31,18 @@
 		return
 	}
 	fields := make([]zap.Field, 0, 14)
-	fields = append(fields, zap.String("front", front), zap.String("req", r.Name), zap.String("class", s.className(r.Class)),
-		zap.String("code", word(codeWords[:], a.Code)), zap.Int64("arrived", r.Arrived/1000), zap.Int64("due", r.Due/1000),
+	fields = append(fields, zap.String("front", front), zap.String("req", r.TryID), zap.String("class", s.className(r.Class)),
+		zap.String("code", word(codeWords[:], a.Code)), zap.Int64("arrived", r.Arrived/1000), zap.Int64("due", r.Deadline/1000),
 		zap.Int64("at", now()/1000), zap.Int("via", r.Caller), zap.Int("team", r.Tenant))
 	if r.Key != "" {
 		fields = append(fields, zap.String("opkey", r.Key))
 	}
-	if r.Again {
+	if r.Retry {
 		fields = append(fields, zap.Bool("resent", true))
 	}
 	switch a.Code {
 	case core.Refused:
-		fields = append(fields, zap.Int64("hold_off_ms", a.HoldOff/1000), zap.Bool("no_more", a.NoMore))
+		fields = append(fields, zap.Int64("hold_off_ms", a.RetryAfter/1000), zap.Bool("no_more", a.NoFailover))
 	case core.Failed:
 		fields = append(fields, zap.String("cause", word(causeWords[:], a.Cause)))
 	}
--- a/internal/server/trace_test.go
+++ b/internal/server/trace_test.go
@@ -15,8 +15,8 @@
 // ended; at info there is none.
 func TestTraceAnswer(t *testing.T) {
 	t.Parallel()
-	keyed := &core.Request{Name: "9b1f03aa5c7e2d41", Class: 1, Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Arrived: 1764576000123000, Due: 1764576000603000}
-	read := &core.Request{Name: "00000000000000aa", Class: 0, Arrived: 1764576000123000, Due: 1764576000603000}
+	keyed := &core.Request{TryID: "9b1f03aa5c7e2d41", Class: 1, Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Arrived: 1764576000123000, Deadline: 1764576000603000}
+	read := &core.Request{TryID: "00000000000000aa", Class: 0, Arrived: 1764576000123000, Deadline: 1764576000603000}
 	for _, c := range []struct {
 		name   string
 		r      *core.Request
@@ -27,7 +27,7 @@
 		{"served with its key", keyed, core.Answer{Code: core.Served},
 			map[string]any{"req": "9b1f03aa5c7e2d41", "class": "note", "code": "served", "opkey": keyed.Key, "arrived": int64(1764576000123),
 				"due": int64(1764576000603)}, []string{"cause", "hold_off_ms"}},
-		{"refused with advice", read, core.Answer{Code: core.Refused, HoldOff: 250_000, NoMore: true},
+		{"refused with advice", read, core.Answer{Code: core.Refused, RetryAfter: 250_000, NoFailover: true},
 			map[string]any{"class": "look", "code": "refused", "hold_off_ms": int64(250), "no_more": true}, []string{"opkey", "cause"}},
 		{"failed in doubt", keyed, core.Answer{Code: core.Failed, Cause: core.InDoubt},
 			map[string]any{"code": "failed", "cause": "in_doubt"}, []string{"hold_off_ms"}},
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -99,7 +99,7 @@
 		u.peer = nil
 		p.s.log.Info("the other process is gone", zap.Bool("newer", p.newer))
 		p.s.core.PeerLost()
-		p.s.core.Beside(0, 0)
+		p.s.core.SetPeerLoad(0, 0)
 		p.s.unshare()
 		p.s.schedule()
 	}
@@ -146,7 +146,7 @@
 		if class, known = s.keyed[m.Text]; !known { // a class that only the other one has
 			switch m.Kind {
 			case handover.Claim:
-				p.Had(m.ID, kiteslip.Failed, nil)
+				p.Deny(m.ID, kiteslip.Failed, nil)
 			case handover.Record:
 				if u.records++; u.records > recordsMost {
 					return errOrder
@@ -161,26 +161,26 @@
 	}
 	switch m.Kind {
 	case handover.Record:
-		if p.newer || s.core.Owner() || u.records >= recordsMost {
+		if p.newer || s.core.OwnsKeys() || u.records >= recordsMost {
 			return errOrder
 		}
 		u.records++
-		s.core.Learn(record(class, m))
+		s.core.ImportRecord(record(class, m))
 	case handover.Yours:
-		if p.newer || s.core.Owner() {
+		if p.newer || s.core.OwnsKeys() {
 			return errOrder
 		}
 		s.own(m.Guard)
 	case handover.Claim:
 		s.core.Claimed(m.ID, class, m.Key, m.Arrived, m.Sum)
 	case handover.Ended:
-		s.core.Ended(class, m.Key, m.Arrived, kiteslip.Outcome(m.Outcome), m.Result)
+		s.core.PeerRunEnded(class, m.Key, m.Arrived, kiteslip.Outcome(m.Outcome), m.Result)
 	case handover.Grant:
 		s.core.Granted(now(), m.ID)
 	case handover.Had:
-		s.core.Had(m.ID, kiteslip.Outcome(m.Outcome), m.Result)
+		s.core.Denied(m.ID, kiteslip.Outcome(m.Outcome), m.Result)
 	case handover.Load:
-		s.core.Beside(int(m.Runs), float64(m.KB))
+		s.core.SetPeerLoad(int(m.Runs), float64(m.KB))
 	}
 	s.schedule()
 	return nil
@@ -196,7 +196,7 @@
 			if u.peer == nil && !m.Over { // its end was told to nobody
 				m.Over, m.Outcome = true, uint8(kiteslip.Failed)
 			}
-			s.core.Learn(record(class, &m))
+			s.core.ImportRecord(record(class, &m))
 		}
 		return known || m.Guard < t
 	})
@@ -204,7 +204,7 @@
 
 // record is a key as the old process tells of it.
 func record(class int, m *handover.Message) core.Record {
-	return core.Record{Class: class, Key: m.Key, Arrived: m.Arrived, Guard: m.Guard, Sum: m.Sum, Over: m.Over,
+	return core.Record{Class: class, Key: m.Key, Arrived: m.Arrived, WindowEnd: m.Guard, BodyHash: m.Sum, Finished: m.Over,
 		Outcome: kiteslip.Outcome(m.Outcome), Result: m.Result}
 }
 
@@ -258,13 +258,13 @@
 // Grant lets a request of the other process start.
 func (p *peerConn) Grant(id uint32) { p.send(&handover.Message{Kind: handover.Grant, ID: id}) }
 
-// Had says what became of the key of one that may not.
-func (p *peerConn) Had(id uint32, outcome kiteslip.Outcome, result []byte) {
+// Deny says what became of the key of one that may not.
+func (p *peerConn) Deny(id uint32, outcome kiteslip.Outcome, result []byte) {
 	p.send(&handover.Message{Kind: handover.Had, ID: id, Outcome: uint8(outcome), Result: result})
 }
 
-// Ended reports the end of a run of which the other process keeps the record.
-func (p *peerConn) Ended(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
+// RunEnded reports the end of a run of which the other process keeps the record.
+func (p *peerConn) RunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
 	p.send(&handover.Message{Kind: handover.Ended, Text: p.s.cfg.Classes[class], Key: key, Arrived: arrived,
 		Outcome: uint8(outcome), Result: result})
 }
@@ -281,11 +281,11 @@
 	if u.place, err = handover.NewPlace(cmp.Or(s.cfg.Meeting, os.TempDir()), s.cfg.Name); err != nil {
 		return err
 	}
-	s.core.Disown(nil)
+	s.core.ReleaseKeys(nil)
 	if u.dialed = u.place.Dial(); u.dialed == nil {
 		if u.place.Own() {
 			u.doubt = s.doubtSince(u.place.Last())
-			s.core.Own(u.doubt)
+			s.core.AcquireKeys(u.doubt)
 		}
 		return nil
 	}
@@ -302,7 +302,7 @@
 func (s *Server) begin() {
 	s.timer = time.AfterFunc(time.Hour, func() { s.onLoop(s.round) })
 	u := &s.handing
-	if u.dialed == nil && s.core.Owner() {
+	if u.dialed == nil && s.core.OwnsKeys() {
 		s.admit() // there is no old process
 	}
 	if u.dialed != nil {
@@ -328,7 +328,7 @@
 	if last.IsZero() {
 		return 0
 	}
-	return last.UnixMicro() + s.core.Window()
+	return last.UnixMicro() + s.core.MaxWindow()
 }
 
 // own takes the keys over, if no other process has them.
@@ -342,9 +342,9 @@
 // owned makes the keys this process's, with the store open if there is one.
 func (s *Server) owned(doubt int64) {
 	s.log.Info("the keys are owned here", zap.Int64("doubt_ms", max(0, (doubt-now())/1000)))
-	s.core.Own(doubt)
+	s.core.AcquireKeys(doubt)
 	if p := s.handing.peer; p != nil {
-		s.core.Meet(p)
+		s.core.SetPeer(p)
 	}
 	s.await()
 	s.schedule()
@@ -355,12 +355,12 @@
 func (s *Server) give() {
 	u := &s.handing
 	p := u.waiting
-	if p == nil || u.peer != nil || !s.core.Owner() {
+	if p == nil || u.peer != nil || !s.core.OwnsKeys() {
 		return
 	}
 	u.waiting, u.peer, u.handed = nil, p, true
 	s.share()
-	doubt := s.core.Disown(p)
+	doubt := s.core.ReleaseKeys(p)
 	if err := u.place.Disown(); err != nil {
 		s.log.Error("upgrade", zap.Error(err))
 	}
@@ -380,8 +380,8 @@
 	}
 	for len(p.table) > 0 && len(p.out)+p.conn.OutboundBuffered() < tableAtOnce {
 		r := &p.table[0]
-		p.put(&handover.Message{Kind: handover.Record, Text: p.s.cfg.Classes[r.Class], Key: r.Key, Arrived: r.Arrived, Guard: r.Guard,
-			Sum: r.Sum, Over: r.Over, Outcome: uint8(r.Outcome), Result: r.Result})
+		p.put(&handover.Message{Kind: handover.Record, Text: p.s.cfg.Classes[r.Class], Key: r.Key, Arrived: r.Arrived, Guard: r.WindowEnd,
+			Sum: r.BodyHash, Over: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result})
 		p.table = p.table[1:]
 	}
 	if len(p.table) == 0 {
@@ -406,7 +406,7 @@
 	}
 	if u.peer != nil && t >= u.loadAt {
 		u.loadAt = t + loadEvery
-		runs, kb := s.core.OnEngine()
+		runs, kb := s.core.EngineLoad()
 		u.peer.send(&handover.Message{Kind: handover.Load, Runs: uint32(runs), KB: uint32(kb)})
 	}
 	if u.peer != nil && t-u.peer.heardAt > silentPeer {
@@ -414,8 +414,8 @@
 		hangUp(u.peer.conn)
 	}
 	s.reserve()
-	if !u.admitted && s.stopAt == 0 && (s.core.Owner() && s.link.Ready() || s.core.Owner() && t-u.began > engineWithin ||
-		!s.core.Owner() && t-u.began > tableWithin) {
+	if !u.admitted && s.stopAt == 0 && (s.core.OwnsKeys() && s.link.Ready() || s.core.OwnsKeys() && t-u.began > engineWithin ||
+		!s.core.OwnsKeys() && t-u.began > tableWithin) {
 		s.admit()
 	}
 }
@@ -426,7 +426,7 @@
 	u := &s.handing
 	switch {
 	case u.place == nil:
-	case s.core.Owner():
+	case s.core.OwnsKeys():
 		if err := u.place.Touch(); err != nil {
 			s.log.Warn("upgrade", zap.Error(err))
 		}
@@ -437,7 +437,7 @@
 		}
 		if u.place.Own() {
 			u.handed = false
-			s.own(t + s.core.Window())
+			s.own(t + s.core.MaxWindow())
 		} else if !u.handed && !u.dialing {
 			u.dialing = true // the owner may hear us by now
 			go s.redial()
@@ -472,14 +472,14 @@
 		go s.accept(l)
 	}
 	s.log.Info("serving", zap.String("name", s.cfg.Name), zap.String("listen", s.cfg.Listen),
-		zap.String("uwsgi", s.cfg.UWSGI.Listen), zap.Bool("keys", s.core.Owner()))
+		zap.String("uwsgi", s.cfg.UWSGI.Listen), zap.Bool("keys", s.core.OwnsKeys()))
 }
 
 // await makes this process the one that the next meets, once it takes clients
 // and has keys to hand over; anew, where another has taken the name and died.
 func (s *Server) await() {
 	u := &s.handing
-	if u.place == nil || !u.admitted || !s.core.Owner() {
+	if u.place == nil || !u.admitted || !s.core.OwnsKeys() {
 		return
 	}
 	if u.listener != nil {
@@ -514,7 +514,7 @@
 }
 
 // replaced says whether another process has taken our place and lives.
-func (s *Server) replaced() bool { return s.handing.handed && !s.core.Owner() }
+func (s *Server) replaced() bool { return s.handing.handed && !s.core.OwnsKeys() }
 
 // handOff takes in SIGTERM where another process has our place: it is no
 // notice to drain. Callers are sent to new connections, which the other one
@@ -527,7 +527,7 @@
 	s.leaving = leavingTimes(t, min(longest, leaveMost)+leaveRest, 0)
 	s.closeAt = t
 	s.log.Info("leaving to the other process", zap.Int64("stop_ms", (s.stopAt-t)/1000))
-	s.core.Leave(s.stopAt)
+	s.core.HandedOver(s.stopAt)
 	s.round()
 }
 
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -266,12 +266,12 @@
 	c.Next()
 	young := launch(t, at.process(t, "127.0.0.1:1", "")) // its engine never answers, so it takes no clients
 	old.eventually(t, "the keys are handed over", func() bool { return old.handing.handed })
-	young.eventually(t, "the keys are owned", young.core.Owner)
+	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
 	young.look(func() { // its death, as the system makes it
 		young.handing.place.Disown() //nolint:errcheck // as above
 		hangUp(young.handing.peer.conn)
 	})
-	old.eventually(t, "the keys are back", func() bool { return old.core.Owner() && !old.handing.handed })
+	old.eventually(t, "the keys are back", func() bool { return old.core.OwnsKeys() && !old.handing.handed })
 	c.Send(2, standin.Fields("note", "red", "had", 2, 3*time.Second), "had")
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Errorf("a known key: %+v", got)
@@ -290,7 +290,7 @@
 	third := launch(t, at.process(t, standin.NewEngine(t, work).Address, "")) // finds the old one, whose name the dead one took
 	third.ready(t)
 	third.look(func() {
-		if !third.core.Owner() || third.core.Disown(nil) == 0 {
+		if !third.core.OwnsKeys() || third.core.ReleaseKeys(nil) == 0 {
 			t.Error("the keys, or the doubt about some, do not pass on")
 		}
 	})
@@ -314,7 +314,7 @@
 	young := launch(t, at.process(t, standin.NewEngine(t, work).Address, ""))
 	stuck.Close()
 	old.look(old.await)
-	young.eventually(t, "the keys are owned", young.core.Owner)
+	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
 	young.ready(t)
 	d := young.open(t)
 	d.Send(1, standin.Fields("note", "red", "key", 2, 3*time.Second), "once")
@@ -349,7 +349,7 @@
 		t.Errorf("a read: %+v", got)
 	}
 	old.look(func() { old.handing.place.Disown() }) //nolint:errcheck // its death
-	young.eventually(t, "the keys are owned", young.core.Owner)
+	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
 	if engine.Runs()["key"] != 0 {
 		t.Error("a key in doubt ran")
 	}
@@ -376,7 +376,7 @@
 		c.Close()
 	}
 	old.look(func() {
-		if !old.core.Owner() || old.handing.peer != nil || old.handing.waiting != nil {
+		if !old.core.OwnsKeys() || old.handing.peer != nil || old.handing.waiting != nil {
 			t.Error("a stranger has taken the keys")
 		}
 	})
@@ -408,7 +408,7 @@
 	old.look(func() {
 		result := make([]byte, frame.MaxResult)
 		for i := range keys {
-			old.core.Learn(core.Record{Class: 2, Key: fmt.Sprint("key", i), Arrived: now(), Guard: now() + 60_000_000, Over: true,
+			old.core.ImportRecord(core.Record{Class: 2, Key: fmt.Sprint("key", i), Arrived: now(), WindowEnd: now() + 60_000_000, Finished: true,
 				Outcome: kiteslip.OK, Result: result})
 		}
 	})
@@ -421,7 +421,7 @@
 	}
 	young.ready(t)
 	young.look(func() {
-		if _, n := young.core.Held(); n != keys+1 {
+		if _, n := young.core.Tracked(); n != keys+1 {
 			t.Errorf("%d keys of %d have come", n, keys+1)
 		}
 	})
--- a/internal/server/web.go
+++ b/internal/server/web.go
@@ -53,7 +53,7 @@
 	f.s.lingered(&f.closing)
 	f.s.leaveSlot()
 	if f.waits && !f.answered {
-		f.s.core.Gone(f.request)
+		f.s.core.Disconnected(f.request)
 	}
 	f.request = nil
 }
@@ -113,10 +113,10 @@
 	r := f.request
 	f.s.webID++
 	// Not 16 hex digits: guards against a name that a caller of the other front has chosen.
-	r.Name = fmt.Sprintf("w%015x", f.s.webID)
-	r.Body, r.Stream, r.From = body, 1, f
+	r.TryID = fmt.Sprintf("w%015x", f.s.webID)
+	r.Body, r.Stream, r.ReplyTo = body, 1, f
 	f.waits = true
-	if err := f.s.core.Arrive(now(), r); err != nil {
+	if err := f.s.core.Submit(now(), r); err != nil {
 		f.waits = false
 		f.refuse(&uwsgi.Problem{Status: http.StatusBadRequest, Reason: err.Error()})
 	}
@@ -133,8 +133,8 @@
 	f.s.traceAnswer("uwsgi", f.request, a)
 	status, retryAfter := uwsgi.Status(&a)
 	body := a.Result
-	if a.Code == core.Failed && a.Cause == core.Unknown {
-		body = []byte(core.UnknownText)
+	if a.Code == core.Failed && a.Cause == core.OutcomeUnknown {
+		body = []byte(core.OutcomeUnknownText)
 	}
 	f.respond(status, retryAfter, body)
 }
@@ -231,7 +231,7 @@
 
 // call runs r at the uwsgi server at address.
 func (s *Server) call(address string, r *core.Request) {
-	b := &backendConn{s: s, r: r, began: now(), until: r.Due}
+	b := &backendConn{s: s, r: r, began: now(), until: r.Deadline}
 	if class := &s.cfg.Module.Classes[r.Class]; class.Effect == kiteslip.Keyed {
 		// Another try may yet want the result, and none may run beside this one.
 		b.until = max(b.until, r.Arrived+class.Window)
@@ -272,7 +272,7 @@
 		{Name: uwsgi.VarLength, Value: strconv.Itoa(len(r.Body))},
 		{Name: uwsgi.VarClass, Value: cfg.Classes[r.Class]},
 		{Name: uwsgi.VarStamp, Value: strconv.FormatInt(r.Arrived/1000, 10)},
-		{Name: uwsgi.VarTimeout, Value: strconv.FormatInt((r.Due-r.Arrived)/1000, 10)},
+		{Name: uwsgi.VarTimeout, Value: strconv.FormatInt((r.Deadline-r.Arrived)/1000, 10)},
 	}
 	if len(cfg.Tenants) > 0 {
 		vars = append(vars, uwsgi.Var{Name: uwsgi.VarTenant, Value: cfg.Tenants[r.Tenant]})
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -83,7 +83,7 @@
 		case VarWork:
 			var ms float64
 			ms, ok = decimal(text, maxTimeout)
-			r.Hint = int64(ms * 1000)
+			r.ExpectedWork = int64(ms * 1000)
 		case VarRank:
 			r.Rank, ok = decimal(text, 1)
 		case VarLength:
@@ -128,7 +128,7 @@
 	r.Write = contract.Keyed
 	r.SizeKB = contract.HeldKB
 	if timeout >= 0 { // else it is untold, and the core sets it by the class
-		r.Due = max(1, r.Arrived+min(contract.Deadline, timeout*1000))
+		r.Deadline = max(1, r.Arrived+min(contract.Deadline, timeout*1000))
 	}
 	return r, length, nil
 }
--- a/internal/uwsgi/response.go
+++ b/internal/uwsgi/response.go
@@ -28,8 +28,8 @@
 	case a.Code == core.Served:
 		return http.StatusOK, 0
 	case a.Code == core.Refused:
-		return http.StatusServiceUnavailable, int(max(1, (a.HoldOff+999_999)/1_000_000))
-	case a.Cause == core.Overdue:
+		return http.StatusServiceUnavailable, int(max(1, (a.RetryAfter+999_999)/1_000_000))
+	case a.Cause == core.DeadlineExceeded:
 		return http.StatusGatewayTimeout, 0
 	case a.Cause == core.RunFailed:
 		return http.StatusBadGateway, 0
--- a/internal/uwsgi/uwsgi_test.go
+++ b/internal/uwsgi/uwsgi_test.go
@@ -76,11 +76,11 @@
 	r, length, p := parse(t, Var{VarPath, "/a/note/1"}, Var{VarTenant, "blue"}, Var{VarKey, "k"}, Var{VarLength, "20"},
 		Var{VarStamp, "4000"}, Var{VarTimeout, "500"}, Var{VarWork, "2.5"}, Var{VarRank, "0.5"}, Var{VarSubject, "ff"}, Var{"OTHER", "x"})
 	if p != nil || length != 20 || r.Class != 1 || r.Tenant != 1 || r.Key != "k" || !r.Write || r.Arrived != 4_000_000 ||
-		r.Due != 4_500_000 || r.Hint != 2500 || r.Rank != 0.5 || r.Subject != 255 || r.SizeKB != 8 {
+		r.Deadline != 4_500_000 || r.ExpectedWork != 2500 || r.Rank != 0.5 || r.Subject != 255 || r.SizeKB != 8 {
 		t.Errorf("%+v, %d, %v", r, length, p)
 	}
 	// Nobody can wait longer than the contract says.
-	if r, _, p = parse(t, Var{VarClass, "look"}, Var{VarTenant, "red"}, Var{VarTimeout, "9000"}); p != nil || r.Due != 9_000_000 {
+	if r, _, p = parse(t, Var{VarClass, "look"}, Var{VarTenant, "red"}, Var{VarTimeout, "9000"}); p != nil || r.Deadline != 9_000_000 {
 		t.Errorf("%+v, %v", r, p)
 	}
 	for _, path := range []string{"", "/b", "/ab"} {
@@ -130,8 +130,8 @@
 	}{
 		{core.Answer{Code: core.Served}, 200, 0},
 		{core.Answer{Code: core.Refused}, 503, 1},
-		{core.Answer{Code: core.Refused, HoldOff: 1_000_001}, 503, 2},
-		{core.Answer{Code: core.Failed, Cause: core.Overdue}, 504, 0},
+		{core.Answer{Code: core.Refused, RetryAfter: 1_000_001}, 503, 2},
+		{core.Answer{Code: core.Failed, Cause: core.DeadlineExceeded}, 504, 0},
 		{core.Answer{Code: core.Failed, Cause: core.RunFailed}, 502, 0},
 		{core.Answer{Code: core.Failed}, 500, 0},
 	} {
