--- a/cmd/kiteslip/keys.go
+++ b/cmd/kiteslip/keys.go
@@ -52,9 +52,9 @@
 	over, begun, ended, results := 0, 0, 0, 0
 	err = store.Each(0, func(r keystore.Record) error {
 		switch {
-		case r.Guard < now.UnixMicro():
+		case r.WindowEnd < now.UnixMicro():
 			over++
-		case r.Over:
+		case r.Finished:
 			ended++
 			results += len(r.Result)
 		default:
@@ -66,12 +66,12 @@
 		return err
 	}
 	last := "never"
-	if m := store.Last(); m.Wall != 0 {
+	if m := store.LastUsed(); m.Wall != 0 {
 		last = time.UnixMicro(m.Wall).UTC().Format(time.RFC3339)
 	}
-	fmt.Fprintf(w, "last written %s; windows are %d ms longer for jumps of the clock\n", last, store.Shift()/1000)
+	fmt.Fprintf(w, "last written %s; windows are %d ms longer for jumps of the clock\n", last, store.WindowExtension()/1000)
 	fmt.Fprintf(w, "%d keys with a result (%d bytes), %d begun without an end, %d whose window has ended; %d KB on disk\n",
-		ended, results, begun, over, store.Bytes()/1024)
+		ended, results, begun, over, store.DiskBytes()/1024)
 	return nil
 }
 
@@ -95,13 +95,13 @@
 	out := json.NewEncoder(w)
 	return c.each(func(r keystore.Record) error {
 		state := "begun"
-		if r.Over {
+		if r.Finished {
 			if state = outcomes[r.Outcome]; state == "" {
 				state = fmt.Sprint("outcome ", r.Outcome)
 			}
 		}
-		return out.Encode(map[string]any{"class": r.Class, "key": r.Key, "state": state, "try": r.Name, "arrived_us": r.Arrived,
-			"until_us": r.Guard, "result": r.Result})
+		return out.Encode(map[string]any{"class": r.Class, "key": r.Key, "state": state, "try": r.TryID, "arrived_us": r.Arrived,
+			"until_us": r.WindowEnd, "result": r.Result})
 	})
 }
 
@@ -113,13 +113,13 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
-	before := store.Bytes()
-	if err = store.Age(time.Now().UnixMicro()); err != nil {
+	before := store.DiskBytes()
+	if err = store.DeleteExpired(time.Now().UnixMicro()); err != nil {
 		return err
 	}
 	if err = store.Compact(); err != nil {
 		return err
 	}
-	fmt.Printf("%d KB, were %d KB\n", store.Bytes()/1024, before/1024)
+	fmt.Printf("%d KB, were %d KB\n", store.DiskBytes()/1024, before/1024)
 	return nil
 }
--- a/cmd/kiteslip/keys_test.go
+++ b/cmd/kiteslip/keys_test.go
@@ -120,16 +120,16 @@
 func TestKeysTools(t *testing.T) {
 	folder := t.TempDir()
 	now := time.Now().UnixMicro()
-	s, err := keystore.Open(keystore.Options{Folder: folder, Now: keystore.Moment{Wall: now, Up: 1, Boot: 1}})
+	s, err := keystore.Open(keystore.Options{Folder: folder, Now: keystore.ClockReading{Wall: now, Uptime: 1, BootID: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	put := func(key string, until int64, over bool) {
-		r := keystore.Record{Class: "note", Key: key, Name: "n", Arrived: now, Guard: until, Over: over}
+		r := keystore.Record{Class: "note", Key: key, TryID: "n", Arrived: now, WindowEnd: until, Finished: over}
 		if over {
 			r.Outcome, r.Result = 1, []byte("result of "+key)
 		}
-		if err := s.Commit(keystore.Moment{Wall: now, Up: 2, Boot: 1}, []keystore.Op{{Put: r}}); err != nil {
+		if err := s.Commit(keystore.ClockReading{Wall: now, Uptime: 2, BootID: 1}, []keystore.Op{{Record: r}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/keystore/record.go
+++ b/internal/keystore/record.go
@@ -12,16 +12,16 @@
 
 // Record is what is kept of one key. Times are microseconds since the epoch.
 type Record struct {
-	Class   string
-	Key     string
-	Name    string // of the try that ran, to the engine
-	Arrived int64  // of that try
-	Guard   int64  // no other try that arrived up to then may run
-	Due     int64  // of that try
-	Sum     uint64 // of the body
-	Over    bool   // its end is known
-	Outcome uint8  // ... and this is it
-	Result  []byte
+	Class     string
+	Key       string
+	TryID     string // of the try that ran, to the engine
+	Arrived   int64  // of that try
+	WindowEnd int64  // no other try that arrived up to then may run
+	Deadline  int64  // of that try
+	BodyHash  uint64 // of the body
+	Finished  bool   // its end is known
+	Outcome   uint8  // ... and this is it
+	Result    []byte
 }
 
 // stored is the form on disk. Fields are numbered: a field is never used for
@@ -53,8 +53,8 @@
 	recordPrefix = 'r'
 )
 
-// ErrRecord says that what is stored is no record of this program.
-var ErrRecord = errors.New("keystore: not a record")
+// ErrInvalidRecord says that what is stored is no record of this program.
+var ErrInvalidRecord = errors.New("keystore: not a record")
 
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 4, MaxMapPairs: 64, MaxArrayElements: 16, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
@@ -68,20 +68,20 @@
 // and try. Two tries of one key never share a record, so that the end of one
 // that did not run takes nothing away from one that did.
 func storeKey(r *Record) []byte {
-	b := make([]byte, 0, 1+8+len(r.Class)+1+len(r.Key)+1+8+len(r.Name))
-	b = binary.BigEndian.AppendUint64(append(b, recordPrefix), uint64(max(0, r.Guard)/bucketOf))
+	b := make([]byte, 0, 1+8+len(r.Class)+1+len(r.Key)+1+8+len(r.TryID))
+	b = binary.BigEndian.AppendUint64(append(b, recordPrefix), uint64(max(0, r.WindowEnd)/bucketOf))
 	b = append(append(append(b, r.Class...), 0), r.Key...)
 	b = binary.BigEndian.AppendUint64(append(b, 0), uint64(r.Arrived))
-	return append(b, r.Name...)
+	return append(b, r.TryID...)
 }
 
-// Stands says which of two records of one key stands for it: an end that is
+// Supersedes says which of two records of one key stands for it: an end that is
 // known before one that is not, then the longer window.
-func (r *Record) Stands(over *Record) bool {
-	if r.Over != over.Over {
-		return r.Over
+func (r *Record) Supersedes(over *Record) bool {
+	if r.Finished != over.Finished {
+		return r.Finished
 	}
-	return r.Guard > over.Guard
+	return r.WindowEnd > over.WindowEnd
 }
 
 // bucketStart is the first key of all records whose window ends at that time or later.
@@ -91,11 +91,11 @@
 
 // encode returns the form on disk.
 func encode(r *Record) ([]byte, error) {
-	if len(r.Class) > mostText || len(r.Key) > mostText || len(r.Name) > mostText || len(r.Result) > mostResult {
+	if len(r.Class) > mostText || len(r.Key) > mostText || len(r.TryID) > mostText || len(r.Result) > mostResult {
 		return nil, fmt.Errorf("keystore: class, key, name or result of %q is too long", r.Class)
 	}
-	s := stored{Version: version, Class: r.Class, Key: r.Key, Name: r.Name, Arrived: r.Arrived, Guard: r.Guard, Due: r.Due,
-		Sum: r.Sum, Over: r.Over, Outcome: r.Outcome, Result: r.Result}
+	s := stored{Version: version, Class: r.Class, Key: r.Key, Name: r.TryID, Arrived: r.Arrived, Guard: r.WindowEnd, Due: r.Deadline,
+		Sum: r.BodyHash, Over: r.Finished, Outcome: r.Outcome, Result: r.Result}
 	if len(r.Result) >= packFrom {
 		if packed := s2.Encode(nil, r.Result); len(packed) <= len(r.Result)-len(r.Result)/packGain {
 			s.Result, s.Packed = packed, true
@@ -108,27 +108,27 @@
 func decode(b []byte) (Record, error) {
 	var s stored
 	if len(b) > mostResult+4*mostText {
-		return Record{}, fmt.Errorf("%w: %d bytes", ErrRecord, len(b))
+		return Record{}, fmt.Errorf("%w: %d bytes", ErrInvalidRecord, len(b))
 	}
 	if err := decoder.Unmarshal(b, &s); err != nil {
-		return Record{}, fmt.Errorf("%w: %w", ErrRecord, err)
+		return Record{}, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 	}
 	switch {
 	case s.Version < oldest || s.Version > version:
-		return Record{}, fmt.Errorf("%w: version %d, this program reads %d to %d", ErrRecord, s.Version, oldest, version)
+		return Record{}, fmt.Errorf("%w: version %d, this program reads %d to %d", ErrInvalidRecord, s.Version, oldest, version)
 	case len(s.Class) > mostText || len(s.Key) > mostText || len(s.Name) > mostText || s.Class == "" ||
 		s.Arrived < 0 || s.Guard < 0 || s.Guard > math.MaxInt64/2:
-		return Record{}, fmt.Errorf("%w: fields out of bounds", ErrRecord)
+		return Record{}, fmt.Errorf("%w: fields out of bounds", ErrInvalidRecord)
 	}
-	r := Record{Class: s.Class, Key: s.Key, Name: s.Name, Arrived: s.Arrived, Guard: s.Guard, Due: s.Due, Sum: s.Sum,
-		Over: s.Over, Outcome: s.Outcome, Result: s.Result}
+	r := Record{Class: s.Class, Key: s.Key, TryID: s.Name, Arrived: s.Arrived, WindowEnd: s.Guard, Deadline: s.Due, BodyHash: s.Sum,
+		Finished: s.Over, Outcome: s.Outcome, Result: s.Result}
 	if s.Packed {
 		n, err := s2.DecodedLen(s.Result)
 		if err != nil || n > mostResult {
-			return Record{}, fmt.Errorf("%w: a packed result of %d bytes", ErrRecord, n)
+			return Record{}, fmt.Errorf("%w: a packed result of %d bytes", ErrInvalidRecord, n)
 		}
 		if r.Result, err = s2.Decode(nil, s.Result); err != nil {
-			return Record{}, fmt.Errorf("%w: %w", ErrRecord, err)
+			return Record{}, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 		}
 	}
 	return r, nil
--- a/internal/keystore/rehearse.go
+++ b/internal/keystore/rehearse.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// PowerLoss rehearses one loss of power on an emulated disk: a store takes
+// SimulatePowerLoss rehearses one loss of power on an emulated disk: a store takes
 // commits until, at some write or sync, the power goes, and any part of what was
 // not synced is lost. It returns an error if something that was acknowledged is
 // missing, or anything is there that was never written.
-func PowerLoss(seed uint64) error { return powerLoss(seed, Power) }
+func SimulatePowerLoss(seed uint64) error { return powerLoss(seed, SurvivePowerLoss) }
 
 // cutFS cuts the power at its nth write or sync: it keeps what a disk would.
 type cutFS struct {
@@ -67,7 +67,9 @@
 	rng := rand.New(rand.NewPCG(seed, 9))
 	mem := vfs.NewCrashableMem()
 	const epoch, window = int64(1e15), int64(60e6)
-	moment := func(i int) Moment { return Moment{Wall: epoch + int64(i)*1000, Up: int64(i)*1000 + 1e6, Boot: 5} }
+	moment := func(i int) ClockReading {
+		return ClockReading{Wall: epoch + int64(i)*1000, Uptime: int64(i)*1000 + 1e6, BootID: 5}
+	}
 	type state struct{ begun, over bool }
 	acknowledged, written := map[string]state{}, map[string]state{}
 	var after *vfs.MemFS
@@ -102,18 +104,18 @@
 		var ops []Op
 		for range 1 + rng.IntN(4) {
 			key := fmt.Sprint("k", rng.IntN(200))
-			r := Record{Class: "c", Key: key, Name: "n", Arrived: epoch, Guard: epoch + window}
+			r := Record{Class: "c", Key: key, TryID: "n", Arrived: epoch, WindowEnd: epoch + window}
 			if w := written[key]; w.begun {
-				r.Over, r.Outcome, r.Result = true, 1, []byte(result(key))
+				r.Finished, r.Outcome, r.Result = true, 1, []byte(result(key))
 			}
-			written[key] = state{true, r.Over}
-			ops = append(ops, Op{Put: r})
+			written[key] = state{true, r.Finished}
+			ops = append(ops, Op{Record: r})
 		}
 		if err := s.Commit(moment(i), ops); err != nil {
 			return err
 		}
 		for i := range ops {
-			acknowledged[ops[i].Put.Key] = state{true, ops[i].Put.Over}
+			acknowledged[ops[i].Record.Key] = state{true, ops[i].Record.Finished}
 		}
 		now := snapshot()
 		stable.Store(&now)
@@ -137,12 +139,12 @@
 		found[r.Key] = r
 	}
 	for key, was := range sure {
-		if r, there := found[key]; !there || was.over && !r.Over {
+		if r, there := found[key]; !there || was.over && !r.Finished {
 			return errors.Join(s.Close(), fmt.Errorf("key %s was acknowledged, and is lost", key))
 		}
 	}
 	for key, r := range found {
-		if !written[key].begun || r.Over && string(r.Result) != result(key) {
+		if !written[key].begun || r.Finished && string(r.Result) != result(key) {
 			return errors.Join(s.Close(), fmt.Errorf("key %s: %+v was never written", key, r))
 		}
 	}
--- a/internal/keystore/store.go
+++ b/internal/keystore/store.go
@@ -32,8 +32,8 @@
 
 // The durabilities.
 const (
-	Power   Durability = iota // also the loss of power
-	Process                   // the end of the process
+	SurvivePowerLoss   Durability = iota // also the loss of power
+	SurviveProcessExit                   // the end of the process
 )
 
 // Options set up a store.
@@ -43,16 +43,16 @@
 	Durability Durability
 	MaxBytes   int64 // on disk; what would pass it is ErrFull. 0 = no bound
 	ReadOnly   bool  // nothing is changed; the folder must be there
-	Now        Moment
+	Now        ClockReading
 }
 
 // The errors, to be told with errors.Is.
 var (
-	ErrInUse  = errors.New("keystore: another process uses the folder")
-	ErrFailed = errors.New("keystore: the store has failed")
-	ErrFull   = errors.New("keystore: the store is full")
-	ErrDamage = errors.New("keystore: the store is damaged")
-	ErrNoKeys = errors.New("keystore: the folder is no store of keys")
+	ErrInUse       = errors.New("keystore: another process uses the folder")
+	ErrFailed      = errors.New("keystore: the store has failed")
+	ErrFull        = errors.New("keystore: the store is full")
+	ErrCorrupt     = errors.New("keystore: the store is damaged")
+	ErrNotKeyStore = errors.New("keystore: the folder is no store of keys")
 )
 
 const (
@@ -70,9 +70,9 @@
 	opt   Options
 	db    *pebble.DB
 	cache *pebble.Cache
-	last  Moment // of the life before this one
-	shift int64  // of all lives so far; what is on disk is written without it
-	aged  int64  // records whose window ended before this are gone
+	last  ClockReading // of the life before this one
+	shift int64        // of all lives so far; what is on disk is written without it
+	aged  int64        // records whose window ended before this are gone
 
 	mu     sync.Mutex
 	failed error
@@ -134,7 +134,7 @@
 	}
 	s := &Store{opt: opt, broken: make(chan struct{})}
 	fs := opt.FS
-	if opt.Durability == Process {
+	if opt.Durability == SurviveProcessExit {
 		fs = processFS{fs}
 	}
 	s.cache = pebble.NewCache(cacheBytes)
@@ -165,14 +165,14 @@
 	}
 	text := err.Error()
 	switch {
-	case errors.Is(err, ErrDamage), errors.Is(err, ErrNoKeys):
+	case errors.Is(err, ErrCorrupt), errors.Is(err, ErrNotKeyStore):
 		return err
 	case strings.Contains(text, "lock held by current process"), strings.Contains(text, "resource temporarily unavailable"):
 		return fmt.Errorf("%w (%w)", ErrInUse, err)
 	case errors.Is(err, pebble.ErrDBDoesNotExist):
-		return fmt.Errorf("%w (%w)", ErrNoKeys, err)
+		return fmt.Errorf("%w (%w)", ErrNotKeyStore, err)
 	case errors.Is(err, pebble.ErrCorruption), strings.Contains(text, "corrupt"), strings.Contains(text, "checksum"):
-		return fmt.Errorf("%w (%w)", ErrDamage, err)
+		return fmt.Errorf("%w (%w)", ErrCorrupt, err)
 	}
 	return err
 }
@@ -196,7 +196,7 @@
 		return err
 	}
 	if format != nil && string(format) != formatWord {
-		return fmt.Errorf("%w: it says %.40q, want %q", ErrNoKeys, format, formatWord)
+		return fmt.Errorf("%w: it says %.40q, want %q", ErrNotKeyStore, format, formatWord)
 	}
 	if format == nil {
 		it, err := s.db.NewIter(nil)
@@ -206,7 +206,7 @@
 		strange := it.First()
 		it.Close() //nolint:errcheck // nothing was read
 		if strange || s.opt.ReadOnly {
-			return ErrNoKeys
+			return ErrNotKeyStore
 		}
 		return s.db.Set([]byte(formatKey), []byte(formatWord), pebble.Sync)
 	}
@@ -217,17 +217,17 @@
 	if s.last, s.shift, err = decodeMoment(moment); err != nil {
 		return err
 	}
-	if s.opt.Now != (Moment{}) {
-		s.shift += Shift(s.last, s.opt.Now)
+	if s.opt.Now != (ClockReading{}) {
+		s.shift += WindowExtension(s.last, s.opt.Now)
 	}
 	return nil
 }
 
-// Last is when the folder was last written to, before this Open.
-func (s *Store) Last() Moment { return s.last }
+// LastUsed is when the folder was last written to, before this Open.
+func (s *Store) LastUsed() ClockReading { return s.last }
 
-// Shift is by how much windows have become longer since the folder was made.
-func (s *Store) Shift() int64 { return s.shift }
+// WindowExtension is by how much windows have become longer since the folder was made.
+func (s *Store) WindowExtension() int64 { return s.shift }
 
 // Load returns the records that still matter at now (microseconds on the wall
 // clock), each key once, with windows as long as they must be in this life.
@@ -240,18 +240,18 @@
 		i, there := places[at]
 		if !there {
 			if len(list) >= mostKeys {
-				return fmt.Errorf("%w: over %d keys", ErrDamage, mostKeys)
+				return fmt.Errorf("%w: over %d keys", ErrCorrupt, mostKeys)
 			}
 			places[at] = int32(len(list))
 			list = append(list, r)
 			return nil
 		}
 		other := &list[i]
-		guard := max(r.Guard, other.Guard)
-		if r.Stands(other) {
+		guard := max(r.WindowEnd, other.WindowEnd)
+		if r.Supersedes(other) {
 			*other = r
 		}
-		other.Guard = guard
+		other.WindowEnd = guard
 		return nil
 	})
 	return list, err
@@ -268,9 +268,9 @@
 		for it.First(); it.Valid(); it.Next() {
 			r, err := decode(it.Value())
 			if err != nil {
-				return fmt.Errorf("%w: key %q: %w", ErrDamage, it.Key(), err)
+				return fmt.Errorf("%w: key %q: %w", ErrCorrupt, it.Key(), err)
 			}
-			r.Guard += s.shift
+			r.WindowEnd += s.shift
 			if err := yield(r); err != nil {
 				return err
 			}
@@ -284,27 +284,27 @@
 
 // Op is one operation of a commit.
 type Op struct {
-	Put    Record // kept, in place of what was known of the key
+	Record Record // kept, in place of what was known of the key
 	Delete bool   // ... or the key never ran, and its record goes
 }
 
 // begins says whether an operation is of a run that has not begun: these are what a full store has no room for.
-func begins(o Op) bool { return !o.Delete && !o.Put.Over }
+func begins(o Op) bool { return !o.Delete && !o.Record.Finished }
 
 // Commit makes all operations durable together, with the moment.
-func (s *Store) Commit(now Moment, ops []Op) error {
+func (s *Store) Commit(now ClockReading, ops []Op) error {
 	if err := s.failure(); err != nil {
 		return err
 	}
 	if s.opt.MaxBytes > 0 && slices.ContainsFunc(ops, begins) {
-		if n := s.Bytes(); n > uint64(s.opt.MaxBytes) {
+		if n := s.DiskBytes(); n > uint64(s.opt.MaxBytes) {
 			return fmt.Errorf("%w: %d bytes of %d", ErrFull, n, s.opt.MaxBytes)
 		}
 	}
 	b := s.db.NewBatch()
 	for i := range ops {
-		r := ops[i].Put
-		r.Guard -= s.shift
+		r := ops[i].Record
+		r.WindowEnd -= s.shift
 		key := storeKey(&r)
 		if ops[i].Delete {
 			if err := b.Delete(key, nil); err != nil {
@@ -326,8 +326,8 @@
 	return s.apart(func() error { return b.Commit(pebble.Sync) })
 }
 
-// Age forgets the records whose window has ended before that time.
-func (s *Store) Age(before int64) error {
+// DeleteExpired forgets the records whose window has ended before that time.
+func (s *Store) DeleteExpired(before int64) error {
 	before -= s.shift
 	if before < s.aged+bucketOf {
 		return nil
@@ -336,8 +336,8 @@
 	return s.apart(func() error { return s.db.DeleteRange([]byte{recordPrefix}, bucketStart(before), pebble.NoSync) })
 }
 
-// Bytes is the space on disk.
-func (s *Store) Bytes() uint64 {
+// DiskBytes is the space on disk.
+func (s *Store) DiskBytes() uint64 {
 	if s.failure() != nil {
 		return 0
 	}
--- a/internal/keystore/store_test.go
+++ b/internal/keystore/store_test.go
@@ -19,15 +19,15 @@
 const second = 1_000_000
 
 // at is a moment of one life of a machine.
-func at(s int64) Moment {
-	return Moment{Wall: 1_000_000*second + s*second, Up: 500*second + s*second, Boot: 7}
+func at(s int64) ClockReading {
+	return ClockReading{Wall: 1_000_000*second + s*second, Uptime: 500*second + s*second, BootID: 7}
 }
 
 func record(i int, over bool, result string) Record {
-	r := Record{Class: "note", Key: fmt.Sprint("k", i), Name: fmt.Sprintf("%016x", i), Arrived: at(0).Wall, Guard: at(60).Wall,
-		Due: at(5).Wall, Sum: uint64(i)}
+	r := Record{Class: "note", Key: fmt.Sprint("k", i), TryID: fmt.Sprintf("%016x", i), Arrived: at(0).Wall, WindowEnd: at(60).Wall,
+		Deadline: at(5).Wall, BodyHash: uint64(i)}
 	if over {
-		r.Over, r.Outcome, r.Result = true, 1, []byte(result)
+		r.Finished, r.Outcome, r.Result = true, 1, []byte(result)
 	}
 	return r
 }
@@ -57,11 +57,11 @@
 	return found
 }
 
-func put(t testing.TB, s *Store, now Moment, records ...Record) {
+func put(t testing.TB, s *Store, now ClockReading, records ...Record) {
 	t.Helper()
 	var ops []Op
 	for _, r := range records {
-		ops = append(ops, Op{Put: r})
+		ops = append(ops, Op{Record: r})
 	}
 	if err := s.Commit(now, ops); err != nil {
 		t.Fatal(err)
@@ -72,9 +72,9 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{Class: rapid.StringN(1, 20, 64).Draw(t, "class"), Key: rapid.StringN(0, 64, 128).Draw(t, "key"),
-			Name: rapid.StringN(0, 16, 32).Draw(t, "name"), Arrived: rapid.Int64Range(0, 1<<60).Draw(t, "arrived"),
-			Guard: rapid.Int64Range(0, 1<<60).Draw(t, "guard"), Due: rapid.Int64Range(0, 1<<60).Draw(t, "due"),
-			Sum: rapid.Uint64().Draw(t, "sum"), Over: rapid.Bool().Draw(t, "over"), Outcome: rapid.Uint8Range(0, 7).Draw(t, "outcome"),
+			TryID: rapid.StringN(0, 16, 32).Draw(t, "name"), Arrived: rapid.Int64Range(0, 1<<60).Draw(t, "arrived"),
+			WindowEnd: rapid.Int64Range(0, 1<<60).Draw(t, "guard"), Deadline: rapid.Int64Range(0, 1<<60).Draw(t, "due"),
+			BodyHash: rapid.Uint64().Draw(t, "sum"), Finished: rapid.Bool().Draw(t, "over"), Outcome: rapid.Uint8Range(0, 7).Draw(t, "outcome"),
 			Result: bytes.Repeat(rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "result"), rapid.IntRange(1, 100).Draw(t, "times"))}
 		if len(r.Result) == 0 {
 			r.Result = nil
@@ -108,14 +108,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := decode(old); err != nil || r.Key != "k" || string(r.Result) != "r" || r.Guard != 6 {
+	if r, err := decode(old); err != nil || r.Key != "k" || string(r.Result) != "r" || r.WindowEnd != 6 {
 		t.Errorf("version 1: %+v, %v", r, err)
 	}
 	next, err := cbor.Marshal(map[int]any{0: version + 1, 1: "note", 2: "k"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := decode(next); !errors.Is(err, ErrRecord) {
+	if _, err := decode(next); !errors.Is(err, ErrInvalidRecord) {
 		t.Errorf("a newer version: %v", err)
 	}
 }
@@ -126,7 +126,7 @@
 func TestPowerLoss(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
-		if err := PowerLoss(seed); err != nil {
+		if err := SimulatePowerLoss(seed); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
@@ -136,7 +136,7 @@
 func TestPowerLossIsSeen(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
-		if err := powerLoss(seed, Process); err != nil {
+		if err := powerLoss(seed, SurviveProcessExit); err != nil {
 			return
 		}
 	}
@@ -148,11 +148,11 @@
 func TestProcessEnds(t *testing.T) {
 	t.Parallel()
 	mem := vfs.NewCrashableMem()
-	s := open(t, Options{FS: mem, Durability: Process, Now: at(0)})
+	s := open(t, Options{FS: mem, Durability: SurviveProcessExit, Now: at(0)})
 	put(t, s, at(1), record(1, true, "one"), record(2, false, ""))
 	after := mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 100, RNG: rand.New(rand.NewPCG(1, 1))})
-	got := load(t, open(t, Options{FS: after, Durability: Process, Now: at(2)}), at(2).Wall)
-	if len(got) != 2 || string(got["k1"].Result) != "one" || got["k2"].Over {
+	got := load(t, open(t, Options{FS: after, Durability: SurviveProcessExit, Now: at(2)}), at(2).Wall)
+	if len(got) != 2 || string(got["k1"].Result) != "one" || got["k2"].Finished {
 		t.Errorf("%+v", got)
 	}
 }
@@ -162,19 +162,19 @@
 	t.Parallel()
 	last := at(10)
 	for name, c := range map[string]struct {
-		now   Moment
+		now   ClockReading
 		shift int64
 	}{
 		"no jump":             {at(15), 0},
-		"forward by an hour":  {Moment{at(15).Wall + 3600*second, at(15).Up, 7}, 3600 * second},
-		"back by an hour":     {Moment{at(15).Wall - 3600*second, at(15).Up, 7}, 0},
-		"a new start":         {Moment{at(15).Wall, 3 * second, 8}, 5 * second},
-		"a start not known":   {Moment{at(15).Wall, 0, 0}, 5 * second},
-		"a new start, back":   {Moment{at(5).Wall, 3 * second, 8}, 0},
-		"some slewing":        {Moment{at(15).Wall + 20_000, at(15).Up, 7}, 0},
-		"uptime that is less": {Moment{at(15).Wall, at(5).Up, 7}, 5 * second},
+		"forward by an hour":  {ClockReading{at(15).Wall + 3600*second, at(15).Uptime, 7}, 3600 * second},
+		"back by an hour":     {ClockReading{at(15).Wall - 3600*second, at(15).Uptime, 7}, 0},
+		"a new start":         {ClockReading{at(15).Wall, 3 * second, 8}, 5 * second},
+		"a start not known":   {ClockReading{at(15).Wall, 0, 0}, 5 * second},
+		"a new start, back":   {ClockReading{at(5).Wall, 3 * second, 8}, 0},
+		"some slewing":        {ClockReading{at(15).Wall + 20_000, at(15).Uptime, 7}, 0},
+		"uptime that is less": {ClockReading{at(15).Wall, at(5).Uptime, 7}, 5 * second},
 	} {
-		if got := Shift(last, c.now); got != c.shift {
+		if got := WindowExtension(last, c.now); got != c.shift {
 			t.Errorf("%s: %d, want %d", name, got, c.shift)
 		}
 	}
@@ -183,20 +183,20 @@
 	s := open(t, Options{FS: mem, Now: at(0)})
 	put(t, s, at(1), record(1, true, "one"))
 	s.Close()
-	jumped := func(s, hours int64) Moment { m := at(s); m.Wall += hours * 3600 * second; return m }
+	jumped := func(s, hours int64) ClockReading { m := at(s); m.Wall += hours * 3600 * second; return m }
 	s = open(t, Options{FS: mem, Now: jumped(2, 1)})
-	if got := load(t, s, jumped(2, 1).Wall)["k1"].Guard; got != at(60).Wall+3600*second {
+	if got := load(t, s, jumped(2, 1).Wall)["k1"].WindowEnd; got != at(60).Wall+3600*second {
 		t.Errorf("in the second life the window ends at %d", got)
 	}
 	second := record(2, true, "two")
-	second.Guard = jumped(60, 1).Wall
+	second.WindowEnd = jumped(60, 1).Wall
 	put(t, s, jumped(3, 1), second)
 	s.Close()
 	s = open(t, Options{FS: mem, Now: jumped(4, 3)})
 	got := load(t, s, jumped(4, 3).Wall)
 	for key, r := range got {
-		if want := jumped(60, 3).Wall; r.Guard != want {
-			t.Errorf("in the third life the window of %s ends at %d, want %d", key, r.Guard, want)
+		if want := jumped(60, 3).Wall; r.WindowEnd != want {
+			t.Errorf("in the third life the window of %s ends at %d, want %d", key, r.WindowEnd, want)
 		}
 	}
 	if len(got) != 2 {
@@ -210,15 +210,15 @@
 	t.Parallel()
 	s := open(t, Options{FS: vfs.NewMem(), Now: at(0)})
 	ran, other := record(1, true, "one"), record(1, false, "")
-	other.Name, other.Guard = "another try", at(70).Wall
+	other.TryID, other.WindowEnd = "another try", at(70).Wall
 	put(t, s, at(1), ran, other)
-	if got := load(t, s, 0)["k1"]; string(got.Result) != "one" || got.Guard != at(70).Wall {
+	if got := load(t, s, 0)["k1"]; string(got.Result) != "one" || got.WindowEnd != at(70).Wall {
 		t.Errorf("%+v", got)
 	}
-	if err := s.Commit(at(2), []Op{{Put: other, Delete: true}}); err != nil {
+	if err := s.Commit(at(2), []Op{{Record: other, Delete: true}}); err != nil {
 		t.Fatal(err)
 	}
-	if got := load(t, s, 0)["k1"]; string(got.Result) != "one" || got.Guard != at(60).Wall {
+	if got := load(t, s, 0)["k1"]; string(got.Result) != "one" || got.WindowEnd != at(60).Wall {
 		t.Errorf("%+v", got)
 	}
 }
@@ -232,18 +232,18 @@
 		var list []Record
 		for i := range 40 {
 			r := record(int(now)*40+i, true, string(make([]byte, 200)))
-			r.Arrived, r.Guard = at(now).Wall, at(now+16).Wall
+			r.Arrived, r.WindowEnd = at(now).Wall, at(now+16).Wall
 			list = append(list, r)
 		}
 		put(t, s, at(now), list...)
-		if err := s.Age(at(now - 5).Wall); err != nil {
+		if err := s.DeleteExpired(at(now - 5).Wall); err != nil {
 			t.Fatal(err)
 		}
 		if now == 600 {
-			most = s.Bytes()
+			most = s.DiskBytes()
 		}
 	}
-	if n := s.Bytes(); n > 3*most+8<<20 {
+	if n := s.DiskBytes(); n > 3*most+8<<20 {
 		t.Errorf("%d KB on disk after an hour, %d KB after ten minutes", n/1024, most/1024)
 	}
 	if got := load(t, s, at(3600).Wall); len(got) > 40*6 {
@@ -260,16 +260,16 @@
 		t.Errorf("a second use: %v", err)
 	}
 	begin, end := record(1, false, ""), record(1, true, "one")
-	if err := s.Commit(at(1), []Op{{Put: begin}}); !errors.Is(err, ErrFull) {
+	if err := s.Commit(at(1), []Op{{Record: begin}}); !errors.Is(err, ErrFull) {
 		t.Errorf("a full store takes a new key: %v", err)
 	}
-	if err := s.Commit(at(1), []Op{{Put: end}}); err != nil {
+	if err := s.Commit(at(1), []Op{{Record: end}}); err != nil {
 		t.Errorf("a full store does not take the end of a run: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := Open(Options{Folder: t.TempDir(), ReadOnly: true}); !errors.Is(err, ErrNoKeys) {
+	if _, err := Open(Options{Folder: t.TempDir(), ReadOnly: true}); !errors.Is(err, ErrNotKeyStore) {
 		t.Errorf("a folder that is empty: %v", err)
 	}
 	mem := vfs.NewMem()
@@ -284,7 +284,7 @@
 	var err error
 	for i := 0; i < 100 && err == nil; i++ {
 		failing.Store(i == 50)
-		err = s.Commit(at(int64(i)), []Op{{Put: record(i, true, "x")}})
+		err = s.Commit(at(int64(i)), []Op{{Record: record(i, true, "x")}})
 	}
 	if !errors.Is(err, ErrFailed) || !strings.Contains(err.Error(), "no space left") {
 		t.Errorf("after an error of the log: %v", err)
--- a/internal/lab/keys/keys.go
+++ b/internal/lab/keys/keys.go
@@ -257,7 +257,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for seed := next.Add(1); seed <= int64(l.Options.Losses); seed = next.Add(1) {
-				if err := keystore.PowerLoss(uint64(seed)); err != nil {
+				if err := keystore.SimulatePowerLoss(uint64(seed)); err != nil {
 					bad.Add(1)
 					first.CompareAndSwap(nil, &err)
 				}
@@ -274,7 +274,7 @@
 // Recovery starts the program on a folder with many live keys.
 func (l *Lab) Recovery() (took time.Duration, peakKB int, err error) {
 	now := storage.Clock()
-	s, err := keystore.Open(keystore.Options{Folder: filepath.Join(l.dir, "live"), Durability: keystore.Process, Now: now})
+	s, err := keystore.Open(keystore.Options{Folder: filepath.Join(l.dir, "live"), Durability: keystore.SurviveProcessExit, Now: now})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -282,8 +282,8 @@
 	for i := 0; i < l.Live; i += 1000 {
 		var ops []keystore.Op
 		for j := i; j < min(i+1000, l.Live); j++ {
-			ops = append(ops, keystore.Op{Put: keystore.Record{Class: "note", Key: fmt.Sprint("live ", j), Name: fmt.Sprintf("%016x", j), Arrived: now.Wall,
-				Guard: now.Wall + KeyWindow.Microseconds(), Sum: uint64(j), Over: true, Outcome: 1, Result: result}})
+			ops = append(ops, keystore.Op{Record: keystore.Record{Class: "note", Key: fmt.Sprint("live ", j), TryID: fmt.Sprintf("%016x", j), Arrived: now.Wall,
+				WindowEnd: now.Wall + KeyWindow.Microseconds(), BodyHash: uint64(j), Finished: true, Outcome: 1, Result: result}})
 		}
 		if err = s.Commit(now, ops); err != nil {
 			return 0, 0, err
@@ -323,12 +323,12 @@
 		return 0, 0, err
 	}
 	rec := func(i int) keystore.Record {
-		return keystore.Record{Class: "note", Key: fmt.Sprint("g", i), Name: "n", Arrived: 1, Guard: 1 << 40, Result: make([]byte, 100)}
+		return keystore.Record{Class: "note", Key: fmt.Sprint("g", i), TryID: "n", Arrived: 1, WindowEnd: 1 << 40, Result: make([]byte, 100)}
 	}
 	n := 0
 	began := time.Now()
 	for time.Since(began) < time.Second {
-		if err = s.Commit(storage.Clock(), []keystore.Op{{Put: rec(n)}}); err != nil {
+		if err = s.Commit(storage.Clock(), []keystore.Op{{Record: rec(n)}}); err != nil {
 			return 0, 0, err
 		}
 		n++
@@ -460,7 +460,9 @@
 // over what they were after ten minutes.
 func Hour() (disk, heap float64, err error) {
 	mem := vfs.NewMem()
-	moment := func(s int64) keystore.Moment { return keystore.Moment{Wall: 1e15 + s*1e6, Up: 1e9 + s*1e6, Boot: 1} }
+	moment := func(s int64) keystore.ClockReading {
+		return keystore.ClockReading{Wall: 1e15 + s*1e6, Uptime: 1e9 + s*1e6, BootID: 1}
+	}
 	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: mem, Now: moment(0)})
 	if err != nil {
 		return 0, 0, err
@@ -469,7 +471,7 @@
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		return float64(s.Bytes()) + 1<<20, float64(m.HeapAlloc) + 1<<20
+		return float64(s.DiskBytes()) + 1<<20, float64(m.HeapAlloc) + 1<<20
 	}
 	rng := rand.New(rand.NewPCG(5, 5))
 	var disk0, heap0 float64
@@ -480,13 +482,13 @@
 			for j := range result {
 				result[j] = byte(rng.Uint32())
 			}
-			ops = append(ops, keystore.Op{Put: keystore.Record{Class: "note", Key: fmt.Sprint(now, ".", i), Name: "n", Arrived: moment(now).Wall,
-				Guard: moment(now + 16).Wall, Over: true, Outcome: 1, Result: result}})
+			ops = append(ops, keystore.Op{Record: keystore.Record{Class: "note", Key: fmt.Sprint(now, ".", i), TryID: "n", Arrived: moment(now).Wall,
+				WindowEnd: moment(now + 16).Wall, Finished: true, Outcome: 1, Result: result}})
 		}
 		if err = s.Commit(moment(now), ops); err != nil {
 			return 0, 0, err
 		}
-		if err = s.Age(moment(now - 5).Wall); err != nil {
+		if err = s.DeleteExpired(moment(now - 5).Wall); err != nil {
 			return 0, 0, err
 		}
 		if now == 600 {
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -42,8 +42,8 @@
 func (j journal) Delete(r core.Record)              { j.w.Delete(j.s.stored(&r)) }
 
 func (s *Server) stored(r *core.Record) keystore.Record {
-	return keystore.Record{Class: s.cfg.Classes[r.Class], Key: r.Key, Name: r.TryID, Arrived: r.Arrived, Guard: r.WindowEnd, Due: r.Deadline,
-		Sum: r.BodyHash, Over: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result}
+	return keystore.Record{Class: s.cfg.Classes[r.Class], Key: r.Key, TryID: r.TryID, Arrived: r.Arrived, WindowEnd: r.WindowEnd, Deadline: r.Deadline,
+		BodyHash: r.BodyHash, Finished: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result}
 }
 
 // openKeys opens the store and reads what it holds. It blocks.
@@ -51,7 +51,7 @@
 	k := &s.cfg.Keys
 	opt := keystore.Options{Folder: k.Folder, FS: s.keys.fs, MaxBytes: k.MaxBytes, Now: storage.Clock()}
 	if k.Process {
-		opt.Durability = keystore.Process
+		opt.Durability = keystore.SurviveProcessExit
 	}
 	store, err := keystore.Open(opt)
 	if err != nil {
@@ -71,20 +71,20 @@
 		r := &records[i]
 		s.keys.restored++
 		outcome := r.Outcome
-		if !r.Over {
+		if !r.Finished {
 			s.keys.unknown++
 			outcome = uint8(kiteslip.Failed)
 		}
 		class, known := s.keyed[r.Class]
 		if !known { // kept for a configuration that brings the class back
 			s.handing.strays = append(s.handing.strays, handover.Message{Kind: handover.Record, Text: r.Class, Key: r.Key,
-				Arrived: r.Arrived, Guard: r.Guard, Sum: r.Sum, Over: true, Outcome: outcome, Result: r.Result})
+				Arrived: r.Arrived, Guard: r.WindowEnd, Sum: r.BodyHash, Over: true, Outcome: outcome, Result: r.Result})
 			continue
 		}
 		// The engine may still run what was begun, or have ended it while nobody listened.
-		waits := !r.Over && r.Name != "" && s.cfg.Backends[class] == ""
-		if run := s.core.ImportRecord(core.Record{Class: class, Key: r.Key, Arrived: r.Arrived, WindowEnd: r.Guard, BodyHash: r.Sum, Finished: !waits,
-			Outcome: kiteslip.Outcome(outcome), Result: r.Result, TryID: r.Name, Deadline: r.Due, OutcomeUnknown: !r.Over}); run != nil {
+		waits := !r.Finished && r.TryID != "" && s.cfg.Backends[class] == ""
+		if run := s.core.ImportRecord(core.Record{Class: class, Key: r.Key, Arrived: r.Arrived, WindowEnd: r.WindowEnd, BodyHash: r.BodyHash, Finished: !waits,
+			Outcome: kiteslip.Outcome(outcome), Result: r.Result, TryID: r.TryID, Deadline: r.Deadline, OutcomeUnknown: !r.Finished}); run != nil {
 			s.link.Await(run)
 		}
 	}
@@ -99,7 +99,7 @@
 	})
 	s.core.SetJournal(journal{s, s.keys.worker}, s.cfg.Keys.Unsafe)
 	s.log.Info("keys are kept", zap.String("folder", s.cfg.Keys.Folder), zap.Int("restored", s.keys.restored),
-		zap.Int("unknown", s.keys.unknown), zap.Int64("shift_ms", store.Shift()/1000))
+		zap.Int("unknown", s.keys.unknown), zap.Int64("shift_ms", store.WindowExtension()/1000))
 }
 
 // keepKeys opens the store where this process owns the keys from its start. A
@@ -130,7 +130,7 @@
 // it began to this store: it used it until its end, and would not have run
 // anything without a record.
 func (s *Server) wroteAll(store *keystore.Store, doubt int64) bool {
-	last := store.Last().Wall
+	last := store.LastUsed().Wall
 	return doubt != 0 && last != 0 && last+keysFresh >= doubt-s.core.MaxWindow() && !s.cfg.Keys.Unsafe
 }
 
--- a/internal/storage/worker.go
+++ b/internal/storage/worker.go
@@ -46,7 +46,7 @@
 // wait for the disk; outcomes are delivered from its own goroutine.
 type Worker struct {
 	store   *keystore.Store
-	now     func() keystore.Moment
+	now     func() keystore.ClockReading
 	deliver func([]Outcome)
 
 	mu      sync.Mutex
@@ -63,7 +63,7 @@
 }
 
 // Start lets a worker own the store. deliver is given the outcomes of each commit.
-func Start(store *keystore.Store, now func() keystore.Moment, deliver func([]Outcome)) *Worker {
+func Start(store *keystore.Store, now func() keystore.ClockReading, deliver func([]Outcome)) *Worker {
 	w := &Worker{store: store, now: now, deliver: deliver, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
@@ -71,15 +71,15 @@
 
 // Put asks for a record to be kept; the outcome comes under the token, 0 = to
 // nobody. What has no room in the queue fails at once.
-func (w *Worker) Put(token uint32, r keystore.Record) { w.add(op{keystore.Op{Put: r}, token}) }
+func (w *Worker) Put(token uint32, r keystore.Record) { w.add(op{keystore.Op{Record: r}, token}) }
 
 // Delete asks for the record of a key that never ran to go.
-func (w *Worker) Delete(r keystore.Record) { w.add(op{keystore.Op{Put: r, Delete: true}, 0}) }
+func (w *Worker) Delete(r keystore.Record) { w.add(op{keystore.Op{Record: r, Delete: true}, 0}) }
 
 func (w *Worker) add(o op) {
 	w.mu.Lock()
 	err := error(nil)
-	size := resultCost + len(o.Put.Result)
+	size := resultCost + len(o.Record.Result)
 	switch {
 	case w.closing:
 		err = ErrClosed
@@ -167,11 +167,11 @@
 
 // tidy gives the space of aged keys back.
 func (w *Worker) tidy() {
-	if err := w.store.Age(w.now().Wall - ageMargin); err != nil {
+	if err := w.store.DeleteExpired(w.now().Wall - ageMargin); err != nil {
 		w.errs.Add(1)
 		w.last.Store(&err)
 	}
-	w.disk.Store(int64(w.store.Bytes()))
+	w.disk.Store(int64(w.store.DiskBytes()))
 }
 
 // Close takes nothing new, makes what waits durable and closes the store. The
@@ -210,14 +210,14 @@
 }
 
 // Clock reads the machine's two clocks.
-func Clock() keystore.Moment {
-	m := keystore.Moment{Wall: time.Now().UnixMicro()}
+func Clock() keystore.ClockReading {
+	m := keystore.ClockReading{Wall: time.Now().UnixMicro()}
 	var up unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &up); err != nil {
 		return m
 	}
-	if m.Boot = boot(); m.Boot != 0 {
-		m.Up = up.Nano() / 1000
+	if m.BootID = boot(); m.BootID != 0 {
+		m.Uptime = up.Nano() / 1000
 	}
 	return m
 }
--- a/internal/storage/worker_test.go
+++ b/internal/storage/worker_test.go
@@ -15,7 +15,7 @@
 )
 
 func record(i int) keystore.Record {
-	return keystore.Record{Class: "note", Key: fmt.Sprint("k", i), Name: "n", Arrived: 1, Guard: 1 << 60}
+	return keystore.Record{Class: "note", Key: fmt.Sprint("k", i), TryID: "n", Arrived: 1, WindowEnd: 1 << 60}
 }
 
 // outcomes gathers what a worker delivers.
@@ -121,8 +121,8 @@
 	t.Parallel()
 	w, o := begin(t, vfs.NewMem(), 1)
 	end, long := record(2), record(3)
-	end.Over = true
-	long.Over, long.Result = true, make([]byte, 2<<20)
+	end.Finished = true
+	long.Finished, long.Result = true, make([]byte, 2<<20)
 	w.Put(1, record(1))
 	w.Put(2, end)
 	w.Put(3, long)
@@ -142,7 +142,7 @@
 	a := Clock()
 	time.Sleep(2 * time.Millisecond)
 	b := Clock()
-	if a.Boot == 0 || a.Boot != b.Boot || b.Up <= a.Up || keystore.Shift(a, b) != 0 {
+	if a.BootID == 0 || a.BootID != b.BootID || b.Uptime <= a.Uptime || keystore.WindowExtension(a, b) != 0 {
 		t.Errorf("%+v, then %+v", a, b)
 	}
 }
