--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -20,9 +20,9 @@
 		var stream []byte
 		for range rapid.IntRange(1, 6).Draw(t, "messages") {
 			m := Message{Kind: Kind(rapid.IntRange(int(Hello), int(Load)).Draw(t, "kind")), ID: rapid.Uint32().Draw(t, "id"),
-				Arrived: rapid.Int64().Draw(t, "arrived"), Guard: rapid.Int64().Draw(t, "guard"), Sum: rapid.Uint64().Draw(t, "sum"),
-				Over: rapid.Bool().Draw(t, "over"), Outcome: rapid.Byte().Draw(t, "outcome"), Runs: rapid.Uint32().Draw(t, "runs"),
-				KB: rapid.Uint32().Draw(t, "kb"), Text: strings.Repeat("t", rapid.IntRange(0, maxText).Draw(t, "text")),
+				Arrived: rapid.Int64().Draw(t, "arrived"), WindowEnd: rapid.Int64().Draw(t, "guard"), BodyHash: rapid.Uint64().Draw(t, "sum"),
+				Finished: rapid.Bool().Draw(t, "over"), Outcome: rapid.Byte().Draw(t, "outcome"), Runs: rapid.Uint32().Draw(t, "runs"),
+				MemoryKB: rapid.Uint32().Draw(t, "kb"), Text: strings.Repeat("t", rapid.IntRange(0, maxText).Draw(t, "text")),
 				Key: strings.Repeat("k", rapid.IntRange(0, maxText).Draw(t, "key")), Result: rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "result")}
 			var err error
 			if stream, err = Append(stream, &m); err != nil {
@@ -84,9 +84,9 @@
 	})
 }
 
-func place(t *testing.T, dir string) *Place {
+func place(t *testing.T, dir string) *Endpoint {
 	t.Helper()
-	p, err := NewPlace(dir, "n3")
+	p, err := NewEndpoint(dir, "n3")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,20 +98,20 @@
 func TestOwnership(t *testing.T) {
 	dir := t.TempDir()
 	a := place(t, dir)
-	if !a.Last().IsZero() || !a.Own() {
+	if !a.LastOwnerAlive().IsZero() || !a.TryLock() {
 		t.Fatal("the first process finds an owner")
 	}
 	b := place(t, dir)
-	if b.Own() {
+	if b.TryLock() {
 		t.Fatal("two owners")
 	}
-	if err := a.Disown(); err != nil || !b.Own() || a.Own() {
+	if err := a.Unlock(); err != nil || !b.TryLock() || a.TryLock() {
 		t.Fatalf("the keys do not pass over: %v", err)
 	}
 	b.Close() // as its death would
 	c := place(t, dir)
-	if !c.Own() || time.Since(c.Last()) > time.Minute {
-		t.Errorf("after the owner's death: last alive at %v", c.Last())
+	if !c.TryLock() || time.Since(c.LastOwnerAlive()) > time.Minute {
+		t.Errorf("after the owner's death: last alive at %v", c.LastOwnerAlive())
 	}
 }
 
@@ -119,12 +119,12 @@
 func TestServersDoNotMeet(t *testing.T) {
 	dir := t.TempDir()
 	a := place(t, dir)
-	b, err := NewPlace(dir, "../n4/"+strings.Repeat("x", 99))
+	b, err := NewEndpoint(dir, "../n4/"+strings.Repeat("x", 99))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
-	if !a.Own() || !b.Own() {
+	if !a.TryLock() || !b.TryLock() {
 		t.Error("two servers have one lock")
 	}
 	if files, _ := filepath.Glob(filepath.Join(dir, "kiteslip-*.keys")); len(files) != 2 {
@@ -164,7 +164,7 @@
 	defer pass.Close()
 	go func() {
 		if c, err := l.AcceptUnix(); err == nil {
-			Pass(c, pass.(*net.TCPListener)) //nolint:errcheck // Take tells
+			SendListener(c, pass.(*net.TCPListener)) //nolint:errcheck // Take tells
 		}
 	}()
 	c := p.Dial()
@@ -172,7 +172,7 @@
 		t.Fatal("nobody answers")
 	}
 	defer c.Close()
-	got, err := Take(c, time.Now().Add(5*time.Second))
+	got, err := ReceiveListener(c, time.Now().Add(5*time.Second))
 	if err != nil || got == nil || got.Addr().String() != pass.Addr().String() {
 		t.Fatalf("the listener passed on: %v, %v", got, err)
 	}
@@ -189,7 +189,7 @@
 	defer l.Close()
 	c := p.Dial()
 	defer c.Close()
-	if _, err := Take(c, time.Now().Add(50*time.Millisecond)); err == nil {
+	if _, err := ReceiveListener(c, time.Now().Add(50*time.Millisecond)); err == nil {
 		t.Error("a greeting came from nowhere")
 	}
 }
@@ -206,7 +206,7 @@
 }
 
 func TestLongPath(t *testing.T) {
-	if _, err := NewPlace(filepath.Join(t.TempDir(), strings.Repeat("d", 90)), "n3"); err == nil {
+	if _, err := NewEndpoint(filepath.Join(t.TempDir(), strings.Repeat("d", 90)), "n3"); err == nil {
 		t.Error("a path that no socket can have is taken")
 	}
 }
--- a/internal/handover/place.go
+++ b/internal/handover/place.go
@@ -17,22 +17,22 @@
 	maxName = 32  // bytes of a server's name that go into the names of files
 )
 
-// Place is where the processes of one server meet: a folder that they share.
-type Place struct {
+// Endpoint is where the processes of one server meet: a folder that they share.
+type Endpoint struct {
 	base string // of the names of the files there
 	lock *os.File
 	last time.Time // when an earlier owner was last alive; zero = there was none
 }
 
-// NewPlace returns the meeting place in dir of the server named.
-func NewPlace(dir, server string) (*Place, error) {
+// NewEndpoint returns the meeting place in dir of the server named.
+func NewEndpoint(dir, server string) (*Endpoint, error) {
 	plain := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
 			return r
 		}
 		return '_'
 	}, server[:min(len(server), maxName)])
-	p := &Place{base: filepath.Join(dir, "kiteslip-"+plain)}
+	p := &Endpoint{base: filepath.Join(dir, "kiteslip-"+plain)}
 	if n := len(p.socket()) + len(".12345678"); n > maxPath {
 		return nil, fmt.Errorf("handover: the path of %s is too long for a socket", dir)
 	}
@@ -47,27 +47,27 @@
 	return p, nil
 }
 
-func (p *Place) socket() string { return p.base + ".sock" }
+func (p *Endpoint) socket() string { return p.base + ".sock" }
 
-// Last is when an earlier owner was last alive, as found at the start; zero = there was none.
-func (p *Place) Last() time.Time { return p.last }
+// LastOwnerAlive is when an earlier owner was last alive, as found at the start; zero = there was none.
+func (p *Endpoint) LastOwnerAlive() time.Time { return p.last }
 
-// Own takes the ownership of the keys if no other process has it.
-func (p *Place) Own() bool {
+// TryLock takes the ownership of the keys if no other process has it.
+func (p *Endpoint) TryLock() bool {
 	return unix.Flock(int(p.lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil && p.Touch() == nil
 }
 
 // Touch notes that the owner is alive.
-func (p *Place) Touch() error {
+func (p *Endpoint) Touch() error {
 	t := time.Now()
 	return os.Chtimes(p.lock.Name(), t, t)
 }
 
-// Disown gives the ownership up.
-func (p *Place) Disown() error { return unix.Flock(int(p.lock.Fd()), unix.LOCK_UN) }
+// Unlock gives the ownership up.
+func (p *Endpoint) Unlock() error { return unix.Flock(int(p.lock.Fd()), unix.LOCK_UN) }
 
 // Dial reaches the process that serves now; nil = there is none.
-func (p *Place) Dial() *net.UnixConn {
+func (p *Endpoint) Dial() *net.UnixConn {
 	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: p.socket(), Net: "unix"})
 	if err != nil {
 		return nil
@@ -77,7 +77,7 @@
 
 // Listen makes this process the one that Dial reaches, in place of any other,
 // dead or alive: the socket takes the name in one step.
-func (p *Place) Listen() (*net.UnixListener, error) {
+func (p *Endpoint) Listen() (*net.UnixListener, error) {
 	name := fmt.Sprintf("%s.%d", p.socket(), os.Getpid())
 	if err := os.Remove(name); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -98,13 +98,13 @@
 }
 
 // Close frees the lock file.
-func (p *Place) Close() error { return p.lock.Close() }
+func (p *Endpoint) Close() error { return p.lock.Close() }
 
 // greeting goes ahead of the messages, with a listener's descriptor where there is one to pass on.
 const greeting = "kite"
 
-// Pass greets a newcomer and gives it a listener; nil = there is none.
-func Pass(c *net.UnixConn, l *net.TCPListener) error {
+// SendListener greets a newcomer and gives it a listener; nil = there is none.
+func SendListener(c *net.UnixConn, l *net.TCPListener) error {
 	if l == nil {
 		_, err := c.Write([]byte(greeting))
 		return err
@@ -119,15 +119,15 @@
 	return errors.Join(failed, err)
 }
 
-// Take reads the greeting by the deadline and returns the listener that came with it, or nil.
-func Take(c *net.UnixConn, deadline time.Time) (net.Listener, error) {
+// ReceiveListener reads the greeting by the deadline and returns the listener that came with it, or nil.
+func ReceiveListener(c *net.UnixConn, deadline time.Time) (net.Listener, error) {
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return nil, err
 	}
 	buf, oob := make([]byte, len(greeting)), make([]byte, unix.CmsgSpace(4))
 	n, oobn, _, _, err := c.ReadMsgUnix(buf, oob)
 	if err != nil || string(buf[:n]) != greeting {
-		return nil, fmt.Errorf("handover: no greeting: %w", errors.Join(err, ErrMessage))
+		return nil, fmt.Errorf("handover: no greeting: %w", errors.Join(err, ErrInvalidMessage))
 	}
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		return nil, err
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -78,7 +78,7 @@
 		class, known := s.keyed[r.Class]
 		if !known { // kept for a configuration that brings the class back
 			s.handing.strays = append(s.handing.strays, handover.Message{Kind: handover.Record, Text: r.Class, Key: r.Key,
-				Arrived: r.Arrived, Guard: r.WindowEnd, Sum: r.BodyHash, Over: true, Outcome: outcome, Result: r.Result})
+				Arrived: r.Arrived, WindowEnd: r.WindowEnd, BodyHash: r.BodyHash, Finished: true, Outcome: outcome, Result: r.Result})
 			continue
 		}
 		// The engine may still run what was begun, or have ended it while nobody listened.
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -38,7 +38,7 @@
 
 // upgrade is what a server knows of the process before or after it.
 type upgrade struct {
-	place    *handover.Place
+	place    *handover.Endpoint
 	listener *net.UnixListener
 	dialed   *net.UnixConn // to the old process, before the loop has it
 	web      net.Listener  // of the uwsgi front, as passed on; nil = none
@@ -142,7 +142,7 @@
 	}
 	class, known := -1, false
 	switch m.Kind {
-	case handover.Record, handover.Claim, handover.Ended:
+	case handover.Record, handover.Claim, handover.RunEnded:
 		if class, known = s.keyed[m.Text]; !known { // a class that only the other one has
 			switch m.Kind {
 			case handover.Claim:
@@ -166,21 +166,21 @@
 		}
 		u.records++
 		s.core.ImportRecord(record(class, m))
-	case handover.Yours:
+	case handover.KeysTransferred:
 		if p.newer || s.core.OwnsKeys() {
 			return errOrder
 		}
-		s.own(m.Guard)
+		s.own(m.WindowEnd)
 	case handover.Claim:
-		s.core.Claimed(m.ID, class, m.Key, m.Arrived, m.Sum)
-	case handover.Ended:
+		s.core.Claimed(m.ID, class, m.Key, m.Arrived, m.BodyHash)
+	case handover.RunEnded:
 		s.core.PeerRunEnded(class, m.Key, m.Arrived, kiteslip.Outcome(m.Outcome), m.Result)
 	case handover.Grant:
 		s.core.Granted(now(), m.ID)
-	case handover.Had:
+	case handover.Deny:
 		s.core.Denied(m.ID, kiteslip.Outcome(m.Outcome), m.Result)
 	case handover.Load:
-		s.core.SetPeerLoad(int(m.Runs), float64(m.KB))
+		s.core.SetPeerLoad(int(m.Runs), float64(m.MemoryKB))
 	}
 	s.schedule()
 	return nil
@@ -192,19 +192,19 @@
 	u, t := &s.handing, now()
 	u.strays = slices.DeleteFunc(u.strays, func(m handover.Message) bool {
 		class, known := s.keyed[m.Text]
-		if known && m.Guard >= t {
-			if u.peer == nil && !m.Over { // its end was told to nobody
-				m.Over, m.Outcome = true, uint8(kiteslip.Failed)
+		if known && m.WindowEnd >= t {
+			if u.peer == nil && !m.Finished { // its end was told to nobody
+				m.Finished, m.Outcome = true, uint8(kiteslip.Failed)
 			}
 			s.core.ImportRecord(record(class, &m))
 		}
-		return known || m.Guard < t
+		return known || m.WindowEnd < t
 	})
 }
 
 // record is a key as the old process tells of it.
 func record(class int, m *handover.Message) core.Record {
-	return core.Record{Class: class, Key: m.Key, Arrived: m.Arrived, WindowEnd: m.Guard, BodyHash: m.Sum, Finished: m.Over,
+	return core.Record{Class: class, Key: m.Key, Arrived: m.Arrived, WindowEnd: m.WindowEnd, BodyHash: m.BodyHash, Finished: m.Finished,
 		Outcome: kiteslip.Outcome(m.Outcome), Result: m.Result}
 }
 
@@ -252,7 +252,7 @@
 
 // Claim asks the owner for the start of a request.
 func (p *peerConn) Claim(id uint32, class int, key string, arrived int64, sum uint64) {
-	p.send(&handover.Message{Kind: handover.Claim, ID: id, Text: p.s.cfg.Classes[class], Key: key, Arrived: arrived, Sum: sum})
+	p.send(&handover.Message{Kind: handover.Claim, ID: id, Text: p.s.cfg.Classes[class], Key: key, Arrived: arrived, BodyHash: sum})
 }
 
 // Grant lets a request of the other process start.
@@ -260,12 +260,12 @@
 
 // Deny says what became of the key of one that may not.
 func (p *peerConn) Deny(id uint32, outcome kiteslip.Outcome, result []byte) {
-	p.send(&handover.Message{Kind: handover.Had, ID: id, Outcome: uint8(outcome), Result: result})
+	p.send(&handover.Message{Kind: handover.Deny, ID: id, Outcome: uint8(outcome), Result: result})
 }
 
 // RunEnded reports the end of a run of which the other process keeps the record.
 func (p *peerConn) RunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
-	p.send(&handover.Message{Kind: handover.Ended, Text: p.s.cfg.Classes[class], Key: key, Arrived: arrived,
+	p.send(&handover.Message{Kind: handover.RunEnded, Text: p.s.cfg.Classes[class], Key: key, Arrived: arrived,
 		Outcome: uint8(outcome), Result: result})
 }
 
@@ -278,19 +278,19 @@
 		return nil
 	}
 	var err error
-	if u.place, err = handover.NewPlace(cmp.Or(s.cfg.Meeting, os.TempDir()), s.cfg.Name); err != nil {
+	if u.place, err = handover.NewEndpoint(cmp.Or(s.cfg.Meeting, os.TempDir()), s.cfg.Name); err != nil {
 		return err
 	}
 	s.core.ReleaseKeys(nil)
 	if u.dialed = u.place.Dial(); u.dialed == nil {
-		if u.place.Own() {
-			u.doubt = s.doubtSince(u.place.Last())
+		if u.place.TryLock() {
+			u.doubt = s.doubtSince(u.place.LastOwnerAlive())
 			s.core.AcquireKeys(u.doubt)
 		}
 		return nil
 	}
 	// Guards the start against an old process that is stuck: what it does is then in doubt, see guard.
-	if u.web, err = handover.Take(u.dialed, time.UnixMicro(u.began+greetWithin)); err != nil {
+	if u.web, err = handover.ReceiveListener(u.dialed, time.UnixMicro(u.began+greetWithin)); err != nil {
 		s.log.Warn("upgrade", zap.Error(err))
 		u.dialed.Close()
 		u.dialed = nil
@@ -333,7 +333,7 @@
 
 // own takes the keys over, if no other process has them.
 func (s *Server) own(doubt int64) {
-	if s.handing.place.Own() {
+	if s.handing.place.TryLock() {
 		s.ownKeys(doubt)
 	}
 	s.schedule()
@@ -361,7 +361,7 @@
 	u.waiting, u.peer, u.handed = nil, p, true
 	s.share()
 	doubt := s.core.ReleaseKeys(p)
-	if err := u.place.Disown(); err != nil {
+	if err := u.place.Unlock(); err != nil {
 		s.log.Error("upgrade", zap.Error(err))
 	}
 	p.handing, p.closing = true, true
@@ -380,13 +380,13 @@
 	}
 	for len(p.table) > 0 && len(p.out)+p.conn.OutboundBuffered() < tableAtOnce {
 		r := &p.table[0]
-		p.put(&handover.Message{Kind: handover.Record, Text: p.s.cfg.Classes[r.Class], Key: r.Key, Arrived: r.Arrived, Guard: r.WindowEnd,
-			Sum: r.BodyHash, Over: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result})
+		p.put(&handover.Message{Kind: handover.Record, Text: p.s.cfg.Classes[r.Class], Key: r.Key, Arrived: r.Arrived, WindowEnd: r.WindowEnd,
+			BodyHash: r.BodyHash, Finished: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result})
 		p.table = p.table[1:]
 	}
 	if len(p.table) == 0 {
 		p.handing, p.table = false, nil
-		p.put(&handover.Message{Kind: handover.Yours, Guard: p.doubt})
+		p.put(&handover.Message{Kind: handover.KeysTransferred, WindowEnd: p.doubt})
 		for i := range p.later {
 			p.put(&p.later[i])
 		}
@@ -407,7 +407,7 @@
 	if u.peer != nil && t >= u.loadAt {
 		u.loadAt = t + loadEvery
 		runs, kb := s.core.EngineLoad()
-		u.peer.send(&handover.Message{Kind: handover.Load, Runs: uint32(runs), KB: uint32(kb)})
+		u.peer.send(&handover.Message{Kind: handover.Load, Runs: uint32(runs), MemoryKB: uint32(kb)})
 	}
 	if u.peer != nil && t-u.peer.heardAt > silentPeer {
 		s.log.Warn("the other process has stalled")
@@ -435,7 +435,7 @@
 		if s.keys.opening {
 			return // the keys are ours once the store is open
 		}
-		if u.place.Own() {
+		if u.place.TryLock() {
 			u.handed = false
 			s.own(t + s.core.MaxWindow())
 		} else if !u.handed && !u.dialing {
@@ -448,7 +448,7 @@
 // redial tries again to reach the process that owns the keys.
 func (s *Server) redial() {
 	if c := s.handing.place.Dial(); c != nil {
-		web, err := handover.Take(c, time.Now().Add(greetWithin*time.Microsecond))
+		web, err := handover.ReceiveListener(c, time.Now().Add(greetWithin*time.Microsecond))
 		if web != nil {
 			web.Close() // it comes too late to be used
 		}
@@ -504,7 +504,7 @@
 		if err != nil {
 			return
 		}
-		if err = handover.Pass(c, web); err != nil {
+		if err = handover.SendListener(c, web); err != nil {
 			s.log.Warn("upgrade", zap.Error(err))
 			c.Close()
 			continue
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -268,7 +268,7 @@
 	old.eventually(t, "the keys are handed over", func() bool { return old.handing.handed })
 	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
 	young.look(func() { // its death, as the system makes it
-		young.handing.place.Disown() //nolint:errcheck // as above
+		young.handing.place.Unlock() //nolint:errcheck // as above
 		hangUp(young.handing.peer.conn)
 	})
 	old.eventually(t, "the keys are back", func() bool { return old.core.OwnsKeys() && !old.handing.handed })
@@ -348,7 +348,7 @@
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Errorf("a read: %+v", got)
 	}
-	old.look(func() { old.handing.place.Disown() }) //nolint:errcheck // its death
+	old.look(func() { old.handing.place.Unlock() }) //nolint:errcheck // its death
 	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
 	if engine.Runs()["key"] != 0 {
 		t.Error("a key in doubt ran")
