--- a/internal/engine/crossings_test.go
+++ b/internal/engine/crossings_test.go
@@ -16,14 +16,14 @@
 	strays int
 }
 
-func (e *ends) Hello(bool, int64)   {}
-func (e *ends) Stats([]float32)     {}
-func (e *ends) Tested(string, bool) {}
-func (e *ends) Stray(_, _ string)   { e.strays++ }
+func (e *ends) Hello(bool, int64)            {}
+func (e *ends) Stats([]float32)              {}
+func (e *ends) Tested(string, bool)          {}
+func (e *ends) UnexpectedNotice(_, _ string) { e.strays++ }
 func (e *ends) Done(r *core.Request, outcome kiteslip.Outcome, _ int64, _ []byte) {
 	e.seen = append(e.seen, fmt.Sprint(r.TryID, " ", outcome))
 }
-func (e *ends) Needs(*core.Request, uint64, []byte) {}
+func (e *ends) NeedsCall(*core.Request, uint64, []byte) {}
 
 func (e *ends) send(parts ...[]byte) {
 	var b strings.Builder
@@ -53,7 +53,7 @@
 	for _, comes := range []bool{true, false} {
 		e, now := &ends{}, int64(1_000_000)
 		l := NewLink(e, func() int64 { return now })
-		l.Classes([]string{"look"}, []bool{true})
+		l.SetClasses([]string{"look"}, []bool{true})
 		l.Run(&core.Request{TryID: "early", Deadline: now + 100})
 		l.Run(&core.Request{TryID: "late", Deadline: now + 10_000_000})
 		now += 1_000_000
@@ -87,7 +87,7 @@
 		"NEED 2 a 99999999\r\n", "DONE 2 a complete 5 2\r\nabX\r\n"} {
 		e := &ends{}
 		l := NewLink(e, func() int64 { return 1_000_000 })
-		l.Classes([]string{"look"}, []bool{true})
+		l.SetClasses([]string{"look"}, []bool{true})
 		e.attach(t, l, "")
 		l.Run(&core.Request{TryID: "a", Deadline: 5_000_000})
 		l.Run(&core.Request{TryID: "b", Deadline: 5_000_000})
@@ -95,7 +95,7 @@
 		if _, err := l.Feed([]byte(bad)); err == nil {
 			t.Errorf("%q passes", bad)
 		}
-		l.Lost()
+		l.ConnectionLost()
 		e.sent = nil
 		e.attach(t, l, "DONE 3 b complete 5 0\r\n\r\n")
 		if e.sent[0] != "ATTACH 2\r\n" {
@@ -112,7 +112,7 @@
 	if _, err := l.Feed([]byte("DONE 9000 a whatever 5 0\r\n\r\n")); err == nil {
 		t.Error("it passes")
 	}
-	l.Lost()
+	l.ConnectionLost()
 	e.sent = nil
 	l.Attach(e.send)
 	if e.sent[0] != "ATTACH 0\r\n" {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,10 +17,10 @@
 type Events interface {
 	Hello(cold bool, up int64) // the engine's cores came up that many microseconds ago
 	Done(r *core.Request, outcome kiteslip.Outcome, elapsed int64, result []byte)
-	Needs(r *core.Request, notice uint64, body []byte) // it stands at a call
+	NeedsCall(r *core.Request, notice uint64, body []byte) // it stands at a call
 	Stats(values []float32)
 	Tested(tag string, ok bool)
-	Stray(cause, line string) // what was turned away, or names no run here
+	UnexpectedNotice(cause, line string) // what was turned away, or names no run here
 }
 
 const (
@@ -81,9 +81,9 @@
 	return &Link{events: events, now: now, runs: map[string]*run{}}
 }
 
-// Classes names the classes, in the order of the settings, and says which are
+// SetClasses names the classes, in the order of the settings, and says which are
 // safe to repeat. The place of a class never changes.
-func (l *Link) Classes(names []string, safe []bool) { l.classes, l.safe = names, safe }
+func (l *Link) SetClasses(names []string, safe []bool) { l.classes, l.safe = names, safe }
 
 // Attach takes a new connection into use, through send. What it sends must be
 // written, in order, before send returns or kept until it can be.
@@ -92,9 +92,9 @@
 	l.send(fmt.Appendf(nil, "ATTACH %d\r\n", l.last))
 }
 
-// Lost says that the connection is gone. Runs go on meanwhile. Those that the
+// ConnectionLost says that the connection is gone. Runs go on meanwhile. Those that the
 // engine has surely read need only be waited for; the others are in doubt.
-func (l *Link) Lost() {
+func (l *Link) ConnectionLost() {
 	l.send, l.ready, l.stat = nil, false, false
 	sure := min(l.read, l.now()-lossSpan)
 	for _, u := range l.runs {
@@ -145,17 +145,17 @@
 
 var crlf = []byte("\r\n")
 
-// Stat asks for the gauges, unless an answer is still to come.
-func (l *Link) Stat() {
+// RequestStats asks for the gauges, unless an answer is still to come.
+func (l *Link) RequestStats() {
 	if l.ready && !l.stat {
 		l.stat, l.statAt = true, l.now()
 		l.send([]byte("STAT g\r\n"))
 	}
 }
 
-// Test asks for the work of a deep health check. It reports false when there
+// RequestTest asks for the work of a deep health check. It reports false when there
 // is no link to ask on.
-func (l *Link) Test(tag string) bool {
+func (l *Link) RequestTest(tag string) bool {
 	if !l.ready {
 		return false
 	}
@@ -233,7 +233,7 @@
 			delete(l.runs, u.r.TryID)
 			l.events.Done(u.r, outcome, int64(ms*1000), result)
 		} else {
-			l.events.Stray("engine_stray_done", string(line))
+			l.events.UnexpectedNotice("engine_stray_done", string(line))
 		}
 	case "NEED":
 		if len(words) != 4 {
@@ -255,9 +255,9 @@
 		if u := l.runs[string(words[2])]; u != nil {
 			u.heard, u.lost = true, false
 			u.reply = word{} // it has gone on since: what was said to it arrived
-			l.events.Needs(u.r, number, body)
+			l.events.NeedsCall(u.r, number, body)
 		} else {
-			l.events.Stray("engine_stray_need", string(line))
+			l.events.UnexpectedNotice("engine_stray_need", string(line))
 		}
 	case "NOTE":
 		if len(words) < 2 {
@@ -276,7 +276,7 @@
 		}
 		l.events.Tested(string(words[1]), string(words[2]) == "complete")
 	case "NO":
-		l.events.Stray("engine_no", string(line))
+		l.events.UnexpectedNotice("engine_no", string(line))
 		// A RUN that was not carried out: nothing was started.
 		if len(words) >= 3 && string(words[1]) == "RUN" {
 			if u := l.runs[string(words[2])]; u != nil {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-func (p *peer) Stray(cause, _ string) { p.strays = append(p.strays, cause) }
+func (p *peer) UnexpectedNotice(cause, _ string) { p.strays = append(p.strays, cause) }
 
-func (p *peer) Needs(r *core.Request, _ uint64, body []byte) {
+func (p *peer) NeedsCall(r *core.Request, _ uint64, body []byte) {
 	if string(body) != "need\r\nof "+r.TryID {
 		p.t.Fatalf("%s needs %q", r.TryID, body)
 	}
@@ -152,7 +152,7 @@
 // cut ends the link, with all that is under way on it.
 func (p *peer) cut() {
 	p.up, p.unread, p.pending = false, nil, nil
-	p.link.Lost()
+	p.link.ConnectionLost()
 }
 
 // spoil ends a run with a notice that cannot be read but for its number.
@@ -202,7 +202,7 @@
 	p := &peer{t: t, now: 1, live: map[string]bool{}, started: map[string]int{}, ended: map[string]bool{},
 		stands: map[string]int{}, needed: map[string]bool{}, fed: map[string]int{}, paused: map[string]bool{}}
 	p.link = NewLink(p, func() int64 { return p.now })
-	p.link.Classes([]string{"safe", "keyed"}, []bool{true, false})
+	p.link.SetClasses([]string{"safe", "keyed"}, []bool{true, false})
 	return p
 }
 
@@ -312,7 +312,7 @@
 			p.read()
 		}
 		p.up, p.unread = false, nil
-		p.link.Lost()
+		p.link.ConnectionLost()
 		p.attach()
 		p.read()
 		p.deliver(len(p.pending))
@@ -347,13 +347,13 @@
 		p.read()
 		if sure {
 			p.now += 1000
-			p.link.Stat()
+			p.link.RequestStats()
 			p.read()
 			p.deliver(len(p.pending))
 			p.now += 2 * lossSpan
 		}
 		p.up, p.unread = false, nil
-		p.link.Lost()
+		p.link.ConnectionLost()
 		p.attach()
 		p.now += 10_000
 		p.read()
@@ -407,13 +407,13 @@
 		}
 		if c.sure {
 			p.now++
-			p.link.Stat()
+			p.link.RequestStats()
 			p.read()
 			p.deliver(len(p.pending))
 			p.now += 2 * lossSpan
 		}
 		p.up, p.unread, p.pending = false, nil, nil
-		p.link.Lost()
+		p.link.ConnectionLost()
 		p.attach()
 		for len(p.unread) > 0 && strings.HasPrefix(p.unread[0], "ATTACH") || len(p.unread) > 0 && strings.HasPrefix(p.unread[0], "STAT") {
 			p.read()
@@ -445,7 +445,7 @@
 	delete(p.ended, "k") // it was stopped, not over
 	p.link.Resume(r)
 	p.up, p.unread = false, nil
-	p.link.Lost()
+	p.link.ConnectionLost()
 	p.settle()
 	if p.started["k"] != 1 || !p.ended["k"] || len(p.paused) != 0 {
 		t.Errorf("started %d times, ended %v, paused %v", p.started["k"], p.ended["k"], p.paused)
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -86,7 +86,7 @@
 // Skip lets a run go on without its call.
 func (s *Server) Skip(r *core.Request, notice uint64) { s.link.Skip(r, notice) }
 
-// Needs takes in that a run stands at a call.
-func (s *Server) Needs(r *core.Request, notice uint64, body []byte) {
+// NeedsCall takes in that a run stands at a call.
+func (s *Server) NeedsCall(r *core.Request, notice uint64, body []byte) {
 	s.core.NeedsCall(r, notice, body)
 }
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -62,8 +62,8 @@
 	s.link.Run(r)
 }
 
-// Stray takes in what the engine said that was turned away or names no run here.
-func (s *Server) Stray(cause, line string) {
+// UnexpectedNotice takes in what the engine said that was turned away or names no run here.
+func (s *Server) UnexpectedNotice(cause, line string) {
 	s.reject(&reject.Caused{Cause: cause, Err: fmt.Errorf("engine: %.120q", line)})
 }
 
@@ -162,7 +162,7 @@
 
 // lost takes in the end of the link in use; deep checks that wait for it fail.
 func (s *Server) lost() {
-	s.link.Lost()
+	s.link.ConnectionLost()
 	for tag := range s.checks {
 		s.Tested(tag, false)
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -238,7 +238,7 @@
 	}
 	s.tenants = cfg.Tenants
 	s.book.Contracts = cfg.UWSGI.Contracts
-	s.link.Classes(cfg.Classes, s.safe)
+	s.link.SetClasses(cfg.Classes, s.safe)
 }
 
 // reregister sends the reports to the registry that holds now. It is reached
--- a/internal/server/round.go
+++ b/internal/server/round.go
@@ -38,7 +38,7 @@
 	requests, _ := s.core.Tracked()
 	if requests > 0 && t >= s.statAt {
 		s.statAt = t + gaugeEvery
-		s.link.Stat()
+		s.link.RequestStats()
 	}
 	s.core.Step(t)
 	s.flush()
--- a/internal/server/session.go
+++ b/internal/server/session.go
@@ -282,7 +282,7 @@
 	}
 	f.s.checkID++
 	tag := strconv.Itoa(f.s.checkID)
-	if !f.s.link.Test(tag) {
+	if !f.s.link.RequestTest(tag) {
 		f.verdict(fr.Stream, false)
 		return nil
 	}
