--- a/internal/config/calls.go
+++ b/internal/config/calls.go
@@ -29,7 +29,7 @@
 	if c.Ledger = m.Ledger; m.Ledger == "" {
 		return
 	}
-	if err := ledger.Check(m.Ledger); err != nil {
+	if err := ledger.CheckAddress(m.Ledger); err != nil {
 		errs.add("machine.ledger", "%v", err)
 	}
 	c.Module.Downstream, c.Module.CallShareWindow, c.Module.MaxCallLinger = kiteslip.DownstreamTier, callsOver, lingers
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -182,7 +182,7 @@
 	address("engine", c.Engine, true)
 	address("registry", c.Registry, false)
 	if c.Ledger != "" {
-		if err := ledger.Check(c.Ledger); err != nil {
+		if err := ledger.CheckAddress(c.Ledger); err != nil {
 			fail("ledger", "%w", err)
 		}
 	}
--- a/internal/ledger/crossings_test.go
+++ b/internal/ledger/crossings_test.go
@@ -55,7 +55,7 @@
 		broken.Store(true)
 		r.Call(2, "b", []byte("second"), longest.Microseconds())
 		got := r.next()
-		if refused && (got.Outcome != kiteslip.Unreachable || got.End != Refused) || !refused && got.Outcome != kiteslip.OK {
+		if refused && (got.Outcome != kiteslip.Unreachable || got.Reason != ConnectionRefused) || !refused && got.Outcome != kiteslip.OK {
 			t.Errorf("refused %v: %+v", refused, got)
 		}
 		if n := r.far.Effects()["second"]; !refused && n != 1 || refused && n != 0 {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -36,9 +36,9 @@
 type Result struct {
 	Token   uint64
 	Outcome kiteslip.Outcome
-	End     End
+	Reason  EndReason
 	Reply   []byte // OK only; unchanged
-	Detail  error  // what was seen, where it is not OK
+	Err     error  // what was seen, where it is not OK
 }
 
 // Client makes calls. See the package comment.
@@ -53,8 +53,8 @@
 	wait sync.WaitGroup
 }
 
-// Check says what is wrong with an address; nil = it can be used.
-func Check(address string) error {
+// CheckAddress says what is wrong with an address; nil = it can be used.
+func CheckAddress(address string) error {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || at.Port() == 0 {
 		return fmt.Errorf("is %q, want an IP address and a port: names are not looked up", address)
@@ -66,7 +66,7 @@
 // connections. hand takes each result, on a goroutine of the client's, and must
 // not wait.
 func New(address string, conns int, hand func(Result)) (*Client, error) {
-	if err := Check(address); err != nil {
+	if err := CheckAddress(address); err != nil {
 		return nil, fmt.Errorf("ledger %w", err)
 	}
 	conns = max(1, conns)
@@ -82,10 +82,10 @@
 	}}, nil
 }
 
-// Move gives the ledger another address. Calls that are out end where they were
+// SetAddress gives the ledger another address. Calls that are out end where they were
 // made; connections that carry none are closed.
-func (c *Client) Move(address string) error {
-	if err := Check(address); err != nil {
+func (c *Client) SetAddress(address string) error {
+	if err := CheckAddress(address); err != nil {
 		return fmt.Errorf("ledger %w", err)
 	}
 	if address != c.address {
@@ -110,7 +110,7 @@
 	c.mu.Unlock()
 	if full {
 		cancel()
-		c.hand(Result{Token: token, Outcome: kiteslip.Unreachable, End: NoConnection, Detail: errBusy})
+		c.hand(Result{Token: token, Outcome: kiteslip.Unreachable, Reason: NoConnection, Err: errBusy})
 		return
 	}
 	post := post{address: c.address, ref: ref, body: body, within: within, carrier: c.carrier}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -53,21 +53,21 @@
 		name    string
 		act     standin.Act
 		outcome kiteslip.Outcome
-		end     End
+		end     EndReason
 	}{
 		{"good", standin.Act{}, kiteslip.OK, OK},
-		{"turned away", standin.Act{Status: 503, Untouched: true}, kiteslip.Rejected, TurnedAway},
-		{"503 without a word", standin.Act{Status: 503}, kiteslip.Failed, Unproved},
-		{"error", standin.Act{Status: 500}, kiteslip.Failed, Errored},
-		{"error that claims nothing ran", standin.Act{Status: 500, Untouched: true}, kiteslip.Failed, Errored},
-		{"out of time", standin.Act{Status: 504}, kiteslip.TimedOut, Expired},
-		{"no run", standin.Act{Status: 409, Untouched: true}, kiteslip.NotStarted, NoRun},
-		{"409 without a word", standin.Act{Status: 409}, kiteslip.Failed, Unproved},
-		{"another status", standin.Act{Status: 302, Untouched: true}, kiteslip.Failed, Status},
-		{"broken", standin.Act{Break: true}, kiteslip.Reset, Broken},
+		{"turned away", standin.Act{Status: 503, Untouched: true}, kiteslip.Rejected, Rejected},
+		{"503 without a word", standin.Act{Status: 503}, kiteslip.Failed, Unconfirmed},
+		{"error", standin.Act{Status: 500}, kiteslip.Failed, ServerError},
+		{"error that claims nothing ran", standin.Act{Status: 500, Untouched: true}, kiteslip.Failed, ServerError},
+		{"out of time", standin.Act{Status: 504}, kiteslip.TimedOut, RemoteTimeout},
+		{"no run", standin.Act{Status: 409, Untouched: true}, kiteslip.NotStarted, NoSuchRun},
+		{"409 without a word", standin.Act{Status: 409}, kiteslip.Failed, Unconfirmed},
+		{"another status", standin.Act{Status: 302, Untouched: true}, kiteslip.Failed, UnexpectedStatus},
+		{"broken", standin.Act{Break: true}, kiteslip.Reset, ConnectionBroken},
 		{"no HTTP", standin.Act{Garble: true}, kiteslip.Reset, Malformed},
 		{"oversized", standin.Act{Size: replyMost + 1}, kiteslip.Reset, Oversized},
-		{"slow", standin.Act{After: time.Minute}, kiteslip.TimedOut, Slow},
+		{"slow", standin.Act{After: time.Minute}, kiteslip.TimedOut, CallTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -78,7 +78,7 @@
 			}
 			r.Call(7, "9b1f03aa5c7e2d41", []byte("body\x00"), patience.Microseconds())
 			got := r.next()
-			if got.Token != 7 || got.Outcome != c.outcome || got.End != c.end {
+			if got.Token != 7 || got.Outcome != c.outcome || got.Reason != c.end {
 				t.Errorf("%+v, want outcome %d and end %v", got, c.outcome, c.end)
 			}
 			if c.outcome == kiteslip.OK && string(got.Reply) != standin.Reply("body\x00") {
@@ -102,11 +102,11 @@
 		}
 		r.Call(uint64(i), "a", nil, longest.Microseconds())
 		got := r.next()
-		if !up && got.End == Broken { // the kept connection was not known to be gone yet; it is now
+		if !up && got.Reason == ConnectionBroken { // the kept connection was not known to be gone yet; it is now
 			r.Call(uint64(i), "a", nil, longest.Microseconds())
 			got = r.next()
 		}
-		if up && got.Outcome != kiteslip.OK || !up && (got.Outcome != kiteslip.Unreachable || got.End != Refused) {
+		if up && got.Outcome != kiteslip.OK || !up && (got.Outcome != kiteslip.Unreachable || got.Reason != ConnectionRefused) {
 			t.Errorf("up %v: %+v", up, got)
 		}
 	}
@@ -124,7 +124,7 @@
 		<-came
 	}
 	r.Call(100, "a", nil, 50_000)
-	if got := r.next(); got.Token != 100 || got.Outcome != kiteslip.Unreachable || got.End != NoConnection {
+	if got := r.next(); got.Token != 100 || got.Outcome != kiteslip.Unreachable || got.Reason != NoConnection {
 		t.Errorf("%+v, want the one that could not wait", got)
 	}
 	close(release)
@@ -185,10 +185,10 @@
 	t.Cleanup(next.Down)
 	r.Call(1, "a", []byte("old"), longest.Microseconds())
 	<-came
-	if err := r.Move("localhost:1"); err == nil {
+	if err := r.SetAddress("localhost:1"); err == nil {
 		t.Error("a name is taken as an address")
 	}
-	if err := r.Move(next.Address); err != nil {
+	if err := r.SetAddress(next.Address); err != nil {
 		t.Fatal(err)
 	}
 	r.Call(2, "b", []byte("new"), longest.Microseconds())
@@ -216,12 +216,12 @@
 
 func TestAddresses(t *testing.T) {
 	for _, bad := range []string{"", "ledger:7700", "localhost:7700", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:x"} {
-		if Check(bad) == nil {
+		if CheckAddress(bad) == nil {
 			t.Errorf("%q passes", bad)
 		}
 	}
 	for _, good := range []string{"127.0.0.1:7700", "[::1]:7700"} {
-		if err := Check(good); err != nil {
+		if err := CheckAddress(good); err != nil {
 			t.Error(err)
 		}
 	}
@@ -242,7 +242,7 @@
 	}
 	defer c.Close()
 	c.Call(1, "a", nil, 100_000)
-	if got := <-results; got.Outcome != kiteslip.TimedOut || got.End != Slow {
+	if got := <-results; got.Outcome != kiteslip.TimedOut || got.Reason != CallTimeout {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/ledger/post.go
+++ b/internal/ledger/post.go
@@ -17,40 +17,40 @@
 	"kiteslip"
 )
 
-// End is what was seen of a call's end, finer than its outcome: it is counted.
-type End uint8
+// EndReason is what was seen of a call's end, finer than its outcome: it is counted.
+type EndReason uint8
 
 // The ends.
 const (
-	OK           End = iota
-	TurnedAway       // 503, and it never ran
-	Errored          // 500
-	Expired          // 504: it ran out of time, or its run has ended
-	NoRun            // 409: no run waits for it, and it never ran
-	Unproved         // 503 or 409 without the word that it never ran
-	Status           // a status that the protocol does not have
-	Refused          // the connection was refused, or could not be made
-	NoConnection     // none was free in time
-	Broken           // the connection broke under the call
-	Slow             // given up at the end of its patience
-	Oversized        // a reply of more than is allowed
-	Malformed        // a reply that is no HTTP
+	OK                EndReason = iota
+	Rejected                    // 503, and it never ran
+	ServerError                 // 500
+	RemoteTimeout               // 504: it ran out of time, or its run has ended
+	NoSuchRun                   // 409: no run waits for it, and it never ran
+	Unconfirmed                 // 503 or 409 without the word that it never ran
+	UnexpectedStatus            // a status that the protocol does not have
+	ConnectionRefused           // the connection was refused, or could not be made
+	NoConnection                // none was free in time
+	ConnectionBroken            // the connection broke under the call
+	CallTimeout                 // given up at the end of its patience
+	Oversized                   // a reply of more than is allowed
+	Malformed                   // a reply that is no HTTP
 	ends
 )
 
 var endWords = [ends]string{"ok", "turned_away", "error", "expired", "moot", "unproved", "status", "refused",
 	"no_connection", "broken", "slow", "oversized", "malformed"}
 
-func (e End) String() string {
+func (e EndReason) String() string {
 	if e < ends {
 		return endWords[e]
 	}
 	return "unknown"
 }
 
-// Ends lists all ends, for those who count by them.
-func Ends() []End {
-	var all []End
+// EndReasons lists all ends, for those who count by them.
+func EndReasons() []EndReason {
+	var all []EndReason
 	for e := range ends {
 		all = append(all, e)
 	}
@@ -93,7 +93,7 @@
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, seen.hooks()), http.MethodPost,
 		"http://"+p.address+"/post", bytes.NewReader(p.body))
 	if err != nil {
-		return Result{Outcome: kiteslip.Unreachable, End: Refused, Detail: err}
+		return Result{Outcome: kiteslip.Unreachable, Reason: ConnectionRefused, Err: err}
 	}
 	request.Header = http.Header{
 		"X-Txn-Ref":  {p.ref},
@@ -110,7 +110,7 @@
 	case err != nil:
 		return failed(ctx, err, &seen)
 	case len(reply) > replyMost:
-		return Result{Outcome: kiteslip.Reset, End: Oversized, Detail: fmt.Errorf("ledger: a reply of over %d bytes", replyMost)}
+		return Result{Outcome: kiteslip.Reset, Reason: Oversized, Err: fmt.Errorf("ledger: a reply of over %d bytes", replyMost)}
 	}
 	return judge(response, reply)
 }
@@ -119,23 +119,23 @@
 // where the protocol says so.
 func judge(response *http.Response, reply []byte) Result {
 	if response.StatusCode == http.StatusOK {
-		return Result{Outcome: kiteslip.OK, End: OK, Reply: reply}
+		return Result{Outcome: kiteslip.OK, Reason: OK, Reply: reply}
 	}
 	untouched := response.Header.Get("X-Untouched") == "1"
-	r := Result{Outcome: kiteslip.Failed, End: Status, Detail: fmt.Errorf("ledger: status %d, untouched %v", response.StatusCode, untouched)}
+	r := Result{Outcome: kiteslip.Failed, Reason: UnexpectedStatus, Err: fmt.Errorf("ledger: status %d, untouched %v", response.StatusCode, untouched)}
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable:
-		if r.End = Unproved; untouched {
-			r.Outcome, r.End = kiteslip.Rejected, TurnedAway
+		if r.Reason = Unconfirmed; untouched {
+			r.Outcome, r.Reason = kiteslip.Rejected, Rejected
 		}
 	case http.StatusConflict:
-		if r.End = Unproved; untouched {
-			r.Outcome, r.End = kiteslip.NotStarted, NoRun
+		if r.Reason = Unconfirmed; untouched {
+			r.Outcome, r.Reason = kiteslip.NotStarted, NoSuchRun
 		}
 	case http.StatusInternalServerError:
-		r.End = Errored
+		r.Reason = ServerError
 	case http.StatusGatewayTimeout:
-		r.Outcome, r.End = kiteslip.TimedOut, Expired
+		r.Outcome, r.Reason = kiteslip.TimedOut, RemoteTimeout
 	}
 	return r
 }
@@ -143,18 +143,18 @@
 // failed words a call without a whole reply.
 func failed(ctx context.Context, err error, seen *trace) Result {
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
-	r := Result{Outcome: kiteslip.Reset, End: Broken, Detail: err}
+	r := Result{Outcome: kiteslip.Reset, Reason: ConnectionBroken, Err: err}
 	switch {
 	case !seen.connected.Load() && (seen.refused.Load() || errors.Is(err, syscall.ECONNREFUSED)) && !late:
-		r.Outcome, r.End = kiteslip.Unreachable, Refused
+		r.Outcome, r.Reason = kiteslip.Unreachable, ConnectionRefused
 	case !seen.connected.Load():
-		r.Outcome, r.End = kiteslip.Unreachable, NoConnection
+		r.Outcome, r.Reason = kiteslip.Unreachable, NoConnection
 	case late:
-		r.Outcome, r.End = kiteslip.TimedOut, Slow
+		r.Outcome, r.Reason = kiteslip.TimedOut, CallTimeout
 	case strings.Contains(err.Error(), "malformed HTTP"):
-		r.End = Malformed
+		r.Reason = Malformed
 	case strings.Contains(err.Error(), "exceeded"):
-		r.End = Oversized
+		r.Reason = Oversized
 	}
 	return r
 }
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -13,7 +13,7 @@
 type below struct {
 	client *ledger.Client // nil = there is no ledger
 	places int            // connections that are set aside for it
-	ends   map[ledger.End]int
+	ends   map[ledger.EndReason]int
 	late   int // results that nobody waited for any more
 }
 
@@ -24,7 +24,7 @@
 	case s.cfg.Ledger == "":
 		return
 	case s.below.client != nil:
-		err = s.below.client.Move(s.cfg.Ledger)
+		err = s.below.client.SetAddress(s.cfg.Ledger)
 	case s.below.places == 0:
 		s.log.Warn("the ledger needs descriptors set aside at the start; until a restart its calls fail")
 		return
@@ -41,9 +41,9 @@
 // ledgerSaid takes in the end of a call, from beside the loop.
 func (s *Server) ledgerSaid(r ledger.Result) {
 	s.onLoop(func() {
-		s.below.ends[r.End]++
-		if r.End != ledger.OK {
-			s.reject(&reject.Caused{Cause: "ledger_" + r.End.String(), Err: r.Detail})
+		s.below.ends[r.Reason]++
+		if r.Reason != ledger.OK {
+			s.reject(&reject.Caused{Cause: "ledger_" + r.Reason.String(), Err: r.Err})
 		}
 		if !s.core.CallDone(now(), r.Token, r.Outcome, r.Reply) {
 			s.below.late++
@@ -58,7 +58,7 @@
 		return nil
 	}
 	f := &figures.Ledger{Out: s.core.CallsInFlight(), Late: s.below.late}
-	for _, end := range ledger.Ends() {
+	for _, end := range ledger.EndReasons() {
 		f.Ends = append(f.Ends, reject.Total{Cause: end.String(), Count: s.below.ends[end]})
 	}
 	return f
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -138,7 +138,7 @@
 	}
 	s.life, s.end = context.WithCancel(context.Background())
 	p := PlacesOf(cfg)
-	s.below.ends, s.below.places = map[ledger.End]int{}, p.Ledger
+	s.below.ends, s.below.places = map[ledger.EndReason]int{}, p.Ledger
 	s.calls = p.Backends
 	s.slots, s.adminSlots = make(chan struct{}, p.Callers), make(chan struct{}, p.Admin)
 	s.descriptors = semaphore.NewWeighted(int64(p.Descriptors))
