--- a/internal/core/arrivals.go
+++ b/internal/core/arrivals.go
@@ -74,7 +74,7 @@
 }
 
 func turnedDown(cause, format string, args ...any) error {
-	return &reject.Caused{Cause: cause, Err: fmt.Errorf(format, args...)}
+	return &reject.Error{Cause: cause, Err: fmt.Errorf(format, args...)}
 }
 
 // keyName names the entry of a key in the table.
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -36,8 +36,8 @@
 	Pools             []Pool
 	Keys              *Keys // nil = none are kept
 	Ledger            *Ledger
-	Control           *Control       // nil = off
-	RejectedBy        []reject.Total // what was turned away unread, by cause
+	Control           *Control            // nil = off
+	RejectedBy        []reject.CauseCount // what was turned away unread, by cause
 }
 
 const prefix = "app."
@@ -123,9 +123,9 @@
 
 // Ledger are the figures of calls below.
 type Ledger struct {
-	Out  int            // calls that are out
-	Late int            // ends that nobody waited for any more
-	Ends []reject.Total // calls by how they ended
+	Out  int                 // calls that are out
+	Late int                 // ends that nobody waited for any more
+	Ends []reject.CauseCount // calls by how they ended
 }
 
 func (l *Ledger) append(line func(name string, value int, kind string)) {
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -57,7 +57,7 @@
 	}
 	n := binary.BigEndian.Uint32(b)
 	if n < MinLength || n > MaxLength {
-		return Frame{}, 0, &reject.Caused{Cause: "frame_length", Err: fmt.Errorf("%w: %d", ErrLength, n)}
+		return Frame{}, 0, &reject.Error{Cause: "frame_length", Err: fmt.Errorf("%w: %d", ErrLength, n)}
 	}
 	end := 4 + int(n)
 	if len(b) < end {
@@ -73,14 +73,14 @@
 }
 
 func cutShort(i int) error {
-	return &reject.Caused{Cause: "fields_cut_short", Err: fmt.Errorf("frame: field %d is cut short", i)}
+	return &reject.Error{Cause: "fields_cut_short", Err: fmt.Errorf("frame: field %d is cut short", i)}
 }
 
 // ParseFields checks the fields at the start of a payload and returns them
 // with what follows, the body.
 func ParseFields(p []byte) (Fields, []byte, error) {
 	if len(p) < 1 {
-		return Fields{}, nil, &reject.Caused{Cause: "fields_cut_short", Err: errors.New("frame: no field count")}
+		return Fields{}, nil, &reject.Error{Cause: "fields_cut_short", Err: errors.New("frame: no field count")}
 	}
 	f := Fields{count: int(p[0])}
 	rest := p[1:]
--- a/internal/frame/request.go
+++ b/internal/frame/request.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	if len(body) > MaxBody {
-		return nil, &reject.Caused{Cause: "body_too_large", Err: fmt.Errorf("frame: body of %d bytes, at most %d are allowed", len(body), MaxBody)}
+		return nil, &reject.Error{Cause: "body_too_large", Err: fmt.Errorf("frame: body of %d bytes, at most %d are allowed", len(body), MaxBody)}
 	}
 	r := &core.Request{Class: -1, Tenant: -1, Arrived: -1}
 	var timeout int64
@@ -112,11 +112,11 @@
 
 // unusable names a field of the protocol: others are passed over, so the causes are few.
 func unusable(name string) error {
-	return &reject.Caused{Cause: "field_unusable_" + name, Err: fmt.Errorf("frame: field %q cannot be used", name)}
+	return &reject.Error{Cause: "field_unusable_" + name, Err: fmt.Errorf("frame: field %q cannot be used", name)}
 }
 
 func absent(name string) error {
-	return &reject.Caused{Cause: "field_absent_" + name, Err: fmt.Errorf("frame: field %q is absent", name)}
+	return &reject.Error{Cause: "field_absent_" + name, Err: fmt.Errorf("frame: field %q is absent", name)}
 }
 
 func hex16(b []byte) bool {
--- a/internal/reject/reject.go
+++ b/internal/reject/reject.go
@@ -11,8 +11,8 @@
 	"slices"
 )
 
-// Every is how often the same cause is spoken of, microseconds.
-const Every = 60_000_000
+// LogIntervalUS is how often the same cause is spoken of, microseconds.
+const LogIntervalUS = 60_000_000
 
 // causesMost bounds the causes; what comes beyond is counted as Other.
 const causesMost = 64
@@ -20,8 +20,8 @@
 // Other stands for all causes beyond those that have a place.
 const Other = "other"
 
-// Total is how often one cause has come since the start.
-type Total struct {
+// CauseCount is how often one cause has come since the start.
+type CauseCount struct {
 	Cause string
 	Count int
 }
@@ -31,12 +31,12 @@
 	said  int64
 }
 
-// Book counts by cause. Its zero value is ready to use.
-type Book struct{ causes map[string]*entry }
+// Counter counts by cause. Its zero value is ready to use.
+type Counter struct{ causes map[string]*entry }
 
-// Note counts one rejection at now, in Unix microseconds, and reports whether
+// Add counts one rejection at now, in Unix microseconds, and reports whether
 // it is the first of its cause within Every.
-func (b *Book) Note(now int64, cause string) bool {
+func (b *Counter) Add(now int64, cause string) bool {
 	if b.causes == nil {
 		b.causes = map[string]*entry{}
 	}
@@ -46,36 +46,36 @@
 		e = b.causes[cause]
 	}
 	if e == nil {
-		e = &entry{said: now - Every}
+		e = &entry{said: now - LogIntervalUS}
 		b.causes[cause] = e
 	}
 	e.count++
-	if now-e.said < Every {
+	if now-e.said < LogIntervalUS {
 		return false
 	}
 	e.said = now
 	return true
 }
 
-// Totals lists the causes by name.
-func (b *Book) Totals() []Total {
-	var all []Total
+// Counts lists the causes by name.
+func (b *Counter) Counts() []CauseCount {
+	var all []CauseCount
 	for _, cause := range slices.Sorted(maps.Keys(b.causes)) {
-		all = append(all, Total{cause, b.causes[cause].count})
+		all = append(all, CauseCount{cause, b.causes[cause].count})
 	}
 	return all
 }
 
-// Caused is an error whose cause has a word.
-type Caused struct {
+// Error is an error whose cause has a word.
+type Error struct {
 	Cause string
 	Err   error
 }
 
-func (c *Caused) Error() string {
+func (c *Error) Error() string {
 	if c.Err == nil {
 		return c.Cause
 	}
 	return c.Err.Error()
 }
-func (c *Caused) Unwrap() error { return c.Err }
+func (c *Error) Unwrap() error { return c.Err }
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -154,7 +154,7 @@
 		f.Pools = append(f.Pools, figures.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Own: p.Guaranteed,
 			Borrowed: p.Borrowed, Lent: p.Lent, MayWait: p.MaxQueued, Saved: p.SavedRuns, Refused: p.Refused, BookedKB: int(p.BookedKB), Cheapest: p.HasCheapest})
 	}
-	f.RejectedBy = s.rejects.Totals()
+	f.RejectedBy = s.rejects.Counts()
 	f.Ledger = s.ledgerFigures()
 	f.Control = s.controlFigures()
 	if w := s.keys.worker; w != nil {
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -43,7 +43,7 @@
 	s.onLoop(func() {
 		s.below.ends[r.Reason]++
 		if r.Reason != ledger.OK {
-			s.reject(&reject.Caused{Cause: "ledger_" + r.Reason.String(), Err: r.Err})
+			s.reject(&reject.Error{Cause: "ledger_" + r.Reason.String(), Err: r.Err})
 		}
 		if !s.core.CallDone(now(), r.Token, r.Outcome, r.Reply) {
 			s.below.late++
@@ -59,7 +59,7 @@
 	}
 	f := &figures.Ledger{Out: s.core.CallsInFlight(), Late: s.below.late}
 	for _, end := range ledger.EndReasons() {
-		f.Ends = append(f.Ends, reject.Total{Cause: end.String(), Count: s.below.ends[end]})
+		f.Ends = append(f.Ends, reject.CauseCount{Cause: end.String(), Count: s.below.ends[end]})
 	}
 	return f
 }
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -64,7 +64,7 @@
 
 // UnexpectedNotice takes in what the engine said that was turned away or names no run here.
 func (s *Server) UnexpectedNotice(cause, line string) {
-	s.reject(&reject.Caused{Cause: cause, Err: fmt.Errorf("engine: %.120q", line)})
+	s.reject(&reject.Error{Cause: cause, Err: fmt.Errorf("engine: %.120q", line)})
 }
 
 // Hello takes in that the engine is up.
@@ -139,7 +139,7 @@
 	}
 	n, err := e.s.link.Feed(b)
 	if err != nil {
-		e.s.reject(&reject.Caused{Cause: "engine_protocol", Err: err})
+		e.s.reject(&reject.Error{Cause: "engine_protocol", Err: err})
 	}
 	return n, err
 }
--- a/internal/server/rejects.go
+++ b/internal/server/rejects.go
@@ -17,11 +17,11 @@
 // says so.
 func (s *Server) reject(err error) {
 	cause := unnamed
-	var caused *reject.Caused
+	var caused *reject.Error
 	if errors.As(err, &caused) {
 		cause = caused.Cause
 	}
-	if s.rejects.Note(now(), cause) {
+	if s.rejects.Add(now(), cause) {
 		s.log.Warn("rejected", zap.String("cause", cause), zap.Error(err))
 	} else {
 		s.log.Debug("rejected", zap.String("cause", cause), zap.Error(err))
@@ -30,13 +30,13 @@
 
 // caused is an error whose cause has a word.
 func caused(cause, format string, args ...any) error {
-	return &reject.Caused{Cause: cause, Err: fmt.Errorf(format, args...)}
+	return &reject.Error{Cause: cause, Err: fmt.Errorf(format, args...)}
 }
 
 // rejectedFields are the counts for the line of totals.
 func (s *Server) rejectedFields() zap.Field {
 	counts := map[string]int{}
-	for _, t := range s.rejects.Totals() {
+	for _, t := range s.rejects.Counts() {
 		counts[t.Cause] = t.Count
 	}
 	return zap.Any("rejected", counts)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -113,7 +113,7 @@
 	book     *uwsgi.Book
 	below    below
 	control  control
-	rejects  reject.Book
+	rejects  reject.Counter
 	backends map[*backendConn]struct{}
 	calls    int    // backends that may be called at once
 	webs     int    // open connections of the uwsgi front
--- a/internal/server/web.go
+++ b/internal/server/web.go
@@ -124,7 +124,7 @@
 
 // refuse answers a request that does not enter the core.
 func (f *webSession) refuse(p *uwsgi.Problem) {
-	f.s.reject(&reject.Caused{Cause: "uwsgi_" + strconv.Itoa(p.Status), Err: p})
+	f.s.reject(&reject.Error{Cause: "uwsgi_" + strconv.Itoa(p.Status), Err: p})
 	f.respond(p.Status, 0, []byte(p.Reason+"\n"))
 }
 
