--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -12,10 +12,10 @@
 	name string
 }
 
-// Interval is the time between reports in microseconds. The registry drops a
+// ReportIntervalUS is the time between reports in microseconds. The registry drops a
 // server 3 s after its last one, and reports get lost: with a quarter of them
 // gone, one a second would let a server drop out every minute or so.
-const Interval = 250_000
+const ReportIntervalUS = 250_000
 
 // Dial returns a Heartbeat for the server named, to the registry at address.
 func Dial(address, name string) (*Heartbeat, error) {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -39,7 +39,7 @@
 // A quarter of the reports is lost: even with nine lost in a row one comes
 // before the registry drops the server, 3 s after the last.
 func TestIntervalOutlivesLosses(t *testing.T) {
-	if 10*Interval >= 3_000_000 {
-		t.Errorf("a report every %d us", Interval)
+	if 10*ReportIntervalUS >= 3_000_000 {
+		t.Errorf("a report every %d us", ReportIntervalUS)
 	}
 }
--- a/internal/server/round.go
+++ b/internal/server/round.go
@@ -83,7 +83,7 @@
 // report tells the registry, and now and then the log, how things are.
 func (s *Server) report(t int64) {
 	if t >= s.reportAt {
-		s.reportAt = t + registry.Interval
+		s.reportAt = t + registry.ReportIntervalUS
 		s.link.Expire()
 		s.guard(t)
 		for tag, c := range s.checks {
