--- a/cmd/kiteslip/check.go
+++ b/cmd/kiteslip/check.go
@@ -22,7 +22,7 @@
 	describeTeams(w, cfg)
 	describeClasses(w, cfg)
 	if cfg.Ledger != "" {
-		fmt.Fprintf(w, "ledger %s, up to %d connections\n", cfg.Ledger, server.LedgerPlaces(cfg))
+		fmt.Fprintf(w, "ledger %s, up to %d connections\n", cfg.Ledger, server.MaxLedgerConnections(cfg))
 	} else if cfg.Calling() {
 		fmt.Fprintln(w, "no ledger: classes call below, and each call fails")
 	}
--- a/cmd/kiteslip/follow.go
+++ b/cmd/kiteslip/follow.go
@@ -28,7 +28,7 @@
 	}
 	began := time.Now()
 	ctx, end := context.WithCancel(ctx)
-	notice, done, watched := make(chan server.Notice, 1), make(chan struct{}), make(chan struct{})
+	notice, done, watched := make(chan server.ShutdownNotice, 1), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(watched)
 		select {
--- a/cmd/kiteslip/main.go
+++ b/cmd/kiteslip/main.go
@@ -88,7 +88,7 @@
 	if follower != nil {
 		s.Follow(follower)
 	}
-	s.Reload = func() (*config.Config, error) { return load(c.Operator) }
+	s.LoadConfig = func() (*config.Config, error) { return load(c.Operator) }
 	return s.Serve(signals)
 }
 
--- a/internal/server/places.go
+++ b/internal/server/places.go
@@ -4,15 +4,15 @@
 	"kiteslip/internal/config"
 )
 
-// Places say how the descriptors that the platform grants are divided, so that
+// DescriptorBudget say how the descriptors that the platform grants are divided, so that
 // callers, however many come and stay, never take what the server itself needs.
-type Places struct {
-	Own         int // the loop, the engine's link and its search, the registry, listeners, files
-	Admin       int // operators' connections
-	Ledger      int // connections to the ledger
-	Backends    int // calls of uwsgi servers at once
-	Descriptors int // that callers' connections may take, those that are entering twice
-	Callers     int // callers' connections at most
+type DescriptorBudget struct {
+	Internal          int // the loop, the engine's link and its search, the registry, listeners, files
+	Admin             int // operators' connections
+	Ledger            int // connections to the ledger
+	BackendCalls      int // calls of uwsgi servers at once
+	CallerDescriptors int // that callers' connections may take, those that are entering twice
+	CallerConnections int // callers' connections at most
 }
 
 const (
@@ -29,34 +29,34 @@
 	callersLeast       = 2
 )
 
-// PlacesOf divides the descriptors that the limits grant.
-func PlacesOf(cfg *config.Config) Places {
-	p := Places{Own: ownDescriptors, Ledger: LedgerPlaces(cfg)}
+// NewDescriptorBudget divides the descriptors that the limits grant.
+func NewDescriptorBudget(cfg *config.Config) DescriptorBudget {
+	p := DescriptorBudget{Internal: ownDescriptors, Ledger: MaxLedgerConnections(cfg)}
 	if cfg.InheritedFD != 0 {
-		p.Own += meetingDescriptors
+		p.Internal += meetingDescriptors
 	}
 	if cfg.Keys.Folder != "" {
-		p.Own += min(keyDescriptors, cfg.Limits.Sockets/4)
+		p.Internal += min(keyDescriptors, cfg.Limits.Sockets/4)
 	}
 	if cfg.Control.On() {
-		p.Own += controlDescriptors
+		p.Internal += controlDescriptors
 	}
 	if cfg.Ops != "" {
 		p.Admin = max(1, min(adminPlaces, cfg.Limits.Sockets/adminShare))
 	}
-	rest := cfg.Limits.Sockets - p.Own - p.Admin - p.Ledger
+	rest := cfg.Limits.Sockets - p.Internal - p.Admin - p.Ledger
 	if uses(cfg.Backends) {
 		// One that is being handed to the loop has two for a moment.
-		p.Backends = max(1, rest/backendShare/enterDescriptors)
-		rest -= enterDescriptors * p.Backends
+		p.BackendCalls = max(1, rest/backendShare/enterDescriptors)
+		rest -= enterDescriptors * p.BackendCalls
 	}
-	p.Descriptors = max(callersLeast*enterDescriptors, rest)
-	p.Callers = max(callersLeast, p.Descriptors-max(enterDescriptors, min(enteringMost, cfg.Limits.Sockets/enteringShare)))
+	p.CallerDescriptors = max(callersLeast*enterDescriptors, rest)
+	p.CallerConnections = max(callersLeast, p.CallerDescriptors-max(enterDescriptors, min(enteringMost, cfg.Limits.Sockets/enteringShare)))
 	return p
 }
 
-// LedgerPlaces is how many connections to the ledger a server may hold.
-func LedgerPlaces(cfg *config.Config) int {
+// MaxLedgerConnections is how many connections to the ledger a server may hold.
+func MaxLedgerConnections(cfg *config.Config) int {
 	if cfg.Ledger == "" {
 		return 0
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -51,11 +51,11 @@
 // the server runs. Guards against a file that is half written or faulty: it is
 // read and checked as a whole first, and the one in use stays if it fails.
 func (s *Server) reload(places *config.Places) {
-	if s.Reload == nil {
+	if s.LoadConfig == nil {
 		s.log.Warn("nothing to reload from")
 		return
 	}
-	next, err := s.Reload()
+	next, err := s.LoadConfig()
 	var ch *config.Change
 	if err == nil {
 		places.At(now())
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -29,7 +29,7 @@
 
 	was := r.cfg.Engine
 	read := make(chan struct{}, 1)
-	r.Reload = func() (*config.Config, error) { read <- struct{}{}; return nil, errors.New("a faulty file") }
+	r.LoadConfig = func() (*config.Config, error) { read <- struct{}{}; return nil, errors.New("a faulty file") }
 	r.signals <- syscall.SIGHUP
 	<-read
 	r.look(func() {
@@ -41,7 +41,7 @@
 	engine.Move(t)
 	next := *r.cfg
 	next.Engine, next.Registry = engine.Address, newRegistry
-	r.Reload = func() (*config.Config, error) { return &next, nil }
+	r.LoadConfig = func() (*config.Config, error) { return &next, nil }
 	r.signals <- syscall.SIGHUP
 	if got := <-newReports; got != "BEAT t ready" {
 		t.Errorf("report %q at the new address", got)
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Reload = func() (*config.Config, error) { return next, nil }
+	r.LoadConfig = func() (*config.Config, error) { return next, nil }
 	r.signals <- syscall.SIGHUP
 	r.eventually(t, "the new address", func() bool { return r.cfg.Backends[0] == after.Address })
 	post("quick after")
@@ -99,7 +99,7 @@
 	t.Helper()
 	was, no := 0, 0
 	r.look(func() { was, no = r.applied, r.rejected })
-	r.Reload = read
+	r.LoadConfig = read
 	r.signals <- syscall.SIGHUP
 	r.eventually(t, "the file is read", func() bool { return r.applied+r.rejected > was+no })
 	r.look(func() { applied = r.applied > was })
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -62,16 +62,16 @@
 	goneAt   int64        // when it was last logged that the link is gone
 
 	// Reload reads the configuration anew, for SIGHUP; nil = what was read at the start stays.
-	Reload   func() (*config.Config, error)
-	names    *frame.Names
-	keyed    map[string]int // keyed classes, those included that are no longer in force
-	safe     []bool         // by class: whether a run may be repeated
-	tenants  []string       // that names knows of, by place
-	versions chan asked     // to be taken over, see reloads
-	client   *gnet.Client
-	loop     gnet.EventLoop
-	up       chan struct{} // closed when the loop runs
-	done     chan error    // the end of the run
+	LoadConfig func() (*config.Config, error)
+	names      *frame.Names
+	keyed      map[string]int // keyed classes, those included that are no longer in force
+	safe       []bool         // by class: whether a run may be repeated
+	tenants    []string       // that names knows of, by place
+	versions   chan asked     // to be taken over, see reloads
+	client     *gnet.Client
+	loop       gnet.EventLoop
+	up         chan struct{} // closed when the loop runs
+	done       chan error    // the end of the run
 
 	listeners []front
 	slots     chan struct{} // one for each connection that may be open
@@ -137,11 +137,11 @@
 		backends: map[*backendConn]struct{}{}, versions: make(chan asked),
 	}
 	s.life, s.end = context.WithCancel(context.Background())
-	p := PlacesOf(cfg)
+	p := NewDescriptorBudget(cfg)
 	s.below.ends, s.below.places = map[ledger.EndReason]int{}, p.Ledger
-	s.calls = p.Backends
-	s.slots, s.adminSlots = make(chan struct{}, p.Callers), make(chan struct{}, p.Admin)
-	s.descriptors = semaphore.NewWeighted(int64(p.Descriptors))
+	s.calls = p.BackendCalls
+	s.slots, s.adminSlots = make(chan struct{}, p.CallerConnections), make(chan struct{}, p.Admin)
+	s.descriptors = semaphore.NewWeighted(int64(p.CallerDescriptors))
 	s.link = engine.NewLink(s, now)
 	s.nameAll()
 	var err error
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	r := &running{Server: s, test: t, signals: make(chan os.Signal, 1), end: make(chan error, 1)}
-	stop, reload := make(chan Notice, 1), make(chan os.Signal, 1)
+	stop, reload := make(chan ShutdownNotice, 1), make(chan os.Signal, 1)
 	go func(signals <-chan os.Signal) {
 		for {
 			select {
@@ -95,7 +95,7 @@
 				if sig == syscall.SIGHUP {
 					reload <- sig
 				} else {
-					stop <- Notice{sig, time.Now()}
+					stop <- ShutdownNotice{sig, time.Now()}
 				}
 			case <-s.life.Done():
 				return
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -130,7 +130,7 @@
 		return cfg
 	}
 	next := parse(strings.Replace(platformText(engine.Address, ""), `"stop_ms": 2000`, `"stop_ms": 9000`, 1))
-	r := launchWith(t, parse(text), func(s *Server) { s.Reload = func() (*config.Config, error) { return next, nil } })
+	r := launchWith(t, parse(text), func(s *Server) { s.LoadConfig = func() (*config.Config, error) { return next, nil } })
 	r.eventually(t, "the engine's link", r.link.Ready)
 	c := standin.Dial(t, r.frames)
 	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "before")
@@ -173,13 +173,13 @@
 			cfg := platform(t, "127.0.0.1:1", "")
 			cfg.Limits.Sockets = sockets
 			change(cfg)
-			p := PlacesOf(cfg)
-			sum := p.Own + p.Admin + p.Ledger + enterDescriptors*p.Backends + p.Descriptors
-			if sockets >= 64 && sum > sockets || p.Callers < callersLeast || p.Callers > p.Descriptors {
+			p := NewDescriptorBudget(cfg)
+			sum := p.Internal + p.Admin + p.Ledger + enterDescriptors*p.BackendCalls + p.CallerDescriptors
+			if sockets >= 64 && sum > sockets || p.CallerConnections < callersLeast || p.CallerConnections > p.CallerDescriptors {
 				t.Errorf("%d sockets: %+v, %d in all", sockets, p, sum)
 			}
-			if sockets >= 256 && p.Callers < sockets/3 {
-				t.Errorf("%d sockets leave %d to callers", sockets, p.Callers)
+			if sockets >= 256 && p.CallerConnections < sockets/3 {
+				t.Errorf("%d sockets leave %d to callers", sockets, p.CallerConnections)
 			}
 		}
 	}
@@ -228,11 +228,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		stop := make(chan Notice, 2)
+		stop := make(chan ShutdownNotice, 2)
 		at := time.Now().Add(-500 * time.Millisecond)
 		if early {
-			stop <- Notice{syscall.SIGTERM, at}
-			stop <- Notice{syscall.SIGTERM, time.Now()}
+			stop <- ShutdownNotice{syscall.SIGTERM, at}
+			stop <- ShutdownNotice{syscall.SIGTERM, time.Now()}
 		}
 		end := make(chan error, 1)
 		go func() { end <- s.Serve(Signals{Stop: stop}) }()
@@ -243,7 +243,7 @@
 			c.Send(2, standin.Fields("note", "red", "k", 2, 3*time.Second), "b")
 			r := &running{Server: s}
 			r.eventually(t, "both are read", func() bool { return s.core.Outstanding() == 2 })
-			stop <- Notice{syscall.SIGTERM, at}
+			stop <- ShutdownNotice{syscall.SIGTERM, at}
 			if _, refused, failed, _ := count(rest(c)); refused+failed != 2 {
 				t.Errorf("%d of 2 answered", refused+failed)
 			}
@@ -265,7 +265,7 @@
 	reading, held := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(held) })
 	r := launchWith(t, platform(t, engine.Address, ""), func(s *Server) {
-		s.Reload = func() (*config.Config, error) {
+		s.LoadConfig = func() (*config.Config, error) {
 			close(reading)
 			<-held
 			return nil, errors.New("it never came")
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -12,13 +12,13 @@
 // own with room for one: of several that come while nobody takes them one is
 // enough, and however many of one kind come, none keeps the other kind out.
 type Signals struct {
-	Stop   <-chan Notice
+	Stop   <-chan ShutdownNotice
 	Reload <-chan os.Signal
 }
 
-// Notice is the notice to leave, and when it came: the platform counts the time
+// ShutdownNotice is the notice to leave, and when it came: the platform counts the time
 // to the kill from then, whatever the process was doing.
-type Notice struct {
+type ShutdownNotice struct {
 	Signal os.Signal
 	At     time.Time
 }
@@ -29,11 +29,11 @@
 	raw, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(raw, unix.SIGTERM, unix.SIGINT)
 	signal.Notify(reload, unix.SIGHUP)
-	stop := make(chan Notice, 1)
+	stop := make(chan ShutdownNotice, 1)
 	go func() { // for the life of the process
 		for sig := range raw {
 			select {
-			case stop <- Notice{sig, time.Now()}:
+			case stop <- ShutdownNotice{sig, time.Now()}:
 			default: // one is enough
 			}
 		}
--- a/internal/server/version_test.go
+++ b/internal/server/version_test.go
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	file := strings.Replace(platformText("127.0.0.1:1", ""), `"find"`, `"fetch"`, 1)
-	r.Reload = func() (*config.Config, error) { return config.Parse([]byte(file), func(string) string { return "" }) }
+	r.LoadConfig = func() (*config.Config, error) { return config.Parse([]byte(file), func(string) string { return "" }) }
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
