--- a/cmd/kiteslip/check.go
+++ b/cmd/kiteslip/check.go
@@ -18,28 +18,28 @@
 	fmt.Fprintf(w, "%s: frames on %s, uwsgi on %s, ops on %s, engine %s, registry %s\n", cfg.Name, or(cfg.Listen, "(off)"),
 		or(cfg.UWSGI.Listen, "(off)"), or(cfg.Ops, "(off)"), or(cfg.Engine, "(none)"), or(cfg.Registry, "(none)"))
 	fmt.Fprintf(w, "limits: %g cores, %d MB, %d sockets; %d ms from SIGTERM to the kill\n",
-		cfg.Limits.Cores, cfg.Limits.MemoryMB, cfg.Limits.Sockets, cfg.Stop/1000)
+		cfg.Limits.Cores, cfg.Limits.MemoryMB, cfg.Limits.Sockets, cfg.StopTimeoutUS/1000)
 	describeTeams(w, cfg)
 	describeClasses(w, cfg)
 	if cfg.Ledger != "" {
 		fmt.Fprintf(w, "ledger %s, up to %d connections\n", cfg.Ledger, server.MaxLedgerConnections(cfg))
-	} else if cfg.Calling() {
+	} else if cfg.CallsDownstream() {
 		fmt.Fprintln(w, "no ledger: classes call below, and each call fails")
 	}
 	describePools(w, cfg)
 	if k := &cfg.Keys; k.Folder != "" {
 		durability, onError := "power", "keyed requests are refused"
-		if k.Process {
+		if k.ProcessDurability {
 			durability = "the process"
 		}
-		if k.Unsafe {
+		if k.AllowUnrecorded {
 			onError = "keyed requests run without a record"
 		}
 		fmt.Fprintf(w, "keys in %s: outlive %s, %d MB at most; where nothing can be recorded %s\n", k.Folder, durability, k.MaxBytes>>20, onError)
 	}
-	if k := &cfg.Control; k.On() {
+	if k := &cfg.Control; k.Enabled() {
 		fmt.Fprintf(w, "versions from %d publishers, region %s, kept in %s; a start waits %d ms; until a version is in force the teams, services and pools above are\n",
-			len(k.Publishers), k.Region, or(k.Folder, "(nowhere)"), k.Wait/1000)
+			len(k.Publishers), k.Region, or(k.Folder, "(nowhere)"), k.InitialWaitUS/1000)
 	}
 }
 
@@ -53,7 +53,7 @@
 func describeTeams(w io.Writer, cfg *config.Config) {
 	sum, rest := 0.0, 0.0
 	for i, name := range cfg.Tenants {
-		quota := cfg.Module.Tenants[i].Quota
+		quota := cfg.Policy.Tenants[i].Quota
 		if sum += quota; i < listed {
 			fmt.Fprintf(w, "team %s: %g requests/s\n", name, quota)
 		} else {
@@ -69,7 +69,7 @@
 	effects := map[kiteslip.Effect]string{kiteslip.Repeatable: "repeatable", kiteslip.Keyed: "keyed", kiteslip.Once: "once"}
 	counts, longest, backends := map[kiteslip.Effect]int{}, int64(0), map[string]bool{}
 	for i, name := range cfg.Classes {
-		class := &cfg.Module.Classes[i]
+		class := &cfg.Policy.Classes[i]
 		if i < listed {
 			fmt.Fprintf(w, "class %s: %s, aim %d ms, deadline %d ms, window %d ms, worth %g, body %d bytes, served by %s\n", name,
 				effects[class.Effect], class.TargetTime/1000, class.Timeout/1000, class.Window/1000, class.Worth,
--- a/cmd/kiteslip/control.go
+++ b/cmd/kiteslip/control.go
@@ -51,8 +51,8 @@
 	}
 	defer log.Sync() //nolint:errcheck // standard error cannot always be synced
 	debug.SetMemoryLimit(controlMemory)
-	set := publish.Settings{Name: cfg.Name, Region: cfg.Region, Listen: cfg.Listen, Folder: cfg.Folder, Deltas: cfg.Deltas, Log: log}
-	for _, f := range cfg.Follow {
+	set := publish.Settings{Name: cfg.Name, Region: cfg.Region, Listen: cfg.Listen, Folder: cfg.Folder, Deltas: cfg.MaxDeltas, Log: log}
+	for _, f := range cfg.Upstreams {
 		set.Follow = append(set.Follow, follow.Publisher(f))
 	}
 	name := fnv.New64a()
--- a/cmd/kiteslip/control_same_test.go
+++ b/cmd/kiteslip/control_same_test.go
@@ -137,7 +137,7 @@
 		d.until(d.now + 50 + draw.Int64N(900))
 		class, team := classes[draw.IntN(len(classes))], teams[draw.IntN(len(teams))]
 		r := &core.Request{TryID: fmt.Sprintf("%016x", i+1), Class: class, Tenant: team, Arrived: d.now, SizeKB: 16 + float64(draw.IntN(64)),
-			Deadline: d.now + cfg.Module.Classes[class].Timeout, Body: make([]byte, 1+draw.IntN(40))}
+			Deadline: d.now + cfg.Policy.Classes[class].Timeout, Body: make([]byte, 1+draw.IntN(40))}
 		r.ReplyTo = noting{d, r}
 		if err := d.core.Submit(d.now, r); err != nil {
 			d.t.Fatal(err)
@@ -151,7 +151,7 @@
 	t.Helper()
 	d := &day{t: t, now: 1_000_000_000_000}
 	var err error
-	if d.core, err = core.New(core.Settings{Policy: cfg.Module, Seed: 9, Pools: cfg.PoolSettings()}, d); err != nil {
+	if d.core, err = core.New(core.Settings{Policy: cfg.Policy, Seed: 9, Pools: cfg.PoolSettings()}, d); err != nil {
 		t.Fatal(err)
 	}
 	d.core.Step(d.now)
@@ -208,7 +208,7 @@
 		}
 	}
 
-	byFile, err := read("").StartBy(second)
+	byFile, err := read("").WithDocument(second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,24 +216,24 @@
 	same("from the start", newDay(t, file).play(file, after), newDay(t, byFile).play(byFile, after))
 
 	// A change while it runs: SIGHUP with a file, and a delta.
-	reload, step := config.NewPlaces(read(fileOf(before))), (*config.Places)(nil)
-	started, err := read("").StartBy(first)
+	reload, step := config.NewUpdater(read(fileOf(before))), (*config.Updater)(nil)
+	started, err := read("").WithDocument(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	step = config.NewPlaces(started)
+	step = config.NewUpdater(started)
 	hot := func(cfg *config.Config, change func() (*config.Change, error)) []string {
 		t.Helper()
 		d := newDay(t, cfg)
 		ch, err := change()
 		if err == nil {
-			err = d.core.Reconfigure(ch.Config.Module, ch.Config.ClassesOff, ch.Pools)
+			err = d.core.Reconfigure(ch.Config.Policy, ch.Config.RetiredClasses, ch.Pools)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		return d.play(ch.Config, after)
 	}
-	a := hot(read(fileOf(before)), func() (*config.Change, error) { return reload.File(read(fileOf(after))) })
-	same("after a change", a, hot(started, func() (*config.Change, error) { return step.Version(second, delta) }))
+	a := hot(read(fileOf(before)), func() (*config.Change, error) { return reload.PrepareFile(read(fileOf(after))) })
+	same("after a change", a, hot(started, func() (*config.Change, error) { return step.PrepareVersion(second, delta) }))
 }
--- a/cmd/kiteslip/follow.go
+++ b/cmd/kiteslip/follow.go
@@ -18,7 +18,7 @@
 // ends with ctx.
 func startBy(ctx context.Context, cfg *config.Config, signals server.Signals, log *zap.Logger) (*config.Config, *follow.Follower, server.Signals, error) {
 	set := follow.Settings{Name: cfg.Name, Region: cfg.Control.Region, Folder: cfg.Control.Folder,
-		Wait: time.Duration(cfg.Control.Wait) * time.Microsecond, Seed: cfg.Seed, Log: log}
+		Wait: time.Duration(cfg.Control.InitialWaitUS) * time.Microsecond, Seed: cfg.Seed, Log: log}
 	for _, p := range cfg.Control.Publishers {
 		set.Publishers = append(set.Publishers, follow.Publisher{Address: p.Address, Region: p.Region})
 	}
@@ -46,7 +46,7 @@
 	}
 	waited := zap.Int64("waited_ms", time.Since(began).Milliseconds())
 	for doc != nil {
-		with, err := cfg.StartBy(doc)
+		with, err := cfg.WithDocument(doc)
 		if err == nil {
 			h := doc.Header()
 			log.Info("starts by a version", zap.Uint64("version", h.Number), zap.Stringer("digest", doc.Digest()), zap.String("origin", string(origin)),
--- a/cmd/kiteslip/main.go
+++ b/cmd/kiteslip/main.go
@@ -71,10 +71,10 @@
 	}
 	defer log.Sync() //nolint:errcheck // standard error cannot always be synced
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetMemoryLimit(cfg.Limits.Heap())
+	debug.SetMemoryLimit(cfg.Limits.MaxHeapBytes())
 	debug.SetGCPercent(gcPercent)
 	var follower *follow.Follower
-	if cfg.Control.On() {
+	if cfg.Control.Enabled() {
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		if cfg, follower, signals, err = startBy(ctx, cfg, signals, log); err != nil {
--- a/cmd/kiteslip/upgrade_test.go
+++ b/cmd/kiteslip/upgrade_test.go
@@ -64,7 +64,7 @@
 	defer socket.Close()
 	p.Cmd = exec.Command(os.Args[0])
 	p.ExtraFiles = []*os.File{socket}
-	p.Env = append(os.Environ(), asServer+"=1", "TMPDIR="+dir, config.EnvConfig+"="+file, config.EnvFD+"=3", "KITESLIP_LOG=warn")
+	p.Env = append(os.Environ(), asServer+"=1", "TMPDIR="+dir, config.EnvConfig+"="+file, config.EnvInheritedFD+"=3", "KITESLIP_LOG=warn")
 	p.Stderr = os.Stderr
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -154,10 +154,10 @@
 
 // What is wrong with the environment is a plain error at the start.
 func TestBadEnvironment(t *testing.T) {
-	for key, value := range map[string]string{config.EnvOps: "nowhere", config.EnvFD: "two"} {
+	for key, value := range map[string]string{config.EnvOps: "nowhere", config.EnvInheritedFD: "two"} {
 		t.Setenv(config.EnvConfig, writeConfig(t))
 		t.Setenv(config.EnvOps, "")
-		t.Setenv(config.EnvFD, "")
+		t.Setenv(config.EnvInheritedFD, "")
 		t.Setenv(key, value)
 		if _, err := load(""); err == nil || !strings.Contains(err.Error(), value) {
 			t.Errorf("%s=%s: %v", key, value, err)
--- a/internal/config/calls.go
+++ b/internal/config/calls.go
@@ -25,14 +25,14 @@
 	if !known {
 		errs.add("machine.stop_runs", "is %q, want never, discard or freeze", m.StopRuns)
 	}
-	c.Module.Stop = stop
+	c.Policy.Stop = stop
 	if c.Ledger = m.Ledger; m.Ledger == "" {
 		return
 	}
 	if err := ledger.CheckAddress(m.Ledger); err != nil {
 		errs.add("machine.ledger", "%v", err)
 	}
-	c.Module.Downstream, c.Module.CallShareWindow, c.Module.MaxCallLinger = kiteslip.DownstreamTier, callsOver, lingers
+	c.Policy.Downstream, c.Policy.CallShareWindow, c.Policy.MaxCallLinger = kiteslip.DownstreamTier, callsOver, lingers
 }
 
 // calls enters what one contract says of calls; ledger is where they would go.
@@ -54,7 +54,7 @@
 	m.SkipWorth = *t.SkipWorth
 }
 
-// Calling says whether any class calls below.
-func (c *Config) Calling() bool {
-	return slices.ContainsFunc(c.Module.Classes, func(class kiteslip.Class) bool { return class.CallsDownstream })
+// CallsDownstream says whether any class calls below.
+func (c *Config) CallsDownstream() bool {
+	return slices.ContainsFunc(c.Policy.Classes, func(class kiteslip.Class) bool { return class.CallsDownstream })
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,11 +19,11 @@
 
 // The environment that the platform sets.
 const (
-	EnvName   = "EDGE_NAME"
-	EnvListen = "EDGE_LISTEN"
-	EnvConfig = "EDGE_CONFIG"
-	EnvOps    = "EDGE_OPS"
-	EnvFD     = "EDGE_INHERITED_FD"
+	EnvName        = "EDGE_NAME"
+	EnvListen      = "EDGE_LISTEN"
+	EnvConfig      = "EDGE_CONFIG"
+	EnvOps         = "EDGE_OPS"
+	EnvInheritedFD = "EDGE_INHERITED_FD"
 )
 
 // Limits are what the platform grants to the program.
@@ -37,8 +37,8 @@
 // the collector works harder; the rest is for stacks and the system.
 const heapShare = 0.8
 
-// Heap is what the Go heap may fill, in bytes.
-func (l *Limits) Heap() int64 { return int64(heapShare * float64(l.MemoryMB) * (1 << 20)) }
+// MaxHeapBytes is what the Go heap may fill, in bytes.
+func (l *Limits) MaxHeapBytes() int64 { return int64(heapShare * float64(l.MemoryMB) * (1 << 20)) }
 
 // Config is a checked configuration.
 type Config struct {
@@ -48,14 +48,14 @@
 	Engine string
 	Ledger string // where calls below go; "" = nowhere
 
-	InheritedFD int    // of the clients' listening socket, which the platform holds; 0 = none
-	Meeting     string // the folder where two processes of an upgrade meet; "" = the system's for passing files
-	Registry    string // "" = report nowhere
-	Seed        uint64
-	Stop        int64 // from the notice to leave to the kill, microseconds
-	Limits      Limits
-	Module      kiteslip.Settings
-	Gauges      []string
+	InheritedFD   int    // of the clients' listening socket, which the platform holds; 0 = none
+	HandoverDir   string // the folder where two processes of an upgrade meet; "" = the system's for passing files
+	Registry      string // "" = report nowhere
+	Seed          uint64
+	StopTimeoutUS int64 // from the notice to leave to the kill, microseconds
+	Limits        Limits
+	Policy        kiteslip.Settings
+	Gauges        []string
 
 	ListFollowsHealth bool // callers' list drops a server whose health is not good
 
@@ -63,16 +63,16 @@
 	Tenants []string
 
 	// What a file that came before had and this one has not, see Succeed.
-	ClassesOff, TenantsOff []bool
+	RetiredClasses, RetiredTenants []bool
 
 	Control      Control
 	Keys         Keys
 	Pools        []Pool
 	CheapReserve float64
 
-	UWSGI      UWSGI
-	Backends   []string // by class: the uwsgi server that does the work; "" = the engine
-	MaxResults []int    // by class, bytes
+	UWSGI          UWSGI
+	Backends       []string // by class: the uwsgi server that does the work; "" = the engine
+	MaxResultBytes []int    // by class, bytes
 
 	shape any   // the platform's text, decoded: which keys it has
 	base  *base // classes and teams of the platform
@@ -86,9 +86,9 @@
 
 // UWSGI is the set-up of the second front.
 type UWSGI struct {
-	Listen     string // "" = off
-	ReadWithin int64  // microseconds
-	Contracts  []uwsgi.Contract
+	Listen        string // "" = off
+	ReadTimeoutUS int64  // microseconds
+	Contracts     []uwsgi.Contract
 }
 
 // raw mirrors the file that EDGE_CONFIG names.
@@ -186,10 +186,10 @@
 			fail("ledger", "%w", err)
 		}
 	}
-	if text := getenv(EnvFD); text != "" {
+	if text := getenv(EnvInheritedFD); text != "" {
 		fd, err := strconv.Atoi(text)
 		if err != nil || fd < leastFD || fd > mostFD {
-			fail(EnvFD, "is %q, want the number of a descriptor from %d", text, leastFD)
+			fail(EnvInheritedFD, "is %q, want the number of a descriptor from %d", text, leastFD)
 		}
 		c.InheritedFD = fd
 	}
@@ -207,7 +207,7 @@
 	if stop <= 0 || stop > 3_600_000 {
 		fail("stop_ms", "is %v, want above 0 and at most an hour", stop)
 	}
-	c.Stop = int64(stop * 1000)
+	c.StopTimeoutUS = int64(stop * 1000)
 	c.Limits.defaults(fail)
 	if len(r.Settings) == 0 {
 		fail("settings", "are absent")
@@ -244,10 +244,10 @@
 // settings reads the object that the simulator gives to an instance.
 func (c *Config) settings(text []byte) error {
 	var err error
-	if c.Module, c.Gauges, err = wire.ParseSettings(text); err != nil {
+	if c.Policy, c.Gauges, err = wire.ParseSettings(text); err != nil {
 		return err
 	}
-	if _, err := kiteslip.New(c.Module, 0); err != nil {
+	if _, err := kiteslip.New(c.Policy, 0); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	var n names
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Listen != "10.0.0.9:1" || c.Engine != "10.1.0.1:9300" || c.Seed != 0x8c1f30d27a5be964 || c.Stop != 3_200_000 ||
-		c.Limits != (Limits{0.5, 64, 512}) || c.Module.Cores != 2 || strings.Join(c.Classes, " ") != "look note" || c.Tenants[0] != "red" {
+	if c.Name != "n3" || c.Listen != "10.0.0.9:1" || c.Engine != "10.1.0.1:9300" || c.Seed != 0x8c1f30d27a5be964 || c.StopTimeoutUS != 3_200_000 ||
+		c.Limits != (Limits{0.5, 64, 512}) || c.Policy.Cores != 2 || strings.Join(c.Classes, " ") != "look note" || c.Tenants[0] != "red" {
 		t.Errorf("%+v", c)
 	}
 	if c.UWSGI.Listen != "" {
@@ -94,11 +94,11 @@
 		t.Fatal(err)
 	}
 	draw := kiteslip.Class{Effect: kiteslip.Keyed, TargetTime: 300_000, Timeout: 900_000, Window: 2_000_000, Worth: 3, LateWorth: 0.5}
-	if len(c.Module.Classes) != 3 || c.Module.Classes[2] != draw || c.Classes[2] != "draw" || c.Backends[2] != "127.0.0.1:3032" || c.Backends[0] != "" {
-		t.Errorf("classes %+v %v %v", c.Module.Classes, c.Classes, c.Backends)
+	if len(c.Policy.Classes) != 3 || c.Policy.Classes[2] != draw || c.Classes[2] != "draw" || c.Backends[2] != "127.0.0.1:3032" || c.Backends[0] != "" {
+		t.Errorf("classes %+v %v %v", c.Policy.Classes, c.Classes, c.Backends)
 	}
-	if c.Module.Tenants[0].Quota != 50 || c.Module.Tenants[1].Quota != 20 || strings.Join(c.Tenants, " ") != "red blue" {
-		t.Errorf("tenants %+v %v", c.Module.Tenants, c.Tenants)
+	if c.Policy.Tenants[0].Quota != 50 || c.Policy.Tenants[1].Quota != 20 || strings.Join(c.Tenants, " ") != "red blue" {
+		t.Errorf("tenants %+v %v", c.Policy.Tenants, c.Tenants)
 	}
 	if u := c.UWSGI.Contracts[2]; c.UWSGI.Listen != "127.0.0.1:3031" || !u.Keyed || u.MaxBody != 4096 || u.HeldKB != 32 || u.Path != "/draw" {
 		t.Errorf("front %+v", c.UWSGI)
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Module.Cores != 2 || c.Module.MemoryKB != 64*1024 || c.Limits.MemoryMB != defaultMemoryMB || c.Stop != defaultStopMS*1000 || len(c.Classes) != 1 {
+	if c.Policy.Cores != 2 || c.Policy.MemoryKB != 64*1024 || c.Limits.MemoryMB != defaultMemoryMB || c.StopTimeoutUS != defaultStopMS*1000 || len(c.Classes) != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -160,7 +160,7 @@
 		if c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s, %s: %v, want %q", c.machine, c.contract, err, c.want)
 		}
-		if c.want == "" && (err != nil || !got.Module.Classes[0].CallsDownstream || got.Module.Classes[0].SkipWorth != 0.5 || got.Module.Stop != kiteslip.StopFreeze) {
+		if c.want == "" && (err != nil || !got.Policy.Classes[0].CallsDownstream || got.Policy.Classes[0].SkipWorth != 0.5 || got.Policy.Stop != kiteslip.StopFreeze) {
 			t.Errorf("%+v, %v", got, err)
 		}
 	}
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -16,10 +16,10 @@
 // Control is [control], checked: whose versions the server serves by. Without a
 // publisher it is off, and the file's own teams and services hold.
 type Control struct {
-	Region     string
-	Folder     string // where the version in force is kept; "" = nowhere
-	Wait       int64  // how long a start waits for a publisher, microseconds
-	Publishers []ControlPublisher
+	Region        string
+	Folder        string // where the version in force is kept; "" = nowhere
+	InitialWaitUS int64  // how long a start waits for a publisher, microseconds
+	Publishers    []ControlPublisher
 }
 
 // ControlPublisher is one control machine.
@@ -35,8 +35,8 @@
 	mostPublishers = 64
 )
 
-// On says whether versions are followed.
-func (c *Control) On() bool { return len(c.Publishers) > 0 }
+// Enabled says whether versions are followed.
+func (c *Control) Enabled() bool { return len(c.Publishers) > 0 }
 
 func (f *ControlFile) apply(c *Config, errs *problems) {
 	if f == nil {
@@ -70,5 +70,5 @@
 		seen[p.Address] = true
 		region(key+".region", p.Region, true)
 	}
-	c.Control = Control{Region: f.Region, Folder: f.Folder, Wait: wait * 1000, Publishers: f.Publishers}
+	c.Control = Control{Region: f.Region, Folder: f.Folder, InitialWaitUS: wait * 1000, Publishers: f.Publishers}
 }
--- a/internal/config/draft.go
+++ b/internal/config/draft.go
@@ -13,7 +13,7 @@
 // draft is a Change in the making: the configuration in force, whose lists are
 // copied before they are changed.
 type draft struct {
-	p       *Places
+	p       *Updater
 	m       *Config
 	classes map[promise]int // places that this change gives out
 	teams   map[string]int
@@ -26,24 +26,24 @@
 }
 
 // draft starts one in which m is the outcome.
-func (p *Places) draft(m *Config) *draft {
+func (p *Updater) draft(m *Config) *draft {
 	return &draft{p: p, m: m, classes: map[promise]int{}, teams: map[string]int{}, taken: map[int]bool{},
 		touchedClasses: map[int]bool{}, touchedTeams: map[int]bool{}}
 }
 
 func (d *draft) copyClasses() {
 	c, m := d.p.cfg, d.m
-	m.Classes, m.Module.Classes = slices.Clone(c.Classes), slices.Clone(c.Module.Classes)
-	m.UWSGI.Contracts, m.Backends, m.MaxResults = slices.Clone(c.UWSGI.Contracts), slices.Clone(c.Backends), slices.Clone(c.MaxResults)
-	m.ClassesOff = make([]bool, len(c.Classes))
-	copy(m.ClassesOff, c.ClassesOff)
+	m.Classes, m.Policy.Classes = slices.Clone(c.Classes), slices.Clone(c.Policy.Classes)
+	m.UWSGI.Contracts, m.Backends, m.MaxResultBytes = slices.Clone(c.UWSGI.Contracts), slices.Clone(c.Backends), slices.Clone(c.MaxResultBytes)
+	m.RetiredClasses = make([]bool, len(c.Classes))
+	copy(m.RetiredClasses, c.RetiredClasses)
 }
 
 func (d *draft) copyTeams() {
 	c, m := d.p.cfg, d.m
-	m.Tenants, m.Module.Tenants = slices.Clone(c.Tenants), slices.Clone(c.Module.Tenants)
-	m.TenantsOff = make([]bool, len(c.Tenants))
-	copy(m.TenantsOff, c.TenantsOff)
+	m.Tenants, m.Policy.Tenants = slices.Clone(c.Tenants), slices.Clone(c.Policy.Tenants)
+	m.RetiredTenants = make([]bool, len(c.Tenants))
+	copy(m.RetiredTenants, c.RetiredTenants)
 }
 
 // setClass enters a class at its place, and returns that.
@@ -55,20 +55,20 @@
 	}
 	if !known {
 		at, d.classes[id] = len(m.Classes), len(m.Classes)
-		m.ClassesOff = append(m.ClassesOff, false)
-	} else if m.route(at) == *r && !m.ClassesOff[at] {
+		m.RetiredClasses = append(m.RetiredClasses, false)
+	} else if m.route(at) == *r && !m.RetiredClasses[at] {
 		return at
 	}
 	m.set(at, name, r)
-	m.ClassesOff[at] = false
+	m.RetiredClasses[at] = false
 	d.touchedClasses[at] = true
 	return at
 }
 
 // dropClass notes that a class is no longer in force. It keeps its promise for what is open.
 func (d *draft) dropClass(at int) {
-	if !d.m.ClassesOff[at] {
-		d.m.ClassesOff[at], d.m.UWSGI.Contracts[at].Path = true, "" // leads here no longer
+	if !d.m.RetiredClasses[at] {
+		d.m.RetiredClasses[at], d.m.UWSGI.Contracts[at].Path = true, "" // leads here no longer
 		d.touchedClasses[at] = true
 	}
 }
@@ -89,14 +89,14 @@
 			m.Tenants[at] = name
 		} else {
 			at = len(m.Tenants)
-			m.Tenants, m.Module.Tenants = append(m.Tenants, name), append(m.Module.Tenants, kiteslip.Tenant{})
-			m.TenantsOff = append(m.TenantsOff, false)
+			m.Tenants, m.Policy.Tenants = append(m.Tenants, name), append(m.Policy.Tenants, kiteslip.Tenant{})
+			m.RetiredTenants = append(m.RetiredTenants, false)
 		}
 		d.teams[name] = at
-	case m.Module.Tenants[at].Quota == quota && !m.TenantsOff[at]:
+	case m.Policy.Tenants[at].Quota == quota && !m.RetiredTenants[at]:
 		return at
 	}
-	m.Module.Tenants[at].Quota, m.TenantsOff[at] = quota, false
+	m.Policy.Tenants[at].Quota, m.RetiredTenants[at] = quota, false
 	d.touchedTeams[at] = true
 	return at
 }
@@ -107,7 +107,7 @@
 	for ; d.next < len(p.dropped); d.next++ {
 		next := p.dropped[d.next]
 		switch {
-		case p.stale(next) || !d.m.TenantsOff[next.at] || d.taken[next.at]:
+		case p.stale(next) || !d.m.RetiredTenants[next.at] || d.taken[next.at]:
 		case next.due == 0 || next.due > p.now:
 			return 0, false
 		default:
@@ -121,8 +121,8 @@
 
 // dropTeam notes that a team is no longer in force. It keeps its budget for what is open.
 func (d *draft) dropTeam(at int) {
-	if !d.m.TenantsOff[at] {
-		d.m.TenantsOff[at] = true
+	if !d.m.RetiredTenants[at] {
+		d.m.RetiredTenants[at] = true
 		d.touchedTeams[at] = true
 	}
 }
@@ -176,7 +176,7 @@
 }
 
 // inForce finds the routes of the version in force: it costs by all, once.
-func (p *Places) inForce() *routes {
+func (p *Updater) inForce() *routes {
 	if p.routes == nil {
 		p.routes = &routes{classes: map[string]bool{}, paths: map[string]bool{}, owners: map[string]int{}}
 		content := p.cfg.version.Content()
@@ -189,7 +189,7 @@
 
 // step lays a version over its parent, which is in force, at the cost of the
 // delta. nil = that cannot be done, or something is wrong: the whole way says what.
-func (p *Places) step(doc *document.Document, delta *document.Delta) *Change {
+func (p *Updater) step(doc *document.Document, delta *document.Delta) *Change {
 	was := p.cfg.version
 	if delta == nil || was == nil || delta.Header.Parent != was.Digest() || delta.Header.Digest() != doc.Digest() {
 		return nil
@@ -304,7 +304,7 @@
 func (s *stepping) team(name string) bool {
 	at, known := s.p.teams[name]
 	if known && !s.taken[at] {
-		return !Off(s.m.TenantsOff, at)
+		return !IsRetired(s.m.RetiredTenants, at)
 	}
 	_, known = s.draft.teams[name]
 	return known
@@ -379,7 +379,7 @@
 		if !known {
 			at, known = s.draft.classes[id]
 		}
-		if known && !Off(s.m.ClassesOff, at) {
+		if known && !IsRetired(s.m.RetiredClasses, at) {
 			return true
 		}
 	}
@@ -416,16 +416,16 @@
 	if m.Keys.Folder != "" && len(s.gone) > 0 && !m.anyKeyed() {
 		return false
 	}
-	small := m.Module
+	small := m.Policy
 	small.Classes, small.Tenants = nil, nil
 	for at := range s.touchedClasses {
-		small.Classes = append(small.Classes, m.Module.Classes[at])
+		small.Classes = append(small.Classes, m.Policy.Classes[at])
 	}
 	for at := range s.touchedTeams {
-		small.Tenants = append(small.Tenants, m.Module.Tenants[at])
+		small.Tenants = append(small.Tenants, m.Policy.Tenants[at])
 	}
 	if len(small.Classes) == 0 {
-		small.Classes = m.Module.Classes[:1]
+		small.Classes = m.Policy.Classes[:1]
 	}
 	if _, err := kiteslip.New(small, 0); err != nil {
 		return false
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -12,10 +12,10 @@
 
 // Keys is the checked form.
 type Keys struct {
-	Folder   string // "" = off
-	Process  bool   // records outlive the process alone, not the power
-	MaxBytes int64
-	Unsafe   bool // where nothing can be recorded, keyed requests run all the same
+	Folder            string // "" = off
+	ProcessDurability bool   // records outlive the process alone, not the power
+	MaxBytes          int64
+	AllowUnrecorded   bool // where nothing can be recorded, keyed requests run all the same
 }
 
 // The defaults and bounds of the store of keys.
@@ -38,14 +38,14 @@
 	switch k.Durability {
 	case "", "power":
 	case "process":
-		c.Keys.Process = true
+		c.Keys.ProcessDurability = true
 	default:
 		errs.add("keys.durability", "is %q, want process or power", k.Durability)
 	}
 	switch k.OnError {
 	case "", "refuse":
 	case "memory":
-		c.Keys.Unsafe = true
+		c.Keys.AllowUnrecorded = true
 	default:
 		errs.add("keys.on_error", "is %q, want refuse or memory", k.OnError)
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,21 +12,21 @@
 	"kiteslip/internal/control/document"
 )
 
-// Operator is the operator's file: the second front, and the contracts and
+// OperatorFile is the operator's file: the second front, and the contracts and
 // budgets of the teams whose services are brokered.
-type Operator struct {
-	UWSGI    Front        `toml:"uwsgi"`
+type OperatorFile struct {
+	UWSGI    UWSGIFile    `toml:"uwsgi"`
 	Machine  *Machine     `toml:"machine"`
 	Teams    []Team       `toml:"team"`
 	Services []Service    `toml:"service"`
 	Pool     []Pool       `toml:"pool"`
-	Pools    Pools        `toml:"pools"`
+	Pools    PoolsSection `toml:"pools"`
 	Keys     *KeysFile    `toml:"keys"`
 	Control  *ControlFile `toml:"control"`
 }
 
-// Front sets up the uwsgi front. Without an address it is off.
-type Front struct {
+// UWSGIFile sets up the uwsgi front. Without an address it is off.
+type UWSGIFile struct {
 	Listen string `toml:"listen"`
 	ReadMS int64  `toml:"read_ms"` // a caller has this long to send its request
 }
@@ -93,7 +93,7 @@
 
 // ParseOperator is LoadOperator on a text.
 func ParseOperator(text string, platform *Config) (*Config, error) {
-	var o Operator
+	var o OperatorFile
 	meta, err := toml.Decode(text, &o)
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 	c.base = c.bare()
 	c.serve(&document.Content{Teams: o.Teams, Services: o.Services, Pools: o.Pool, CheapReserve: o.Pools.CheapReserve}, &errs)
 	if len(errs) == 0 {
-		if _, err := kiteslip.New(c.Module, 0); err != nil {
+		if _, err := kiteslip.New(c.Policy, 0); err != nil {
 			errs = append(errs, err)
 		}
 	}
@@ -134,7 +134,7 @@
 	*p = append(*p, fmt.Errorf("%s %s", key, fmt.Sprintf(format, args...)))
 }
 
-func (f *Front) apply(c *Config, errs *problems) {
+func (f *UWSGIFile) apply(c *Config, errs *problems) {
 	c.UWSGI.Listen = f.Listen
 	if f.Listen != "" {
 		checkAddress(errs.add, "uwsgi.listen", f.Listen)
@@ -145,7 +145,7 @@
 	if f.ReadMS < 0 || f.ReadMS > hourMS {
 		errs.add("uwsgi.read_ms", "is %d, want above 0 and at most an hour", f.ReadMS)
 	}
-	c.UWSGI.ReadWithin = f.ReadMS * 1000
+	c.UWSGI.ReadTimeoutUS = f.ReadMS * 1000
 }
 
 // config makes a configuration without the platform's.
@@ -170,8 +170,8 @@
 		}
 		return value
 	}
-	c.Stop = int64(positive("machine.stop_ms", m.StopMS, defaultStopMS) * 1000)
-	c.Module = kiteslip.Settings{
+	c.StopTimeoutUS = int64(positive("machine.stop_ms", m.StopMS, defaultStopMS) * 1000)
+	c.Policy = kiteslip.Settings{
 		Cores:          int(positive("machine.cores", float64(m.Cores), 1)),
 		MemoryKB:       positive("machine.work_mb", m.WorkMB, 64) * 1024,
 		RunFactor:      positive("machine.run_factor", m.RunFactor, defaultRunFactor),
@@ -182,7 +182,7 @@
 		Tick:           4_000, DrainGrace: 2_000_000, AnswerSlack: 60_000, WorthByWork: true,
 	}
 	m.calls(c, errs)
-	if w := c.Module.OverShareWorth; w < 0 || w > 1 {
+	if w := c.Policy.OverShareWorth; w < 0 || w > 1 {
 		errs.add("machine.over_share_worth", "is %v, want 0 to 1", w)
 	}
 	return c
--- a/internal/config/places.go
+++ b/internal/config/places.go
@@ -26,25 +26,25 @@
 // two batches of the loop, with what differs from the one in force, so that
 // taking it over costs by that.
 type Change struct {
-	Config  *Config
-	Pools   *pool.Settings // as Config has them, the same pointer while nothing of them differs; nil = none
-	Classes []int          // places whose class is new, changed or dropped
-	Tenants []int          // places whose team is
-	Kept    []string       // keys whose change needs a restart
-	Whole   bool           // more than classes and teams may differ: it comes from a file
-	Passed  bool           // the file's own teams, services and pools are passed over: a version is in force
+	Config             *Config
+	Pools              *pool.Settings // as Config has them, the same pointer while nothing of them differs; nil = none
+	Classes            []int          // places whose class is new, changed or dropped
+	Tenants            []int          // places whose team is
+	RestartRequired    []string       // keys whose change needs a restart
+	FromFile           bool           // more than classes and teams may differ: it comes from a file
+	FileContentIgnored bool           // the file's own teams, services and pools are passed over: a version is in force
 
 	index func() // brings what Places knows of the version in force up to this one; nil = find it anew
 }
 
-// Places makes Changes, beside the loop: which place each class and team has, by
+// Updater makes Changes, beside the loop: which place each class and team has, by
 // name. It belongs to one goroutine. A Change follows the configuration that was
 // handed to NewPlaces or, later, to Adopted.
 //
 // A class keeps its place for as long as the process lives: keys and runs hang on
 // it. The place of a dropped team is free for another one when nothing of the old
 // one can be open any more, by the time that At tells.
-type Places struct {
+type Updater struct {
 	cfg *Config
 	now int64 // microseconds; 0 = not told yet
 
@@ -69,23 +69,23 @@
 	effect kiteslip.Effect
 }
 
-// NewPlaces returns the places of the configuration in force.
-func NewPlaces(c *Config) *Places {
-	p := &Places{cfg: c, classes: make(map[promise]int, len(c.Classes)), teams: indexOf(c.Tenants), free: map[int]int64{}}
+// NewUpdater returns the places of the configuration in force.
+func NewUpdater(c *Config) *Updater {
+	p := &Updater{cfg: c, classes: make(map[promise]int, len(c.Classes)), teams: indexOf(c.Tenants), free: map[int]int64{}}
 	for i, name := range c.Classes {
-		p.classes[promise{name, c.Module.Classes[i].Effect}] = i
+		p.classes[promise{name, c.Policy.Classes[i].Effect}] = i
 	}
 	for i := range c.Tenants {
-		if Off(c.TenantsOff, i) {
+		if IsRetired(c.RetiredTenants, i) {
 			p.free[i], p.dropped = 0, append(p.dropped, drop{at: i})
 		}
 	}
 	return p
 }
 
-// At tells the time, in microseconds, which only advances. It is told before a
+// SetTime tells the time, in microseconds, which only advances. It is told before a
 // change is made and before it is adopted; where it is never told no place gets free.
-func (p *Places) At(now int64) {
+func (p *Updater) SetTime(now int64) {
 	first := p.now == 0 && now > 0
 	if p.now = max(p.now, now); !first {
 		return
@@ -99,17 +99,17 @@
 // openFor is how long after it is dropped a team may have something open, and more.
 func openFor(c *Config) int64 {
 	longest := int64(0)
-	for i := range c.Module.Classes {
-		longest = max(longest, c.Module.Classes[i].Timeout)
+	for i := range c.Policy.Classes {
+		longest = max(longest, c.Policy.Classes[i].Timeout)
 	}
 	return 2*longest + lingersMore
 }
 
-// File lays a file that was read anew over the configuration in force. It costs by
+// PrepareFile lays a file that was read anew over the configuration in force. It costs by
 // all. What only a restart can change stays and is listed in Kept. While a version
 // is in force the machine's part of the file holds, and the version's teams,
 // services and pools stay. An error says that the file is not to be used.
-func (p *Places) File(next *Config) (*Change, error) {
+func (p *Updater) PrepareFile(next *Config) (*Change, error) {
 	c := p.cfg
 	var errs problems
 	lacks(&errs, "", c.shape, next.shape)
@@ -143,15 +143,15 @@
 	if len(errs) > 0 {
 		return nil, errs.join()
 	}
-	ch.Kept, ch.Whole, ch.Passed = kept, true, passed
+	ch.RestartRequired, ch.FromFile, ch.FileContentIgnored = kept, true, passed
 	return ch, nil
 }
 
-// Version lays a version of the fleet's document over it: the machine's part
+// PrepareVersion lays a version of the fleet's document over it: the machine's part
 // stays. With a delta on the version in force it costs by that (and by copies of
 // flat lists); without one by all. The outcome is that of a file with the same
 // content. An error names all faults, and says that the version cannot be used here.
-func (p *Places) Version(doc *document.Document, delta *document.Delta) (*Change, error) {
+func (p *Updater) PrepareVersion(doc *document.Document, delta *document.Delta) (*Change, error) {
 	if ch := p.step(doc, delta); ch != nil {
 		return ch, nil
 	}
@@ -171,14 +171,14 @@
 
 // lay gives what next has the places of what is in force, lists what differs, and
 // enters what was dropped. next is the outcome.
-func (p *Places) lay(next *Config, errs *problems) *Change {
+func (p *Updater) lay(next *Config, errs *problems) *Change {
 	d := p.draft(next)
 	names, tenants := next.Classes, next.Tenants
 	routes := make([]route, len(names))
 	for i := range names {
 		routes[i] = next.route(i)
 	}
-	budgets := next.Module.Tenants
+	budgets := next.Policy.Tenants
 	d.copyClasses()
 	d.copyTeams()
 	on := make([]bool, len(p.cfg.Classes)+len(names))
@@ -203,11 +203,11 @@
 	return d.change()
 }
 
-// Adopted notes that a Change is in force.
-func (p *Places) Adopted(ch *Change) {
+// Commit notes that a Change is in force.
+func (p *Updater) Commit(ch *Change) {
 	was, next := p.cfg, ch.Config
 	for _, i := range ch.Classes {
-		p.classes[promise{next.Classes[i], next.Module.Classes[i].Effect}] = i
+		p.classes[promise{next.Classes[i], next.Policy.Classes[i].Effect}] = i
 	}
 	due := int64(0)
 	for _, i := range ch.Tenants {
@@ -215,7 +215,7 @@
 			delete(p.teams, was.Tenants[i])
 		}
 		p.teams[next.Tenants[i]] = i
-		switch off, wasOff := Off(next.TenantsOff, i), i < len(was.Tenants) && Off(was.TenantsOff, i); {
+		switch off, wasOff := IsRetired(next.RetiredTenants, i), i < len(was.Tenants) && IsRetired(was.RetiredTenants, i); {
 		case !off:
 			delete(p.free, i)
 		case !wasOff:
@@ -236,7 +236,7 @@
 
 // tidy takes stale entries out of the list of dropped places, once they are many:
 // a team that comes and goes is in it each time.
-func (p *Places) tidy() {
+func (p *Updater) tidy() {
 	if len(p.dropped) < 2*len(p.free)+64 {
 		return
 	}
@@ -244,7 +244,7 @@
 }
 
 // stale says whether a team came back to its place, or another one has it.
-func (p *Places) stale(d drop) bool {
+func (p *Updater) stale(d drop) bool {
 	due, still := p.free[d.at]
 	return !still || due != d.due
 }
--- a/internal/config/places_test.go
+++ b/internal/config/places_test.go
@@ -107,15 +107,15 @@
 func inForce(c *Config) string {
 	var lines []string
 	for i, name := range c.Classes {
-		if !Off(c.ClassesOff, i) {
+		if !IsRetired(c.RetiredClasses, i) {
 			lines = append(lines, fmt.Sprintf("class %s %+v", name, c.route(i)))
 		} else if c.UWSGI.Contracts[i].Path != "" {
 			lines = append(lines, "a path leads to a class that is off")
 		}
 	}
 	for i, name := range c.Tenants {
-		if !Off(c.TenantsOff, i) {
-			lines = append(lines, fmt.Sprintf("team %s %+v", name, c.Module.Tenants[i]))
+		if !IsRetired(c.RetiredTenants, i) {
+			lines = append(lines, fmt.Sprintf("team %s %+v", name, c.Policy.Tenants[i]))
 		}
 	}
 	if s := c.PoolSettings(); s != nil {
@@ -130,7 +130,7 @@
 		}
 	}
 	slices.Sort(lines)
-	m := c.Module
+	m := c.Policy
 	m.Classes, m.Tenants = nil, nil
 	return strings.Join(lines, "\n") + fmt.Sprintf("\nmodule %+v, keys %+v, engine %s", m, c.Keys, c.Engine)
 }
@@ -140,16 +140,16 @@
 func checkChange(t *rapid.T, was *Config, ch *Change) {
 	c := ch.Config
 	n := len(c.Classes)
-	if len(c.Module.Classes) != n || len(c.UWSGI.Contracts) != n || len(c.Backends) != n || len(c.MaxResults) != n ||
-		len(c.Module.Tenants) != len(c.Tenants) {
+	if len(c.Policy.Classes) != n || len(c.UWSGI.Contracts) != n || len(c.Backends) != n || len(c.MaxResultBytes) != n ||
+		len(c.Policy.Tenants) != len(c.Tenants) {
 		t.Fatalf("lists of unlike length: %+v", c)
 	}
-	if _, err := kiteslip.New(c.Module, 0); err != nil {
+	if _, err := kiteslip.New(c.Policy, 0); err != nil {
 		t.Fatal(err)
 	}
 	for i := range c.Classes {
-		differs := i >= len(was.Classes) || c.route(i) != was.route(i) || Off(c.ClassesOff, i) != Off(was.ClassesOff, i)
-		if i < len(was.Classes) && (c.Classes[i] != was.Classes[i] || c.Module.Classes[i].Effect != was.Module.Classes[i].Effect) {
+		differs := i >= len(was.Classes) || c.route(i) != was.route(i) || IsRetired(c.RetiredClasses, i) != IsRetired(was.RetiredClasses, i)
+		if i < len(was.Classes) && (c.Classes[i] != was.Classes[i] || c.Policy.Classes[i].Effect != was.Policy.Classes[i].Effect) {
 			t.Fatalf("class %d is another one", i)
 		}
 		if differs != slices.Contains(ch.Classes, i) {
@@ -157,8 +157,8 @@
 		}
 	}
 	for i := range c.Tenants {
-		differs := i >= len(was.Tenants) || c.Tenants[i] != was.Tenants[i] || c.Module.Tenants[i] != was.Module.Tenants[i] ||
-			Off(c.TenantsOff, i) != Off(was.TenantsOff, i)
+		differs := i >= len(was.Tenants) || c.Tenants[i] != was.Tenants[i] || c.Policy.Tenants[i] != was.Policy.Tenants[i] ||
+			IsRetired(c.RetiredTenants, i) != IsRetired(was.RetiredTenants, i)
 		if differs != slices.Contains(ch.Tenants, i) {
 			t.Fatalf("team %d differs: %v, and %v are listed", i, differs, ch.Tenants)
 		}
@@ -179,7 +179,7 @@
 		}
 		read := func(c *document.Content) (*Config, error) {
 			var words bytes.Buffer
-			if err := toml.NewEncoder(&words).Encode(Operator{Teams: c.Teams, Services: c.Services, Pool: c.Pools, Pools: Pools{CheapReserve: c.CheapReserve}}); err != nil {
+			if err := toml.NewEncoder(&words).Encode(OperatorFile{Teams: c.Teams, Services: c.Services, Pool: c.Pools, Pools: PoolsSection{CheapReserve: c.CheapReserve}}); err != nil {
 				t.Fatal(err)
 			}
 			text := strings.ReplaceAll(strings.ReplaceAll(words.String(), "[uwsgi]\n  listen = \"\"\n  read_ms = 0\n", ""), "  ", "")
@@ -194,7 +194,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		asFile, asDelta, asWhole := NewPlaces(cfg), NewPlaces(cfg), NewPlaces(cfg)
+		asFile, asDelta, asWhole := NewUpdater(cfg), NewUpdater(cfg), NewUpdater(cfg)
 		doc, now := document.Empty(), int64(1)
 		for range rapid.IntRange(1, 5).Draw(t, "versions") {
 			content := anyContent(t)
@@ -204,17 +204,17 @@
 			}
 			doc = next
 			now += int64(rapid.IntRange(0, 70_000_000).Draw(t, "time"))
-			for _, p := range []*Places{asFile, asDelta, asWhole} {
-				p.At(now)
+			for _, p := range []*Updater{asFile, asDelta, asWhole} {
+				p.SetTime(now)
 			}
 			var byFile *Change
 			sorted := doc.Content()
 			file, fileErr := read(&sorted)
 			if fileErr == nil {
-				byFile, fileErr = asFile.File(file)
+				byFile, fileErr = asFile.PrepareFile(file)
 			}
-			byDelta, deltaErr := asDelta.Version(doc, delta)
-			byWhole, wholeErr := asWhole.Version(doc, nil)
+			byDelta, deltaErr := asDelta.PrepareVersion(doc, delta)
+			byWhole, wholeErr := asWhole.PrepareVersion(doc, nil)
 			if fmt.Sprint(fileErr) != fmt.Sprint(deltaErr) || fmt.Sprint(fileErr) != fmt.Sprint(wholeErr) {
 				t.Fatalf("as a file %v\nas a delta %v\nwhole %v", fileErr, deltaErr, wholeErr)
 			}
@@ -234,9 +234,9 @@
 			if byDelta.Config.Version() != doc || byWhole.Config.Version() != doc || byFile.Config.Version() != nil {
 				t.Fatal("another version is said to be in force")
 			}
-			asFile.Adopted(byFile)
-			asDelta.Adopted(byDelta)
-			asWhole.Adopted(byWhole)
+			asFile.Commit(byFile)
+			asDelta.Commit(byDelta)
+			asWhole.Commit(byWhole)
 		}
 	})
 	if 4*taken < steps {
@@ -250,39 +250,39 @@
 func TestDroppedTeamsMakeRoom(t *testing.T) {
 	classes := [][2]string{{"first", "repeatable"}} // its deadline is 4 s
 	const wait = 2*4_000_000 + lingersMore
-	p := NewPlaces(parse(t, file(classes, []string{"stays", "goes"})))
+	p := NewUpdater(parse(t, file(classes, []string{"stays", "goes"})))
 	take := func(teams ...string) *Config {
 		t.Helper()
-		ch, err := p.File(parse(t, file(classes, teams)))
+		ch, err := p.PrepareFile(parse(t, file(classes, teams)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Adopted(ch)
+		p.Commit(ch)
 		return ch.Config
 	}
-	p.At(1_000_000)
+	p.SetTime(1_000_000)
 	take("stays")
-	p.At(1_000_000 + wait - 1)
-	if c := take("stays", "early"); len(c.Tenants) != 3 || c.Tenants[2] != "early" || !Off(c.TenantsOff, 1) {
+	p.SetTime(1_000_000 + wait - 1)
+	if c := take("stays", "early"); len(c.Tenants) != 3 || c.Tenants[2] != "early" || !IsRetired(c.RetiredTenants, 1) {
 		t.Fatalf("a place was taken too early: %v", c.Tenants)
 	}
-	p.At(1_000_000 + wait)
-	if c := take("stays", "early", "late"); len(c.Tenants) != 3 || c.Tenants[1] != "late" || Off(c.TenantsOff, 1) || c.Module.Tenants[1].Quota != 3 {
+	p.SetTime(1_000_000 + wait)
+	if c := take("stays", "early", "late"); len(c.Tenants) != 3 || c.Tenants[1] != "late" || IsRetired(c.RetiredTenants, 1) || c.Policy.Tenants[1].Quota != 3 {
 		t.Fatalf("the place is not taken: %v", c.Tenants)
 	}
 	if c := take("stays", "early", "late", "goes"); len(c.Tenants) != 4 || c.Tenants[3] != "goes" {
 		t.Fatalf("a team that returns after its place was taken: %v", c.Tenants)
 	}
-	if c := take("stays", "late", "goes"); !Off(c.TenantsOff, 2) {
-		t.Fatalf("%v", c.TenantsOff)
+	if c := take("stays", "late", "goes"); !IsRetired(c.RetiredTenants, 2) {
+		t.Fatalf("%v", c.RetiredTenants)
 	}
-	if c := take("stays", "early", "late", "goes"); Off(c.TenantsOff, 2) || len(c.Tenants) != 4 {
+	if c := take("stays", "early", "late", "goes"); IsRetired(c.RetiredTenants, 2) || len(c.Tenants) != 4 {
 		t.Fatalf("a team that returns to its place: %v", c.Tenants)
 	}
 	now := p.now
 	for i := range 5_000 { // one that comes and goes, and one new name each time
 		now += wait / 3
-		p.At(now)
+		p.SetTime(now)
 		teams := []string{"stays", fmt.Sprint("new", i)}
 		if i%2 == 0 {
 			teams = append(teams, "flips")
@@ -300,14 +300,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := NewPlaces(cfg)
+	p := NewUpdater(cfg)
 	doc, _ := after(t, document.Empty(), &document.Content{Teams: []Team{{Name: "teal", Quota: 7}}, Services: []Service{{Name: "s", Owner: "teal",
 		Backend: "127.0.0.1:4000", Contracts: []Contract{{Class: "sum", Path: "/sum", Effect: "once", DeadlineMS: &[]float64{700}[0]}}}}})
-	ch, err := p.Version(doc, nil)
+	ch, err := p.PrepareVersion(doc, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Adopted(ch)
+	p.Commit(ch)
 	was := inForce(ch.Config)
 	if !strings.Contains(was, "class sum") || strings.Contains(was, "class draw") || !strings.Contains(was, "team teal {Quota:7}") {
 		t.Fatalf("in force\n%s", was)
@@ -316,22 +316,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ch, err = p.File(next)
+	ch, err = p.PrepareFile(next)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !ch.Passed || !ch.Whole || ch.Config.Version() != doc || ch.Config.Module.Cores != 3 || ch.Config.Stop != 5_000_000 || len(ch.Classes)+len(ch.Tenants) != 0 {
+	if !ch.FileContentIgnored || !ch.FromFile || ch.Config.Version() != doc || ch.Config.Policy.Cores != 3 || ch.Config.StopTimeoutUS != 5_000_000 || len(ch.Classes)+len(ch.Tenants) != 0 {
 		t.Errorf("%+v", ch)
 	}
 	if is := inForce(ch.Config); strings.Replace(was, "Cores:2", "Cores:3", 1) != is {
 		t.Errorf("was\n%s\nis\n%s", was, is)
 	}
-	p.Adopted(ch)
+	p.Commit(ch)
 	worse, err := ParseOperator(strings.Replace(machine, "cores", "key_kb", 1)+"[keys]\nfolder = \"/k\"\n"+operator, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.File(worse); err == nil || !strings.Contains(err.Error(), "version 1") || !strings.Contains(err.Error(), "no class is keyed") {
+	if _, err := p.PrepareFile(worse); err == nil || !strings.Contains(err.Error(), "version 1") || !strings.Contains(err.Error(), "no class is keyed") {
 		t.Errorf("a file that cannot bear the version in force: %v", err)
 	}
 }
@@ -344,12 +344,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := c.Control; !k.On() || k.Region != "south" || k.Folder != "/var/versions" || k.Wait != 1_000_000 || len(k.Publishers) != 2 ||
+	if k := c.Control; !k.Enabled() || k.Region != "south" || k.Folder != "/var/versions" || k.InitialWaitUS != 1_000_000 || len(k.Publishers) != 2 ||
 		k.Publishers[1] != (ControlPublisher{Address: "10.0.0.2:7000", Region: "north"}) {
 		t.Errorf("%+v", c.Control)
 	}
 	for _, text := range []string{"", "[control]\nregion = \"south\"\nwait_ms = 0\n"} {
-		if c, err := ParseOperator(machine+operator+text, nil); err != nil || c.Control.On() {
+		if c, err := ParseOperator(machine+operator+text, nil); err != nil || c.Control.Enabled() {
 			t.Errorf("%q: %+v %v", text, c.Control, err)
 		}
 	}
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -10,8 +10,8 @@
 // Pool is one [[pool]] of the operator's file.
 type Pool = document.Pool
 
-// Pools is [pools]: what concerns all of them.
-type Pools struct {
+// PoolsSection is [pools]: what concerns all of them.
+type PoolsSection struct {
 	CheapReserve float64 `toml:"cheap_reserve"` // of the cores: places beyond the limit for the cheapest class
 }
 
@@ -52,7 +52,7 @@
 	if len(c.Pools) == 0 {
 		return nil
 	}
-	s := pool.SettingsFor(&c.Module)
+	s := pool.SettingsFor(&c.Policy)
 	s.CheapReserve = c.CheapReserve
 	pools := map[string][]int{} // by class: those that name it, one where all is well
 	for i, p := range c.Pools {
@@ -64,7 +64,7 @@
 		s.Pools = append(s.Pools, spec)
 	}
 	for i, class := range c.Classes {
-		if Off(c.ClassesOff, i) {
+		if IsRetired(c.RetiredClasses, i) {
 			continue
 		}
 		for _, at := range pools[class] {
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -15,12 +15,12 @@
 
 // ControlMachine is a control machine's own file, checked: see deploy/control.toml.
 type ControlMachine struct {
-	Name   string             `toml:"name"`
-	Region string             `toml:"region"`
-	Listen string             `toml:"listen"`
-	Folder string             `toml:"folder"` // of the log, an absolute path
-	Deltas int                `toml:"deltas"` // most that the log holds; 0 = the publisher's default
-	Follow []ControlPublisher `toml:"follow"` // the originator first; none = this machine originates
+	Name      string             `toml:"name"`
+	Region    string             `toml:"region"`
+	Listen    string             `toml:"listen"`
+	Folder    string             `toml:"folder"` // of the log, an absolute path
+	MaxDeltas int                `toml:"deltas"` // most that the log holds; 0 = the publisher's default
+	Upstreams []ControlPublisher `toml:"follow"` // the originator first; none = this machine originates
 }
 
 // The bounds of a control machine's file.
@@ -63,14 +63,14 @@
 	if !filepath.IsAbs(c.Folder) {
 		errs.add("folder", "is %q, want an absolute path", c.Folder)
 	}
-	if c.Deltas != 0 && (c.Deltas < leastDeltas || c.Deltas > mostDeltas) {
-		errs.add("deltas", "is %d, want %d to %d", c.Deltas, leastDeltas, mostDeltas)
+	if c.MaxDeltas != 0 && (c.MaxDeltas < leastDeltas || c.MaxDeltas > mostDeltas) {
+		errs.add("deltas", "is %d, want %d to %d", c.MaxDeltas, leastDeltas, mostDeltas)
 	}
-	if len(c.Follow) > mostFollow {
-		errs.add("follow", "has %d entries, want at most %d", len(c.Follow), mostFollow)
+	if len(c.Upstreams) > mostFollow {
+		errs.add("follow", "has %d entries, want at most %d", len(c.Upstreams), mostFollow)
 	}
 	seen := map[string]bool{}
-	for i, f := range c.Follow {
+	for i, f := range c.Upstreams {
 		key := fmt.Sprintf("follow[%d]", i)
 		checkAddress(errs.add, key+".address", f.Address)
 		switch {
@@ -91,12 +91,12 @@
 // ofMachine are the sections of an operator's file that set up a machine.
 var ofMachine = []string{"uwsgi", "machine", "keys", "control"}
 
-// ContentOf reads what the fleet serves by from an operator's file: its teams,
+// ParseContent reads what the fleet serves by from an operator's file: its teams,
 // services and pools, in the order of names. The sections that set up a machine
 // are passed over. Its error names all keys that are not known, and names that
 // are there twice; what the entries hold is checked by the document.
-func ContentOf(text string) (*document.Content, error) {
-	var o Operator
+func ParseContent(text string) (*document.Content, error) {
+	var o OperatorFile
 	meta, err := toml.Decode(text, &o)
 	if err != nil {
 		return nil, err
--- a/internal/config/publisher_test.go
+++ b/internal/config/publisher_test.go
@@ -23,7 +23,7 @@
 
 func TestControlMachine(t *testing.T) {
 	c, err := ParseControlMachine(controlMachine)
-	if err != nil || c.Name != "control-2" || c.Region != "south" || c.Deltas != 100 || len(c.Follow) != 2 || c.Follow[1] != (ControlPublisher{"127.0.0.1:9402", "south"}) {
+	if err != nil || c.Name != "control-2" || c.Region != "south" || c.MaxDeltas != 100 || len(c.Upstreams) != 2 || c.Upstreams[1] != (ControlPublisher{"127.0.0.1:9402", "south"}) {
 		t.Errorf("%+v, %v", c, err)
 	}
 	if _, err := LoadControlMachine(filepath.Join("..", "..", "deploy", "control.toml")); err != nil {
@@ -71,23 +71,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := ContentOf(string(text))
+	c, err := ParseContent(string(text))
 	if err != nil || len(c.Teams) == 0 || len(c.Services) == 0 {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	c, err = ContentOf("[machine]\ncores = -3\nwings = 2\n[control]\nregion = \"x\"\n[[control.publisher]]\naddress = \"a:1\"\n" + operator +
+	c, err = ParseContent("[machine]\ncores = -3\nwings = 2\n[control]\nregion = \"x\"\n[[control.publisher]]\naddress = \"a:1\"\n" + operator +
 		"[[pool]]\nname = \"p\"\nclasses = [\"draw\"]\nshare = 0.5\n[pools]\ncheap_reserve = 0.25\n")
 	if err != nil || len(c.Teams) != 2 || c.Teams[0].Name != "blue" || c.Teams[1].Quota != 50 || len(c.Services) != 1 ||
 		c.Services[0].Contracts[0].Class != "draw" || len(c.Pools) != 1 || c.CheapReserve != 0.25 {
 		t.Errorf("%+v, %v", c, err)
 	}
-	_, err = ContentOf("[[teem]]\nname = \"a\"\n[[team]]\nname = \"b\"\n[[team]]\nname = \"b\"\nquota = 1\n[[pool]]\n[[service]]\n")
+	_, err = ParseContent("[[teem]]\nname = \"a\"\n[[team]]\nname = \"b\"\n[[team]]\nname = \"b\"\nquota = 1\n[[pool]]\n[[service]]\n")
 	for _, want := range []string{"teem", "team.quota", `team[1].name is "b"`, "pool[0].name", "service[0].name"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v does not say %s", err, want)
 		}
 	}
-	if _, err = ContentOf("team = 3"); err == nil {
+	if _, err = ParseContent("team = 3"); err == nil {
 		t.Error("no table, and no error")
 	}
 }
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -62,7 +62,7 @@
 				t.Fatal(err)
 			}
 		})
-		var o Operator
+		var o OperatorFile
 		if _, err := toml.Decode(text, &o); err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 			}
 		})
 		laid = fastest(func() {
-			if ch, err := NewPlaces(c).File(next); err != nil || len(ch.Tenants) != 1 || len(ch.Classes) != 0 {
+			if ch, err := NewUpdater(c).PrepareFile(next); err != nil || len(ch.Tenants) != 1 || len(ch.Classes) != 0 {
 				t.Fatal(ch, err)
 			}
 		})
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -25,8 +25,8 @@
 
 // bare returns the classes and teams that c has by now.
 func (c *Config) bare() *base {
-	b := &base{names: slices.Clone(c.Classes), classes: slices.Clone(c.Module.Classes), classAt: indexOf(c.Classes),
-		teams: slices.Clone(c.Tenants), budgets: slices.Clone(c.Module.Tenants), teamAt: indexOf(c.Tenants)}
+	b := &base{names: slices.Clone(c.Classes), classes: slices.Clone(c.Policy.Classes), classAt: indexOf(c.Classes),
+		teams: slices.Clone(c.Tenants), budgets: slices.Clone(c.Policy.Tenants), teamAt: indexOf(c.Tenants)}
 	return b
 }
 
@@ -62,24 +62,24 @@
 
 // fronts makes room for what the fronts must know of each class.
 func (c *Config) fronts() {
-	for i := len(c.UWSGI.Contracts); i < len(c.Module.Classes); i++ {
-		r := plain(c.Module.Classes[i])
-		c.UWSGI.Contracts, c.Backends, c.MaxResults = append(c.UWSGI.Contracts, r.front), append(c.Backends, ""), append(c.MaxResults, r.result)
+	for i := len(c.UWSGI.Contracts); i < len(c.Policy.Classes); i++ {
+		r := plain(c.Policy.Classes[i])
+		c.UWSGI.Contracts, c.Backends, c.MaxResultBytes = append(c.UWSGI.Contracts, r.front), append(c.Backends, ""), append(c.MaxResultBytes, r.result)
 	}
 }
 
 // set enters a class at its place, which is one of those there are or the next.
 func (c *Config) set(at int, name string, r *route) {
 	if at == len(c.Classes) {
-		c.Classes, c.Module.Classes = append(c.Classes, name), append(c.Module.Classes, kiteslip.Class{})
-		c.UWSGI.Contracts, c.Backends, c.MaxResults = append(c.UWSGI.Contracts, uwsgi.Contract{}), append(c.Backends, ""), append(c.MaxResults, 0)
+		c.Classes, c.Policy.Classes = append(c.Classes, name), append(c.Policy.Classes, kiteslip.Class{})
+		c.UWSGI.Contracts, c.Backends, c.MaxResultBytes = append(c.UWSGI.Contracts, uwsgi.Contract{}), append(c.Backends, ""), append(c.MaxResultBytes, 0)
 	}
-	c.Module.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResults[at] = r.class, r.front, r.backend, r.result
+	c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at] = r.class, r.front, r.backend, r.result
 }
 
 // route returns what is served at a place.
 func (c *Config) route(at int) route {
-	return route{c.Module.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResults[at]}
+	return route{c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at]}
 }
 
 // serve enters what the fleet serves by over the base, where nothing else is yet.
@@ -99,13 +99,13 @@
 	if b == nil {
 		return nil, errors.New("config: it was not read from a file")
 	}
-	m.Classes, m.Module.Classes, m.ClassesOff = slices.Clone(b.names), slices.Clone(b.classes), nil
-	m.Tenants, m.Module.Tenants, m.TenantsOff = slices.Clone(b.teams), slices.Clone(b.budgets), nil
-	m.UWSGI.Contracts, m.Backends, m.MaxResults = nil, nil, nil
+	m.Classes, m.Policy.Classes, m.RetiredClasses = slices.Clone(b.names), slices.Clone(b.classes), nil
+	m.Tenants, m.Policy.Tenants, m.RetiredTenants = slices.Clone(b.teams), slices.Clone(b.budgets), nil
+	m.UWSGI.Contracts, m.Backends, m.MaxResultBytes = nil, nil, nil
 	var errs problems
 	m.serve(content, &errs)
 	if len(errs) == 0 {
-		if _, err := kiteslip.New(m.Module, 0); err != nil {
+		if _, err := kiteslip.New(m.Policy, 0); err != nil {
 			errs = append(errs, err)
 		}
 	}
@@ -113,8 +113,8 @@
 }
 
 func (c *Config) anyKeyed() bool {
-	for i := range c.Module.Classes {
-		if c.Module.Classes[i].Effect == kiteslip.Keyed && !Off(c.ClassesOff, i) {
+	for i := range c.Policy.Classes {
+		if c.Policy.Classes[i].Effect == kiteslip.Keyed && !IsRetired(c.RetiredClasses, i) {
 			return true
 		}
 	}
@@ -137,9 +137,9 @@
 		at, known := places[t.Name]
 		if !known {
 			at, places[t.Name] = len(c.Tenants), len(c.Tenants)
-			c.Tenants, c.Module.Tenants = append(c.Tenants, t.Name), append(c.Module.Tenants, kiteslip.Tenant{})
+			c.Tenants, c.Policy.Tenants = append(c.Tenants, t.Name), append(c.Policy.Tenants, kiteslip.Tenant{})
 		}
-		c.Module.Tenants[at].Quota = t.Quota
+		c.Policy.Tenants[at].Quota = t.Quota
 	}
 }
 
@@ -174,7 +174,7 @@
 			c.set(at, t.Class, &r)
 		}
 	}
-	if len(c.Module.Classes) == 0 {
+	if len(c.Policy.Classes) == 0 {
 		errs.add("service", "is absent, and there are no other classes")
 	}
 }
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -2,11 +2,11 @@
 
 import "kiteslip/internal/control/document"
 
-// StartBy returns c with a version's teams, services and pools in place of the
+// WithDocument returns c with a version's teams, services and pools in place of the
 // file's own: what a process starts by. No place is kept for the file's, since
 // nothing of them is open. An error names all faults, and says that the version
 // cannot be used here.
-func (c *Config) StartBy(doc *document.Document) (*Config, error) {
+func (c *Config) WithDocument(doc *document.Document) (*Config, error) {
 	content := doc.Content()
 	m, err := c.served(&content)
 	if err != nil {
--- a/internal/config/succeed.go
+++ b/internal/config/succeed.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Succeed lays next, which was read later, over c, which is in use, and returns
+// Merge lays next, which was read later, over c, which is in use, and returns
 // the outcome; c stays as it is. See Places, which does the same again and again.
-func (c *Config) Succeed(next *Config) (merged *Config, kept []string, err error) {
-	ch, err := NewPlaces(c).File(next)
+func (c *Config) Merge(next *Config) (merged *Config, kept []string, err error) {
+	ch, err := NewUpdater(c).PrepareFile(next)
 	if err != nil {
 		return nil, nil, err
 	}
-	return ch.Config, ch.Kept, nil
+	return ch.Config, ch.RestartRequired, nil
 }
 
-// Off says whether place i is of a class, or team, that is no longer in the file.
-func Off(off []bool, i int) bool { return i < len(off) && off[i] }
+// IsRetired says whether place i is of a class, or team, that is no longer in the file.
+func IsRetired(off []bool, i int) bool { return i < len(off) && off[i] }
 
 // lacks adds an error for each key that is in the decoded text was and not in is.
 func lacks(errs *problems, path string, was, is any) {
--- a/internal/config/succeed_test.go
+++ b/internal/config/succeed_test.go
@@ -53,30 +53,30 @@
 				c = next
 			} else {
 				var err error
-				if c, _, err = c.Succeed(next); err != nil {
+				if c, _, err = c.Merge(next); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if _, err := kiteslip.New(c.Module, 0); err != nil {
+			if _, err := kiteslip.New(c.Policy, 0); err != nil {
 				t.Fatal(err)
 			}
 			on := map[string]bool{}
 			for i, name := range c.Classes {
-				id := fmt.Sprint(name, c.Module.Classes[i].Effect)
+				id := fmt.Sprint(name, c.Policy.Classes[i].Effect)
 				if at, seen := places[id]; seen && at != i {
 					t.Fatalf("class %s moved from %d to %d", id, at, i)
 				}
-				if places[id] = i; !Off(c.ClassesOff, i) {
+				if places[id] = i; !IsRetired(c.RetiredClasses, i) {
 					on[name] = true
-					if at := slices.Index(next.Classes, name); c.Module.Classes[i] != next.Module.Classes[at] {
-						t.Fatalf("class %s: %+v", id, c.Module.Classes[i])
+					if at := slices.Index(next.Classes, name); c.Policy.Classes[i] != next.Policy.Classes[at] {
+						t.Fatalf("class %s: %+v", id, c.Policy.Classes[i])
 					}
 				}
 			}
 			if got := slices.Sorted(maps.Keys(on)); !slices.Equal(got, slices.Sorted(slices.Values(next.Classes))) {
 				t.Fatalf("classes %v of %v are on", got, next.Classes)
 			}
-			if n := len(c.Classes); n != len(places) || len(c.Backends) != n || len(c.UWSGI.Contracts) != n || len(c.MaxResults) != n || len(c.ClassesOff) > n {
+			if n := len(c.Classes); n != len(places) || len(c.Backends) != n || len(c.UWSGI.Contracts) != n || len(c.MaxResultBytes) != n || len(c.RetiredClasses) > n {
 				t.Fatalf("%d classes in %+v", n, c)
 			}
 			for i, name := range c.Tenants {
@@ -84,8 +84,8 @@
 					t.Fatalf("team %s moved from %d to %d", name, at, i)
 				}
 				teams[name] = i
-				if at := slices.Index(next.Tenants, name); (at < 0) != Off(c.TenantsOff, i) || at >= 0 && c.Module.Tenants[i] != next.Module.Tenants[at] {
-					t.Fatalf("team %s: %+v", name, c.Module.Tenants[i])
+				if at := slices.Index(next.Tenants, name); (at < 0) != IsRetired(c.RetiredTenants, i) || at >= 0 && c.Policy.Tenants[i] != next.Policy.Tenants[at] {
+					t.Fatalf("team %s: %+v", name, c.Policy.Tenants[i])
 				}
 			}
 		}
@@ -112,13 +112,13 @@
 		}
 		next, err := Parse([]byte(text), unset)
 		if err == nil {
-			_, _, err = c.Succeed(next)
+			_, _, err = c.Merge(next)
 		}
 		if err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("without %s: %v", key, err)
 		}
 	}
-	if _, _, err := c.Succeed(parse(t, was)); err != nil {
+	if _, _, err := c.Merge(parse(t, was)); err != nil {
 		t.Errorf("the same file again: %v", err)
 	}
 	for n := range len(was) {
@@ -143,7 +143,7 @@
 			classes = append(classes, [2]string{fmt.Sprint("c", n), "repeatable"})
 			n++
 		}
-		next, _, err := c.Succeed(parse(t, file(classes, []string{"red"})))
+		next, _, err := c.Merge(parse(t, file(classes, []string{"red"})))
 		if over := n > mostClassPlaces; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
 			t.Fatalf("%d classes since the start: %v", n, err)
 		}
@@ -156,7 +156,7 @@
 			teams = append(teams, fmt.Sprint("t", n))
 			n++
 		}
-		next, _, err := c.Succeed(parse(t, file([][2]string{{"first", "repeatable"}}, teams)))
+		next, _, err := c.Merge(parse(t, file([][2]string{{"first", "repeatable"}}, teams)))
 		if over := n > mostTeamPlaces; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
 			t.Fatalf("%d teams since the start: %v", n, err)
 		}
@@ -175,12 +175,12 @@
 		classes := [][2]string{{"first", "repeatable"}}
 		c := parse(t, file(classes, teams))
 		teams[n/2] = "new"
-		next, kept, err := c.Succeed(parse(t, file(classes, teams)))
+		next, kept, err := c.Merge(parse(t, file(classes, teams)))
 		if err != nil || len(kept) != 0 {
 			t.Fatalf("%d teams, one changed: %v %v", n, kept, err)
 		}
-		if next.Tenants[n] != "new" || !Off(next.TenantsOff, n/2) || Off(next.TenantsOff, n) || next.Module.Tenants[n].Quota != float64(n/2+1) {
-			t.Errorf("%d teams: the new one is %q, %+v", n, next.Tenants[n], next.Module.Tenants[n])
+		if next.Tenants[n] != "new" || !IsRetired(next.RetiredTenants, n/2) || IsRetired(next.RetiredTenants, n) || next.Policy.Tenants[n].Quota != float64(n/2+1) {
+			t.Errorf("%d teams: the new one is %q, %+v", n, next.Tenants[n], next.Policy.Tenants[n])
 		}
 	}
 }
--- a/internal/control/document/config_test.go
+++ b/internal/control/document/config_test.go
@@ -100,7 +100,7 @@
 			t.Fatalf("%d figures are drawn, %d were", figures, asked)
 		}
 		_, byServer := config.ParseOperator(text, nil)
-		var file config.Operator
+		var file config.OperatorFile
 		if _, err := toml.Decode(text, &file); err != nil {
 			t.Fatal(err, text)
 		}
--- a/internal/control/publish/serve.go
+++ b/internal/control/publish/serve.go
@@ -151,7 +151,7 @@
 	switch kind, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type")); kind {
 	case typeFile:
 		var next *document.Content
-		if next, err = config.ContentOf(string(body)); err != nil {
+		if next, err = config.ParseContent(string(body)); err != nil {
 			err = fmt.Errorf("%w:\n%w", ErrFaults, err)
 		} else {
 			h, err = p.PublishContent(next, by, base)
--- a/internal/lab/scale/fleetday/schedule_test.go
+++ b/internal/lab/scale/fleetday/schedule_test.go
@@ -87,8 +87,8 @@
 		t.Errorf("%d teams and %d classes, want %d and %d", len(cfg.Tenants), len(cfg.Classes), f.Tenants, f.Routes)
 	}
 	for i, team := range content.Teams {
-		if cfg.Tenants[i] != team.Name || cfg.Module.Tenants[i].Quota != team.Quota {
-			t.Fatalf("team %d is %s with %v, want %v", i, cfg.Tenants[i], cfg.Module.Tenants[i].Quota, team)
+		if cfg.Tenants[i] != team.Name || cfg.Policy.Tenants[i].Quota != team.Quota {
+			t.Fatalf("team %d is %s with %v, want %v", i, cfg.Tenants[i], cfg.Policy.Tenants[i].Quota, team)
 		}
 	}
 	if again := Content(f.Sizes, f.Deadline, 7); !reflect.DeepEqual(content, again) {
--- a/internal/lab/scale/hollow/servers.go
+++ b/internal/lab/scale/hollow/servers.go
@@ -198,14 +198,14 @@
 func (one *server) live(ctx context.Context, f *follow.Follower, cfg *config.Config, life int) error {
 	doc, _ := f.First(ctx)
 	if doc != nil {
-		with, err := cfg.StartBy(doc)
+		with, err := cfg.WithDocument(doc)
 		if err != nil {
 			return err
 		}
 		cfg = with
 	}
-	places := config.NewPlaces(cfg)
-	c, err := core.New(core.Settings{Policy: cfg.Module, Seed: cfg.Seed, Pools: cfg.PoolSettings()}, idle{})
+	places := config.NewUpdater(cfg)
+	c, err := core.New(core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Pools: cfg.PoolSettings()}, idle{})
 	if err != nil {
 		return err
 	}
@@ -213,16 +213,16 @@
 		one.force(doc, life)
 	}
 	f.Run(ctx, func(_ context.Context, doc *document.Document, delta *document.Delta) error {
-		places.At(time.Now().UnixMicro())
-		ch, err := places.Version(doc, delta)
+		places.SetTime(time.Now().UnixMicro())
+		ch, err := places.PrepareVersion(doc, delta)
 		if err == nil {
-			err = c.Reconfigure(ch.Config.Module, ch.Config.ClassesOff, ch.Pools)
+			err = c.Reconfigure(ch.Config.Policy, ch.Config.RetiredClasses, ch.Pools)
 		}
 		if err != nil {
 			return err
 		}
-		places.At(time.Now().UnixMicro())
-		places.Adopted(ch)
+		places.SetTime(time.Now().UnixMicro())
+		places.Commit(ch)
 		one.force(doc, life)
 		return nil
 	})
--- a/internal/lab/scale/slopes/memory.go
+++ b/internal/lab/scale/slopes/memory.go
@@ -55,7 +55,7 @@
 	if c.config, err = config.ParseOperator(s.text(), nil); err != nil {
 		return nil, err
 	}
-	c.core, err = core.New(core.Settings{Policy: c.config.Module}, c.to)
+	c.core, err = core.New(core.Settings{Policy: c.config.Policy}, c.to)
 	return c, err
 }
 
--- a/internal/lab/scale/slopes/slopes_test.go
+++ b/internal/lab/scale/slopes/slopes_test.go
@@ -124,11 +124,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Module.Tenants) != 3000 || len(c.Module.Classes) != 400 {
-		t.Errorf("%d teams and %d classes", len(c.Module.Tenants), len(c.Module.Classes))
+	if len(c.Policy.Tenants) != 3000 || len(c.Policy.Classes) != 400 {
+		t.Errorf("%d teams and %d classes", len(c.Policy.Tenants), len(c.Policy.Classes))
 	}
-	if c.Module.Tenants[5].Quota == teamQuota(5) || c.Module.Tenants[6].Quota != teamQuota(6) {
-		t.Errorf("teams 5 and 6 have %v and %v", c.Module.Tenants[5].Quota, c.Module.Tenants[6].Quota)
+	if c.Policy.Tenants[5].Quota == teamQuota(5) || c.Policy.Tenants[6].Quota != teamQuota(6) {
+		t.Errorf("teams 5 and 6 have %v and %v", c.Policy.Tenants[5].Quota, c.Policy.Tenants[6].Quota)
 	}
 	of := content(s)
 	if len(of.Teams) != 3000 || len(of.Services) != (400+serviceRoutes-1)/serviceRoutes {
--- a/internal/lab/scale/slopes/version.go
+++ b/internal/lab/scale/slopes/version.go
@@ -22,7 +22,7 @@
 // the loop retunes.
 type follower struct {
 	doc    *document.Document
-	places *config.Places
+	places *config.Updater
 	first  *config.Change
 	core   *core.Core
 }
@@ -38,13 +38,13 @@
 	if err != nil {
 		return nil, err
 	}
-	f.places = config.NewPlaces(c)
-	f.places.At(epoch)
-	if f.first, err = f.places.Version(f.doc, nil); err != nil {
+	f.places = config.NewUpdater(c)
+	f.places.SetTime(epoch)
+	if f.first, err = f.places.PrepareVersion(f.doc, nil); err != nil {
 		return nil, err
 	}
-	f.places.Adopted(f.first)
-	f.core, err = core.New(core.Settings{Policy: f.first.Config.Module}, &nowhere{})
+	f.places.Commit(f.first)
+	f.core, err = core.New(core.Settings{Policy: f.first.Config.Policy}, &nowhere{})
 	return f, err
 }
 
@@ -63,7 +63,7 @@
 		}
 		next, err := f.doc.Apply(delta)
 		if err == nil {
-			ch, err = f.places.Version(next, delta)
+			ch, err = f.places.PrepareVersion(next, delta)
 		}
 		return err
 	})
@@ -73,9 +73,9 @@
 	if len(ch.Tenants) != n {
 		return 0, 0, fmt.Errorf("slopes: a version with %d changed tenants changes %d", n, len(ch.Tenants))
 	}
-	loop, err = timed(func() error { return f.core.Reconfigure(ch.Config.Module, ch.Config.ClassesOff, ch.Pools) })
+	loop, err = timed(func() error { return f.core.Reconfigure(ch.Config.Policy, ch.Config.RetiredClasses, ch.Pools) })
 	if err == nil {
-		err = f.core.Reconfigure(f.first.Config.Module, f.first.Config.ClassesOff, f.first.Pools)
+		err = f.core.Reconfigure(f.first.Config.Policy, f.first.Config.RetiredClasses, f.first.Pools)
 	}
 	return beside, loop, err
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -73,12 +73,12 @@
 func Run(streams []*pcap.Stream, cfg *config.Config, opt Options) (Report, error) {
 	p := &player{cfg: cfg, opt: opt}
 	p.names = frame.Names{Classes: places(cfg.Classes), Tenants: places(cfg.Tenants)}
-	for i := range cfg.Module.Classes {
-		p.names.Keyed = append(p.names.Keyed, cfg.Module.Classes[i].Effect == kiteslip.Keyed)
+	for i := range cfg.Policy.Classes {
+		p.names.Keyed = append(p.names.Keyed, cfg.Policy.Classes[i].Effect == kiteslip.Keyed)
 	}
 	p.book = uwsgi.Book{Classes: p.names.Classes, Tenants: p.names.Tenants, Contracts: cfg.UWSGI.Contracts}
 	var err error
-	if p.core, err = core.New(core.Settings{Policy: cfg.Module, Seed: cfg.Seed}, p); err != nil {
+	if p.core, err = core.New(core.Settings{Policy: cfg.Policy, Seed: cfg.Seed}, p); err != nil {
 		return Report{}, err
 	}
 	if opt.Write != nil {
--- a/internal/server/closing.go
+++ b/internal/server/closing.go
@@ -81,8 +81,8 @@
 // longest is how long any request may last at most.
 func (s *Server) longest() int64 {
 	longest := int64(lingerClose)
-	for i := range s.cfg.Module.Classes {
-		longest = max(longest, s.cfg.Module.Classes[i].Timeout)
+	for i := range s.cfg.Policy.Classes {
+		longest = max(longest, s.cfg.Policy.Classes[i].Timeout)
 	}
 	return longest
 }
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -275,8 +275,8 @@
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	cfg := platform(t, engine.Address, "")
-	for i := range cfg.Module.Classes {
-		cfg.Module.Classes[i].Timeout = 200_000
+	for i := range cfg.Policy.Classes {
+		cfg.Policy.Classes[i].Timeout = 200_000
 	}
 	r := launch(t, cfg)
 	result := make([]byte, frame.MaxResult)
--- a/internal/server/hold_test.go
+++ b/internal/server/hold_test.go
@@ -20,7 +20,7 @@
 
 // fleet is a server, not started, that serves by a version of that size, in which
 // each of so many pools has ten classes.
-func fleet(t testing.TB, pools int) (*Server, *config.Places, *document.Document) {
+func fleet(t testing.TB, pools int) (*Server, *config.Updater, *document.Document) {
 	t.Helper()
 	var all []document.Change
 	for i := range fleetTeams {
@@ -37,12 +37,12 @@
 		all = append(all, document.Change{Pool: p})
 	}
 	doc, _ := follows(t, document.Empty(), all...)
-	places := config.NewPlaces(platform(t, "127.0.0.1:1", ""))
-	ch, err := places.Version(doc, nil)
+	places := config.NewUpdater(platform(t, "127.0.0.1:1", ""))
+	ch, err := places.PrepareVersion(doc, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	places.Adopted(ch)
+	places.Commit(ch)
 	s, err := New(ch.Config, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	for i := range times {
 		next, delta := follows(t, doc, change(i)...)
 		began := time.Now()
-		ch, err := places.Version(next, delta)
+		ch, err := places.PrepareVersion(next, delta)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,13 +69,13 @@
 			t.Fatal(err)
 		}
 		loop, beside = append(loop, time.Since(ready)), append(beside, ready.Sub(began))
-		places.Adopted(ch)
+		places.Commit(ch)
 		doc = next
 	}
 	whole = time.Hour
 	for range 3 {
 		began := time.Now()
-		if _, err := places.Version(doc, nil); err != nil {
+		if _, err := places.PrepareVersion(doc, nil); err != nil {
 			t.Fatal(err)
 		}
 		whole = min(whole, time.Since(began))
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -40,7 +40,7 @@
 	s.reapAt = t + reapEvery
 	after := s.core.IdleTimeout()
 	if after == 0 {
-		after = s.cfg.Module.IdleAfter
+		after = s.cfg.Policy.IdleAfter
 	}
 	unsent := 0
 	for h := range s.sessions {
@@ -79,7 +79,7 @@
 			}
 		case f.away && t-max(at.since, f.awayAt) >= awayLinger:
 			f.part(t)
-		case !f.away && after > 0 && t-at.since >= after && (f.highest > 0 || t-at.since >= s.cfg.Module.IdleAfter):
+		case !f.away && after > 0 && t-at.since >= after && (f.highest > 0 || t-at.since >= s.cfg.Policy.IdleAfter):
 			f.goAway() // the caller closes, so that no request can cross
 		}
 	}
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -50,7 +50,7 @@
 func (s *Server) openKeys() (*keystore.Store, []keystore.Record, error) {
 	k := &s.cfg.Keys
 	opt := keystore.Options{Folder: k.Folder, FS: s.keys.fs, MaxBytes: k.MaxBytes, Now: storage.Clock()}
-	if k.Process {
+	if k.ProcessDurability {
 		opt.Durability = keystore.SurviveProcessExit
 	}
 	store, err := keystore.Open(opt)
@@ -97,7 +97,7 @@
 			s.schedule()
 		})
 	})
-	s.core.SetJournal(journal{s, s.keys.worker}, s.cfg.Keys.Unsafe)
+	s.core.SetJournal(journal{s, s.keys.worker}, s.cfg.Keys.AllowUnrecorded)
 	s.log.Info("keys are kept", zap.String("folder", s.cfg.Keys.Folder), zap.Int("restored", s.keys.restored),
 		zap.Int("unknown", s.keys.unknown), zap.Int64("shift_ms", store.WindowExtension()/1000))
 }
@@ -111,7 +111,7 @@
 	}
 	store, records, err := s.openKeys()
 	if err != nil {
-		if !s.cfg.Keys.Unsafe || errors.Is(err, keystore.ErrInUse) {
+		if !s.cfg.Keys.AllowUnrecorded || errors.Is(err, keystore.ErrInUse) {
 			return fmt.Errorf("keys: %w", err)
 		}
 		s.keys.failed = err
@@ -131,7 +131,7 @@
 // anything without a record.
 func (s *Server) wroteAll(store *keystore.Store, doubt int64) bool {
 	last := store.LastUsed().Wall
-	return doubt != 0 && last != 0 && last+keysFresh >= doubt-s.core.MaxWindow() && !s.cfg.Keys.Unsafe
+	return doubt != 0 && last != 0 && last+keysFresh >= doubt-s.core.MaxWindow() && !s.cfg.Keys.AllowUnrecorded
 }
 
 // ownKeys takes the keys over while the server runs: the store is opened beside
@@ -164,7 +164,7 @@
 	if err != nil {
 		s.keys.failed = err
 		s.log.Error("keys are not kept", zap.Error(err))
-		if s.cfg.Keys.Unsafe {
+		if s.cfg.Keys.AllowUnrecorded {
 			s.owned(max(doubt, now()+s.core.MaxWindow()))
 		}
 		return // keyed requests fail: what ran is not known
--- a/internal/server/links_test.go
+++ b/internal/server/links_test.go
@@ -93,8 +93,8 @@
 		}
 	}()
 	cfg := platform(t, l.Addr().String(), "")
-	for i := range cfg.Module.Classes {
-		cfg.Module.Classes[i].Timeout = 1_000_000
+	for i := range cfg.Policy.Classes {
+		cfg.Policy.Classes[i].Timeout = 1_000_000
 	}
 	r := launch(t, cfg)
 	<-quiet
--- a/internal/server/places.go
+++ b/internal/server/places.go
@@ -38,7 +38,7 @@
 	if cfg.Keys.Folder != "" {
 		p.Internal += min(keyDescriptors, cfg.Limits.Sockets/4)
 	}
-	if cfg.Control.On() {
+	if cfg.Control.Enabled() {
 		p.Internal += controlDescriptors
 	}
 	if cfg.Ops != "" {
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -34,7 +34,7 @@
 // and no other is made before its verdict is known, so that each follows the one
 // in force.
 func (s *Server) reloads(signals <-chan os.Signal) {
-	places := config.NewPlaces(s.cfg) // until the first change nothing else writes it
+	places := config.NewUpdater(s.cfg) // until the first change nothing else writes it
 	for {
 		select {
 		case <-signals:
@@ -50,7 +50,7 @@
 // reload reads the configuration anew and takes over what can change while
 // the server runs. Guards against a file that is half written or faulty: it is
 // read and checked as a whole first, and the one in use stays if it fails.
-func (s *Server) reload(places *config.Places) {
+func (s *Server) reload(places *config.Updater) {
 	if s.LoadConfig == nil {
 		s.log.Warn("nothing to reload from")
 		return
@@ -58,8 +58,8 @@
 	next, err := s.LoadConfig()
 	var ch *config.Change
 	if err == nil {
-		places.At(now())
-		ch, err = places.File(next)
+		places.SetTime(now())
+		ch, err = places.PrepareFile(next)
 	}
 	if err != nil {
 		s.onLoop(func() { s.turnDown(err) })
@@ -89,10 +89,10 @@
 	}
 }
 
-func (s *Server) version(places *config.Places, v asked) error {
+func (s *Server) version(places *config.Updater, v asked) error {
 	h := v.doc.Header()
-	places.At(now())
-	ch, err := places.Version(v.doc, v.delta)
+	places.SetTime(now())
+	ch, err := places.PrepareVersion(v.doc, v.delta)
 	if err == nil {
 		err = s.put(places, ch)
 	}
@@ -103,14 +103,14 @@
 }
 
 // put has the loop take over a change, and waits for its verdict.
-func (s *Server) put(places *config.Places, ch *config.Change) error {
+func (s *Server) put(places *config.Updater, ch *config.Change) error {
 	verdict := make(chan error, 1)
 	s.onLoop(func() { verdict <- s.adopt(ch) })
 	select {
 	case err := <-verdict:
 		if err == nil {
-			places.At(now())
-			places.Adopted(ch)
+			places.SetTime(now())
+			places.Commit(ch)
 		}
 		return err
 	case <-s.life.Done():
@@ -124,13 +124,13 @@
 func (s *Server) adopt(ch *config.Change) error {
 	was, next := s.cfg, ch.Config
 	err := error(nil)
-	if !ch.Whole && s.stopAt != 0 {
+	if !ch.FromFile && s.stopAt != 0 {
 		err = errLeaving
 	} else {
-		err = s.core.Reconfigure(next.Module, next.ClassesOff, ch.Pools)
+		err = s.core.Reconfigure(next.Policy, next.RetiredClasses, ch.Pools)
 	}
 	if err != nil {
-		if ch.Whole {
+		if ch.FromFile {
 			s.turnDown(err)
 		}
 		return err
@@ -143,7 +143,7 @@
 			s.log.Warn("backends need descriptors set aside at the start; until a restart their classes fail")
 		}
 	}
-	if ch.Whole {
+	if ch.FromFile {
 		s.machine(ch, was)
 	} else {
 		h := next.Version().Header()
@@ -158,15 +158,15 @@
 // machine takes over what a file says beside classes and teams.
 func (s *Server) machine(ch *config.Change, was *config.Config) {
 	next := ch.Config
-	for _, key := range ch.Kept {
+	for _, key := range ch.RestartRequired {
 		s.log.Warn("a change that needs a restart is not taken over", zap.String("key", key))
 	}
-	if ch.Passed {
+	if ch.FileContentIgnored {
 		s.log.Warn("the file's own teams, services and pools are passed over: a version is in force",
 			zap.Uint64("version", next.Version().Header().Number))
 	}
 	if s.stopAt != 0 {
-		next.Stop = was.Stop
+		next.StopTimeoutUS = was.StopTimeoutUS
 	}
 	if next.Engine != was.Engine {
 		s.reach() // the link in use is kept until the new one stands
@@ -209,7 +209,7 @@
 	cfg, names := s.cfg, s.names
 	for _, on := range []bool{false, true} { // of two classes with one name the one in force counts
 		for _, i := range classes {
-			if config.Off(cfg.ClassesOff, i) == on {
+			if config.IsRetired(cfg.RetiredClasses, i) == on {
 				continue
 			}
 			// One that is no longer in force is still known by its name: it is refused, not an error.
@@ -219,7 +219,7 @@
 		}
 	}
 	for i := len(names.Keyed); i < len(cfg.Classes); i++ {
-		effect := cfg.Module.Classes[i].Effect
+		effect := cfg.Policy.Classes[i].Effect
 		names.Keyed = append(names.Keyed, effect == kiteslip.Keyed)
 		s.safe = append(s.safe, effect == kiteslip.Repeatable)
 		if effect == kiteslip.Keyed {
@@ -232,7 +232,7 @@
 		}
 	}
 	for _, i := range tenants {
-		if !config.Off(cfg.TenantsOff, i) {
+		if !config.IsRetired(cfg.RetiredTenants, i) {
 			names.Tenants[cfg.Tenants[i]] = i
 		}
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -146,7 +146,7 @@
 	s.nameAll()
 	var err error
 	s.core, err = core.New(core.Settings{
-		Policy: cfg.Module, Seed: cfg.Seed, Pools: cfg.PoolSettings(),
+		Policy: cfg.Policy, Seed: cfg.Seed, Pools: cfg.PoolSettings(),
 		Log: func(line string) { log.Info("module", zap.String("says", line)) },
 	}, s)
 	if err != nil {
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -45,8 +45,8 @@
 		s.handOff(t)
 		return
 	}
-	s.leaving = leavingTimes(at, s.cfg.Stop, s.cfg.Module.DrainGrace)
-	s.log.Info("draining", zap.String("signal", why), zap.Int64("stop_ms", s.cfg.Stop/1000), zap.Int64("late_ms", (t-at)/1000))
+	s.leaving = leavingTimes(at, s.cfg.StopTimeoutUS, s.cfg.Policy.DrainGrace)
+	s.log.Info("draining", zap.String("signal", why), zap.Int64("stop_ms", s.cfg.StopTimeoutUS/1000), zap.Int64("late_ms", (t-at)/1000))
 	s.core.Drain(at, s.stopAt)
 	s.reportAt = 0
 	s.round()
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -37,7 +37,7 @@
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(3*time.Second))
 	cfg := platform(t, engine.Address, "")
-	cfg.Module.DrainGrace = 0
+	cfg.Policy.DrainGrace = 0
 	r := launch(t, cfg)
 	r.eventually(t, "the engine's link", r.link.Ready)
 	ask := func(name uint64) *standin.Caller {
@@ -81,7 +81,7 @@
 	for _, stop := range []int64{1_000, 40_000, 120_000, 400_000} {
 		engine := standin.NewEngine(t, standin.Echo(3*time.Second))
 		cfg := platform(t, engine.Address, "")
-		cfg.Stop = stop
+		cfg.StopTimeoutUS = stop
 		r := launch(t, cfg)
 		r.eventually(t, "the engine's link", r.link.Ready)
 		c := standin.Dial(t, r.frames)
@@ -251,8 +251,8 @@
 		if err := <-end; err != nil {
 			t.Error(err)
 		}
-		if s.stopAt != at.UnixMicro()+s.cfg.Stop {
-			t.Errorf("early %v: the kill is expected %d us after the notice, not %d", early, s.stopAt-at.UnixMicro(), s.cfg.Stop)
+		if s.stopAt != at.UnixMicro()+s.cfg.StopTimeoutUS {
+			t.Errorf("early %v: the kill is expected %d us after the notice, not %d", early, s.stopAt-at.UnixMicro(), s.cfg.StopTimeoutUS)
 		}
 	}
 }
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -278,7 +278,7 @@
 		return nil
 	}
 	var err error
-	if u.place, err = handover.NewEndpoint(cmp.Or(s.cfg.Meeting, os.TempDir()), s.cfg.Name); err != nil {
+	if u.place, err = handover.NewEndpoint(cmp.Or(s.cfg.HandoverDir, os.TempDir()), s.cfg.Name); err != nil {
 		return err
 	}
 	s.core.ReleaseKeys(nil)
@@ -521,8 +521,8 @@
 // takes, and what was read is answered.
 func (s *Server) handOff(t int64) {
 	longest := int64(0)
-	for i := range s.cfg.Module.Classes {
-		longest = max(longest, s.cfg.Module.Classes[i].Timeout)
+	for i := range s.cfg.Policy.Classes {
+		longest = max(longest, s.cfg.Policy.Classes[i].Timeout)
 	}
 	s.leaving = leavingTimes(t, min(longest, leaveMost)+leaveRest, 0)
 	s.closeAt = t
@@ -550,12 +550,12 @@
 
 // share leaves half of the memory and of the places to the other process; unshare takes them back.
 func (s *Server) share() {
-	debug.SetMemoryLimit(s.cfg.Limits.Heap() / memoryShared)
+	debug.SetMemoryLimit(s.cfg.Limits.MaxHeapBytes() / memoryShared)
 	s.reserve()
 }
 
 func (s *Server) unshare() {
-	debug.SetMemoryLimit(s.cfg.Limits.Heap())
+	debug.SetMemoryLimit(s.cfg.Limits.MaxHeapBytes())
 	for ; s.handing.reserved > 0; s.handing.reserved-- {
 		s.leaveSlot()
 	}
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -39,7 +39,7 @@
 func (s socket) process(t *testing.T, engine, more string) *config.Config {
 	t.Helper()
 	cfg := platform(t, engine, "")
-	cfg.Meeting = s.folder
+	cfg.HandoverDir = s.folder
 	if more != "" {
 		var err error
 		if cfg, err = config.ParseOperator(more, cfg); err != nil {
--- a/internal/server/version_test.go
+++ b/internal/server/version_test.go
@@ -138,8 +138,8 @@
 	r.look(func() {
 		on := map[string]float64{}
 		for i, name := range r.cfg.Tenants {
-			if !config.Off(r.cfg.TenantsOff, i) {
-				on[name] = r.cfg.Module.Tenants[i].Quota
+			if !config.IsRetired(r.cfg.RetiredTenants, i) {
+				on[name] = r.cfg.Policy.Tenants[i].Quota
 			}
 		}
 		if _, fetch := r.names.Classes["fetch"]; r.cfg.Version() != doc || on["teal"] != 51 || r.rejected != 0 || !fetch || r.names.Classes["sum49"] == 0 {
--- a/internal/server/web.go
+++ b/internal/server/web.go
@@ -41,7 +41,7 @@
 	f.conn = c
 	f.openedAt = now()
 	f.s.webs++
-	f.readBy = now() + f.s.cfg.UWSGI.ReadWithin
+	f.readBy = now() + f.s.cfg.UWSGI.ReadTimeoutUS
 }
 
 // closed frees all; a request whose body never came whole was never entered,
@@ -161,7 +161,7 @@
 		return
 	}
 	f.out = gather(f.conn, f.out)
-	f.readBy = now() + f.s.cfg.UWSGI.ReadWithin
+	f.readBy = now() + f.s.cfg.UWSGI.ReadTimeoutUS
 	f.settle()
 }
 
@@ -232,7 +232,7 @@
 // call runs r at the uwsgi server at address.
 func (s *Server) call(address string, r *core.Request) {
 	b := &backendConn{s: s, r: r, began: now(), until: r.Deadline}
-	if class := &s.cfg.Module.Classes[r.Class]; class.Effect == kiteslip.Keyed {
+	if class := &s.cfg.Policy.Classes[r.Class]; class.Effect == kiteslip.Keyed {
 		// Another try may yet want the result, and none may run beside this one.
 		b.until = max(b.until, r.Arrived+class.Window)
 	}
@@ -307,7 +307,7 @@
 	if b.finished {
 		return
 	}
-	response, whole, err := uwsgi.ParseResponse(b.in, end, b.s.cfg.MaxResults[b.r.Class])
+	response, whole, err := uwsgi.ParseResponse(b.in, end, b.s.cfg.MaxResultBytes[b.r.Class])
 	switch {
 	case err != nil:
 		b.s.log.Debug("backend", zap.Error(err))
