--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -17,33 +17,33 @@
 
 // Pool is one pool of classes at one moment.
 type Pool struct {
-	Name                    string
-	Limit, Running, Waiting int
-	Own, Borrowed, Lent     int // places of its own; runs beyond them; those left to others
-	Saved                   int // runs saved up
-	MayWait                 int
-	Refused                 int // since the start
-	BookedKB                int
-	Cheapest                bool // the reserve for the cheapest class is here
+	Name                       string
+	Limit, Running, Waiting    int
+	Guaranteed, Borrowed, Lent int // places of its own; runs beyond them; those left to others
+	SavedRuns                  int // runs saved up
+	MaxQueued                  int
+	Refused                    int // since the start
+	BookedKB                   int
+	HasCheapest                bool // the reserve for the cheapest class is here
 }
 
-// Figures are those of one moment.
-type Figures struct {
-	Classes           []Class
-	Tries             int // runs handed to an engine or a backend
-	Active            int // requests taken and not yet ended
-	Applied, Rejected int // configuration files at SIGHUP
-	Pools             []Pool
-	Keys              *Keys // nil = none are kept
-	Ledger            *Ledger
-	Control           *Control            // nil = off
-	RejectedBy        []reject.CauseCount // what was turned away unread, by cause
+// Snapshot are those of one moment.
+type Snapshot struct {
+	Classes                         []Class
+	Tries                           int // runs handed to an engine or a backend
+	Active                          int // requests taken and not yet ended
+	ConfigsApplied, ConfigsRejected int // configuration files at SIGHUP
+	Pools                           []Pool
+	Keys                            *Keys // nil = none are kept
+	Ledger                          *Ledger
+	Control                         *Control            // nil = off
+	RejectedBy                      []reject.CauseCount // what was turned away unread, by cause
 }
 
 const prefix = "app."
 
 // Append appends the figures, a line for each.
-func (f *Figures) Append(b []byte) []byte {
+func (f *Snapshot) Append(b []byte) []byte {
 	line := func(name string, value int, kind string) {
 		b = fmt.Appendf(b, "%s%s:%d|%s\n", prefix, name, value, kind)
 	}
@@ -56,8 +56,8 @@
 	}
 	line("tries", f.Tries, "c")
 	line("active", f.Active, "g")
-	line("config_applied", f.Applied, "c")
-	line("config_rejected", f.Rejected, "c")
+	line("config_applied", f.ConfigsApplied, "c")
+	line("config_rejected", f.ConfigsRejected, "c")
 	for i := range f.Pools {
 		f.Pools[i].append(line)
 	}
@@ -84,14 +84,14 @@
 	line(name+"limit", p.Limit, "g")
 	line(name+"running", p.Running, "g")
 	line(name+"waiting", p.Waiting, "g")
-	line(name+"may_wait", p.MayWait, "g")
-	line(name+"own", p.Own, "g")
+	line(name+"may_wait", p.MaxQueued, "g")
+	line(name+"own", p.Guaranteed, "g")
 	line(name+"borrowed", p.Borrowed, "g")
 	line(name+"lent", p.Lent, "g")
-	line(name+"saved", p.Saved, "g")
+	line(name+"saved", p.SavedRuns, "g")
 	line(name+"booked_kb", p.BookedKB, "g")
 	cheapest := 0
-	if p.Cheapest {
+	if p.HasCheapest {
 		cheapest = 1
 	}
 	line(name+"cheapest", cheapest, "g")
@@ -100,52 +100,52 @@
 
 // Keys are the figures of the store of keyed results.
 type Keys struct {
-	Restored, Unknown int // keys read at the start; those of them whose end is not known
-	Commits, Records  int
-	Errors            int
-	LongestMS         int // the longest commit
-	Waiting           int // records that wait for the disk
-	DiskKB            int
-	Unrecorded        int // runs that started though nothing could be recorded
+	Restored, UnknownOutcome int // keys read at the start; those of them whose end is not known
+	Commits, Records         int
+	Errors                   int
+	MaxCommitMS              int // the longest commit
+	Waiting                  int // records that wait for the disk
+	DiskKB                   int
+	UnrecordedRuns           int // runs that started though nothing could be recorded
 }
 
 func (k *Keys) append(line func(name string, value int, kind string)) {
 	line("keys.restored", k.Restored, "g")
-	line("keys.unknown", k.Unknown, "g")
+	line("keys.unknown", k.UnknownOutcome, "g")
 	line("keys.commits", k.Commits, "c")
 	line("keys.records", k.Records, "c")
 	line("keys.errors", k.Errors, "c")
-	line("keys.longest_commit_ms", k.LongestMS, "g")
+	line("keys.longest_commit_ms", k.MaxCommitMS, "g")
 	line("keys.waiting", k.Waiting, "g")
 	line("keys.disk_kb", k.DiskKB, "g")
-	line("keys.unrecorded_runs", k.Unrecorded, "c")
+	line("keys.unrecorded_runs", k.UnrecordedRuns, "c")
 }
 
 // Ledger are the figures of calls below.
 type Ledger struct {
-	Out  int                 // calls that are out
-	Late int                 // ends that nobody waited for any more
-	Ends []reject.CauseCount // calls by how they ended
+	InFlight    int                 // calls that are out
+	LateResults int                 // ends that nobody waited for any more
+	Outcomes    []reject.CauseCount // calls by how they ended
 }
 
 func (l *Ledger) append(line func(name string, value int, kind string)) {
-	line("ledger.out", l.Out, "g")
-	line("ledger.late", l.Late, "c")
-	for _, end := range l.Ends {
+	line("ledger.out", l.InFlight, "g")
+	line("ledger.late", l.LateResults, "c")
+	for _, end := range l.Outcomes {
 		line("ledger."+end.Cause, end.Count, "c")
 	}
 }
 
 // Control are the figures of the version that the server acts on.
 type Control struct {
-	Version             int  // 0 = none
-	AgeMS               int  // since the originator was last heard
-	LagMS               int  // since a version that is not in force here was told of; 0 = current
-	Followed            bool // a publisher is
-	Refused, Fork       bool
-	Applied             int
-	Snapshots, Switches int
-	Sent, Received      int // bytes
+	Version                  int  // 0 = none
+	AgeMS                    int  // since the originator was last heard
+	LagMS                    int  // since a version that is not in force here was told of; 0 = current
+	Connected                bool // a publisher is
+	Refused, Fork            bool
+	Applied                  int
+	Snapshots, Switches      int
+	SentBytes, ReceivedBytes int // bytes
 }
 
 func (c *Control) append(line func(name string, value int, kind string)) {
@@ -158,12 +158,12 @@
 	line("control.version", c.Version, "g")
 	line("control.age_ms", c.AgeMS, "g")
 	line("control.lag_ms", c.LagMS, "g")
-	line("control.followed", bit(c.Followed), "g")
+	line("control.followed", bit(c.Connected), "g")
 	line("control.refused", bit(c.Refused), "g")
 	line("control.fork", bit(c.Fork), "g")
 	line("control.applied", c.Applied, "c")
 	line("control.snapshots", c.Snapshots, "c")
 	line("control.switches", c.Switches, "c")
-	line("control.sent_bytes", c.Sent, "c")
-	line("control.received_bytes", c.Received, "c")
+	line("control.sent_bytes", c.SentBytes, "c")
+	line("control.received_bytes", c.ReceivedBytes, "c")
 }
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -145,23 +145,23 @@
 }
 
 // figures gathers what is counted where each event ends.
-func (s *Server) figures() figures.Figures {
-	f := figures.Figures{Tries: s.link.Tries() + s.called, Active: s.core.Outstanding(), Applied: s.applied, Rejected: s.rejected}
+func (s *Server) figures() figures.Snapshot {
+	f := figures.Snapshot{Tries: s.link.Tries() + s.called, Active: s.core.Outstanding(), ConfigsApplied: s.applied, ConfigsRejected: s.rejected}
 	for i, n := range s.core.AnswersByClass() {
 		f.Classes = append(f.Classes, figures.Class{Name: s.cfg.Classes[i], OK: n.Served, Shed: n.Refused, Errors: n.Failed})
 	}
 	for _, p := range s.core.Pools() {
-		f.Pools = append(f.Pools, figures.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Own: p.Guaranteed,
-			Borrowed: p.Borrowed, Lent: p.Lent, MayWait: p.MaxQueued, Saved: p.SavedRuns, Refused: p.Refused, BookedKB: int(p.BookedKB), Cheapest: p.HasCheapest})
+		f.Pools = append(f.Pools, figures.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Guaranteed: p.Guaranteed,
+			Borrowed: p.Borrowed, Lent: p.Lent, MaxQueued: p.MaxQueued, SavedRuns: p.SavedRuns, Refused: p.Refused, BookedKB: int(p.BookedKB), HasCheapest: p.HasCheapest})
 	}
 	f.RejectedBy = s.rejects.Counts()
 	f.Ledger = s.ledgerFigures()
 	f.Control = s.controlFigures()
 	if w := s.keys.worker; w != nil {
 		k := w.Figures()
-		f.Keys = &figures.Keys{Restored: s.keys.restored, Unknown: s.keys.unknown, Commits: int(k.Commits), Records: int(k.Operations),
-			Errors: int(k.Errors), LongestMS: int(k.LongestUS / 1000), Waiting: k.Waiting, DiskKB: int(k.DiskBytes / 1024),
-			Unrecorded: s.core.UnrecordedRuns()}
+		f.Keys = &figures.Keys{Restored: s.keys.restored, UnknownOutcome: s.keys.unknown, Commits: int(k.Commits), Records: int(k.Operations),
+			Errors: int(k.Errors), MaxCommitMS: int(k.LongestUS / 1000), Waiting: k.Waiting, DiskKB: int(k.DiskBytes / 1024),
+			UnrecordedRuns: s.core.UnrecordedRuns()}
 	} else if s.keys.failed != nil {
 		f.Keys = &figures.Keys{Errors: 1}
 	}
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -57,9 +57,9 @@
 	if s.below.client == nil {
 		return nil
 	}
-	f := &figures.Ledger{Out: s.core.CallsInFlight(), Late: s.below.late}
+	f := &figures.Ledger{InFlight: s.core.CallsInFlight(), LateResults: s.below.late}
 	for _, end := range ledger.EndReasons() {
-		f.Ends = append(f.Ends, reject.CauseCount{Cause: end.String(), Count: s.below.ends[end]})
+		f.Outcomes = append(f.Outcomes, reject.CauseCount{Cause: end.String(), Count: s.below.ends[end]})
 	}
 	return f
 }
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -80,6 +80,6 @@
 	}
 	st := s.control.follower.State()
 	return &figures.Control{Version: int(st.Number), AgeMS: int(st.Unheard.Milliseconds()), LagMS: int(st.Lag.Milliseconds()),
-		Followed: st.Publisher != "", Refused: st.Refused != "", Fork: st.Fork, Applied: st.Applied, Snapshots: st.Snapshots,
-		Switches: st.Switches, Sent: int(st.Sent), Received: int(st.Received)}
+		Connected: st.Publisher != "", Refused: st.Refused != "", Fork: st.Fork, Applied: st.Applied, Snapshots: st.Snapshots,
+		Switches: st.Switches, SentBytes: int(st.Sent), ReceivedBytes: int(st.Received)}
 }
