--- a/internal/frame/answer.go
+++ b/internal/frame/answer.go
@@ -6,8 +6,8 @@
 	"kiteslip/internal/core"
 )
 
-// Final words a final answer: its code, fields and body.
-func Final(a *core.Answer) (code byte, fields []Field, body []byte) {
+// EncodeAnswer words a final answer: its code, fields and body.
+func EncodeAnswer(a *core.Answer) (code byte, fields []Field, body []byte) {
 	switch {
 	case a.Code == core.Refused:
 		if a.RetryAfter > 0 {
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -12,21 +12,21 @@
 
 // The types of a frame.
 const (
-	Request = 65
-	Answer  = 66
-	Cancel  = 67
-	Check   = 80
-	Checked = 81
-	GoAway  = 90
+	Request      = 65
+	Answer       = 66
+	Cancel       = 67
+	HealthCheck  = 80
+	HealthStatus = 81
+	GoAway       = 90
 )
 
 // The codes of an answer.
 const (
-	Served  = 79
-	Refused = 66
-	Failed  = 69
-	Good    = 79 // of a health check
-	Bad     = 69
+	Served    = 79
+	Refused   = 66
+	Failed    = 69
+	Healthy   = 79 // of a health check
+	Unhealthy = 69
 )
 
 // The limits of the protocol.
@@ -112,8 +112,8 @@
 	}
 }
 
-// AppendHead appends the head of a frame whose payload takes size bytes.
-func AppendHead(b []byte, kind byte, stream uint32, size int) []byte {
+// AppendHeader appends the head of a frame whose payload takes size bytes.
+func AppendHeader(b []byte, kind byte, stream uint32, size int) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(MinLength+size))
 	b = append(b, kind)
 	return binary.BigEndian.AppendUint32(b, stream)
@@ -129,7 +129,7 @@
 	for _, f := range fields {
 		n += 3 + len(f.Name) + len(f.Value)
 	}
-	b = AppendHead(b, kind, stream, n)
+	b = AppendHeader(b, kind, stream, n)
 	return AppendFields(append(b, code), fields)
 }
 
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-func names() *Names {
-	return &Names{Classes: map[string]int{"look": 0, "note": 1}, Keyed: []bool{false, true}, Tenants: map[string]int{"red": 0, "blue": 1}}
+func names() *NameIndex {
+	return &NameIndex{Classes: map[string]int{"look": 0, "note": 1}, Keyed: []bool{false, true}, Tenants: map[string]int{"red": 0, "blue": 1}}
 }
 
 // valid are the fields of a request that can be read.
--- a/internal/frame/request.go
+++ b/internal/frame/request.go
@@ -10,8 +10,8 @@
 	"kiteslip/internal/reject"
 )
 
-// Names maps the names on the wire to places in the settings.
-type Names struct {
+// NameIndex maps the names on the wire to places in the settings.
+type NameIndex struct {
 	Classes map[string]int
 	Keyed   []bool         // by class
 	Tenants map[string]int // empty where the site has no tenants
@@ -29,7 +29,7 @@
 
 // ParseRequest reads the payload of a request. What it returns shares no
 // memory with the payload.
-func ParseRequest(payload []byte, names *Names) (*core.Request, error) {
+func ParseRequest(payload []byte, names *NameIndex) (*core.Request, error) {
 	fields, body, err := ParseFields(payload)
 	if err != nil {
 		return nil, err
@@ -152,7 +152,7 @@
 // AppendRequest appends a whole request frame, as a caller writes it.
 func AppendRequest(b []byte, stream uint32, fields []Field, body []byte) []byte {
 	at := len(b)
-	b = AppendHead(b, Request, stream, 0)
+	b = AppendHeader(b, Request, stream, 0)
 	b = append(AppendFields(b, fields), body...)
 	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-4))
 	return b
--- a/internal/lab/scale/slopes/callers_test.go
+++ b/internal/lab/scale/slopes/callers_test.go
@@ -101,7 +101,7 @@
 		mu.Unlock()
 		serves(c, stream)
 		if n == 1 {
-			c.Write(frame.AppendHead(nil, frame.GoAway, 0, 0)) //nolint:errcheck // its end shows
+			c.Write(frame.AppendHeader(nil, frame.GoAway, 0, 0)) //nolint:errcheck // its end shows
 		}
 	})
 	c := newCallers(address, 1, site{teams: 1, routes: 1}, time.Hour, 1)
--- a/internal/lab/shutdown/caller.go
+++ b/internal/lab/shutdown/caller.go
@@ -240,7 +240,7 @@
 	case n == 13: // what is no frame, behind requests
 		l.ask(look, "", body, false)
 		l.faulted, l.ended = true, true
-		l.conn.Write(frame.AppendHead(nil, 99, 1, 0)) //nolint:errcheck // it may be gone
+		l.conn.Write(frame.AppendHeader(nil, 99, 1, 0)) //nolint:errcheck // it may be gone
 	case n == 14: // half a line, and rest
 		l.conn.Write([]byte{0, 0}) //nolint:errcheck // it may be gone
 		l.faulted, l.ended = true, true
@@ -281,7 +281,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // a TCP connection takes it
-	if _, err = conn.Write(append(frame.AppendHead(nil, frame.Check, 1, 1+1+4+2+1), "\x01\x04real\x00\x011"...)); err != nil {
+	if _, err = conn.Write(append(frame.AppendHeader(nil, frame.HealthCheck, 1, 1+1+4+2+1), "\x01\x04real\x00\x011"...)); err != nil {
 		return false
 	}
 	var buf []byte
@@ -292,7 +292,7 @@
 		if fr, used, bad := frame.Split(buf); bad != nil {
 			return false
 		} else if used > 0 {
-			return fr.Type == frame.Checked && len(fr.Payload) > 0 && fr.Payload[0] == frame.Good
+			return fr.Type == frame.HealthStatus && len(fr.Payload) > 0 && fr.Payload[0] == frame.Healthy
 		}
 		if err != nil {
 			return false
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -59,7 +59,7 @@
 	cfg    *config.Config
 	opt    Options
 	core   *core.Core
-	names  frame.Names
+	names  frame.NameIndex
 	book   uwsgi.Book
 	now    int64
 	runs   []run
@@ -72,7 +72,7 @@
 // Run replays the streams that lead to the port.
 func Run(streams []*pcap.Stream, cfg *config.Config, opt Options) (Report, error) {
 	p := &player{cfg: cfg, opt: opt}
-	p.names = frame.Names{Classes: places(cfg.Classes), Tenants: places(cfg.Tenants)}
+	p.names = frame.NameIndex{Classes: places(cfg.Classes), Tenants: places(cfg.Tenants)}
 	for i := range cfg.Policy.Classes {
 		p.names.Keyed = append(p.names.Keyed, cfg.Policy.Classes[i].Effect == kiteslip.Keyed)
 	}
@@ -269,7 +269,7 @@
 		l.write(true, append(uwsgi.AppendResponse(nil, status, retryAfter, len(a.Result)), a.Result...))
 		return
 	}
-	code, fields, body := frame.Final(&a)
+	code, fields, body := frame.EncodeAnswer(&a)
 	l.write(true, append(frame.AppendAnswer(nil, frame.Answer, stream, code, fields, len(body)), body...))
 }
 
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -25,7 +25,7 @@
 func (r *running) check(t testing.TB) byte {
 	t.Helper()
 	c := standin.Dial(t, r.frames)
-	c.Write(append(frame.AppendHead(nil, frame.Check, 1, 1), 0))
+	c.Write(append(frame.AppendHeader(nil, frame.HealthCheck, 1, 1), 0))
 	got, _ := c.Next()
 	c.Conn.Close()
 	return got.Code
@@ -56,7 +56,7 @@
 			case "ready":
 				expect(t, step, map[bool]string{false: "done ready\n", true: "error draining\n"}[withdrawn])
 			case "health":
-				if got := r.check(r.test); got != map[bool]byte{false: frame.Good, true: frame.Bad}[withdrawn] {
+				if got := r.check(r.test); got != map[bool]byte{false: frame.Healthy, true: frame.Unhealthy}[withdrawn] {
 					t.Fatalf("health %d while withdrawn is %v", got, withdrawn)
 				}
 			case "request":
@@ -81,7 +81,7 @@
 	if got := r.ask(t, "resume"); !strings.HasPrefix(got, "error ") {
 		t.Errorf("resume after SIGTERM: %q", got)
 	}
-	if got := r.check(t); got != frame.Bad {
+	if got := r.check(t); got != frame.Unhealthy {
 		t.Errorf("health %d after SIGTERM and resume", got)
 	}
 	r.signals = make(chan os.Signal, 1) // stop sends a second SIGTERM, which changes nothing
@@ -153,7 +153,7 @@
 	if got := r.ask(t, "ready"); got != "done ready\n" {
 		t.Errorf("ready: %q", got)
 	}
-	if got := r.check(t); got != frame.Good {
+	if got := r.check(t); got != frame.Healthy {
 		t.Errorf("health %d", got)
 	}
 	if got := r.ask(t, strings.Repeat("x", 4096)); !strings.HasPrefix(got, "error ") {
--- a/internal/server/closing_test.go
+++ b/internal/server/closing_test.go
@@ -61,10 +61,10 @@
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
 	for what, bad := range map[string][]byte{
-		"unknown type":    frame.AppendHead(nil, 99, 9, 0),
+		"unknown type":    frame.AppendHeader(nil, 99, 9, 0),
 		"too long":        {0xff, 0xff, 0xff, 0xff},
 		"request on 0":    frame.AppendRequest(nil, 0, standin.Fields("look", "red", "", 1, time.Second), nil),
-		"malformed check": append(frame.AppendHead(nil, frame.Check, 9, 1), 9),
+		"malformed check": append(frame.AppendHeader(nil, frame.HealthCheck, 9, 1), 9),
 	} {
 		c := standin.Dial(t, r.frames)
 		for i := range uint32(3) {
@@ -233,11 +233,11 @@
 		return c
 	}
 	deep := func(i uint32) []byte {
-		return append(frame.AppendHead(nil, frame.Check, i, 1+3+4+1), "\x01\x04real\x00\x011"...)
+		return append(frame.AppendHeader(nil, frame.HealthCheck, i, 1+3+4+1), "\x01\x04real\x00\x011"...)
 	}
 	checks, cancels, unknown := dial(), dial(), dial()
-	flood(func(i uint32) { checks.Write(deep(i)) })                                    //nolint:errcheck // a flood
-	flood(func(i uint32) { cancels.Write(frame.AppendHead(nil, frame.Cancel, i, 0)) }) //nolint:errcheck // a flood
+	flood(func(i uint32) { checks.Write(deep(i)) })                                      //nolint:errcheck // a flood
+	flood(func(i uint32) { cancels.Write(frame.AppendHeader(nil, frame.Cancel, i, 0)) }) //nolint:errcheck // a flood
 	flood(func(i uint32) {
 		unknown.Write(frame.AppendRequest(nil, i, standin.Fields("none", "red", "", 1<<40+uint64(i), time.Second), nil))
 	}) //nolint:errcheck // a flood
@@ -298,7 +298,7 @@
 		})
 		switch how {
 		case "a bad frame":
-			conn.Write(frame.AppendHead(nil, 99, 0, 0)) //nolint:errcheck // seen below
+			conn.Write(frame.AppendHeader(nil, 99, 0, 0)) //nolint:errcheck // seen below
 		case "its side ended":
 			conn.(*net.TCPConn).CloseWrite() //nolint:errcheck // seen below
 		}
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -49,7 +49,7 @@
 	for what, bytes := range map[string][]byte{
 		"nothing":          nil,
 		"half a request":   whole[:len(whole)/2],
-		"a cancel of none": frame.AppendHead(nil, frame.Cancel, 5, 0),
+		"a cancel of none": frame.AppendHeader(nil, frame.Cancel, 5, 0),
 	} {
 		clients[what] = standin.Dial(t, r.frames)
 		clients[what].Write(bytes)
@@ -231,7 +231,7 @@
 		r.checks["unanswered"] = check{s, 7, now() + 100_000}
 		s.checks++
 	})
-	if got, ok := c.Next(); !ok || got.Type != frame.Checked || got.Stream != 7 || got.Code != frame.Bad {
+	if got, ok := c.Next(); !ok || got.Type != frame.HealthStatus || got.Stream != 7 || got.Code != frame.Unhealthy {
 		t.Errorf("%+v", got)
 	}
 	r.look(func() {
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -191,7 +191,7 @@
 // nameAll tells the fronts and the engine's link which classes and teams there
 // are at the start.
 func (s *Server) nameAll() {
-	s.names = &frame.Names{Classes: make(map[string]int, len(s.cfg.Classes)), Tenants: make(map[string]int, len(s.cfg.Tenants))}
+	s.names = &frame.NameIndex{Classes: make(map[string]int, len(s.cfg.Classes)), Tenants: make(map[string]int, len(s.cfg.Tenants))}
 	s.keyed = map[string]int{}
 	s.book = &uwsgi.Book{Classes: s.names.Classes, Tenants: s.names.Tenants}
 	all := func(n int) []int {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -63,7 +63,7 @@
 
 	// Reload reads the configuration anew, for SIGHUP; nil = what was read at the start stays.
 	LoadConfig func() (*config.Config, error)
-	names      *frame.Names
+	names      *frame.NameIndex
 	keyed      map[string]int // keyed classes, those included that are no longer in force
 	safe       []bool         // by class: whether a run may be repeated
 	tenants    []string       // that names knows of, by place
--- a/internal/server/session.go
+++ b/internal/server/session.go
@@ -142,7 +142,7 @@
 			delete(f.open, fr.Stream)
 			f.s.core.Disconnected(r)
 		}
-	case frame.Check:
+	case frame.HealthCheck:
 		return f.health(fr)
 	default:
 		return caused("frame_type", "a frame of type %d, which callers do not send", fr.Type)
@@ -256,7 +256,7 @@
 	if f.gone {
 		return
 	}
-	code, fields, body := frame.Final(&a)
+	code, fields, body := frame.EncodeAnswer(&a)
 	f.put(frame.Answer, stream, code, fields, body)
 }
 
@@ -295,18 +295,18 @@
 	if f.gone {
 		return
 	}
-	code := byte(frame.Bad)
+	code := byte(frame.Unhealthy)
 	if good {
-		code = frame.Good
+		code = frame.Healthy
 	}
-	f.put(frame.Checked, stream, code, nil, nil)
+	f.put(frame.HealthStatus, stream, code, nil, nil)
 }
 
 // goAway asks the caller for no new request on this connection.
 func (f *session) goAway() {
 	if !f.away {
 		f.away, f.awayAt = true, now()
-		f.write(frame.AppendHead(nil, frame.GoAway, 0, 0))
+		f.write(frame.AppendHeader(nil, frame.GoAway, 0, 0))
 	}
 }
 
--- a/internal/server/session_test.go
+++ b/internal/server/session_test.go
@@ -43,7 +43,7 @@
 		}
 		switch {
 		case got.Type == frame.GoAway:
-		case got.Type == frame.Checked && got.Code == frame.Good:
+		case got.Type == frame.HealthStatus && got.Code == frame.Healthy:
 			m.checks--
 		default:
 			codes, known := m.legal[got.Stream]
@@ -112,10 +112,10 @@
 				if _, open := m.legal[stream]; open {
 					cancelled[stream] = true
 				}
-				out = frame.AppendHead(out, frame.Cancel, stream, 0)
+				out = frame.AppendHeader(out, frame.Cancel, stream, 0)
 			},
 			"check": func(t *rapid.T) {
-				out = append(frame.AppendHead(out, frame.Check, m.highest+1, 1+3+4+1), "\x01\x04real\x00\x011"...)
+				out = append(frame.AppendHeader(out, frame.HealthCheck, m.highest+1, 1+3+4+1), "\x01\x04real\x00\x011"...)
 				m.checks++
 			},
 			"write": func(t *rapid.T) {
@@ -140,7 +140,7 @@
 			t.Fatal(err)
 		}
 	case "a bad frame":
-		c.Write(frame.AppendHead(nil, 99, 0, 0))
+		c.Write(frame.AppendHeader(nil, 99, 0, 0))
 		m.legal[0], m.body[0] = []byte{frame.Failed}, ""
 	case "half a frame": // with the caller's side ended in it
 		c.Write([]byte{0, 0, 0})
@@ -180,10 +180,10 @@
 	for name, bytes := range map[string][]byte{
 		"too short":       {0, 0, 0, 1, 65},
 		"too long":        {0xff, 0xff, 0xff, 0xff},
-		"unknown type":    frame.AppendHead(nil, 99, 1, 0),
-		"an answer":       frame.AppendHead(nil, frame.Answer, 1, 0),
+		"unknown type":    frame.AppendHeader(nil, 99, 1, 0),
+		"an answer":       frame.AppendHeader(nil, frame.Answer, 1, 0),
 		"request on 0":    frame.AppendRequest(nil, 0, standin.Fields("look", "red", "", 1, time.Second), nil),
-		"malformed check": append(frame.AppendHead(nil, frame.Check, 1, 1), 9),
+		"malformed check": append(frame.AppendHeader(nil, frame.HealthCheck, 1, 1), 9),
 	} {
 		c := standin.Dial(t, r.frames)
 		c.Write(bytes)
@@ -284,7 +284,7 @@
 	r.eventually(t, "the engine's link", r.link.Ready)
 	c := standin.Dial(t, r.frames)
 	deep := func(stream uint32) []byte {
-		return append(frame.AppendHead(nil, frame.Check, stream, 1+3+4+1), "\x01\x04real\x00\x011"...)
+		return append(frame.AppendHeader(nil, frame.HealthCheck, stream, 1+3+4+1), "\x01\x04real\x00\x011"...)
 	}
 	for i, state := range []struct{ good, stored, asks bool }{{true, true, false}, {false, true, false}, {true, false, true}, {false, false, false}} {
 		asked := 0
@@ -297,7 +297,7 @@
 		for range 2 {
 			got, _ := c.Next()
 			seen[got.Stream] = true
-			if good := got.Code == frame.Good; got.Type != frame.Checked || good != state.good {
+			if good := got.Code == frame.Healthy; got.Type != frame.HealthStatus || good != state.good {
 				t.Errorf("%+v: %+v", state, got)
 			}
 		}
