--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestParse(t *testing.T) {
-	for line, want := range map[string]Call{"ready": Ready, "show-stat": ShowStat, "drain": Drain, "resume": Resume, "show-version": ShowVersion,
+	for line, want := range map[string]Command{"ready": Ready, "show-stat": ShowStat, "drain": Drain, "resume": Resume, "show-version": ShowVersion,
 		" drain ": Drain, "": 0, "READY": 0, "drain now": 0, "ready\x00": 0, strings.Repeat("x", 250): 0} {
 		got, err := Parse([]byte(line))
 		if got != want || (err == nil) != (want != 0) {
@@ -42,11 +42,11 @@
 
 // The version is worded a line for each thing, whatever a refusal's text holds.
 func TestVersion(t *testing.T) {
-	v := VersionState{Number: 12, Digest: [32]byte{0xab, 31: 1}, Origin: "publisher", AgeMS: 3, LagMS: 4,
-		Refused: "service a\nhas no backend\r\n", Fork: true, Applied: 5, Snapshots: 6, Switches: 7, Sent: 8, Received: 9}
+	v := VersionState{Number: 12, Digest: [32]byte{0xab, 31: 1}, Source: "publisher", AgeMS: 3, LagMS: 4,
+		RefusalReason: "service a\nhas no backend\r\n", Fork: true, Applied: 5, Snapshots: 6, Switches: 7, SentBytes: 8, ReceivedBytes: 9}
 	want := "version 12\ndigest ab" + strings.Repeat("00", 30) + "01\norigin publisher\npublisher -\nage_ms 3\nlag_ms 4\n" +
 		"refused service a; has no backend\nfork true\napplied 5\nsnapshots 6\nswitches 7\nsent_bytes 8\nreceived_bytes 9\nend\n"
-	if got := string(Version(&v)); got != want {
+	if got := string(VersionReply(&v)); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -67,7 +67,7 @@
 	}
 	var answer []byte
 	if err != nil {
-		answer = ops.Error(err.Error())
+		answer = ops.ErrorReply(err.Error())
 	} else {
 		answer = d.s.operate(line)
 	}
@@ -104,33 +104,33 @@
 func (s *Server) operate(line []byte) []byte {
 	call, err := ops.Parse(line)
 	if err != nil {
-		return ops.Error(err.Error())
+		return ops.ErrorReply(err.Error())
 	}
 	switch call {
 	case ops.ShowStat:
 		f := s.figures()
-		return ops.Stat(f.Append(nil))
+		return ops.StatReply(f.Append(nil))
 	case ops.ShowVersion:
 		return s.showVersion()
 	case ops.Drain:
 		s.withdraw(true)
-		return ops.Done("drain")
+		return ops.DoneReply("drain")
 	case ops.Resume:
 		if s.stopAt != 0 {
-			return ops.Error("stopping: nothing takes back the notice to leave")
+			return ops.ErrorReply("stopping: nothing takes back the notice to leave")
 		}
 		s.withdraw(false)
-		return ops.Done("resume")
+		return ops.DoneReply("resume")
 	}
 	switch {
 	case s.stopAt != 0:
-		return ops.Error("stopping")
+		return ops.ErrorReply("stopping")
 	case s.core.Withdrawn():
-		return ops.Error("draining")
+		return ops.ErrorReply("draining")
 	case !s.serving:
-		return ops.Error("starting")
+		return ops.ErrorReply("starting")
 	}
-	return ops.Done("ready")
+	return ops.DoneReply("ready")
 }
 
 // withdraw takes the server off the callers' list, or puts it back. Nothing
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -65,12 +65,12 @@
 // showVersion answers the operators' door.
 func (s *Server) showVersion() []byte {
 	if s.control.follower == nil {
-		return ops.Error("no [control]: the file's own teams and services are in force")
+		return ops.ErrorReply("no [control]: the file's own teams and services are in force")
 	}
 	st := s.control.follower.State()
-	return ops.Version(&ops.VersionState{Number: st.Number, Digest: st.Digest, Origin: string(st.Origin), Publisher: st.Publisher,
-		AgeMS: st.Unheard.Milliseconds(), LagMS: st.Lag.Milliseconds(), Refused: st.Refused, Fork: st.Fork, Applied: st.Applied,
-		Snapshots: st.Snapshots, Switches: st.Switches, Sent: st.Sent, Received: st.Received})
+	return ops.VersionReply(&ops.VersionState{Number: st.Number, Digest: st.Digest, Source: string(st.Origin), Publisher: st.Publisher,
+		AgeMS: st.Unheard.Milliseconds(), LagMS: st.Lag.Milliseconds(), RefusalReason: st.Refused, Fork: st.Fork, Applied: st.Applied,
+		Snapshots: st.Snapshots, Switches: st.Switches, SentBytes: st.Sent, ReceivedBytes: st.Received})
 }
 
 // controlFigures are those of the version in force; nil = control is off.
