--- a/cmd/kiteslip/pcap.go
+++ b/cmd/kiteslip/pcap.go
@@ -26,7 +26,7 @@
 	}
 	for _, s := range streams {
 		broken := ""
-		if s.Broken {
+		if s.MissingPackets {
 			broken = ", packets are missing"
 		}
 		fmt.Printf("%v to %v: %d bytes in %d pieces%s\n", s.From, s.To, len(s.Bytes()), len(s.Chunks), broken)
--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -26,9 +26,9 @@
 
 // Stream is what one side of a TCP connection sent, in order.
 type Stream struct {
-	From, To netip.AddrPort
-	Chunks   []Chunk
-	Broken   bool // packets are missing; the chunks end before the gap
+	From, To       netip.AddrPort
+	Chunks         []Chunk
+	MissingPackets bool // packets are missing; the chunks end before the gap
 }
 
 // Bytes is the whole of a stream.
@@ -42,8 +42,8 @@
 
 // The errors of a file that cannot be read.
 var (
-	ErrForeign = errors.New("pcap: not a capture file")
-	ErrCut     = errors.New("pcap: the capture file is cut short")
+	ErrNotCapture = errors.New("pcap: not a capture file")
+	ErrTruncated  = errors.New("pcap: the capture file is cut short")
 )
 
 // The bounds of what is kept in memory.
@@ -63,7 +63,7 @@
 	in := bufio.NewReader(r)
 	magic, err := in.Peek(4)
 	if err != nil {
-		return nil, ErrForeign
+		return nil, ErrNotCapture
 	}
 	var s source
 	switch binary.BigEndian.Uint32(magic) {
@@ -72,13 +72,13 @@
 	case 0xa1b2c3d4, 0xd4c3b2a1, 0xa1b23c4d, 0x4d3cb2a1: // micro- and nanoseconds, in both orders
 		s, err = pcapgo.NewReader(in)
 	default:
-		return nil, ErrForeign
+		return nil, ErrNotCapture
 	}
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return nil, ErrCut
+		return nil, ErrTruncated
 	case err != nil:
-		return nil, fmt.Errorf("%w: %v", ErrForeign, err)
+		return nil, fmt.Errorf("%w: %v", ErrNotCapture, err)
 	}
 	return s, nil
 }
@@ -100,7 +100,7 @@
 			break
 		}
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return nil, fmt.Errorf("%w after %d packets", ErrCut, n)
+			return nil, fmt.Errorf("%w after %d packets", ErrTruncated, n)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("pcap: packet %d: %w", n+1, err)
@@ -167,9 +167,9 @@
 	}
 	length, _ := sg.Lengths()
 	if skip > 0 && len(s.Chunks) > 0 {
-		s.Broken = true
+		s.MissingPackets = true
 	}
-	if s.Broken || length == 0 {
+	if s.MissingPackets || length == 0 {
 		return
 	}
 	k.c.bytes += length
--- a/internal/pcap/pcap_test.go
+++ b/internal/pcap/pcap_test.go
@@ -83,7 +83,7 @@
 					t.Fatalf("%v: first seen at %v, want %v", ends, s.Chunks[0].At, first[ends])
 				}
 			}
-			if s.Broken {
+			if s.MissingPackets {
 				t.Fatalf("%v is broken", ends)
 			}
 		}
@@ -103,19 +103,19 @@
 	for n := range len(whole) {
 		streams, err := Read(bytes.NewReader(whole[:n]))
 		switch {
-		case n < 4 && !errors.Is(err, ErrForeign), n >= 4 && n < 24 && !errors.Is(err, ErrCut):
+		case n < 4 && !errors.Is(err, ErrNotCapture), n >= 4 && n < 24 && !errors.Is(err, ErrTruncated):
 			t.Errorf("%d bytes of the head: %v", n, err)
-		case n > 24 && err != nil && !errors.Is(err, ErrCut):
+		case n > 24 && err != nil && !errors.Is(err, ErrTruncated):
 			t.Errorf("%d bytes: %v", n, err)
 		case err == nil && len(streams) > 0 && n < 24+16+40:
 			t.Errorf("%d bytes give %d streams", n, len(streams))
 		}
 	}
-	if _, err := Read(bytes.NewReader(whole[:len(whole)-1])); !errors.Is(err, ErrCut) {
+	if _, err := Read(bytes.NewReader(whole[:len(whole)-1])); !errors.Is(err, ErrTruncated) {
 		t.Errorf("the last byte is missing: %v", err)
 	}
 	for _, text := range []string{"", "short text", "PK\x03\x04 and so on and on and on", "#!/bin/sh\necho not a capture at all\n"} {
-		if _, err := Read(bytes.NewReader([]byte(text))); !errors.Is(err, ErrForeign) {
+		if _, err := Read(bytes.NewReader([]byte(text))); !errors.Is(err, ErrNotCapture) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -134,8 +134,8 @@
 		t.Fatal(err)
 	}
 	for _, s := range streams {
-		if s.To == server && (!s.Broken || string(s.Bytes()) != "one") {
-			t.Errorf("broken %v, %q", s.Broken, s.Bytes())
+		if s.To == server && (!s.MissingPackets || string(s.Bytes()) != "one") {
+			t.Errorf("broken %v, %q", s.MissingPackets, s.Bytes())
 		}
 	}
 	if len(streams) == 0 {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -98,7 +98,7 @@
 		}
 		l := &line{player: p}
 		p.report.Connections++
-		if s.Broken {
+		if s.MissingPackets {
 			p.report.Broken++
 		}
 		for i, c := range s.Chunks {
