--- a/cmd/kiteslip/pcap.go
+++ b/cmd/kiteslip/pcap.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	options := replay.Options{Port: c.Port, Web: c.Front == "uwsgi"}
+	options := replay.Options{Port: c.Port, UWSGI: c.Front == "uwsgi"}
 	if c.Write != "" {
 		file, createErr := os.Create(c.Write)
 		if createErr != nil {
@@ -59,14 +59,14 @@
 		}
 		out := bufio.NewWriter(file)
 		defer func() { err = errors.Join(err, out.Flush(), file.Close()) }()
-		options.Write = out
+		options.Output = out
 	}
 	r, err := replay.Run(streams, cfg, options)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("connections %d (%d unfinished, %d with packets missing)\nrequests %d: served %d, refused %d, failed %d; malformed %d\n",
-		r.Connections, r.Unfinished, r.Broken, r.Received, r.Served, r.Refused, r.Failed, r.Malformed)
+		r.Connections, r.Unfinished, r.MissingPackets, r.Received, r.Served, r.Refused, r.Failed, r.Malformed)
 	return nil
 }
 
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -26,18 +26,18 @@
 
 // Options say how a capture is to be read.
 type Options struct {
-	Port  uint16    // of the server in the capture
-	Web   bool      // its connections speak uwsgi, not frames
-	Write io.Writer // takes the traffic, with the answers given here, as a capture; nil = nowhere
+	Port   uint16    // of the server in the capture
+	UWSGI  bool      // its connections speak uwsgi, not frames
+	Output io.Writer // takes the traffic, with the answers given here, as a capture; nil = nowhere
 }
 
 // Report says what became of the requests.
 type Report struct {
 	core.Counts
-	Connections int
-	Malformed   int // requests or connections that cannot be read
-	Unfinished  int // connections that end within a request
-	Broken      int // connections of which packets are missing
+	Connections    int
+	Malformed      int // requests or connections that cannot be read
+	Unfinished     int // connections that end within a request
+	MissingPackets int // connections of which packets are missing
 }
 
 // line is one connection of the capture.
@@ -81,8 +81,8 @@
 	if p.core, err = core.New(core.Settings{Policy: cfg.Policy, Seed: cfg.Seed}, p); err != nil {
 		return Report{}, err
 	}
-	if opt.Write != nil {
-		if p.out, err = pcap.NewWriter(opt.Write); err != nil {
+	if opt.Output != nil {
+		if p.out, err = pcap.NewWriter(opt.Output); err != nil {
 			return Report{}, err
 		}
 	}
@@ -99,7 +99,7 @@
 		l := &line{player: p}
 		p.report.Connections++
 		if s.MissingPackets {
-			p.report.Broken++
+			p.report.MissingPackets++
 		}
 		for i, c := range s.Chunks {
 			at := c.At.UnixMicro()
@@ -193,7 +193,7 @@
 		return
 	}
 	l.buf = append(l.buf, data...)
-	if l.opt.Web {
+	if l.opt.UWSGI {
 		l.web()
 	} else {
 		l.frames()
@@ -264,7 +264,7 @@
 	if l.out == nil {
 		return
 	}
-	if l.opt.Web {
+	if l.opt.UWSGI {
 		status, retryAfter := uwsgi.Status(&a)
 		l.write(true, append(uwsgi.AppendResponse(nil, status, retryAfter, len(a.Result)), a.Result...))
 		return
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -100,7 +100,7 @@
 		first[:20], // unfinished
 	})
 	var out bytes.Buffer
-	r, err := Run(streams, settings(t), Options{Port: 8443, Write: &out})
+	r, err := Run(streams, settings(t), Options{Port: 8443, Output: &out})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	streams := capture(t, [][]byte{p[:30], p[30:1900], p[1900:]}, [][]byte{p}, [][]byte{p[:50]},
 		[][]byte{packet("nil", "", "")}, [][]byte{packet("look", "", strings.Repeat("x", 2049))}, [][]byte{packet("look", "", "")})
 	var out bytes.Buffer
-	r, err := Run(streams, settings(t), Options{Port: 8443, Web: true, Write: &out})
+	r, err := Run(streams, settings(t), Options{Port: 8443, UWSGI: true, Output: &out})
 	if err != nil {
 		t.Fatal(err)
 	}
