--- a/internal/lab/keys/keys.go
+++ b/internal/lab/keys/keys.go
@@ -273,7 +273,7 @@
 
 // Recovery starts the program on a folder with many live keys.
 func (l *Lab) Recovery() (took time.Duration, peakKB int, err error) {
-	now := storage.Clock()
+	now := storage.ReadClocks()
 	s, err := keystore.Open(keystore.Options{Folder: filepath.Join(l.dir, "live"), Durability: keystore.SurviveProcessExit, Now: now})
 	if err != nil {
 		return 0, 0, err
@@ -318,7 +318,7 @@
 
 // Groups compares commits of one key each with what the worker makes of many at once.
 func Groups(folder string) (single, grouped float64, err error) {
-	s, err := keystore.Open(keystore.Options{Folder: folder, Now: storage.Clock()})
+	s, err := keystore.Open(keystore.Options{Folder: folder, Now: storage.ReadClocks()})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -328,7 +328,7 @@
 	n := 0
 	began := time.Now()
 	for time.Since(began) < time.Second {
-		if err = s.Commit(storage.Clock(), []keystore.Op{{Record: rec(n)}}); err != nil {
+		if err = s.Commit(storage.ReadClocks(), []keystore.Op{{Record: rec(n)}}); err != nil {
 			return 0, 0, err
 		}
 		n++
@@ -337,7 +337,7 @@
 	const atOnce = 1024
 	room := make(chan struct{}, atOnce)
 	var bad atomic.Int64
-	w := storage.Start(s, storage.Clock, func(list []storage.Outcome) {
+	w := storage.Start(s, storage.ReadClocks, func(list []storage.Outcome) {
 		for _, o := range list {
 			if o.Err != nil {
 				bad.Add(1)
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -158,9 +158,9 @@
 	f.Ledger = s.ledgerFigures()
 	f.Control = s.controlFigures()
 	if w := s.keys.worker; w != nil {
-		k := w.Figures()
+		k := w.Stats()
 		f.Keys = &figures.Keys{Restored: s.keys.restored, UnknownOutcome: s.keys.unknown, Commits: int(k.Commits), Records: int(k.Operations),
-			Errors: int(k.Errors), MaxCommitMS: int(k.LongestUS / 1000), Waiting: k.Waiting, DiskKB: int(k.DiskBytes / 1024),
+			Errors: int(k.Errors), MaxCommitMS: int(k.MaxCommitUS / 1000), Waiting: k.Waiting, DiskKB: int(k.DiskBytes / 1024),
 			UnrecordedRuns: s.core.UnrecordedRuns()}
 	} else if s.keys.failed != nil {
 		f.Keys = &figures.Keys{Errors: 1}
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -49,7 +49,7 @@
 // openKeys opens the store and reads what it holds. It blocks.
 func (s *Server) openKeys() (*keystore.Store, []keystore.Record, error) {
 	k := &s.cfg.Keys
-	opt := keystore.Options{Folder: k.Folder, FS: s.keys.fs, MaxBytes: k.MaxBytes, Now: storage.Clock()}
+	opt := keystore.Options{Folder: k.Folder, FS: s.keys.fs, MaxBytes: k.MaxBytes, Now: storage.ReadClocks()}
 	if k.ProcessDurability {
 		opt.Durability = keystore.SurviveProcessExit
 	}
@@ -88,7 +88,7 @@
 			s.link.Await(run)
 		}
 	}
-	s.keys.worker = storage.Start(store, storage.Clock, func(outcomes []storage.Outcome) {
+	s.keys.worker = storage.Start(store, storage.ReadClocks, func(outcomes []storage.Outcome) {
 		s.onLoop(func() {
 			t := now()
 			for _, o := range outcomes {
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("through the other front: %+v", web)
 	}
 	var records int64
-	r.look(func() { records = r.keys.worker.Figures().Operations })
+	r.look(func() { records = r.keys.worker.Stats().Operations })
 	for i := range 500 { // one that is very popular takes no more room
 		c.Send(uint32(100+i), standin.Fields("note", "red", "k3", uint64(1000+i), 3*time.Second), "body 3")
 		if got, ok := c.Next(); !ok || got.Code != frame.Served {
@@ -68,7 +68,7 @@
 		}
 	}
 	r.look(func() {
-		if n := r.keys.worker.Figures().Operations; n != records {
+		if n := r.keys.worker.Stats().Operations; n != records {
 			t.Errorf("500 repeats of one key left %d records", n-records)
 		}
 	})
--- a/internal/storage/worker.go
+++ b/internal/storage/worker.go
@@ -24,8 +24,8 @@
 	resultCost = 128       // bytes that an operation counts beside its result
 )
 
-// ErrBusy says that more waits for the disk than there is room for.
-var ErrBusy = errors.New("storage: too much waits for the disk")
+// ErrQueueFull says that more waits for the disk than there is room for.
+var ErrQueueFull = errors.New("storage: too much waits for the disk")
 
 // ErrClosed says that the worker was closed.
 var ErrClosed = errors.New("storage: closed")
@@ -84,7 +84,7 @@
 	case w.closing:
 		err = ErrClosed
 	case len(w.queue) >= queueMost || w.bytes+size > bytesMost:
-		err = ErrBusy
+		err = ErrQueueFull
 	default:
 		w.queue = append(w.queue, o)
 		w.bytes += size
@@ -187,30 +187,30 @@
 	return w.done
 }
 
-// Figures are the worker's counts since the start.
-type Figures struct {
+// Stats are the worker's counts since the start.
+type Stats struct {
 	Commits, Operations, Errors int64
-	LongestUS                   int64 // the longest commit
+	MaxCommitUS                 int64 // the longest commit
 	Waiting                     int
 	DiskBytes                   int64
-	Last                        error // the last error; nil = none
+	LastError                   error // the last error; nil = none
 }
 
-// Figures returns the counts.
-func (w *Worker) Figures() Figures {
+// Stats returns the counts.
+func (w *Worker) Stats() Stats {
 	w.mu.Lock()
 	waiting := len(w.queue)
 	w.mu.Unlock()
-	f := Figures{Commits: w.commits.Load(), Operations: w.operations.Load(), Errors: w.errs.Load(),
-		LongestUS: w.longest.Load(), Waiting: waiting, DiskBytes: w.disk.Load()}
+	f := Stats{Commits: w.commits.Load(), Operations: w.operations.Load(), Errors: w.errs.Load(),
+		MaxCommitUS: w.longest.Load(), Waiting: waiting, DiskBytes: w.disk.Load()}
 	if err := w.last.Load(); err != nil {
-		f.Last = *err
+		f.LastError = *err
 	}
 	return f
 }
 
-// Clock reads the machine's two clocks.
-func Clock() keystore.ClockReading {
+// ReadClocks reads the machine's two clocks.
+func ReadClocks() keystore.ClockReading {
 	m := keystore.ClockReading{Wall: time.Now().UnixMicro()}
 	var up unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &up); err != nil {
--- a/internal/storage/worker_test.go
+++ b/internal/storage/worker_test.go
@@ -34,12 +34,12 @@
 
 func begin(t *testing.T, fs vfs.FS, max int64) (*Worker, *outcomes) {
 	t.Helper()
-	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: fs, Now: Clock(), MaxBytes: max})
+	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: fs, Now: ReadClocks(), MaxBytes: max})
 	if err != nil {
 		t.Fatal(err)
 	}
 	o := &outcomes{got: map[uint32]error{}}
-	return Start(s, Clock, o.deliver), o
+	return Start(s, ReadClocks, o.deliver), o
 }
 
 // gate lets a sync go on only when it is opened.
@@ -72,7 +72,7 @@
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("asking took %v while the disk stalls", took)
 	}
-	if n := w.Figures().Waiting; n > queueMost {
+	if n := w.Stats().Waiting; n > queueMost {
 		t.Errorf("%d operations wait, %d may", n, queueMost)
 	}
 	g.shut.Store(false)
@@ -95,14 +95,14 @@
 		switch {
 		case err == nil:
 			good++
-		case errors.Is(err, ErrBusy):
+		case errors.Is(err, ErrQueueFull):
 			busy++
 		case token == asked+1 && errors.Is(err, ErrClosed):
 		default:
 			t.Errorf("%d: %v", token, err)
 		}
 	}
-	if f := w.Figures(); good < queueMost || busy == 0 || f.Commits > 20 {
+	if f := w.Stats(); good < queueMost || busy == 0 || f.Commits > 20 {
 		t.Errorf("%d durable, %d had no room, %d commits", good, busy, f.Commits)
 	}
 	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: mem, ReadOnly: true})
@@ -132,16 +132,16 @@
 	if !errors.Is(o.got[1], keystore.ErrFull) || o.got[2] != nil || o.got[3] == nil {
 		t.Errorf("%v", o.got)
 	}
-	if f := w.Figures(); f.Errors == 0 || f.Last == nil {
+	if f := w.Stats(); f.Errors == 0 || f.LastError == nil {
 		t.Errorf("%+v", f)
 	}
 }
 
 func TestClockIsRead(t *testing.T) {
 	t.Parallel()
-	a := Clock()
+	a := ReadClocks()
 	time.Sleep(2 * time.Millisecond)
-	b := Clock()
+	b := ReadClocks()
 	if a.BootID == 0 || a.BootID != b.BootID || b.Uptime <= a.Uptime || keystore.WindowExtension(a, b) != 0 {
 		t.Errorf("%+v, then %+v", a, b)
 	}
