--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -100,7 +100,7 @@
 	if c.Policy.Tenants[0].Quota != 50 || c.Policy.Tenants[1].Quota != 20 || strings.Join(c.Tenants, " ") != "red blue" {
 		t.Errorf("tenants %+v %v", c.Policy.Tenants, c.Tenants)
 	}
-	if u := c.UWSGI.Contracts[2]; c.UWSGI.Listen != "127.0.0.1:3031" || !u.Keyed || u.MaxBody != 4096 || u.HeldKB != 32 || u.Path != "/draw" {
+	if u := c.UWSGI.Contracts[2]; c.UWSGI.Listen != "127.0.0.1:3031" || !u.Keyed || u.MaxBody != 4096 || u.RequestMemoryKB != 32 || u.Path != "/draw" {
 		t.Errorf("front %+v", c.UWSGI)
 	}
 }
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -49,7 +49,7 @@
 // plain is a class that no contract speaks of.
 func plain(class kiteslip.Class) route {
 	return route{class: class, result: defaultResult, front: uwsgi.Contract{Keyed: class.Effect == kiteslip.Keyed,
-		Deadline: class.Timeout, MaxBody: defaultBody, HeldKB: defaultHeldKB}}
+		Timeout: class.Timeout, MaxBody: defaultBody, RequestMemoryKB: defaultHeldKB}}
 }
 
 // route returns the class of that name as the platform has it.
@@ -259,7 +259,7 @@
 	if m.Effect == kiteslip.Keyed && m.Window < m.Timeout {
 		add("window_ms", "is shorter than the deadline: a later try would run again")
 	}
-	r.front = uwsgi.Contract{Keyed: m.Effect == kiteslip.Keyed, Deadline: m.Timeout, MaxBody: t.MaxBody, HeldKB: t.HeldKB, Path: t.Path}
+	r.front = uwsgi.Contract{Keyed: m.Effect == kiteslip.Keyed, Timeout: m.Timeout, MaxBody: t.MaxBody, RequestMemoryKB: t.HeldKB, Path: t.Path}
 	r.backend, r.result = backend, t.MaxResult
 	f := &r.front
 	if f.MaxBody == 0 {
@@ -274,11 +274,11 @@
 	if r.result < 0 || r.result > mostBody {
 		add("max_result", "is %d, want 0 to %d bytes", r.result, mostBody)
 	}
-	if f.HeldKB == 0 {
-		f.HeldKB = defaultHeldKB
+	if f.RequestMemoryKB == 0 {
+		f.RequestMemoryKB = defaultHeldKB
 	}
-	if !(f.HeldKB > 0) || f.HeldKB*1024 < float64(f.MaxBody) {
-		add("held_kb", "is %v, want room for max_body at least", f.HeldKB)
+	if !(f.RequestMemoryKB > 0) || f.RequestMemoryKB*1024 < float64(f.MaxBody) {
+		add("held_kb", "is %v, want room for max_body at least", f.RequestMemoryKB)
 	}
 	return r
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -60,7 +60,7 @@
 	opt    Options
 	core   *core.Core
 	names  frame.NameIndex
-	book   uwsgi.Book
+	book   uwsgi.ContractTable
 	now    int64
 	runs   []run
 	out    *pcap.Writer
@@ -76,7 +76,7 @@
 	for i := range cfg.Policy.Classes {
 		p.names.Keyed = append(p.names.Keyed, cfg.Policy.Classes[i].Effect == kiteslip.Keyed)
 	}
-	p.book = uwsgi.Book{Classes: p.names.Classes, Tenants: p.names.Tenants, Contracts: cfg.UWSGI.Contracts}
+	p.book = uwsgi.ContractTable{Classes: p.names.Classes, Tenants: p.names.Tenants, Contracts: cfg.UWSGI.Contracts}
 	var err error
 	if p.core, err = core.New(core.Settings{Policy: cfg.Policy, Seed: cfg.Seed}, p); err != nil {
 		return Report{}, err
@@ -239,7 +239,7 @@
 	var r *core.Request
 	length := 0
 	if err == nil {
-		var problem *uwsgi.Problem
+		var problem *uwsgi.RequestError
 		if r, length, problem = uwsgi.ParseRequest(vars, &l.book, l.now); problem != nil {
 			err = problem
 		}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -193,7 +193,7 @@
 func (s *Server) nameAll() {
 	s.names = &frame.NameIndex{Classes: make(map[string]int, len(s.cfg.Classes)), Tenants: make(map[string]int, len(s.cfg.Tenants))}
 	s.keyed = map[string]int{}
-	s.book = &uwsgi.Book{Classes: s.names.Classes, Tenants: s.names.Tenants}
+	s.book = &uwsgi.ContractTable{Classes: s.names.Classes, Tenants: s.names.Tenants}
 	all := func(n int) []int {
 		places := make([]int, n)
 		for i := range places {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -110,7 +110,7 @@
 	over     atomic.Bool // the run has ended
 
 	keys     keys
-	book     *uwsgi.Book
+	book     *uwsgi.ContractTable
 	below    below
 	control  control
 	rejects  reject.Counter
--- a/internal/server/web.go
+++ b/internal/server/web.go
@@ -82,7 +82,7 @@
 	if f.request == nil {
 		vars, n, err := uwsgi.Split(b)
 		if err != nil {
-			f.refuse(&uwsgi.Problem{Status: http.StatusBadRequest, Reason: err.Error()})
+			f.refuse(&uwsgi.RequestError{Status: http.StatusBadRequest, Reason: err.Error()})
 			return len(b), nil
 		}
 		if n == 0 {
@@ -99,7 +99,7 @@
 	if len(b)-used < f.length {
 		f.hold(len(b) - used)
 		if f.s.buffered > f.s.cfg.Limits.MemoryMB<<20/heldDivisor {
-			f.refuse(&uwsgi.Problem{Status: http.StatusServiceUnavailable, Reason: "too many half-sent requests"})
+			f.refuse(&uwsgi.RequestError{Status: http.StatusServiceUnavailable, Reason: "too many half-sent requests"})
 		}
 		return used, nil
 	}
@@ -118,12 +118,12 @@
 	f.waits = true
 	if err := f.s.core.Submit(now(), r); err != nil {
 		f.waits = false
-		f.refuse(&uwsgi.Problem{Status: http.StatusBadRequest, Reason: err.Error()})
+		f.refuse(&uwsgi.RequestError{Status: http.StatusBadRequest, Reason: err.Error()})
 	}
 }
 
 // refuse answers a request that does not enter the core.
-func (f *webSession) refuse(p *uwsgi.Problem) {
+func (f *webSession) refuse(p *uwsgi.RequestError) {
 	f.s.reject(&reject.Error{Cause: "uwsgi_" + strconv.Itoa(p.Status), Err: p})
 	f.respond(p.Status, 0, []byte(p.Reason+"\n"))
 }
@@ -207,7 +207,7 @@
 		case f.answered:
 			f.settle()
 		case t >= f.readBy:
-			f.refuse(&uwsgi.Problem{Status: http.StatusRequestTimeout, Reason: "the request did not come in time"})
+			f.refuse(&uwsgi.RequestError{Status: http.StatusRequestTimeout, Reason: "the request did not come in time"})
 		}
 	}
 	for b := range s.backends {
@@ -271,7 +271,7 @@
 		{Name: "PATH_INFO", Value: cfg.UWSGI.Contracts[r.Class].Path},
 		{Name: uwsgi.VarLength, Value: strconv.Itoa(len(r.Body))},
 		{Name: uwsgi.VarClass, Value: cfg.Classes[r.Class]},
-		{Name: uwsgi.VarStamp, Value: strconv.FormatInt(r.Arrived/1000, 10)},
+		{Name: uwsgi.VarTimestamp, Value: strconv.FormatInt(r.Arrived/1000, 10)},
 		{Name: uwsgi.VarTimeout, Value: strconv.FormatInt((r.Deadline-r.Arrived)/1000, 10)},
 	}
 	if len(cfg.Tenants) > 0 {
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -10,43 +10,43 @@
 
 // The variables by which a web tier says what a request is.
 const (
-	VarClass   = "KITESLIP_CLASS"      // or PATH_INFO, where a contract names a path
-	VarTenant  = "KITESLIP_TENANT"     // may be absent where there is only one
-	VarTimeout = "KITESLIP_TIMEOUT_MS" // how long the caller waits; absent = the contract's deadline
-	VarStamp   = "KITESLIP_TS"         // since when, in Unix milliseconds; absent = since it was read
-	VarKey     = "KITESLIP_KEY"        // the same for all tries of one request of a keyed class
-	VarSubject = "KITESLIP_SUBJECT"    // what a read is about, a number in hex
-	VarWork    = "KITESLIP_WORK_MS"    // the work to expect
-	VarRank    = "KITESLIP_RANK"       // from 0 to under 1
-	VarLength  = "CONTENT_LENGTH"
-	VarPath    = "PATH_INFO"
+	VarClass     = "KITESLIP_CLASS"      // or PATH_INFO, where a contract names a path
+	VarTenant    = "KITESLIP_TENANT"     // may be absent where there is only one
+	VarTimeout   = "KITESLIP_TIMEOUT_MS" // how long the caller waits; absent = the contract's deadline
+	VarTimestamp = "KITESLIP_TS"         // since when, in Unix milliseconds; absent = since it was read
+	VarKey       = "KITESLIP_KEY"        // the same for all tries of one request of a keyed class
+	VarSubject   = "KITESLIP_SUBJECT"    // what a read is about, a number in hex
+	VarWork      = "KITESLIP_WORK_MS"    // the work to expect
+	VarRank      = "KITESLIP_RANK"       // from 0 to under 1
+	VarLength    = "CONTENT_LENGTH"
+	VarPath      = "PATH_INFO"
 )
 
 // Contract is what a front must know of one class.
 type Contract struct {
-	Keyed    bool
-	Deadline int64   // microseconds
-	MaxBody  int     // bytes
-	HeldKB   float64 // memory booked for one request while it is held
-	Path     string  // requests for it are of this class; "" = by VarClass only
+	Keyed           bool
+	Timeout         int64   // microseconds
+	MaxBody         int     // bytes
+	RequestMemoryKB float64 // memory booked for one request while it is held
+	Path            string  // requests for it are of this class; "" = by VarClass only
 }
 
-// Book holds the contracts of a front.
-type Book struct {
+// ContractTable holds the contracts of a front.
+type ContractTable struct {
 	Classes   map[string]int
 	Contracts []Contract // by class
 	Tenants   map[string]int
 }
 
-// Problem is a request that gets an answer without entering the core.
-type Problem struct {
+// RequestError is a request that gets an answer without entering the core.
+type RequestError struct {
 	Status int // as in HTTP
 	Reason string
 }
 
-func (p *Problem) Error() string { return p.Reason }
+func (p *RequestError) Error() string { return p.Reason }
 
-func malformed(reason string) *Problem { return &Problem{http.StatusBadRequest, reason} }
+func malformed(reason string) *RequestError { return &RequestError{http.StatusBadRequest, reason} }
 
 const (
 	maxKey     = 128
@@ -57,7 +57,7 @@
 // ParseRequest reads the variables of a request that was read at now. It
 // returns the request, without its body, and the length of the body. What it
 // returns shares no memory with the variables.
-func ParseRequest(vars Vars, book *Book, now int64) (*core.Request, int, *Problem) {
+func ParseRequest(vars Vars, book *ContractTable, now int64) (*core.Request, int, *RequestError) {
 	r := &core.Request{Class: -1, Tenant: -1, Arrived: now}
 	length, timeout, path := 0, int64(-1), ""
 	for name, value := range vars.All() {
@@ -70,7 +70,7 @@
 			ok = ok || len(book.Tenants) == 0
 		case VarTimeout:
 			timeout, ok = whole(text, maxTimeout)
-		case VarStamp:
+		case VarTimestamp:
 			var ms int64
 			ms, ok = whole(text, maxStamp)
 			r.Arrived = ms * 1000
@@ -119,23 +119,23 @@
 	case contract.Keyed && r.Key == "":
 		return nil, 0, malformed("variable " + VarKey + " is absent")
 	case length > contract.MaxBody:
-		return nil, 0, &Problem{http.StatusRequestEntityTooLarge,
+		return nil, 0, &RequestError{http.StatusRequestEntityTooLarge,
 			"the body is over the " + strconv.Itoa(contract.MaxBody) + " bytes of its contract"}
 	}
 	if !contract.Keyed {
 		r.Key = ""
 	}
 	r.Write = contract.Keyed
-	r.SizeKB = contract.HeldKB
+	r.SizeKB = contract.RequestMemoryKB
 	if timeout >= 0 { // else it is untold, and the core sets it by the class
-		r.Deadline = max(1, r.Arrived+min(contract.Deadline, timeout*1000))
+		r.Deadline = max(1, r.Arrived+min(contract.Timeout, timeout*1000))
 	}
 	return r, length, nil
 }
 
 // byPath returns the class whose contract has the longest path that leads to
 // this one, or -1.
-func (b *Book) byPath(path string) int {
+func (b *ContractTable) byPath(path string) int {
 	best, size := -1, 0
 	for i := range b.Contracts {
 		p := b.Contracts[i].Path
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -12,8 +12,8 @@
 
 const (
 	headSize = 4
-	// Request is modifier 1 of a packet that carries the variables of a request.
-	Request = 0
+	// ModifierRequest is modifier 1 of a packet that carries the variables of a request.
+	ModifierRequest = 0
 )
 
 // ErrModifier says that a packet is of a kind other than a request.
@@ -27,7 +27,7 @@
 // Split returns the variables at the start of b and the number of bytes that
 // they take with their head; 0 means that more bytes are needed. A body follows them.
 func Split(b []byte) (Vars, int, error) {
-	if len(b) >= 1 && b[0] != Request {
+	if len(b) >= 1 && b[0] != ModifierRequest {
 		return Vars{}, 0, fmt.Errorf("%w: modifier %d", ErrModifier, b[0])
 	}
 	if len(b) < headSize {
@@ -89,7 +89,7 @@
 	if size > 0xffff {
 		return b, fmt.Errorf("uwsgi: variables of %d bytes do not fit a packet", size)
 	}
-	b = append(b, Request)
+	b = append(b, ModifierRequest)
 	b = binary.LittleEndian.AppendUint16(b, uint16(size))
 	b = append(b, 0)
 	for _, v := range vars {
--- a/internal/uwsgi/uwsgi_test.go
+++ b/internal/uwsgi/uwsgi_test.go
@@ -54,12 +54,12 @@
 	})
 }
 
-func book() *Book {
-	return &Book{Classes: map[string]int{"look": 0, "note": 1}, Tenants: map[string]int{"red": 0, "blue": 1},
-		Contracts: []Contract{{Deadline: 4_000_000, MaxBody: 10, HeldKB: 16, Path: "/a"}, {Keyed: true, Deadline: 2_000_000, MaxBody: 20, HeldKB: 8, Path: "/a/note"}}}
+func book() *ContractTable {
+	return &ContractTable{Classes: map[string]int{"look": 0, "note": 1}, Tenants: map[string]int{"red": 0, "blue": 1},
+		Contracts: []Contract{{Timeout: 4_000_000, MaxBody: 10, RequestMemoryKB: 16, Path: "/a"}, {Keyed: true, Timeout: 2_000_000, MaxBody: 20, RequestMemoryKB: 8, Path: "/a/note"}}}
 }
 
-func parse(t *testing.T, vars ...Var) (*core.Request, int, *Problem) {
+func parse(t *testing.T, vars ...Var) (*core.Request, int, *RequestError) {
 	t.Helper()
 	b, err := AppendRequest(nil, vars)
 	if err != nil {
@@ -74,7 +74,7 @@
 
 func TestParseRequest(t *testing.T) {
 	r, length, p := parse(t, Var{VarPath, "/a/note/1"}, Var{VarTenant, "blue"}, Var{VarKey, "k"}, Var{VarLength, "20"},
-		Var{VarStamp, "4000"}, Var{VarTimeout, "500"}, Var{VarWork, "2.5"}, Var{VarRank, "0.5"}, Var{VarSubject, "ff"}, Var{"OTHER", "x"})
+		Var{VarTimestamp, "4000"}, Var{VarTimeout, "500"}, Var{VarWork, "2.5"}, Var{VarRank, "0.5"}, Var{VarSubject, "ff"}, Var{"OTHER", "x"})
 	if p != nil || length != 20 || r.Class != 1 || r.Tenant != 1 || r.Key != "k" || !r.Write || r.Arrived != 4_000_000 ||
 		r.Deadline != 4_500_000 || r.ExpectedWork != 2500 || r.Rank != 0.5 || r.Subject != 255 || r.SizeKB != 8 {
 		t.Errorf("%+v, %d, %v", r, length, p)
@@ -155,7 +155,7 @@
 
 // The only team left is the one meant, whatever its place.
 func TestOnlyTeam(t *testing.T) {
-	book := &Book{Classes: map[string]int{"c": 0}, Tenants: map[string]int{"left": 3}, Contracts: []Contract{{Deadline: 1000}}}
+	book := &ContractTable{Classes: map[string]int{"c": 0}, Tenants: map[string]int{"left": 3}, Contracts: []Contract{{Timeout: 1000}}}
 	b, err := AppendRequest(nil, []Var{{VarClass, "c"}})
 	if err != nil {
 		t.Fatal(err)
