--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -55,21 +55,21 @@
 			case wire.Enlist:
 				settings, gauges, err := wire.ParseSettings(rec.Settings)
 				if err != nil {
-					return fmt.Errorf("byte %d: instance %d: %w", rec.BytePlace, rec.Instance, err)
+					return fmt.Errorf("byte %d: instance %d: %w", rec.Offset, rec.Instance, err)
 				}
 				worker, err := kiteslip.New(settings, rec.Seed)
 				if err != nil {
-					return fmt.Errorf("byte %d: instance %d: %w", rec.BytePlace, rec.Instance, err)
+					return fmt.Errorf("byte %d: instance %d: %w", rec.Offset, rec.Instance, err)
 				}
 				h = &host{worker: worker, gauges: gauges}
 				hosts[rec.Instance] = h
 			default:
 				if h == nil {
 					return fmt.Errorf("byte %d: record for instance %d, expected one that was enlisted",
-						rec.BytePlace, rec.Instance)
+						rec.Offset, rec.Instance)
 				}
 				if rec.Event.Kind == kiteslip.Timer {
-					rec.Event.Gauges = wire.ReadGauges(rec.Gauges, h.gauges)
+					rec.Event.Gauges = wire.ParseGauges(rec.Gauges, h.gauges)
 				}
 				h.events = append(h.events, rec.Event)
 			}
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -79,7 +79,9 @@
 }
 
 // Stats takes in the gauges.
-func (s *Server) Stats(values []float32) { s.core.SetGauges(wire.NameGauges(values, s.cfg.Gauges)) }
+func (s *Server) Stats(values []float32) {
+	s.core.SetGauges(wire.GaugesFromValues(values, s.cfg.Gauges))
+}
 
 // Tested takes in the end of a deep health check's work.
 func (s *Server) Tested(tag string, ok bool) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -40,13 +40,13 @@
 
 // Record is one record of a batch.
 type Record struct {
-	Kind      Kind
-	Instance  uint16
-	Event     kiteslip.Event
-	Gauges    []byte // raw readings of a timer record, in the order of the settings
-	Seed      uint64
-	Settings  []byte // valid until the next batch
-	BytePlace int64  // where the record starts in the input
+	Kind     Kind
+	Instance uint16
+	Event    kiteslip.Event
+	Gauges   []byte // raw readings of a timer record, in the order of the settings
+	Seed     uint64
+	Settings []byte // valid until the next batch
+	Offset   int64  // where the record starts in the input
 }
 
 // Reader reads batches.
@@ -137,7 +137,7 @@
 func (c *cursor) record() (Record, error) {
 	start := c.base + int64(c.at)
 	code := c.u8()
-	rec := Record{Instance: c.u16(), BytePlace: start}
+	rec := Record{Instance: c.u16(), Offset: start}
 	e := &rec.Event
 	switch code {
 	case codeAccept:
@@ -184,17 +184,17 @@
 	return rec, nil
 }
 
-// ReadGauges turns the raw readings of a timer record into Gauges, by their names.
-func ReadGauges(raw []byte, names []string) kiteslip.Gauges {
+// ParseGauges turns the raw readings of a timer record into Gauges, by their names.
+func ParseGauges(raw []byte, names []string) kiteslip.Gauges {
 	values := make([]float32, 0, 8)
 	for ; len(raw) >= 4; raw = raw[4:] {
 		values = append(values, math.Float32frombits(binary.LittleEndian.Uint32(raw)))
 	}
-	return NameGauges(values, names)
+	return GaugesFromValues(values, names)
 }
 
-// NameGauges sorts readings by the names that the settings give to their places.
-func NameGauges(values []float32, names []string) kiteslip.Gauges {
+// GaugesFromValues sorts readings by the names that the settings give to their places.
+func GaugesFromValues(values []float32, names []string) kiteslip.Gauges {
 	g := kiteslip.Gauges{}
 	for i, name := range names {
 		if i >= len(values) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -108,7 +108,7 @@
 }
 
 func TestReadGauges(t *testing.T) {
-	g := ReadGauges(frame(t, "0000003f 00004040"), []string{"mem_used", "runnable", "sockets"})
+	g := ParseGauges(frame(t, "0000003f 00004040"), []string{"mem_used", "runnable", "sockets"})
 	if !g.Valid || g.MemoryUsed != 0.5 || g.Runnable != 3 || g.Connections != 0 {
 		t.Errorf("got %+v", g)
 	}
