--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -47,7 +47,7 @@
 
 // Day is what a World plays.
 type Day struct {
-	Module  kiteslip.Settings
+	Policy  kiteslip.Settings
 	Pools   *pool.Settings
 	Box     box.Spec
 	Streams []Stream
@@ -131,9 +131,9 @@
 func Play(day Day) (*Result, error) {
 	w := &World{day: &day, rng: rand.New(rand.NewPCG(day.Seed, 1)), now: epoch, live: map[uint64]*core.Request{}}
 	w.Box = box.New(day.Box, epoch)
-	w.Classes = make([]Tally, len(day.Module.Classes))
+	w.Classes = make([]Tally, len(day.Policy.Classes))
 	var err error
-	if w.Core, err = core.New(core.Settings{Policy: day.Module, Seed: day.Seed, Pools: day.Pools}, w); err != nil {
+	if w.Core, err = core.New(core.Settings{Policy: day.Policy, Seed: day.Seed, Pools: day.Pools}, w); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	w.next = make([]int64, len(day.Streams))
@@ -217,7 +217,7 @@
 			s := &w.day.Streams[i]
 			least, most := s.Work(w.now - epoch)
 			t := &try{class: s.Class, tenant: s.Tenant, first: w.next[i], work: least + (most-least)*w.rng.Float64()}
-			t.due = t.first + w.day.Module.Classes[t.class].Timeout
+			t.due = t.first + w.day.Policy.Classes[t.class].Timeout
 			t.counted = t.first >= epoch+w.day.From
 			t.key = strconv.Itoa(len(w.tries))
 			if t.counted {
@@ -292,7 +292,7 @@
 		c.Refused++
 	case a.Code == core.Failed:
 		c.Failed++
-	case w.now <= t.first+w.day.Module.Classes[t.class].TargetTime:
+	case w.now <= t.first+w.day.Policy.Classes[t.class].TargetTime:
 		c.InTime++
 		c.InTimeWork += t.work
 	default:
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -21,7 +21,7 @@
 func PoolScenarios() []Scenario {
 	day := func(streams func() []Stream, script ...Change) func() Day {
 		return func() Day {
-			return Day{Module: Broker(boxCores), Box: BrokerBox(boxCores), Streams: streams(), Length: 60 * Second,
+			return Day{Policy: Broker(boxCores), Box: BrokerBox(boxCores), Streams: streams(), Length: 60 * Second,
 				From: 5 * Second, Script: script}
 		}
 	}
@@ -51,7 +51,7 @@
 // Retune takes over other pools, as SIGHUP does.
 func Retune(pools *pool.Settings) func(*World) {
 	return func(w *World) {
-		if err := w.Core.Reconfigure(w.day.Module, nil, pools); err != nil {
+		if err := w.Core.Reconfigure(w.day.Policy, nil, pools); err != nil {
 			panic(err) // the scenario's own fault
 		}
 	}
@@ -79,7 +79,7 @@
 			day = s.Day()
 			day.Seed, day.Gauges = uint64(seed), gauges
 			if on == 1 {
-				day.Pools = BrokerPools(&day.Module)
+				day.Pools = BrokerPools(&day.Policy)
 			}
 			r, err := Play(day)
 			if err != nil {
@@ -94,7 +94,7 @@
 		off, on := results[0], results[1]
 		c.CheapOff = min(c.CheapOff, off.Classes[LandmarkSearch].Share())
 		c.CheapOn = min(c.CheapOn, on.Classes[LandmarkSearch].Share())
-		worthOff, worthOn := off.Worth(day.Module.Classes), on.Worth(day.Module.Classes)
+		worthOff, worthOn := off.Worth(day.Policy.Classes), on.Worth(day.Policy.Classes)
 		c.WorthOff += worthOff / float64(seeds)
 		c.WorthOn += worthOn / float64(seeds)
 		c.Worth = min(c.Worth, worthOn/worthOff)
--- a/internal/lab/pools_test.go
+++ b/internal/lab/pools_test.go
@@ -66,7 +66,7 @@
 	for class, load := range []float64{0.5, 0.3, 1.2, 0.9} {
 		day.Streams = append(day.Streams, Only(boxCores, class, load))
 	}
-	day.Pools = BrokerPools(&day.Module)
+	day.Pools = BrokerPools(&day.Policy)
 	r, err := Play(day)
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 		day.Streams, day.Length, day.From, day.Seed = Mixed(boxCores, 0.9), 30*Second, 0, 5
 		day.Script = []Change{{0, Cold(0.21, 17*Second)}}
 		if pools {
-			day.Pools = BrokerPools(&day.Module)
+			day.Pools = BrokerPools(&day.Policy)
 		}
 		r, err := Play(day)
 		if err != nil {
@@ -114,8 +114,8 @@
 	t.Parallel()
 	day := scenario(t, "full").Day()
 	day.Seed = 4
-	day.Pools = BrokerPools(&day.Module)
-	whole := BrokerPools(&day.Module)
+	day.Pools = BrokerPools(&day.Policy)
+	whole := BrokerPools(&day.Policy)
 	dropped, resized := *whole, *whole
 	dropped.Pools = []pool.Spec{whole.Pools[0], whole.Pools[2]}
 	resized.Pools = []pool.Spec{whole.Pools[1], {Name: "all", Classes: []int{CodeToPoint, PointToCode, RegisterAddress}, Share: 0.5}}
@@ -150,7 +150,7 @@
 	t.Parallel()
 	day := scenario(t, "full").Day()
 	day.Seed, day.Length = 6, 90*Second
-	day.Pools = BrokerPools(&day.Module)
+	day.Pools = BrokerPools(&day.Policy)
 	work := func(class int, before, after float64) {
 		day.Streams[class].Work = func(at int64) (float64, float64) {
 			if at < 40*Second {
@@ -186,7 +186,7 @@
 	play := func() *Result {
 		day := scenario(t, "halved").Day()
 		day.Seed, day.Again = 9, true
-		day.Pools = BrokerPools(&day.Module)
+		day.Pools = BrokerPools(&day.Policy)
 		r, err := Play(day)
 		if err != nil {
 			t.Fatal(err)
