--- a/cmd/kitelab/lab.go
+++ b/cmd/kitelab/lab.go
@@ -280,7 +280,7 @@
 	for i := range day.Classes {
 		all.Classes = append(all.Classes, i)
 	}
-	day.Pools = pool.SettingsFor(&day.Module)
+	day.Pools = pool.SettingsFor(&day.Policy)
 	day.Pools.Pools = []pool.Spec{all}
 	return day
 }
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -208,7 +208,7 @@
 		if m.pieces[r] != p || !p.stopped {
 			return
 		}
-		if m.w.day.Module.Stop != kiteslip.StopFreeze || m.over(r) {
+		if m.w.day.Policy.Stop != kiteslip.StopFreeze || m.over(r) {
 			delete(m.pieces, r)
 		}
 		m.core.Done(r, kiteslip.Cancelled, m.w.now-p.began, nil)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -91,7 +91,7 @@
 	Boxes    int
 	Box      box.Spec
 	Spread   float64 // speeds lie evenly within this part above and below
-	Module   kiteslip.Settings
+	Policy   kiteslip.Settings
 	Pools    *pool.Settings
 	Classes  []Class
 	Teams    []Team
@@ -317,7 +317,7 @@
 	spec := day.Box
 	spec.Speed *= m.speed
 	m.box = box.New(spec, w.now)
-	module := day.Module
+	module := day.Policy
 	module.JustStarted = cold
 	module.Workers, module.Callers = day.Boxes, len(day.Callers)
 	var err error
@@ -383,7 +383,7 @@
 		due, a.t.due = 0, a.at+m.w.day.Classes[r.class].Timeout
 	}
 	err := m.core.Submit(m.w.now, &core.Request{TryID: strconv.FormatUint(m.w.names, 16), Class: r.class, Tenant: r.team, Caller: r.caller,
-		Key: r.name, Subject: r.subject, Arrived: a.at, Deadline: due, SizeKB: 16, Retry: m.w.day.Module.MarksRetries && r.tries > 1, Body: strconv.AppendInt(nil, int64(r.work), 10),
+		Key: r.name, Subject: r.subject, Arrived: a.at, Deadline: due, SizeKB: 16, Retry: m.w.day.Policy.MarksRetries && r.tries > 1, Body: strconv.AppendInt(nil, int64(r.work), 10),
 		Stream: m.stream, ReplyTo: m})
 	if err != nil {
 		m.Answer(m.stream, core.Answer{Code: core.Failed})
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -179,7 +179,7 @@
 	t.Parallel()
 	fallen := func(told float64) float64 {
 		return mean(t, "month-end", func(d *Day) {
-			d.Box.Falls, d.Module.MaxRunsPerCore, d.Load = 2, told, 1.2
+			d.Box.Falls, d.Policy.MaxRunsPerCore, d.Load = 2, told, 1.2
 		}, func(o *Outcome) float64 { return float64(o.Fallen) })
 	}
 	if untold, told := fallen(0), fallen(2); untold == 0 || told > 0 {
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -154,7 +154,7 @@
 		if err := day.check(); err != nil {
 			errs = append(errs, err)
 		}
-		if _, err := kiteslip.New(day.Module, 0); err != nil {
+		if _, err := kiteslip.New(day.Policy, 0); err != nil {
 			errs = append(errs, err)
 		}
 		if day.Pools != nil {
@@ -187,7 +187,7 @@
 	default:
 		fail("fleet.backend", "is %q, want engine or uwsgi", s.Fleet.Backend)
 	}
-	day.Module = kiteslip.Settings{Cores: s.Fleet.Cores, MemoryKB: or(s.Server.MemoryMB, 256) * 1024, RunFactor: or(s.Server.RunFactor, 4),
+	day.Policy = kiteslip.Settings{Cores: s.Fleet.Cores, MemoryKB: or(s.Server.MemoryMB, 256) * 1024, RunFactor: or(s.Server.RunFactor, 4),
 		KeyKB: 8, MaxRetryAfter: us(or(s.Server.MaxRetryMS, 1000)), OverShareWorth: 0.05, WorthByWork: true, Tick: 4_000,
 		DrainGrace: 2_000_000, AnswerSlack: 60_000, MaxRunsPerCore: s.Server.Crowd, MaxRunsWindow: 1_500_000,
 		Goal: kiteslip.Goal{Whole: 0.5, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.2}}
@@ -212,11 +212,11 @@
 			fail(key+".calls", "is true, and there is no [ledger]")
 		}
 		day.Classes = append(day.Classes, Class{Class: class, Name: c.Name, Part: c.Part, Least: c.WorkMS[0] * 1000, Most: c.WorkMS[1] * 1000})
-		day.Module.Classes = append(day.Module.Classes, class)
+		day.Policy.Classes = append(day.Policy.Classes, class)
 	}
 	for _, t := range s.Teams {
 		day.Teams = append(day.Teams, Team{t.Name, t.Part})
-		day.Module.Tenants = append(day.Module.Tenants, kiteslip.Tenant{Quota: or(t.Quota, 1e9)})
+		day.Policy.Tenants = append(day.Policy.Tenants, kiteslip.Tenant{Quota: or(t.Quota, 1e9)})
 	}
 	for i, c := range s.Callers {
 		choose, ok := choices[c.Choose]
@@ -244,7 +244,7 @@
 	if len(s.Server.Pools) == 0 {
 		return
 	}
-	day.Pools = pool.SettingsFor(&day.Module)
+	day.Pools = pool.SettingsFor(&day.Policy)
 	day.Pools.CheapReserve = s.Server.CheapReserve
 	for i, p := range s.Server.Pools {
 		spec := pool.Spec{Name: p.Name, Share: p.Share, MaxShare: p.Most, Reserve: p.Reserve}
@@ -266,7 +266,7 @@
 	if !known {
 		fail("server.stop_runs", "is %q, want never, discard or freeze", s.Server.StopRuns)
 	}
-	day.Untold, day.Module.MarksRetries, day.Module.Stop = s.Untold, s.Marks, stop
+	day.Untold, day.Policy.MarksRetries, day.Policy.Stop = s.Untold, s.Marks, stop
 	l := s.Ledger
 	if l == nil {
 		return
@@ -281,5 +281,5 @@
 		fail("ledger.turns_away", "is %v and never_answers %v, want shares", l.Turns, l.Loses)
 	}
 	day.Below = &Below{Places: max(1, l.Places), Least: us(l.MS[0]), Most: us(l.MS[1]), Turns: l.Turns, Loses: l.Loses}
-	day.Module.Downstream, day.Module.CallShareWindow, day.Module.MaxCallLinger = kiteslip.DownstreamTier, 5*Second, 200_000
+	day.Policy.Downstream, day.Policy.CallShareWindow, day.Policy.MaxCallLinger = kiteslip.DownstreamTier, 5*Second, 200_000
 }
--- a/internal/lab/fleet/score.go
+++ b/internal/lab/fleet/score.go
@@ -176,7 +176,7 @@
 		}
 		o.WorstWindow = min(o.WorstWindow, t.share())
 	}
-	g := s.day.Module.Goal
+	g := s.day.Policy.Goal
 	sum := g.Whole + g.WorstWindow + g.WorstClass + g.WorstTenant
 	o.Score = (g.Whole*o.Whole + g.WorstWindow*o.WorstWindow + g.WorstClass*o.WorstClass + g.WorstTenant*o.WorstTeam) / sum
 }
@@ -212,7 +212,7 @@
 	want(d.Poison >= 0 && d.Poison <= 1000, "poison", d.Poison, "0 to 1,000")
 	want(d.Delay >= 0 && d.Delay <= Second, "delay", d.Delay, "0 to a second")
 	want(len(d.Classes) > 0, "classes", len(d.Classes), "one at least")
-	want(len(d.Classes) == len(d.Module.Classes), "classes", len(d.Classes), "those of the module")
+	want(len(d.Classes) == len(d.Policy.Classes), "classes", len(d.Classes), "those of the module")
 	want(len(d.Teams) > 0, "teams", len(d.Teams), "one at least")
 	want(len(d.Callers) > 0, "callers", len(d.Callers), "one at least")
 	part := 0.0
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -112,7 +112,7 @@
 
 // settings words the module's settings for the program.
 func (f *Fleet) settings(listen, engine string) ([]byte, error) {
-	m := &f.day.Module
+	m := &f.day.Policy
 	var classes, tenants []any
 	effects := map[kiteslip.Effect]string{kiteslip.Repeatable: "repeatable", kiteslip.Keyed: "by_key"}
 	for i := range f.day.Classes {
