--- a/cmd/kiteslip/check.go
+++ b/cmd/kiteslip/check.go
@@ -99,8 +99,8 @@
 		}
 		spec := &s.Pools[i]
 		waiting := "what can be served in time"
-		if p.Waiting > 0 {
-			waiting = fmt.Sprint(p.Waiting)
+		if p.MaxQueued > 0 {
+			waiting = fmt.Sprint(p.MaxQueued)
 		}
 		fmt.Fprintf(w, "pool %s: %s; of %d places %.2f its own, %.2f at most, %d beyond the limit; of %.0f MB %.1f its own, %.1f at most; waiting: %s\n",
 			p.Name, strings.Join(names, ", "), s.Cores, spec.Share*float64(s.Cores), spec.EffectiveMaxShare()*float64(s.Cores),
--- a/cmd/kiteslip/control_fleet_test.go
+++ b/cmd/kiteslip/control_fleet_test.go
@@ -189,7 +189,7 @@
 func offered(name string) document.Change {
 	aim, deadline := 4000.0, 5000.0
 	return document.Change{Service: &document.Service{Name: name, Contracts: []document.Contract{
-		{Class: name, Effect: "repeatable", AimMS: &aim, DeadlineMS: &deadline}}}}
+		{Class: name, Effect: "repeatable", TargetTimeMS: &aim, DeadlineMS: &deadline}}}}
 }
 
 // traffic asks all the time: every request is answered, and served.
--- a/cmd/kiteslip/control_same_test.go
+++ b/cmd/kiteslip/control_same_test.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		c.Services = append(c.Services, document.Service{Name: d.name, Contracts: []document.Contract{
-			{Class: d.name, Effect: "repeatable", AimMS: &d.aim, DeadlineMS: &d.limit, Worth: &d.won}}})
+			{Class: d.name, Effect: "repeatable", TargetTimeMS: &d.aim, DeadlineMS: &d.limit, Worth: &d.won}}})
 	}
 	return c
 }
--- a/internal/config/calls.go
+++ b/internal/config/calls.go
@@ -37,8 +37,8 @@
 
 // calls enters what one contract says of calls; ledger is where they would go.
 func calls(t *Contract, ledger string, m *kiteslip.Class, add func(name, format string, args ...any)) {
-	if t.Calls != nil {
-		m.CallsDownstream = *t.Calls
+	if t.CallsDownstream != nil {
+		m.CallsDownstream = *t.CallsDownstream
 	}
 	if m.CallsDownstream && ledger == "" {
 		add("calls", "is true, and there is no ledger")
--- a/internal/config/draft.go
+++ b/internal/config/draft.go
@@ -244,10 +244,10 @@
 		}
 	case c.Pool != nil:
 		s.pools = append(s.pools, *c)
-	case c.Reserve != nil:
+	case c.CheapReserve != nil:
 		s.reserve = new(float64)
 		if !c.Drop {
-			*s.reserve = *c.Reserve
+			*s.reserve = *c.CheapReserve
 		}
 	}
 }
--- a/internal/config/places.go
+++ b/internal/config/places.go
@@ -14,8 +14,8 @@
 // those included that are no longer in force: some kilobytes for each class, some
 // hundred bytes for each team.
 const (
-	mostClassPlaces = document.MostRoutes
-	mostTeamPlaces  = document.MostTeams
+	mostClassPlaces = document.MaxContracts
+	mostTeamPlaces  = document.MaxTeams
 )
 
 // lingersMore is how long, in microseconds, the place of a dropped team stays its
--- a/internal/config/places_test.go
+++ b/internal/config/places_test.go
@@ -66,9 +66,9 @@
 		}
 		for j := range rapid.IntRange(1, 2).Draw(t, "contracts") {
 			k := Contract{Class: classes[2*i+j], Effect: rapid.SampledFrom([]string{"repeatable", "keyed", "once"}).Draw(t, "effect"),
-				AimMS: figure("aim", 100, 300), DeadlineMS: figure("deadline", 300, 500, 900), WindowMS: figure("window", 900, 1500),
+				TargetTimeMS: figure("aim", 100, 300), DeadlineMS: figure("deadline", 300, 500, 900), WindowMS: figure("window", 900, 1500),
 				Worth: figure("worth", 1, 2), LateWorth: figure("late", 0, 0.5), MaxBody: rapid.SampledFrom([]int{0, 0, 4096, 20_000}).Draw(t, "body"),
-				HeldKB: rapid.SampledFrom([]float64{0, 32}).Draw(t, "held"), MaxResult: rapid.SampledFrom([]int{0, 100}).Draw(t, "result")}
+				RequestMemoryKB: rapid.SampledFrom([]float64{0, 32}).Draw(t, "held"), MaxResult: rapid.SampledFrom([]int{0, 100}).Draw(t, "result")}
 			if rapid.Bool().Draw(t, "path") {
 				k.Path = paths[2*i+j]
 			}
@@ -76,10 +76,10 @@
 				k.Effect = rapid.SampledFrom([]string{"repeatable", "keyed", ""}).Draw(t, "any effect")
 				if rapid.IntRange(0, 9).Draw(t, "calls") == 0 {
 					yes := true
-					k.Calls = &yes
+					k.CallsDownstream = &yes
 				}
 			} else if k.MaxBody > 16<<10 {
-				k.HeldKB = 32
+				k.RequestMemoryKB = 32
 			}
 			s.Contracts = append(s.Contracts, k)
 		}
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -59,8 +59,8 @@
 		for _, class := range p.Classes {
 			pools[class] = append(pools[class], i)
 		}
-		spec := pool.Spec{Name: p.Name, Share: p.Share, MaxShare: p.Most, Reserve: p.Reserve, MemoryShare: p.Memory,
-			MaxMemoryShare: p.MemoryMost, MaxQueued: p.Waiting}
+		spec := pool.Spec{Name: p.Name, Share: p.Share, MaxShare: p.MaxShare, Reserve: p.Reserve, MemoryShare: p.Memory,
+			MaxMemoryShare: p.MaxMemoryShare, MaxQueued: p.MaxQueued}
 		s.Pools = append(s.Pools, spec)
 	}
 	for i, class := range c.Classes {
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -241,7 +241,7 @@
 			set(*value * unit)
 		}
 	}
-	figure("aim_ms", t.AimMS, hourMS, 1000, func(v float64) { m.TargetTime = int64(v) })
+	figure("aim_ms", t.TargetTimeMS, hourMS, 1000, func(v float64) { m.TargetTime = int64(v) })
 	figure("deadline_ms", t.DeadlineMS, hourMS, 1000, func(v float64) { m.Timeout = int64(v) })
 	figure("window_ms", t.WindowMS, hourMS, 1000, func(v float64) { m.Window = int64(v) })
 	figure("worth", t.Worth, 1e6, 1, func(v float64) { m.Worth = v })
@@ -259,7 +259,7 @@
 	if m.Effect == kiteslip.Keyed && m.Window < m.Timeout {
 		add("window_ms", "is shorter than the deadline: a later try would run again")
 	}
-	r.front = uwsgi.Contract{Keyed: m.Effect == kiteslip.Keyed, Timeout: m.Timeout, MaxBody: t.MaxBody, RequestMemoryKB: t.HeldKB, Path: t.Path}
+	r.front = uwsgi.Contract{Keyed: m.Effect == kiteslip.Keyed, Timeout: m.Timeout, MaxBody: t.MaxBody, RequestMemoryKB: t.RequestMemoryKB, Path: t.Path}
 	r.backend, r.result = backend, t.MaxResult
 	f := &r.front
 	if f.MaxBody == 0 {
--- a/internal/control/document/bench_test.go
+++ b/internal/control/document/bench_test.go
@@ -28,7 +28,7 @@
 			Name: fmt.Sprintf("service-%04d", i), Owner: c.Teams[r.IntN(teams)].Name,
 			Backend: fmt.Sprintf("10.0.%d.%d:9000", i/200, i%200),
 			Contracts: []Contract{{Class: fmt.Sprintf("route-%04d", i), Path: fmt.Sprintf("/service/%04d", i),
-				Effect: "repeatable", AimMS: &aim, DeadlineMS: &deadline, MaxBody: 4096}},
+				Effect: "repeatable", TargetTimeMS: &aim, DeadlineMS: &deadline, MaxBody: 4096}},
 		})
 	}
 	return c
@@ -123,7 +123,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	loop(b, func() error { _, err := Open(words); return err })
+	loop(b, func() error { _, err := DecodeSnapshot(words); return err })
 }
 
 func heap() (live, total uint64) {
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	before, _ := heap()
-	d, err := Open(words)
+	d, err := DecodeSnapshot(words)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/document/check.go
+++ b/internal/control/document/check.go
@@ -31,8 +31,8 @@
 
 // quote shows a name, and not much more of one that is too long.
 func quote(s string) string {
-	if len(s) > MostName {
-		return strconv.Quote(s[:MostName]) + "..."
+	if len(s) > MaxNameBytes {
+		return strconv.Quote(s[:MaxNameBytes]) + "..."
 	}
 	return strconv.Quote(s)
 }
@@ -115,8 +115,8 @@
 }
 
 func (a about) service(s *Service) {
-	a.optional("owner", s.Owner, MostName)
-	if a.optional("backend", s.Backend, MostName) {
+	a.optional("owner", s.Owner, MaxNameBytes)
+	if a.optional("backend", s.Backend, MaxNameBytes) {
 		if _, _, err := net.SplitHostPort(s.Backend); err != nil {
 			a.add("backend", "is %s, want host:port", quote(s.Backend))
 		}
@@ -133,8 +133,8 @@
 // leaves open, the platform may say: that is checked where the platform is known.
 func (a about) check() {
 	c := a.contract
-	a.text("class", c.Class, MostName)
-	if a.optional("path", c.Path, MostName) && !strings.HasPrefix(c.Path, "/") {
+	a.text("class", c.Class, MaxNameBytes)
+	if a.optional("path", c.Path, MaxNameBytes) && !strings.HasPrefix(c.Path, "/") {
 		a.add("path", "is %s, want one that starts with /", quote(c.Path))
 	}
 	switch c.Effect {
@@ -142,18 +142,18 @@
 	default:
 		a.add("effect", "is %s, want repeatable, keyed or once", quote(c.Effect))
 	}
-	aim, deadline := a.figure("aim_ms", c.AimMS, hourMS), a.figure("deadline_ms", c.DeadlineMS, hourMS)
+	aim, deadline := a.figure("aim_ms", c.TargetTimeMS, hourMS), a.figure("deadline_ms", c.DeadlineMS, hourMS)
 	window := a.figure("window_ms", c.WindowMS, hourMS)
 	a.figure("worth", c.Worth, mostWorth)
 	a.figure("late_worth", c.LateWorth, 1)
-	if a.figure("skip_worth", c.SkipWorth, 1) && *c.SkipWorth > 0 && c.Calls != nil && !*c.Calls {
+	if a.figure("skip_worth", c.SkipWorth, 1) && *c.SkipWorth > 0 && c.CallsDownstream != nil && !*c.CallsDownstream {
 		a.add("skip_worth", "is %v, and the class makes no calls", *c.SkipWorth)
 	}
 	if deadline && micros(c.DeadlineMS) == 0 {
 		a.add("deadline_ms", "is %v, want a microsecond at least", *c.DeadlineMS)
 		deadline = false
 	}
-	if aim && deadline && micros(c.AimMS) > micros(c.DeadlineMS) {
+	if aim && deadline && micros(c.TargetTimeMS) > micros(c.DeadlineMS) {
 		a.add("aim_ms", "is past the deadline")
 	}
 	if c.Effect == "keyed" && window && deadline && micros(c.WindowMS) < micros(c.DeadlineMS) {
@@ -161,7 +161,7 @@
 	}
 	a.bytes("max_body", c.MaxBody, mostBody)
 	a.bytes("max_result", c.MaxResult, mostBody)
-	body, held := c.MaxBody, c.HeldKB
+	body, held := c.MaxBody, c.RequestMemoryKB
 	if body == 0 {
 		body = defaultBody
 	}
@@ -186,21 +186,21 @@
 		a.add("classes", "is empty")
 	}
 	for _, class := range p.Classes {
-		a.text("class", class, MostName)
+		a.text("class", class, MaxNameBytes)
 	}
 	a.part("share", p.Share)
-	a.part("most", p.Most)
+	a.part("most", p.MaxShare)
 	a.part("reserve", p.Reserve)
 	a.part("memory", p.Memory)
-	a.part("memory_most", p.MemoryMost)
-	if p.Most > 0 && p.Most < p.Share {
-		a.add("most", "is %v, less than the share of %v", p.Most, p.Share)
+	a.part("memory_most", p.MaxMemoryShare)
+	if p.MaxShare > 0 && p.MaxShare < p.Share {
+		a.add("most", "is %v, less than the share of %v", p.MaxShare, p.Share)
 	}
-	if p.MemoryMost > 0 && p.MemoryMost < ownMemory(p) {
-		a.add("memory_most", "is %v, less than its own %v", p.MemoryMost, ownMemory(p))
+	if p.MaxMemoryShare > 0 && p.MaxMemoryShare < ownMemory(p) {
+		a.add("memory_most", "is %v, less than its own %v", p.MaxMemoryShare, ownMemory(p))
 	}
-	if p.Waiting < 0 {
-		a.add("waiting", "is %d, want 0 or more", p.Waiting)
+	if p.MaxQueued < 0 {
+		a.add("waiting", "is %d, want 0 or more", p.MaxQueued)
 	}
 }
 
--- a/internal/control/document/concurrent_test.go
+++ b/internal/control/document/concurrent_test.go
@@ -36,7 +36,7 @@
 					t.Error(err)
 					return
 				}
-				opened, err := Open(snapshot)
+				opened, err := DecodeSnapshot(snapshot)
 				if err != nil || !sameVersion(opened, want) {
 					t.Errorf("another version is opened: %v", err)
 				}
--- a/internal/control/document/content.go
+++ b/internal/control/document/content.go
@@ -35,12 +35,12 @@
 	for i := range c.Contracts {
 		t := &c.Contracts[i]
 		t.Class, t.Path, t.Effect = strings.Clone(t.Class), strings.Clone(t.Path), strings.Clone(t.Effect)
-		t.AimMS, t.DeadlineMS, t.WindowMS = plainPointer(t.AimMS), plainPointer(t.DeadlineMS), plainPointer(t.WindowMS)
+		t.TargetTimeMS, t.DeadlineMS, t.WindowMS = plainPointer(t.TargetTimeMS), plainPointer(t.DeadlineMS), plainPointer(t.WindowMS)
 		t.Worth, t.LateWorth, t.SkipWorth = plainPointer(t.Worth), plainPointer(t.LateWorth), plainPointer(t.SkipWorth)
-		t.HeldKB = plain(t.HeldKB)
-		if t.Calls != nil {
-			calls := *t.Calls
-			t.Calls = &calls
+		t.RequestMemoryKB = plain(t.RequestMemoryKB)
+		if t.CallsDownstream != nil {
+			calls := *t.CallsDownstream
+			t.CallsDownstream = &calls
 		}
 	}
 	return c
@@ -52,8 +52,8 @@
 	for i := range c.Classes {
 		c.Classes[i] = strings.Clone(c.Classes[i])
 	}
-	c.Share, c.Most, c.Reserve = plain(p.Share), plain(p.Most), plain(p.Reserve)
-	c.Memory, c.MemoryMost = plain(p.Memory), plain(p.MemoryMost)
+	c.Share, c.MaxShare, c.Reserve = plain(p.Share), plain(p.MaxShare), plain(p.Reserve)
+	c.Memory, c.MaxMemoryShare = plain(p.Memory), plain(p.MaxMemoryShare)
 	return &c
 }
 
@@ -102,7 +102,7 @@
 	for i := range c.Pools {
 		all = append(all, Change{Pool: &c.Pools[i]})
 	}
-	return append(all, Change{Reserve: &c.CheapReserve})
+	return append(all, Change{CheapReserve: &c.CheapReserve})
 }
 
 // Diff returns the changes that make what d holds into next: teams, services,
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -47,32 +47,32 @@
 // nil or zero stays as the platform or the default has it. Each is a route: its
 // class, and its path where it has one, lead to the service's backend.
 type Contract struct {
-	Class      string   `toml:"class" cbor:"1,keyasint"`
-	Path       string   `toml:"path" cbor:"2,keyasint,omitempty"`
-	Effect     string   `toml:"effect" cbor:"3,keyasint,omitempty"`
-	AimMS      *float64 `toml:"aim_ms" cbor:"4,keyasint,omitempty"`
-	DeadlineMS *float64 `toml:"deadline_ms" cbor:"5,keyasint,omitempty"`
-	WindowMS   *float64 `toml:"window_ms" cbor:"6,keyasint,omitempty"`
-	Worth      *float64 `toml:"worth" cbor:"7,keyasint,omitempty"`
-	LateWorth  *float64 `toml:"late_worth" cbor:"8,keyasint,omitempty"`
-	MaxBody    int      `toml:"max_body" cbor:"9,keyasint,omitempty"`
-	MaxResult  int      `toml:"max_result" cbor:"10,keyasint,omitempty"`
-	HeldKB     float64  `toml:"held_kb" cbor:"11,keyasint,omitempty"`
-	Calls      *bool    `toml:"calls" cbor:"12,keyasint,omitempty"`
-	SkipWorth  *float64 `toml:"skip_worth" cbor:"13,keyasint,omitempty"`
+	Class           string   `toml:"class" cbor:"1,keyasint"`
+	Path            string   `toml:"path" cbor:"2,keyasint,omitempty"`
+	Effect          string   `toml:"effect" cbor:"3,keyasint,omitempty"`
+	TargetTimeMS    *float64 `toml:"aim_ms" cbor:"4,keyasint,omitempty"`
+	DeadlineMS      *float64 `toml:"deadline_ms" cbor:"5,keyasint,omitempty"`
+	WindowMS        *float64 `toml:"window_ms" cbor:"6,keyasint,omitempty"`
+	Worth           *float64 `toml:"worth" cbor:"7,keyasint,omitempty"`
+	LateWorth       *float64 `toml:"late_worth" cbor:"8,keyasint,omitempty"`
+	MaxBody         int      `toml:"max_body" cbor:"9,keyasint,omitempty"`
+	MaxResult       int      `toml:"max_result" cbor:"10,keyasint,omitempty"`
+	RequestMemoryKB float64  `toml:"held_kb" cbor:"11,keyasint,omitempty"`
+	CallsDownstream *bool    `toml:"calls" cbor:"12,keyasint,omitempty"`
+	SkipWorth       *float64 `toml:"skip_worth" cbor:"13,keyasint,omitempty"`
 }
 
 // Pool is one pool of classes that share running places and memory. All figures
 // but Waiting are parts, 0 to 1.
 type Pool struct {
-	Name       string   `toml:"name" cbor:"1,keyasint"`
-	Classes    []string `toml:"classes" cbor:"2,keyasint"`
-	Share      float64  `toml:"share" cbor:"3,keyasint,omitempty"`       // of the running places: its own whenever it wants them
-	Most       float64  `toml:"most" cbor:"4,keyasint,omitempty"`        // of the running places: never more; 0 = all
-	Reserve    float64  `toml:"reserve" cbor:"5,keyasint,omitempty"`     // of the cores: places beyond the running limit
-	Memory     float64  `toml:"memory" cbor:"6,keyasint,omitempty"`      // of work_mb: its own; 0 = as share
-	MemoryMost float64  `toml:"memory_most" cbor:"7,keyasint,omitempty"` // of work_mb: never more; 0 = all
-	Waiting    int      `toml:"waiting" cbor:"8,keyasint,omitempty"`     // requests that may wait; 0 = what can be served in time
+	Name           string   `toml:"name" cbor:"1,keyasint"`
+	Classes        []string `toml:"classes" cbor:"2,keyasint"`
+	Share          float64  `toml:"share" cbor:"3,keyasint,omitempty"`       // of the running places: its own whenever it wants them
+	MaxShare       float64  `toml:"most" cbor:"4,keyasint,omitempty"`        // of the running places: never more; 0 = all
+	Reserve        float64  `toml:"reserve" cbor:"5,keyasint,omitempty"`     // of the cores: places beyond the running limit
+	Memory         float64  `toml:"memory" cbor:"6,keyasint,omitempty"`      // of work_mb: its own; 0 = as share
+	MaxMemoryShare float64  `toml:"memory_most" cbor:"7,keyasint,omitempty"` // of work_mb: never more; 0 = all
+	MaxQueued      int      `toml:"waiting" cbor:"8,keyasint,omitempty"`     // requests that may wait; 0 = what can be served in time
 }
 
 // Content is all that one version holds, each list in the order of names.
@@ -86,11 +86,11 @@
 // Change sets or drops one entry. Exactly one of the four is set: a team, a
 // service, a pool or the reserve; with Drop only its name counts.
 type Change struct {
-	Drop    bool     `cbor:"1,keyasint,omitempty"`
-	Team    *Team    `cbor:"2,keyasint,omitempty"`
-	Service *Service `cbor:"3,keyasint,omitempty"`
-	Pool    *Pool    `cbor:"4,keyasint,omitempty"`
-	Reserve *float64 `cbor:"5,keyasint,omitempty"`
+	Drop         bool     `cbor:"1,keyasint,omitempty"`
+	Team         *Team    `cbor:"2,keyasint,omitempty"`
+	Service      *Service `cbor:"3,keyasint,omitempty"`
+	Pool         *Pool    `cbor:"4,keyasint,omitempty"`
+	CheapReserve *float64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Digest is SHA-256.
@@ -123,18 +123,18 @@
 
 // The bounds on what is taken in; more is a fault that names the bound.
 const (
-	MostTeams    = 65_536
-	MostServices = 8_192
-	MostRoutes   = 8_192 // contracts of all services
-	MostPools    = 64
-	MostName     = 128     // bytes of a name or path
-	MostText     = 1 << 10 // bytes of an author or a reason
-	MostBytes    = 16 << 20
+	MaxTeams       = 65_536
+	MaxServices    = 8_192
+	MaxContracts   = 8_192 // contracts of all services
+	MaxPools       = 64
+	MaxNameBytes   = 128     // bytes of a name or path
+	MaxTextBytes   = 1 << 10 // bytes of an author or a reason
+	MaxRecordBytes = 16 << 20
 )
 
 // Errors of Apply, to be compared with errors.Is.
 var (
-	ErrParent = errors.New("document: the delta's parent is not the version in force") // what lies between is missing
-	ErrFork   = errors.New("document: another version with this number is in force")
-	ErrDigest = errors.New("document: the content is not the one that the header names")
+	ErrParentMismatch = errors.New("document: the delta's parent is not the version in force") // what lies between is missing
+	ErrFork           = errors.New("document: another version with this number is in force")
+	ErrDigestMismatch = errors.New("document: the content is not the one that the header names")
 )
--- a/internal/control/document/edit.go
+++ b/internal/control/document/edit.go
@@ -11,7 +11,7 @@
 )
 
 // mostChanges bounds a delta: all that may be there dropped, and as much set.
-const mostChanges = 2 * (MostTeams + MostServices + MostPools + 1)
+const mostChanges = 2 * (MaxTeams + MaxServices + MaxPools + 1)
 
 // entry is a Change as it is worked on.
 type entry struct {
@@ -40,7 +40,7 @@
 	case *Pool:
 		return Change{Pool: v}
 	case *float64:
-		return Change{Reserve: v}
+		return Change{CheapReserve: v}
 	}
 	c := Change{Drop: true}
 	switch e.kind {
@@ -51,7 +51,7 @@
 	case kindPool:
 		c.Pool = &Pool{Name: e.name}
 	default:
-		c.Reserve = new(float64)
+		c.CheapReserve = new(float64)
 	}
 	return c
 }
@@ -92,8 +92,8 @@
 	if c.Pool != nil {
 		e.kind, e.name, e.value, set = kindPool, c.Pool.Name, clonePool(c.Pool), set+1
 	}
-	if c.Reserve != nil {
-		v := plain(*c.Reserve)
+	if c.CheapReserve != nil {
+		v := plain(*c.CheapReserve)
 		e.kind, e.name, e.value, set = kindReserve, "", &v, set+1
 	}
 	if set != 1 {
@@ -169,7 +169,7 @@
 			f.add("change[%d] %w", i, err)
 			continue
 		}
-		if e.kind != kindReserve && !(about{f: f, entry: &e}).text("name", e.name, MostName) {
+		if e.kind != kindReserve && !(about{f: f, entry: &e}).text("name", e.name, MaxNameBytes) {
 			continue
 		}
 		if seen[id{e.kind, e.name}] {
@@ -248,7 +248,7 @@
 	}
 	own := func(a about, index byte, key, name, field, other string) {
 		switch {
-		case key == "" || len(key) > MostName: // named as a fault already, or not there
+		case key == "" || len(key) > MaxNameBytes: // named as a fault already, or not there
 		case e == nil:
 			txn.Delete(indexKey(index, key))
 		default:
@@ -271,7 +271,7 @@
 			own(a, inPaths, a.contract.Path, v.Name, "path", "service")
 		}
 		switch key := ownerKey(v.Owner, v.Name); {
-		case v.Owner == "" || len(v.Owner) > MostName:
+		case v.Owner == "" || len(v.Owner) > MaxNameBytes:
 		case e == nil:
 			txn.Delete(key)
 		default:
@@ -310,7 +310,7 @@
 			}
 		case e.kind == kindService && !e.drop:
 			owner := e.value.(*Service).Owner
-			if owner == "" || len(owner) > MostName {
+			if owner == "" || len(owner) > MaxNameBytes {
 				continue
 			}
 			if _, ok := root.Get(entryKey(kindTeam, owner, bucketOf(kindTeam, owner))); !ok {
@@ -325,11 +325,11 @@
 			f.add("there are %d %s, want at most %d", n, what, most)
 		}
 	}
-	bound("teams", s.teams, MostTeams)
-	bound("services", s.services, MostServices)
-	bound("contracts", s.routes, MostRoutes)
-	bound("pools", s.pools, MostPools)
-	bound("classes in pools", s.pooled, MostRoutes)
+	bound("teams", s.teams, MaxTeams)
+	bound("services", s.services, MaxServices)
+	bound("contracts", s.routes, MaxContracts)
+	bound("pools", s.pools, MaxPools)
+	bound("classes in pools", s.pooled, MaxContracts)
 	if pools {
 		s.checkPools(root, f)
 	}
--- a/internal/control/document/faults_test.go
+++ b/internal/control/document/faults_test.go
@@ -15,8 +15,8 @@
 		Teams: []Team{{"ana", 5}, {"bo", 1}, {"idle", 1}},
 		Services: []Service{
 			{Name: "maps", Owner: "ana", Contracts: []Contract{
-				{Class: "draw", Path: "/draw", Effect: "repeatable", AimMS: ref(10.0), DeadlineMS: ref(100.0), Worth: ref(0.0)},
-				{Class: "print", Effect: "keyed", DeadlineMS: ref(1000.0), WindowMS: ref(2000.0), Calls: ref(false)}}},
+				{Class: "draw", Path: "/draw", Effect: "repeatable", TargetTimeMS: ref(10.0), DeadlineMS: ref(100.0), Worth: ref(0.0)},
+				{Class: "print", Effect: "keyed", DeadlineMS: ref(1000.0), WindowMS: ref(2000.0), CallsDownstream: ref(false)}}},
 			{Name: "till", Owner: "bo", Backend: "127.0.0.1:9000", Contracts: []Contract{{Class: "pay", Path: "/pay", Effect: "once"}}},
 		},
 		Pools:        []Pool{{Name: "quick", Classes: []string{"draw"}, Share: 0.5}},
@@ -34,7 +34,7 @@
 // TestFaults names each fault by entry and field, by Draft and by Apply alike, and
 // nothing of the delta is taken.
 func TestFaults(t *testing.T) {
-	long := strings.Repeat("x", MostName+1)
+	long := strings.Repeat("x", MaxNameBytes+1)
 	contract := func(c Contract) []Change {
 		c.Class = "c"
 		return []Change{service("s", c)}
@@ -51,21 +51,21 @@
 		changes []Change
 	}{
 		{"the delta is empty", nil},
-		{"the delta changes nothing", []Change{team("ana", 5), {Reserve: ref(0.5)}}},
+		{"the delta changes nothing", []Change{team("ana", 5), {CheapReserve: ref(0.5)}}},
 		{"change[0] names no entry, or more than one", []Change{{}}},
-		{"change[0] names no entry, or more than one", []Change{{Team: &Team{Name: "x", Quota: 1}, Reserve: ref(0.0)}}},
+		{"change[0] names no entry, or more than one", []Change{{Team: &Team{Name: "x", Quota: 1}, CheapReserve: ref(0.0)}}},
 		{"change[1] names no entry, or more than one", []Change{team("x", 1), {Drop: true}}},
 		{`team "x" is named twice`, []Change{team("x", 1), team("x", 2)}},
 		{`team "idle" is named twice`, []Change{team("idle", 1), {Drop: true, Team: &Team{Name: "idle"}}}},
 		{`service "s" is named twice`, []Change{service("s", Contract{Class: "a"}), service("s", Contract{Class: "b"})}},
-		{`reserve is named twice`, []Change{{Reserve: ref(0.1)}, {Reserve: ref(0.2)}}},
+		{`reserve is named twice`, []Change{{CheapReserve: ref(0.1)}, {CheapReserve: ref(0.2)}}},
 		{`team "x" is not there, and cannot be dropped`, []Change{{Drop: true, Team: &Team{Name: "x"}}}},
 		{`service "x" is not there, and cannot be dropped`, []Change{{Drop: true, Service: &Service{Name: "x"}}}},
 		{`pool "x" is not there, and cannot be dropped`, []Change{{Drop: true, Pool: &Pool{Name: "x"}}}},
 		{`team "" name is absent`, []Change{team("", 1)}},
 		{`service "" name is absent`, []Change{service("", Contract{Class: "a"})}},
 		{`pool "" name is absent`, []Change{{Drop: true, Pool: &Pool{}}}},
-		{`team "` + long[:MostName] + `"... name has 129 bytes, want at most 128`, []Change{team(long, 1)}},
+		{`team "` + long[:MaxNameBytes] + `"... name has 129 bytes, want at most 128`, []Change{team(long, 1)}},
 		{`team "a\xff" name is "a\xff", want UTF-8`, []Change{team("a\xff", 1)}},
 		{`team "x" requests_per_s is 0, want above 0 and finite`, []Change{team("x", 0)}},
 		{`team "x" requests_per_s is -1, want above 0 and finite`, []Change{team("x", -1)}},
@@ -80,7 +80,7 @@
 		{`service "s" backend has 129 bytes, want at most 128`, []Change{{Service: &Service{Name: "s", Backend: long, Contracts: []Contract{{Class: "a"}}}}}},
 		{`service "s" contract is absent`, []Change{{Service: &Service{Name: "s"}}}},
 		{`service "s" contract[0] class is absent`, []Change{service("s", Contract{})}},
-		{`service "s" contract "` + long[:MostName] + `"... class has 129 bytes, want at most 128`, []Change{service("s", Contract{Class: long})}},
+		{`service "s" contract "` + long[:MaxNameBytes] + `"... class has 129 bytes, want at most 128`, []Change{service("s", Contract{Class: long})}},
 		{`service "s" contract "draw" class is "draw", want one of its own: service "maps" has it`, []Change{service("s", Contract{Class: "draw"})}},
 		{`service "s" contract "a" class is "a", want one of its own: service "s" has it`, []Change{{Service: &Service{Name: "s", Contracts: []Contract{{Class: "a"}, {Class: "a"}}}}}},
 		{`service "z" contract "a" class is "a", want one of its own: service "s" has it`, []Change{service("z", Contract{Class: "a"}), service("s", Contract{Class: "a"})}},
@@ -88,8 +88,8 @@
 		{`service "s" contract "c" path is "pay", want one that starts with /`, contract(Contract{Path: "pay"})},
 		{`service "s" contract "c" path has 130 bytes, want at most 128`, contract(Contract{Path: "/" + long})},
 		{`service "s" contract "c" effect is "twice", want repeatable, keyed or once`, contract(Contract{Effect: "twice"})},
-		{`service "s" contract "c" aim_ms is -1, want 0 to 3.6e+06`, contract(Contract{AimMS: ref(-1.0)})},
-		{`service "s" contract "c" aim_ms is past the deadline`, contract(Contract{AimMS: ref(11.0), DeadlineMS: ref(10.0)})},
+		{`service "s" contract "c" aim_ms is -1, want 0 to 3.6e+06`, contract(Contract{TargetTimeMS: ref(-1.0)})},
+		{`service "s" contract "c" aim_ms is past the deadline`, contract(Contract{TargetTimeMS: ref(11.0), DeadlineMS: ref(10.0)})},
 		{`service "s" contract "c" deadline_ms is 3.600001e+06, want 0 to 3.6e+06`, contract(Contract{DeadlineMS: ref(3_600_001.0)})},
 		{`service "s" contract "c" deadline_ms is 0, want a microsecond at least`, contract(Contract{DeadlineMS: ref(0.0)})},
 		{`service "s" contract "c" window_ms is NaN, want 0 to 3.6e+06`, contract(Contract{WindowMS: ref(math.NaN())})},
@@ -98,29 +98,29 @@
 		{`service "s" contract "c" worth is 1.000001e+06, want 0 to 1e+06`, contract(Contract{Worth: ref(1_000_001.0)})},
 		{`service "s" contract "c" late_worth is 1.1, want 0 to 1`, contract(Contract{LateWorth: ref(1.1)})},
 		{`service "s" contract "c" skip_worth is -0.1, want 0 to 1`, contract(Contract{SkipWorth: ref(-0.1)})},
-		{`service "s" contract "c" skip_worth is 0.5, and the class makes no calls`, contract(Contract{SkipWorth: ref(0.5), Calls: ref(false)})},
+		{`service "s" contract "c" skip_worth is 0.5, and the class makes no calls`, contract(Contract{SkipWorth: ref(0.5), CallsDownstream: ref(false)})},
 		{`service "s" contract "c" max_body is -1, want 0 to 1048576 bytes`, contract(Contract{MaxBody: -1})},
 		{`service "s" contract "c" max_result is 1048577, want 0 to 1048576 bytes`, contract(Contract{MaxResult: 1<<20 + 1})},
-		{`service "s" contract "c" held_kb is 1, want room for max_body at least`, contract(Contract{HeldKB: 1})},
+		{`service "s" contract "c" held_kb is 1, want room for max_body at least`, contract(Contract{RequestMemoryKB: 1})},
 		{`service "s" contract "c" held_kb is 16, want room for max_body at least`, contract(Contract{MaxBody: 16<<10 + 1})},
-		{`service "s" contract "c" held_kb is -3, want above 0 and finite`, contract(Contract{HeldKB: -3})},
-		{`service "s" contract "c" held_kb is +Inf, want above 0 and finite`, contract(Contract{HeldKB: math.Inf(1)})},
+		{`service "s" contract "c" held_kb is -3, want above 0 and finite`, contract(Contract{RequestMemoryKB: -3})},
+		{`service "s" contract "c" held_kb is +Inf, want above 0 and finite`, contract(Contract{RequestMemoryKB: math.Inf(1)})},
 		{`pool "p" classes is empty`, onePool(Pool{Classes: []string{}})},
 		{`pool "p" class is absent`, onePool(Pool{Classes: []string{""}})},
 		{`pool "p" class is "draw", want one of its own: pool "quick" has it`, onePool(Pool{Classes: []string{"pay", "draw"}})},
 		{`pool "p" class is "pay", want one of its own: pool "p" has it`, onePool(Pool{Classes: []string{"pay", "pay"}})},
 		{`pool "rest" name is that of the classes which no pool names`, []Change{{Pool: &Pool{Name: "rest", Classes: []string{"pay"}}}}},
 		{`pool "p" share is 1.5, want 0 to 1`, onePool(Pool{Share: 1.5})},
-		{`pool "p" most is NaN, want 0 to 1`, onePool(Pool{Most: math.NaN()})},
-		{`pool "p" most is 0.1, less than the share of 0.2`, onePool(Pool{Share: 0.2, Most: 0.1})},
+		{`pool "p" most is NaN, want 0 to 1`, onePool(Pool{MaxShare: math.NaN()})},
+		{`pool "p" most is 0.1, less than the share of 0.2`, onePool(Pool{Share: 0.2, MaxShare: 0.1})},
 		{`pool "p" reserve is -0.5, want 0 to 1`, onePool(Pool{Reserve: -0.5})},
 		{`pool "p" memory is 2, want 0 to 1`, onePool(Pool{Memory: 2})},
-		{`pool "p" memory_most is 3, want 0 to 1`, onePool(Pool{MemoryMost: 3})},
-		{`pool "p" memory_most is 0.1, less than its own 0.3`, onePool(Pool{Share: 0.3, MemoryMost: 0.1})},
-		{`pool "p" waiting is -1, want 0 or more`, onePool(Pool{Waiting: -1})},
+		{`pool "p" memory_most is 3, want 0 to 1`, onePool(Pool{MaxMemoryShare: 3})},
+		{`pool "p" memory_most is 0.1, less than its own 0.3`, onePool(Pool{Share: 0.3, MaxMemoryShare: 0.1})},
+		{`pool "p" waiting is -1, want 0 or more`, onePool(Pool{MaxQueued: -1})},
 		{`share adds up to 1.100 over all pools, want 1 at most`, onePool(Pool{Share: 0.6})},
 		{`memory adds up to 1.200 over all pools, want 1 at most`, onePool(Pool{Memory: 0.7})},
-		{`reserve share is 1.5, want 0 to 1`, []Change{{Reserve: ref(1.5)}}},
+		{`reserve share is 1.5, want 0 to 1`, []Change{{CheapReserve: ref(1.5)}}},
 		{`reserve is there, and there is no pool`, []Change{{Drop: true, Pool: &Pool{Name: "quick"}}}},
 	} {
 		t.Run(c.want, func(t *testing.T) {
@@ -132,7 +132,7 @@
 			}
 			lie := &Delta{Header: Header{Number: 2, Parent: d.Digest(), Author: "a", Reason: "r"}, Changes: c.changes}
 			next, err := d.Apply(lie)
-			if next != nil || err == nil || errors.Is(err, ErrDigest) {
+			if next != nil || err == nil || errors.Is(err, ErrDigestMismatch) {
 				t.Fatalf("Apply: %v", err)
 			}
 			if !named(err, c.want) {
@@ -161,11 +161,11 @@
 		team("x", -1),
 		{Drop: true, Team: &Team{Name: "ana"}},
 		{},
-		service("maps2", Contract{Class: "draw", Path: "pay", Effect: "x", AimMS: ref(2.0), DeadlineMS: ref(1.0)}),
+		service("maps2", Contract{Class: "draw", Path: "pay", Effect: "x", TargetTimeMS: ref(2.0), DeadlineMS: ref(1.0)}),
 		{Drop: true, Pool: &Pool{Name: "none"}},
 		{Pool: &Pool{Name: "p", Classes: []string{"draw"}, Share: 2}},
 	}
-	_, err := small(t).Draft(changes, Meta{Author: strings.Repeat("a", MostText+1)})
+	_, err := small(t).Draft(changes, Meta{Author: strings.Repeat("a", MaxTextBytes+1)})
 	want := []string{
 		"author has 1025 bytes, want at most 1024", "reason is absent", "change[2] names no entry, or more than one",
 		`team "x" requests_per_s is -1, want above 0 and finite`,
@@ -194,7 +194,7 @@
 	}{
 		{"author is absent", Meta{Reason: "r"}},
 		{"reason is absent", Meta{Author: "a"}},
-		{"reason has 1025 bytes, want at most 1024", Meta{Author: "a", Reason: strings.Repeat("r", MostText+1)}},
+		{"reason has 1025 bytes, want at most 1024", Meta{Author: "a", Reason: strings.Repeat("r", MaxTextBytes+1)}},
 		{`author is "\xff", want UTF-8`, Meta{Author: "\xff", Reason: "r"}},
 	} {
 		if delta, err := d.Draft([]Change{team("x", 1)}, c.by); delta != nil || err == nil || err.Error() != c.want {
@@ -225,8 +225,8 @@
 		"owner comes":          {{Service: &Service{Name: "s", Owner: "new", Contracts: []Contract{{Class: "a"}}}}, team("new", 1)},
 		"owner changes and goes": {{Drop: true, Team: &Team{Name: "bo"}},
 			{Service: &Service{Name: "till", Owner: "ana", Contracts: []Contract{{Class: "pay"}}}}},
-		"pool and reserve go":         {{Drop: true, Pool: &Pool{Name: "quick"}}, {Reserve: ref(0.0)}},
-		"pool and reserve go, worded": {{Drop: true, Reserve: ref(0.0)}, {Drop: true, Pool: &Pool{Name: "quick"}}},
+		"pool and reserve go":         {{Drop: true, Pool: &Pool{Name: "quick"}}, {CheapReserve: ref(0.0)}},
+		"pool and reserve go, worded": {{Drop: true, CheapReserve: ref(0.0)}, {Drop: true, Pool: &Pool{Name: "quick"}}},
 		"a share goes over":           {{Pool: &Pool{Name: "quick", Classes: []string{"pay"}, Share: 0.1}}, {Pool: &Pool{Name: "p", Classes: []string{"draw"}, Share: 0.9}}},
 	} {
 		delta, err := d.Draft(changes, by)
@@ -274,15 +274,15 @@
 		delta *Delta
 		want  error
 	}{
-		"in force already":           {d2, two, ErrParent},
-		"long in force":              {d3, two, ErrParent},
+		"in force already":           {d2, two, ErrParentMismatch},
+		"long in force":              {d3, two, ErrParentMismatch},
 		"another with its number":    {d2, otherTwo, ErrFork},
 		"another with the parent's":  {d3, otherTwo, ErrFork},
-		"one on another parent":      {d2, otherThree, ErrParent},
-		"one that skips a version":   {d2, four, ErrParent},
-		"one from far ahead":         {Empty(), four, ErrParent},
-		"number 0":                   {d3, &zero, ErrParent},
-		"its content is another":     {d2, &lie, ErrDigest},
+		"one on another parent":      {d2, otherThree, ErrParentMismatch},
+		"one that skips a version":   {d2, four, ErrParentMismatch},
+		"one from far ahead":         {Empty(), four, ErrParentMismatch},
+		"number 0":                   {d3, &zero, ErrParentMismatch},
+		"its content is another":     {d2, &lie, ErrDigestMismatch},
 		"same number, another word":  {d3, &relabelled, ErrFork},
 		"another author, not a fork": {d2, &relabelled, nil},
 	} {
@@ -291,7 +291,7 @@
 		if !errors.Is(err, c.want) || (next == nil) != (err != nil) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
-		for _, other := range []error{ErrParent, ErrFork, ErrDigest} {
+		for _, other := range []error{ErrParentMismatch, ErrFork, ErrDigestMismatch} {
 			if c.want != other && errors.Is(err, other) {
 				t.Errorf("%s: %v is also %v", name, err, other)
 			}
@@ -311,7 +311,7 @@
 	changes := []Change{team("a", 1), team("b", 2), service("s", Contract{Class: "c"}), {Pool: &Pool{Name: "p", Classes: []string{"c"}}}}
 	reversed := []Change{changes[3], changes[2], changes[1], changes[0]}
 	negative := []Change{changes[0], changes[1], changes[2], {Pool: &Pool{Name: "p", Classes: []string{"c"}, Share: math.Copysign(0, -1)}},
-		{Reserve: ref(math.Copysign(0, -1))}}
+		{CheapReserve: ref(math.Copysign(0, -1))}}
 	first, err := Empty().Draft(changes, by)
 	if err != nil {
 		t.Fatal(err)
@@ -328,7 +328,7 @@
 	}
 	unlike := map[Digest]string{first.Header.Content: "the first"}
 	for i, c := range []Change{team("a", 1.5), team("c", 1), service("s", Contract{Class: "d"}), service("s", Contract{Class: "c", Worth: ref(0.0)}),
-		service("s", Contract{Class: "c", Calls: ref(false)}), service("t", Contract{Class: "d"}), {Reserve: ref(0.5)},
+		service("s", Contract{Class: "c", CallsDownstream: ref(false)}), service("t", Contract{Class: "d"}), {CheapReserve: ref(0.5)},
 		{Pool: &Pool{Name: "p", Classes: []string{"c", "d"}}}, {Pool: &Pool{Name: "p", Classes: []string{"d", "c"}}},
 		{Drop: true, Pool: &Pool{Name: "p"}}, {Drop: true, Team: &Team{Name: "a"}}} {
 		delta, err := version(t, content(t, changes)).Draft([]Change{c}, by)
@@ -359,9 +359,9 @@
 // content that it was handed, nor a later version, reaches a version.
 func TestSharesNothing(t *testing.T) {
 	d := small(t)
-	s := &Service{Name: "s", Contracts: []Contract{{Class: "a", AimMS: ref(1.0), Calls: ref(true)}}}
+	s := &Service{Name: "s", Contracts: []Contract{{Class: "a", TargetTimeMS: ref(1.0), CallsDownstream: ref(true)}}}
 	p := &Pool{Name: "p", Classes: []string{"a"}}
-	changes := []Change{{Service: s}, {Pool: p}, {Reserve: ref(0.25)}}
+	changes := []Change{{Service: s}, {Pool: p}, {CheapReserve: ref(0.25)}}
 	delta, err := d.Draft(changes, by)
 	if err != nil {
 		t.Fatal(err)
@@ -371,11 +371,11 @@
 			switch c := &changes[i]; {
 			case c.Service != nil:
 				c.Service.Name, c.Service.Contracts[0].Class = "spoilt", "spoilt"
-				*c.Service.Contracts[0].AimMS, *c.Service.Contracts[0].Calls = 99, false
+				*c.Service.Contracts[0].TargetTimeMS, *c.Service.Contracts[0].CallsDownstream = 99, false
 			case c.Pool != nil:
 				c.Pool.Name, c.Pool.Classes[0] = "spoilt", "spoilt"
 			default:
-				*c.Reserve = 0.99
+				*c.CheapReserve = 0.99
 			}
 		}
 	}
@@ -398,7 +398,7 @@
 	spoil(delta.Changes)
 	handed := next.Content()
 	handed.Services[0].Contracts[0].Class = "spoilt"
-	*handed.Services[0].Contracts[0].AimMS = 99
+	*handed.Services[0].Contracts[0].TargetTimeMS = 99
 	handed.Pools[0].Classes[0], handed.Teams[0].Quota = "spoilt", 99
 	if _, err := next.Apply(mustDraft(t, next, Change{Drop: true, Service: &Service{Name: "s"}})); err != nil {
 		t.Fatal(err)
--- a/internal/control/document/model_test.go
+++ b/internal/control/document/model_test.go
@@ -72,7 +72,7 @@
 		case c.Drop:
 			m.reserve = 0
 		default:
-			m.reserve = *c.Reserve
+			m.reserve = *c.CheapReserve
 		}
 	}
 	return m.whole() && !reflect.DeepEqual(before, m.content())
@@ -197,14 +197,14 @@
 
 func drawContract(t *rapid.T) Contract {
 	c := Contract{
-		Class:      drawName(t, "class", 12),
-		Effect:     rapid.SampledFrom([]string{"", "repeatable", "once"}).Draw(t, "effect"),
-		AimMS:      drawFigure(t, "aim", 0, 2.5),
-		DeadlineMS: drawFigure(t, "deadline", 50, 1e5),
-		Worth:      drawFigure(t, "worth", 0, 1, 0.3),
-		MaxBody:    rapid.SampledFrom([]int{0, 1 << 10}).Draw(t, "max body"),
-		HeldKB:     rapid.SampledFrom([]float64{0, 17.25}).Draw(t, "held"),
-		Calls:      rapid.SampledFrom([]*bool{nil, ref(true), ref(false)}).Draw(t, "calls"),
+		Class:           drawName(t, "class", 12),
+		Effect:          rapid.SampledFrom([]string{"", "repeatable", "once"}).Draw(t, "effect"),
+		TargetTimeMS:    drawFigure(t, "aim", 0, 2.5),
+		DeadlineMS:      drawFigure(t, "deadline", 50, 1e5),
+		Worth:           drawFigure(t, "worth", 0, 1, 0.3),
+		MaxBody:         rapid.SampledFrom([]int{0, 1 << 10}).Draw(t, "max body"),
+		RequestMemoryKB: rapid.SampledFrom([]float64{0, 17.25}).Draw(t, "held"),
+		CallsDownstream: rapid.SampledFrom([]*bool{nil, ref(true), ref(false)}).Draw(t, "calls"),
 	}
 	if rapid.Bool().Draw(t, "has path") {
 		c.Path = "/" + drawName(t, "path", 8)
@@ -228,9 +228,9 @@
 		c.Pool = &Pool{Name: drawName(t, "pool", 3), Classes: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) string {
 			return drawName(t, "class", 12)
 		}), 1, 3).Draw(t, "classes"), Share: rapid.SampledFrom([]float64{0, 0.1, 0.5, 0.75}).Draw(t, "share"),
-			Waiting: rapid.IntRange(0, 1).Draw(t, "waiting")}
+			MaxQueued: rapid.IntRange(0, 1).Draw(t, "waiting")}
 	default:
-		c.Reserve = ref(rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "reserve"))
+		c.CheapReserve = ref(rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "reserve"))
 	}
 	return c
 }
@@ -301,7 +301,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		opened, err := Open(snapshot)
+		opened, err := DecodeSnapshot(snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/control/document/state.go
+++ b/internal/control/document/state.go
@@ -77,7 +77,7 @@
 
 // bucketOf is a hash of kind and name.
 func bucketOf(k kind, name string) int {
-	b := make([]byte, 0, 1+MostName)
+	b := make([]byte, 0, 1+MaxNameBytes)
 	h := sha256.Sum256(append(append(b, byte(k)), name...))
 	return int(binary.BigEndian.Uint16(h[:]) % bucketCount)
 }
--- a/internal/control/document/version.go
+++ b/internal/control/document/version.go
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	if next.content != h.Content {
-		return nil, fmt.Errorf("%w: version %d has %v, its header %v", ErrDigest, h.Number, next.content, h.Content)
+		return nil, fmt.Errorf("%w: version %d has %v, its header %v", ErrDigestMismatch, h.Number, next.content, h.Content)
 	}
 	return &Document{header: h, digest: digest, state: next}, nil
 }
@@ -96,7 +96,7 @@
 	if known != (Digest{}) && digest != known {
 		return fmt.Errorf("%w: %d is %v here and %v there", ErrFork, h.Number, known, digest)
 	}
-	return fmt.Errorf("%w: %d on %v came, %d (%v) is in force", ErrParent, h.Number, h.Parent, d.header.Number, d.digest)
+	return fmt.Errorf("%w: %d on %v came, %d (%v) is in force", ErrParentMismatch, h.Number, h.Parent, d.header.Number, d.digest)
 }
 
 // Digest returns the digest of the version: SHA-256 of the header's canonical CBOR.
@@ -109,7 +109,7 @@
 	if h.Number == 0 || h.Number > math.MaxInt64 {
 		a.add("number", "is %d, want 1 to %d", h.Number, int64(math.MaxInt64))
 	}
-	a.text("author", h.Author, MostText)
-	a.text("reason", h.Reason, MostText)
+	a.text("author", h.Author, MaxTextBytes)
+	a.text("reason", h.Reason, MaxTextBytes)
 	return f.join()
 }
--- a/internal/control/document/wire.go
+++ b/internal/control/document/wire.go
@@ -58,7 +58,7 @@
 // Records are read by the first, entries by the second.
 var (
 	recordDecoder = sync.OnceValue(func() cbor.DecMode { return decoder(mostChanges) })
-	entryDecoder  = sync.OnceValue(func() cbor.DecMode { return decoder(MostRoutes) })
+	entryDecoder  = sync.OnceValue(func() cbor.DecMode { return decoder(MaxContracts) })
 )
 
 // Both are safe for use by several goroutines at a time: these take turns.
@@ -71,7 +71,7 @@
 		return e
 	})
 	unpacker = sync.OnceValue(func() *zstd.Decoder {
-		d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MostBytes), zstd.WithDecoderLowmem(true))
+		d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxRecordBytes), zstd.WithDecoderLowmem(true))
 		if err != nil {
 			panic(err) // the options are constants
 		}
@@ -90,8 +90,8 @@
 
 // unpack returns the digest and the record.
 func unpack(plain, packed byte, b []byte) (digest Digest, record []byte, err error) {
-	if len(b) < formBytes || len(b) > formBytes+MostBytes {
-		return digest, nil, fmt.Errorf("document: %d bytes, want %d to %d", len(b), formBytes, formBytes+MostBytes)
+	if len(b) < formBytes || len(b) > formBytes+MaxRecordBytes {
+		return digest, nil, fmt.Errorf("document: %d bytes, want %d to %d", len(b), formBytes, formBytes+MaxRecordBytes)
 	}
 	digest, record = Digest(b[1:formBytes]), b[formBytes:]
 	switch b[0] {
@@ -104,8 +104,8 @@
 	if record, err = unpacker().DecodeAll(record, nil); err != nil {
 		return digest, nil, fmt.Errorf("document: %w", err)
 	}
-	if len(record) > MostBytes {
-		return digest, nil, fmt.Errorf("document: over %d bytes unpacked", MostBytes)
+	if len(record) > MaxRecordBytes {
+		return digest, nil, fmt.Errorf("document: over %d bytes unpacked", MaxRecordBytes)
 	}
 	return digest, record, nil
 }
@@ -114,8 +114,8 @@
 func (d *Delta) words() ([]byte, error) { return bounded(encode(d)) }
 
 func bounded(record []byte) ([]byte, error) {
-	if len(record) > MostBytes {
-		return nil, fmt.Errorf("document: %d bytes, want at most %d", len(record), MostBytes)
+	if len(record) > MaxRecordBytes {
+		return nil, fmt.Errorf("document: %d bytes, want at most %d", len(record), MaxRecordBytes)
 	}
 	return record, nil
 }
@@ -146,7 +146,7 @@
 		return nil, fmt.Errorf("document: delta: %w", err)
 	}
 	if got := raw.Header.Digest(); got != digest {
-		return nil, fmt.Errorf("%w: the delta's header has %v, it names %v", ErrDigest, got, digest)
+		return nil, fmt.Errorf("%w: the delta's header has %v, it names %v", ErrDigestMismatch, got, digest)
 	}
 	d := &Delta{Header: raw.Header, Changes: make([]Change, len(raw.Changes))}
 	var room room
@@ -172,8 +172,8 @@
 	if p != nil {
 		r.pooled += len(p.Classes)
 	}
-	if r.routes > MostRoutes || r.pooled > MostRoutes {
-		return fmt.Errorf("over %d contracts, or classes in pools", MostRoutes)
+	if r.routes > MaxContracts || r.pooled > MaxContracts {
+		return fmt.Errorf("over %d contracts, or classes in pools", MaxContracts)
 	}
 	return nil
 }
@@ -187,9 +187,9 @@
 	return pack(formSnapshot, formSnapshotPacked, d.digest, record), nil
 }
 
-// Open reads what Snapshot worded, and checks it whole: all entries as Apply does,
+// DecodeSnapshot reads what Snapshot worded, and checks it whole: all entries as Apply does,
 // and both digests (ErrDigest). It is bounded by MostBytes unpacked.
-func Open(b []byte) (*Document, error) {
+func DecodeSnapshot(b []byte) (*Document, error) {
 	digest, record, err := unpack(formSnapshot, formSnapshotPacked, b)
 	if err != nil {
 		return nil, err
@@ -200,7 +200,7 @@
 	}
 	h := raw.Header
 	if got := h.Digest(); got != digest {
-		return nil, fmt.Errorf("%w: the snapshot's header has %v, it names %v", ErrDigest, got, digest)
+		return nil, fmt.Errorf("%w: the snapshot's header has %v, it names %v", ErrDigestMismatch, got, digest)
 	}
 	changes, err := raw.Content.changes()
 	if err != nil {
@@ -213,7 +213,7 @@
 		}
 	}
 	if s.content != h.Content {
-		return nil, fmt.Errorf("%w: the snapshot has %v, its header %v", ErrDigest, s.content, h.Content)
+		return nil, fmt.Errorf("%w: the snapshot has %v, its header %v", ErrDigestMismatch, s.content, h.Content)
 	}
 	if h.Number == 0 {
 		if empty := Empty(); digest == empty.digest {
@@ -258,7 +258,7 @@
 		changes = append(changes, Change{Pool: p})
 	}
 	if r.CheapReserve != 0 {
-		changes = append(changes, Change{Reserve: &r.CheapReserve})
+		changes = append(changes, Change{CheapReserve: &r.CheapReserve})
 	}
 	return changes, nil
 }
--- a/internal/control/document/wire_test.go
+++ b/internal/control/document/wire_test.go
@@ -18,11 +18,11 @@
 	return mustDraft(t, small(t),
 		team("ana", 7.5),
 		Change{Service: &Service{Name: "maps", Owner: "ana", Backend: "127.0.0.1:1", Contracts: []Contract{{Class: "draw", Path: "/draw",
-			Effect: "keyed", AimMS: ref(0.0), DeadlineMS: ref(99.5), WindowMS: ref(1e5), Worth: ref(0.3), LateWorth: ref(1.0),
-			MaxBody: 3000, MaxResult: 4000, HeldKB: 17.1, Calls: ref(false), SkipWorth: ref(0.0)}}}},
+			Effect: "keyed", TargetTimeMS: ref(0.0), DeadlineMS: ref(99.5), WindowMS: ref(1e5), Worth: ref(0.3), LateWorth: ref(1.0),
+			MaxBody: 3000, MaxResult: 4000, RequestMemoryKB: 17.1, CallsDownstream: ref(false), SkipWorth: ref(0.0)}}}},
 		Change{Drop: true, Service: &Service{Name: "till"}},
-		Change{Pool: &Pool{Name: "quick", Classes: []string{"draw"}, Share: 0.5, Most: 0.75, Reserve: 1, Memory: 0.125, MemoryMost: 0.25, Waiting: 9}},
-		Change{Reserve: ref(0.0)},
+		Change{Pool: &Pool{Name: "quick", Classes: []string{"draw"}, Share: 0.5, MaxShare: 0.75, Reserve: 1, Memory: 0.125, MaxMemoryShare: 0.25, MaxQueued: 9}},
+		Change{CheapReserve: ref(0.0)},
 		Change{Drop: true, Team: &Team{Name: "idle"}})
 }
 
@@ -114,7 +114,7 @@
 			t.Fatalf("form %#x, want %#x (%v)", words[0], c.form, err)
 		}
 		everyFlip(words, func(what string, words []byte) {
-			if got, err := Open(words); err == nil && !sameVersion(got, c.d) || (err != nil) == (got != nil) {
+			if got, err := DecodeSnapshot(words); err == nil && !sameVersion(got, c.d) || (err != nil) == (got != nil) {
 				t.Errorf("%s: another version was opened (%v)", what, err)
 			}
 		})
@@ -144,7 +144,7 @@
 	snapshotOf := func(h Header, c Content) []byte {
 		return pack(formSnapshot, formSnapshotPacked, h.Digest(), encode(&snapshot{h, c}))
 	}
-	if _, err := Open(snapshotOf(h, d.Content())); err != nil {
+	if _, err := DecodeSnapshot(snapshotOf(h, d.Content())); err != nil {
 		t.Fatal(err)
 	}
 	twice, other, lacking := d.Content(), d.Content(), d.Content()
@@ -160,13 +160,13 @@
 	}{
 		"a team twice":        {snapshotOf(h, twice), `team "ana" is named twice`, nil},
 		"an owner less":       {snapshotOf(h, lacking), `service "maps" owner is "ana", which is no team`, nil},
-		"another content":     {snapshotOf(h, other), "document: the content is not the one that the header names", ErrDigest},
-		"nothing in it":       {snapshotOf(h, Content{}), "document: the content is not the one that the header names", ErrDigest},
+		"another content":     {snapshotOf(h, other), "document: the content is not the one that the header names", ErrDigestMismatch},
+		"nothing in it":       {snapshotOf(h, Content{}), "document: the content is not the one that the header names", ErrDigestMismatch},
 		"nobody's":            {snapshotOf(nobody, d.Content()), "author is absent", nil},
 		"no number":           {snapshotOf(numberless, d.Content()), "number is 0, want 1 to 9223372036854775807", nil},
-		"the digest of other": {append([]byte{formSnapshot}, snapshotOf(nobody, Content{})[1:]...), "document: the content is not", ErrDigest},
+		"the digest of other": {append([]byte{formSnapshot}, snapshotOf(nobody, Content{})[1:]...), "document: the content is not", ErrDigestMismatch},
 	} {
-		got, err := Open(c.words)
+		got, err := DecodeSnapshot(c.words)
 		if got != nil || err == nil || !strings.Contains(err.Error(), c.want) || c.is != nil && !errors.Is(err, c.is) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
@@ -176,7 +176,7 @@
 		t.Fatal(err)
 	}
 	words[1] ^= 1
-	if _, err := DecodeDelta(words); !errors.Is(err, ErrDigest) {
+	if _, err := DecodeDelta(words); !errors.Is(err, ErrDigestMismatch) {
 		t.Errorf("a delta with another digest: %v", err)
 	}
 }
@@ -191,7 +191,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(delta); err == nil || !strings.Contains(err.Error(), "form 0x11, want 0x21 or 0x22") {
+	if _, err := DecodeSnapshot(delta); err == nil || !strings.Contains(err.Error(), "form 0x11, want 0x21 or 0x22") {
 		t.Error(err)
 	}
 	if _, err := DecodeDelta(snapshot); err == nil || !strings.Contains(err.Error(), "form 0x21, want 0x11 or 0x12") {
@@ -220,7 +220,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Open(words); err != nil || !sameVersion(got, d) {
+		if got, err := DecodeSnapshot(words); err != nil || !sameVersion(got, d) {
 			t.Errorf("version %d: %v", d.Header().Number, err)
 		}
 	}
@@ -240,11 +240,11 @@
 	repeat := func(n int, element []byte) []byte {
 		return append([]byte{0x9a, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, bytes.Repeat(element, n)...)
 	}
-	contracts := append([]byte{0xa1, 0x03, 0xa1, 0x04}, list(MostRoutes, 0xa0)...)           // a service with 8,192 of nothing
-	classes := append([]byte{0xa1, 0x04, 0xa1, 0x02}, list(MostRoutes, 0x60)...)             // a pool with 8,192 empty ones
-	deep := append(bytes.Repeat([]byte{0x81}, 1<<20), 0x80)                                  // lists in lists
-	zeros := packer().EncodeAll(make([]byte, MostBytes+1), make([]byte, formBytes))          // too many
-	two := packer().EncodeAll(make([]byte, MostBytes), packer().EncodeAll([]byte("x"), nil)) // frames, together too many
+	contracts := append([]byte{0xa1, 0x03, 0xa1, 0x04}, list(MaxContracts, 0xa0)...)              // a service with 8,192 of nothing
+	classes := append([]byte{0xa1, 0x04, 0xa1, 0x02}, list(MaxContracts, 0x60)...)                // a pool with 8,192 empty ones
+	deep := append(bytes.Repeat([]byte{0x81}, 1<<20), 0x80)                                       // lists in lists
+	zeros := packer().EncodeAll(make([]byte, MaxRecordBytes+1), make([]byte, formBytes))          // too many
+	two := packer().EncodeAll(make([]byte, MaxRecordBytes), packer().EncodeAll([]byte("x"), nil)) // frames, together too many
 	for name, words := range map[string][]byte{
 		"over the bound":         zeros,
 		"frames over the bound":  append(make([]byte, formBytes), two...),
@@ -253,7 +253,7 @@
 		"many changes":           deltaOf(list(mostChanges+1, 0xa0)),
 		"changes cut short":      deltaOf([]byte{0x9a, 0x00, 0x02, 0x00, 0x00, 0xa0}),
 		"deep":                   deltaOf(deep),
-		"longer than any delta":  make([]byte, formBytes+MostBytes+1),
+		"longer than any delta":  make([]byte, formBytes+MaxRecordBytes+1),
 		"an endless list":        deltaOf([]byte{0x9f, 0xa0, 0xff}),
 		"a tag":                  deltaOf([]byte{0xc1, 0x80}),
 		"a field twice":          deltaOf(repeat(1, []byte{0xa2, 0x01, 0xf4, 0x01, 0xf4})),
@@ -270,7 +270,7 @@
 		if err == nil || delta != nil {
 			t.Errorf("%s: taken", name)
 		}
-		if made := after - before; made > 8*MostBytes {
+		if made := after - before; made > 8*MaxRecordBytes {
 			t.Errorf("%s: %d bytes of memory for a delta that is refused (%v)", name, made, err)
 		}
 	}
@@ -278,21 +278,21 @@
 
 // largest is the longest content that passes all checks.
 func largest() Content {
-	name := func(what string, i int) string { return fmt.Sprintf("%s%0*d", what, MostName-len(what), i) }
+	name := func(what string, i int) string { return fmt.Sprintf("%s%0*d", what, MaxNameBytes-len(what), i) }
 	var c Content
-	for i := range MostTeams {
+	for i := range MaxTeams {
 		c.Teams = append(c.Teams, Team{name("t", i), 0.1 + float64(i)})
 	}
-	for i := range MostServices {
-		c.Services = append(c.Services, Service{Name: name("s", i), Owner: c.Teams[i].Name, Backend: name("", i)[:MostName-3] + ":99",
-			Contracts: []Contract{{Class: name("c", i), Path: name("/", i), Effect: "repeatable", AimMS: ref(0.1), DeadlineMS: ref(0.2),
-				WindowMS: ref(0.3), Worth: ref(0.1), LateWorth: ref(0.1), MaxBody: mostBody, MaxResult: mostBody, HeldKB: 1025.1,
-				Calls: ref(true), SkipWorth: ref(0.1)}}})
+	for i := range MaxServices {
+		c.Services = append(c.Services, Service{Name: name("s", i), Owner: c.Teams[i].Name, Backend: name("", i)[:MaxNameBytes-3] + ":99",
+			Contracts: []Contract{{Class: name("c", i), Path: name("/", i), Effect: "repeatable", TargetTimeMS: ref(0.1), DeadlineMS: ref(0.2),
+				WindowMS: ref(0.3), Worth: ref(0.1), LateWorth: ref(0.1), MaxBody: mostBody, MaxResult: mostBody, RequestMemoryKB: 1025.1,
+				CallsDownstream: ref(true), SkipWorth: ref(0.1)}}})
 	}
-	for i := range MostPools {
-		p := Pool{Name: name("p", i), Share: 0.01, Most: 0.1, Reserve: 0.1, Memory: 0.01, MemoryMost: 0.1, Waiting: 1 << 40}
-		for j := range MostRoutes / MostPools {
-			p.Classes = append(p.Classes, name("c", i*MostRoutes/MostPools+j))
+	for i := range MaxPools {
+		p := Pool{Name: name("p", i), Share: 0.01, MaxShare: 0.1, Reserve: 0.1, Memory: 0.01, MaxMemoryShare: 0.1, MaxQueued: 1 << 40}
+		for j := range MaxContracts / MaxPools {
+			p.Classes = append(p.Classes, name("c", i*MaxContracts/MaxPools+j))
 		}
 		c.Pools = append(c.Pools, p)
 	}
@@ -309,14 +309,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Repeat("x", MostText)
+	text := strings.Repeat("x", MaxTextBytes)
 	h := Header{Number: 1 << 40, Parent: Empty().Digest(), Content: s.content, Author: text, Reason: text, Time: 1 << 50}
 	d := &Document{header: h, digest: h.Digest(), state: s}
 	words, err := d.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Open(words); err != nil || got.Digest() != d.Digest() {
+	if got, err := DecodeSnapshot(words); err != nil || got.Digest() != d.Digest() {
 		t.Error(err)
 	}
 	_, err = d.Draft([]Change{team("more", 1), service("more", Contract{Class: "more"}), {Pool: &Pool{Name: "more", Classes: []string{"more"}}}}, by)
@@ -379,10 +379,10 @@
 			t.Fatalf("%x makes another version than it names", words)
 		}
 	}
-	if got, err := Open(words); err == nil {
+	if got, err := DecodeSnapshot(words); err == nil {
 		if again, err := got.Snapshot(); err != nil {
 			t.Fatalf("%x is opened and can't be worded again: %v", words, err)
-		} else if other, err := Open(again); err != nil || !sameVersion(got, other) {
+		} else if other, err := DecodeSnapshot(again); err != nil || !sameVersion(got, other) {
 			t.Fatalf("%x is opened, and as it is worded again it is another: %v", words, err)
 		}
 	}
--- a/internal/control/follow/follower.go
+++ b/internal/control/follow/follower.go
@@ -82,11 +82,11 @@
 func (s *Settings) check() error {
 	var errs []error
 	fail := func(format string, args ...any) { errs = append(errs, fmt.Errorf("follow: "+format, args...)) }
-	if s.Name == "" || len(s.Name) > document.MostName {
-		fail("Settings.Name is %q, want 1 to %d bytes", s.Name, document.MostName)
+	if s.Name == "" || len(s.Name) > document.MaxNameBytes {
+		fail("Settings.Name is %q, want 1 to %d bytes", s.Name, document.MaxNameBytes)
 	}
-	if len(s.Region) > document.MostName {
-		fail("Settings.Region has %d bytes, want at most %d", len(s.Region), document.MostName)
+	if len(s.Region) > document.MaxNameBytes {
+		fail("Settings.Region has %d bytes, want at most %d", len(s.Region), document.MaxNameBytes)
 	}
 	if len(s.Publishers) == 0 {
 		fail("Settings.Publishers is empty, want one at least")
--- a/internal/control/follow/keep.go
+++ b/internal/control/follow/keep.go
@@ -71,7 +71,7 @@
 	if whole == nil {
 		return nil, time.Time{}
 	}
-	doc, err := document.Open(whole)
+	doc, err := document.DecodeSnapshot(whole)
 	if err != nil {
 		k.damaged(wholeFile, err)
 		return nil, time.Time{}
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	const most = 2 * document.MostBytes
+	const most = 2 * document.MaxRecordBytes
 	b, err := io.ReadAll(io.LimitReader(f, most+1))
 	if err == nil && len(b) > most {
 		err = fmt.Errorf("over %d bytes", most)
--- a/internal/control/follow/take.go
+++ b/internal/control/follow/take.go
@@ -117,7 +117,7 @@
 	case errors.Is(err, document.ErrFork):
 		f.fork(number, digest)
 		return
-	case errors.Is(err, document.ErrParent):
+	case errors.Is(err, document.ErrParentMismatch):
 		f.gap(number)
 		return
 	case err != nil:
@@ -132,7 +132,7 @@
 
 // snapshot takes in a whole version.
 func (f *Follower) snapshot(ctx context.Context, text []byte) {
-	doc, err := document.Open(text)
+	doc, err := document.DecodeSnapshot(text)
 	if err != nil {
 		f.faulty(err)
 		return
@@ -282,8 +282,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	refused := f.state.Refused
-	if len(refused) > document.MostText {
-		refused = refused[:document.MostText]
+	if len(refused) > document.MaxTextBytes {
+		refused = refused[:document.MaxTextBytes]
 	}
 	return protocol.Ack{Number: f.inForce.Header().Number, Digest: f.digest(), Refused: refused, Fork: f.state.Fork}
 }
--- a/internal/control/protocol/protocol.go
+++ b/internal/control/protocol/protocol.go
@@ -39,7 +39,7 @@
 	SilentMost  = 2500 * time.Millisecond // a publisher that says nothing for so long is left for another
 	OrphanMost  = 2500 * time.Millisecond // ... as is one that has not heard the originator for so long, where another has
 	WriteWithin = 2 * time.Second         // a follower that takes nothing for so long is cut off
-	MostMessage = document.MostBytes      // bytes of one record
+	MostMessage = document.MaxRecordBytes // bytes of one record
 )
 
 // Hello is the first thing that a follower says.
--- a/internal/control/publish/helpers_test.go
+++ b/internal/control/publish/helpers_test.go
@@ -229,7 +229,7 @@
 		}
 		if m.Snapshot != nil {
 			snapshots++
-			doc, err = document.Open(m.Snapshot)
+			doc, err = document.DecodeSnapshot(m.Snapshot)
 		} else {
 			deltas++
 			var delta *document.Delta
@@ -261,7 +261,7 @@
 		return nil, err
 	}
 	if m.Snapshot != nil {
-		return document.Open(m.Snapshot)
+		return document.DecodeSnapshot(m.Snapshot)
 	}
 	delta, err := document.DecodeDelta(m.Delta)
 	if err != nil {
--- a/internal/control/publish/load_test.go
+++ b/internal/control/publish/load_test.go
@@ -106,7 +106,7 @@
 	if known {
 		return h, nil
 	}
-	doc, err := document.Open(text)
+	doc, err := document.DecodeSnapshot(text)
 	if err == nil {
 		h = doc.Header()
 		o.headers[sum] = h
--- a/internal/control/publish/publisher.go
+++ b/internal/control/publish/publisher.go
@@ -79,11 +79,11 @@
 func (s *Settings) check() error {
 	var errs []error
 	fail := func(format string, args ...any) { errs = append(errs, fmt.Errorf("publish: "+format, args...)) }
-	if s.Name == "" || len(s.Name) > document.MostName {
-		fail("Settings.Name is %q, want 1 to %d bytes", s.Name, document.MostName)
+	if s.Name == "" || len(s.Name) > document.MaxNameBytes {
+		fail("Settings.Name is %q, want 1 to %d bytes", s.Name, document.MaxNameBytes)
 	}
-	if len(s.Region) > document.MostName {
-		fail("Settings.Region is %d bytes, want at most %d", len(s.Region), document.MostName)
+	if len(s.Region) > document.MaxNameBytes {
+		fail("Settings.Region is %d bytes, want at most %d", len(s.Region), document.MaxNameBytes)
 	}
 	if _, _, err := net.SplitHostPort(s.Listen); err != nil {
 		fail("Settings.Listen is %q, want host:port", s.Listen)
--- a/internal/control/publish/serve.go
+++ b/internal/control/publish/serve.go
@@ -124,8 +124,8 @@
 	by := document.Meta{Author: query.Get("author"), Reason: query.Get("reason")}
 	var faults []string
 	for key, value := range map[string]string{"author": by.Author, "reason": by.Reason} {
-		if value == "" || len(value) > document.MostText {
-			faults = append(faults, fmt.Sprintf("%s is %d bytes, want 1 to %d", key, len(value), document.MostText))
+		if value == "" || len(value) > document.MaxTextBytes {
+			faults = append(faults, fmt.Sprintf("%s is %d bytes, want 1 to %d", key, len(value), document.MaxTextBytes))
 		}
 	}
 	var base document.Digest
@@ -179,7 +179,7 @@
 }
 
 var lists = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxMapPairs: 64, MaxArrayElements: 2 * (document.MostTeams + document.MostServices + document.MostPools),
+	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxMapPairs: 64, MaxArrayElements: 2 * (document.MaxTeams + document.MaxServices + document.MaxPools),
 		DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
--- a/internal/control/publish/serve_test.go
+++ b/internal/control/publish/serve_test.go
@@ -351,7 +351,7 @@
 			return err
 		}, ErrFaults, []string{"author", "reason"}},
 		{"a long reason", func() error {
-			_, err := m.Changes(ctx, []document.Change{team("a", 1)}, document.Meta{Author: "a", Reason: strings.Repeat("x", document.MostText+1)}, document.Digest{})
+			_, err := m.Changes(ctx, []document.Change{team("a", 1)}, document.Meta{Author: "a", Reason: strings.Repeat("x", document.MaxTextBytes+1)}, document.Digest{})
 			return err
 		}, ErrFaults, []string{"reason"}},
 	} {
--- a/internal/control/publish/store.go
+++ b/internal/control/publish/store.go
@@ -236,7 +236,7 @@
 	if err != nil || b == nil {
 		return document.Empty(), err
 	}
-	doc, err := document.Open(b)
+	doc, err := document.DecodeSnapshot(b)
 	if err != nil {
 		return nil, fmt.Errorf("%w: the snapshot: %w", ErrDamage, err)
 	}
--- a/internal/control/publish/stream.go
+++ b/internal/control/publish/stream.go
@@ -67,8 +67,8 @@
 		return nil, err
 	}
 	h := m.Hello
-	if h == nil || h.Name == "" || len(h.Name) > document.MostName || len(h.Region) > document.MostName {
-		return nil, fmt.Errorf("%w: want a Hello with a name and a region of at most %d bytes", errWord, document.MostName)
+	if h == nil || h.Name == "" || len(h.Name) > document.MaxNameBytes || len(h.Region) > document.MaxNameBytes {
+		return nil, fmt.Errorf("%w: want a Hello with a name and a region of at most %d bytes", errWord, document.MaxNameBytes)
 	}
 	return h, nil
 }
--- a/internal/lab/scale/fleetday/content.go
+++ b/internal/lab/scale/fleetday/content.go
@@ -37,7 +37,7 @@
 		service := document.Service{Name: fmt.Sprintf("service-%03d", i), Owner: teamName(i % s.Tenants)}
 		for end := s.Routes * (i + 1) / s.Services; route < end; route++ {
 			aim, deadline, worth := 500.0, deadlineMS, roundTo(0.5+rng.Float64(), 1e3)
-			contract := document.Contract{Class: className(route), Effect: "repeatable", AimMS: &aim, DeadlineMS: &deadline, Worth: &worth}
+			contract := document.Contract{Class: className(route), Effect: "repeatable", TargetTimeMS: &aim, DeadlineMS: &deadline, Worth: &worth}
 			if route >= s.Routes/2 {
 				contract.Effect = "once"
 			}
@@ -72,7 +72,7 @@
 		for j := range s.Contracts {
 			t := &s.Contracts[j]
 			fmt.Fprintf(&b, "[[service.contract]]\nclass = %q\neffect = %q\naim_ms = %s\ndeadline_ms = %s\nworth = %s\n",
-				t.Class, t.Effect, number(*t.AimMS), number(*t.DeadlineMS), number(*t.Worth))
+				t.Class, t.Effect, number(*t.TargetTimeMS), number(*t.DeadlineMS), number(*t.Worth))
 		}
 	}
 	return b.String()
--- a/internal/lab/scale/slopes/delta.go
+++ b/internal/lab/scale/slopes/delta.go
@@ -22,7 +22,7 @@
 			c.Services = append(c.Services, document.Service{Name: fmt.Sprintf("service-%03d", i/serviceRoutes), Owner: teamName(i / serviceRoutes % s.teams)})
 		}
 		of := &c.Services[len(c.Services)-1]
-		of.Contracts = append(of.Contracts, document.Contract{Class: className(i), Effect: "repeatable", AimMS: ms(1400), DeadlineMS: ms(4200), Worth: ms(float64(1 + i%3))})
+		of.Contracts = append(of.Contracts, document.Contract{Class: className(i), Effect: "repeatable", TargetTimeMS: ms(1400), DeadlineMS: ms(4200), Worth: ms(float64(1 + i%3))})
 	}
 	return c
 }
@@ -91,7 +91,7 @@
 		return err
 	}
 	opened, err := slope.Measure(m.tenants(), m.rounds(3), slope.Best, func(n float64) (float64, error) {
-		return timed(func() error { _, err := document.Open(snapshots[n]); return err })
+		return timed(func() error { _, err := document.DecodeSnapshot(snapshots[n]); return err })
 	})
 	if err != nil {
 		return err
