--- a/cmd/kiteslip/control.go
+++ b/cmd/kiteslip/control.go
@@ -96,7 +96,7 @@
 			return fmt.Errorf("--base is %q, in force is version %d, %s", c.Base, v.Number, v.Digest)
 		}
 		// It is compared once more, whole, when the version is made.
-		if base, err = v.DigestOf(); err != nil {
+		if base, err = v.ParseDigest(); err != nil {
 			return err
 		}
 	}
@@ -132,7 +132,7 @@
 		a := &answers[i]
 		a.followers = slices.DeleteFunc(a.followers, func(f protocol.Follower) bool {
 			// One that has gone over to another machine is that one's to tell of.
-			return !f.Connected && here[f.Name] || c.Lagging && f.LagMS == 0 && f.Refused == "" && !f.Fork
+			return !f.Connected && here[f.Name] || c.Lagging && f.LagMS == 0 && f.RefusalReason == "" && !f.Fork
 		})
 		lagging += len(a.followers)
 		if err := a.print(w, c.At[i]); err != nil {
@@ -169,17 +169,17 @@
 	}
 	v, role := a.version, "originates"
 	if v.Originator != "" {
-		role = fmt.Sprintf("follows %s, heard %d ms ago", v.Originator, v.UnheardMS)
+		role = fmt.Sprintf("follows %s, heard %d ms ago", v.Originator, v.OriginatorSilenceMS)
 	}
-	fmt.Fprintf(w, "%s in %s at %s: %s\n", v.Name, v.Region, address, role)
+	fmt.Fprintf(w, "%s in %s at %s: %s\n", v.PublisherName, v.PublisherRegion, address, role)
 	if v.Number == 0 {
 		fmt.Fprintln(w, "version 0: nothing was published")
 	} else {
 		fmt.Fprintf(w, "version %d %.12s of %s by %s: %s\n", v.Number, v.Digest, time.UnixMicro(v.TimeUS).UTC().Format(time.RFC3339), v.Author, v.Reason)
 	}
 	fmt.Fprintf(w, "the log reaches back to version %d; %d followers, %d forks seen\n", v.Oldest, v.Followers, v.Forks)
-	if v.Disk != "" {
-		fmt.Fprintf(w, "DISK: %s\n", v.Disk)
+	if v.DiskError != "" {
+		fmt.Fprintf(w, "DISK: %s\n", v.DiskError)
 	}
 	if len(a.followers) == 0 {
 		return nil
@@ -197,9 +197,9 @@
 	var words []string
 	switch {
 	case f.Leaving:
-		words = append(words, fmt.Sprintf("left %d s ago", f.SeenMS/1000))
+		words = append(words, fmt.Sprintf("left %d s ago", f.LastSeenAgoMS/1000))
 	case !f.Connected:
-		words = append(words, fmt.Sprintf("gone for %d s", f.SeenMS/1000))
+		words = append(words, fmt.Sprintf("gone for %d s", f.LastSeenAgoMS/1000))
 	default:
 		words = append(words, "connected")
 	}
@@ -209,8 +209,8 @@
 	if f.Fork {
 		words = append(words, "FORK")
 	}
-	if f.Refused != "" {
-		words = append(words, "refused: "+f.Refused)
+	if f.RefusalReason != "" {
+		words = append(words, "refused: "+f.RefusalReason)
 	}
 	return strings.Join(words, ", ")
 }
--- a/cmd/kiteslip/control_publish_test.go
+++ b/cmd/kiteslip/control_publish_test.go
@@ -145,7 +145,7 @@
 		if v.Number < last || v.Number > last+1 {
 			t.Fatalf("kill %d: version %d after the start, accepted were %d", kill, v.Number, last)
 		}
-		digest, err := v.DigestOf()
+		digest, err := v.ParseDigest()
 		if err != nil || v.Number == last && last > 0 && digest != accepted[last] {
 			t.Errorf("kill %d: version %d is %v, accepted was %v, %v", kill, v.Number, digest, accepted[last], err)
 		}
--- a/internal/control/follow/choose.go
+++ b/internal/control/follow/choose.go
@@ -196,7 +196,7 @@
 
 // heard notes how long the publisher that is followed has not heard the originator.
 func (s *seeker) heard(now, unheard time.Duration) {
-	if orphan := unheard >= protocol.OrphanMost; orphan != s.orphan {
+	if orphan := unheard >= protocol.OriginatorTimeout; orphan != s.orphan {
 		s.orphan = orphan
 		s.plan(now)
 	}
--- a/internal/control/follow/fake_test.go
+++ b/internal/control/follow/fake_test.go
@@ -72,7 +72,7 @@
 	w.WriteHeader(http.StatusOK)
 	w.(http.Flusher).Flush()
 	from := protocol.NewReader(r.Body)
-	var first protocol.FromFollower
+	var first protocol.FollowerMessage
 	if err := from.Read(&first); err != nil || first.Hello == nil {
 		return
 	}
@@ -80,7 +80,7 @@
 	go func() {
 		defer close(s.gone)
 		for {
-			var m protocol.FromFollower
+			var m protocol.FollowerMessage
 			if err := from.Read(&m); err != nil || m.Ack == nil {
 				return
 			}
@@ -119,7 +119,7 @@
 	}
 }
 
-func (s *fakeStream) send(m protocol.FromPublisher) {
+func (s *fakeStream) send(m protocol.PublisherMessage) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,16 +133,16 @@
 
 func (s *fakeStream) beat(doc *document.Document, unheard time.Duration) {
 	s.t.Helper()
-	b := protocol.Beat{Unheard: unheard.Milliseconds()}
+	b := protocol.Heartbeat{OriginatorSilenceMS: unheard.Milliseconds()}
 	if doc != nil {
 		b.Number, b.Digest = doc.Header().Number, doc.Digest()
 	}
-	s.send(protocol.FromPublisher{Beat: &b})
+	s.send(protocol.PublisherMessage{Heartbeat: &b})
 }
 
 func (s *fakeStream) delta(d *document.Delta) {
 	s.t.Helper()
-	s.send(protocol.FromPublisher{Delta: encode(s.t, d)})
+	s.send(protocol.PublisherMessage{Delta: encode(s.t, d)})
 }
 
 func (s *fakeStream) snapshot(doc *document.Document) {
@@ -151,7 +151,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.send(protocol.FromPublisher{Snapshot: b})
+	s.send(protocol.PublisherMessage{Snapshot: b})
 }
 
 // beats says that the publisher is there, about as often as it is due, until the test ends.
@@ -166,7 +166,7 @@
 				return
 			case <-s.gone:
 				return
-			case <-time.After(protocol.BeatEvery / 4):
+			case <-time.After(protocol.HeartbeatInterval / 4):
 			}
 		}
 	}()
--- a/internal/control/follow/follower.go
+++ b/internal/control/follow/follower.go
@@ -213,7 +213,7 @@
 		now := f.now()
 		next := f.tend(now)
 		f.timer.Reset(max(next-f.now(), 0))
-		var came, asked <-chan protocol.FromPublisher
+		var came, asked <-chan protocol.PublisherMessage
 		var ended, refused <-chan struct{}
 		if f.cur != nil {
 			came, ended = f.cur.came, f.cur.ended
@@ -348,9 +348,9 @@
 
 // answered takes in the first word of a publisher that may do better than the
 // one that is followed: it is followed from here on, or left again.
-func (f *Follower) answered(ctx context.Context, r *protocol.FromPublisher) {
-	if b := r.Beat; b != nil && (time.Duration(b.Unheard)*time.Millisecond >= protocol.OrphanMost ||
-		b.Number < f.inForce.Header().Number || b.Unheard < 0) {
+func (f *Follower) answered(ctx context.Context, r *protocol.PublisherMessage) {
+	if b := r.Heartbeat; b != nil && (time.Duration(b.OriginatorSilenceMS)*time.Millisecond >= protocol.OriginatorTimeout ||
+		b.Number < f.inForce.Header().Number || b.OriginatorSilenceMS < 0) {
 		f.noBetter()
 		return
 	}
--- a/internal/control/follow/follower_test.go
+++ b/internal/control/follow/follower_test.go
@@ -139,7 +139,7 @@
 	}
 	f.run()
 	s := p.stream()
-	if a := s.ack(); a.Number != 0 || a.Refused != errNoGood.Error() {
+	if a := s.ack(); a.Number != 0 || a.RefusalReason != errNoGood.Error() {
 		t.Errorf("%+v", a)
 	}
 	s.delta(deltas[4])
@@ -234,7 +234,7 @@
 	s.left()
 	asked.beats(docs[1], 0)
 	eventually(t, "the other is followed", func() bool {
-		return f.State().Publisher == ranked[1].address && f.State().Unheard < protocol.OrphanMost
+		return f.State().Publisher == ranked[1].address && f.State().Unheard < protocol.OriginatorTimeout
 	})
 }
 
@@ -269,19 +269,19 @@
 func TestWordsBounded(t *testing.T) {
 	w := &words{}
 	w.some.L = &w.mu
-	w.say(&protocol.FromFollower{Hello: &protocol.Hello{Name: "first"}})
+	w.say(&protocol.FollowerMessage{Hello: &protocol.Hello{Name: "first"}})
 	for i := range 10 * wordsMost {
-		w.say(&protocol.FromFollower{Ack: &protocol.Ack{Number: uint64(i)}})
+		w.say(&protocol.FollowerMessage{Ack: &protocol.Ack{Number: uint64(i)}})
 	}
 	w.last()
 	r := protocol.NewReader(w)
-	var m protocol.FromFollower
+	var m protocol.FollowerMessage
 	if err := r.Read(&m); err != nil || m.Hello == nil {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	n, newest := 0, uint64(0)
 	for {
-		m = protocol.FromFollower{}
+		m = protocol.FollowerMessage{}
 		if r.Read(&m) != nil {
 			break
 		}
--- a/internal/control/follow/keep.go
+++ b/internal/control/follow/keep.go
@@ -87,7 +87,7 @@
 func replay(doc *document.Document, deltas []byte) (*document.Document, error) {
 	from := protocol.NewReader(&sliceReader{deltas})
 	for n := 0; ; n++ {
-		var r protocol.FromPublisher
+		var r protocol.PublisherMessage
 		err := from.Read(&r)
 		if errors.Is(err, io.EOF) {
 			return doc, nil
@@ -160,7 +160,7 @@
 		return
 	}
 	if delta && k.deltas != nil && k.want == nil && k.last == doc.Header().Parent && k.count < deltasMost && k.bytes+len(text) <= deltasBytes {
-		if err := protocol.NewWriter(k.deltas).Write(&protocol.FromPublisher{Delta: text}); err == nil {
+		if err := protocol.NewWriter(k.deltas).Write(&protocol.PublisherMessage{Delta: text}); err == nil {
 			k.last, k.count, k.bytes = doc.Digest(), k.count+1, k.bytes+len(text)
 			return
 		} else { //nolint:revive // what was written in part is replaced with the whole
--- a/internal/control/follow/stream.go
+++ b/internal/control/follow/stream.go
@@ -32,7 +32,7 @@
 // which ends with it: one that has fallen silent is never used again.
 type stream struct {
 	to     int // the publisher's place
-	came   chan protocol.FromPublisher
+	came   chan protocol.PublisherMessage
 	words  words
 	cancel context.CancelFunc
 	ended  chan struct{} // closed when nothing of it runs any more
@@ -56,14 +56,14 @@
 // open begins a stream, beside the caller.
 func open(to int, address string, hello *protocol.Hello, count *traffic, clock func() time.Duration, within time.Duration) *stream {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &stream{to: to, came: make(chan protocol.FromPublisher), ended: make(chan struct{}), clock: clock, openedAt: clock(), within: within}
+	s := &stream{to: to, came: make(chan protocol.PublisherMessage), ended: make(chan struct{}), clock: clock, openedAt: clock(), within: within}
 	s.cancel = func() {
 		cancel()
 		s.words.Close() //nolint:errcheck // it has none; the transport waits in Read for what we say, whatever becomes of the request
 		s.hangUp()      // or in a write that a publisher which has stopped does not take
 	}
 	s.words.some.L = &s.words.mu
-	s.words.say(&protocol.FromFollower{Hello: hello})
+	s.words.say(&protocol.FollowerMessage{Hello: hello})
 	go func() {
 		defer close(s.ended)
 		s.err = s.run(ctx, address, count)
@@ -108,7 +108,7 @@
 	}
 	from := protocol.NewReader(&noted{answer.Body, s})
 	for {
-		var r protocol.FromPublisher
+		var r protocol.PublisherMessage
 		if err := from.Read(&r); err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 // silent says when the stream is to be left unless something comes before.
 func (s *stream) silent() time.Duration {
 	if at := s.heardAt.Load(); at != 0 {
-		return max(time.Duration(at), s.tookAt) + protocol.SilentMost // what the owner takes time for is no silence
+		return max(time.Duration(at), s.tookAt) + protocol.PublisherTimeout // what the owner takes time for is no silence
 	}
 	return s.openedAt + s.within
 }
@@ -150,7 +150,7 @@
 // nothing of it is left.
 func (s *stream) end(word *protocol.Ack) {
 	if word != nil {
-		s.words.say(&protocol.FromFollower{Ack: word})
+		s.words.say(&protocol.FollowerMessage{Ack: word})
 		s.words.last()
 		late := time.NewTimer(partWithin)
 		defer late.Stop()
@@ -221,7 +221,7 @@
 	closed bool
 }
 
-func (w *words) say(word *protocol.FromFollower) {
+func (w *words) say(word *protocol.FollowerMessage) {
 	var b bytes.Buffer
 	if err := protocol.NewWriter(&b).Write(word); err != nil {
 		return // the word is ours: it cannot be too long
--- a/internal/control/follow/take.go
+++ b/internal/control/follow/take.go
@@ -18,18 +18,18 @@
 const stalledBeats = 2
 
 // take takes in one record of the publisher that is followed.
-func (f *Follower) take(ctx context.Context, r *protocol.FromPublisher) {
+func (f *Follower) take(ctx context.Context, r *protocol.PublisherMessage) {
 	s := f.cur
 	if !s.spoke {
 		f.stood(s)
 	}
 	switch {
-	case r.Beat != nil && r.Delta == nil && r.Snapshot == nil:
-		f.beat(r.Beat)
-	case r.Delta != nil && r.Snapshot == nil && r.Beat == nil:
+	case r.Heartbeat != nil && r.Delta == nil && r.Snapshot == nil:
+		f.beat(r.Heartbeat)
+	case r.Delta != nil && r.Snapshot == nil && r.Heartbeat == nil:
 		s.ahead = 0
 		f.delta(ctx, r.Delta)
-	case r.Snapshot != nil && r.Delta == nil && r.Beat == nil:
+	case r.Snapshot != nil && r.Delta == nil && r.Heartbeat == nil:
 		s.ahead = 0
 		f.snapshot(ctx, r.Snapshot)
 	default:
@@ -38,8 +38,8 @@
 }
 
 // beat takes in the publisher's word that it is there.
-func (f *Follower) beat(b *protocol.Beat) {
-	unheard := time.Duration(min(max(b.Unheard, 0), math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
+func (f *Follower) beat(b *protocol.Heartbeat) {
+	unheard := time.Duration(min(max(b.OriginatorSilenceMS, 0), math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
 	f.seek.heard(f.now(), unheard)
 	number := f.inForce.Header().Number
 	f.mu.Lock()
@@ -49,11 +49,11 @@
 	f.mu.Unlock()
 	switch {
 	case b.Number == 0:
-		f.current = number == 0 && b.Unheard == 0
+		f.current = number == 0 && b.OriginatorSilenceMS == 0
 	case b.Number == number && b.Digest != f.inForce.Digest():
 		f.fork(b.Number, b.Digest)
 	case b.Number == number:
-		f.caughtUp(unheard < protocol.OrphanMost)
+		f.caughtUp(unheard < protocol.OriginatorTimeout)
 	case b.Number > number:
 		f.tell(b.Number)
 		// A publisher that takes our version for one of two with its number sends beats alone.
@@ -285,10 +285,10 @@
 	if len(refused) > document.MaxTextBytes {
 		refused = refused[:document.MaxTextBytes]
 	}
-	return protocol.Ack{Number: f.inForce.Header().Number, Digest: f.digest(), Refused: refused, Fork: f.state.Fork}
+	return protocol.Ack{Number: f.inForce.Header().Number, Digest: f.digest(), RefusalReason: refused, Fork: f.state.Fork}
 }
 
 func (f *Follower) say(s *stream) {
 	word := f.word()
-	s.words.say(&protocol.FromFollower{Ack: &word})
+	s.words.say(&protocol.FollowerMessage{Ack: &word})
 }
--- a/internal/control/follow/take_test.go
+++ b/internal/control/follow/take_test.go
@@ -11,7 +11,7 @@
 
 func wantAck(t *testing.T, a protocol.Ack, doc *document.Document) {
 	t.Helper()
-	if a.Number != doc.Header().Number || a.Digest != doc.Digest() || a.Refused != "" || a.Fork {
+	if a.Number != doc.Header().Number || a.Digest != doc.Digest() || a.RefusalReason != "" || a.Fork {
 		t.Errorf("ack %+v, want version %d", a, doc.Header().Number)
 	}
 }
@@ -85,7 +85,7 @@
 	wantAck(t, s.ack(), docs[1])
 	for i := 2; i <= 3; i++ {
 		s.delta(deltas[i])
-		if a := s.ack(); a.Number != 1 || a.Digest != docs[1].Digest() || a.Refused != errNoGood.Error() {
+		if a := s.ack(); a.Number != 1 || a.Digest != docs[1].Digest() || a.RefusalReason != errNoGood.Error() {
 			t.Errorf("%+v", a)
 		}
 	}
@@ -99,7 +99,7 @@
 		t.Errorf("%+v", st)
 	}
 	s.delta(deltas[5])
-	if a := s.ack(); a.Number != 4 || a.Refused == "" {
+	if a := s.ack(); a.Number != 4 || a.RefusalReason == "" {
 		t.Errorf("%+v", a)
 	}
 	s.end()
@@ -108,7 +108,7 @@
 		t.Errorf("%+v", s.hello)
 	}
 	s.delta(deltas[5])
-	if a := s.ack(); a.Number != 4 || a.Refused == "" {
+	if a := s.ack(); a.Number != 4 || a.RefusalReason == "" {
 		t.Errorf("%+v", a)
 	}
 	s.snapshot(docs[5])
@@ -199,9 +199,9 @@
 		t.Fatal(err)
 	}
 	whole[len(whole)-1] ^= 1
-	for name, record := range map[string]protocol.FromPublisher{
+	for name, record := range map[string]protocol.PublisherMessage{
 		"of the content": {Delta: forged}, "of a delta": {Delta: broken}, "of a snapshot": {Snapshot: whole},
-		"two parts": {Delta: encode(t, deltas[3]), Beat: &protocol.Beat{}}, "no part": {},
+		"two parts": {Delta: encode(t, deltas[3]), Heartbeat: &protocol.Heartbeat{}}, "no part": {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := newFake(t), newFake(t)
@@ -212,7 +212,7 @@
 			s.snapshot(docs[2])
 			wantAck(t, s.ack(), docs[2])
 			s.send(record)
-			if a := s.ack(); a.Number != 2 || a.Refused == "" {
+			if a := s.ack(); a.Number != 2 || a.RefusalReason == "" {
 				t.Errorf("%+v", a)
 			}
 			s.left()
@@ -287,10 +287,10 @@
 	for i := 1; i <= 300; i++ {
 		s.delta(deltas[i])
 	}
-	time.Sleep(protocol.SilentMost + 200*time.Millisecond) // longer than a silence may last: what is shown is that it is none
+	time.Sleep(protocol.PublisherTimeout + 200*time.Millisecond) // longer than a silence may last: what is shown is that it is none
 	close(hold)
 	for a := s.ack(); a.Number < 300; a = s.ack() {
-		if a.Refused != "" || a.Fork {
+		if a.RefusalReason != "" || a.Fork {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -315,7 +315,7 @@
 	eventually(t, "it lags", func() bool { return f.State().Lag > 0 })
 	s.end()
 	s = ranked[1].stream()
-	s.beat(docs[2], protocol.OrphanMost)
+	s.beat(docs[2], protocol.OriginatorTimeout)
 	eventually(t, "the other is followed", func() bool { return f.State().Publisher == ranked[1].address })
 	s.beat(docs[2], 0)
 	eventually(t, "it is current", func() bool { return f.State().Lag == 0 })
--- a/internal/control/protocol/records.go
+++ b/internal/control/protocol/records.go
@@ -47,7 +47,7 @@
 // ends between two records, io.ErrUnexpectedEOF where it ends within one, and
 // ErrTooLong, after which nothing more can be read.
 func (s *Reader) Read(record any) error {
-	s.from.left = MostMessage + recordOver
+	s.from.left = MaxMessageBytes + recordOver
 	if err := s.dec.Decode(record); err != nil {
 		if errors.Is(err, ErrTooLong) {
 			return ErrTooLong
@@ -104,7 +104,7 @@
 	if err != nil {
 		return fmt.Errorf("protocol: %w", err)
 	}
-	if len(b) > MostMessage+recordOver {
+	if len(b) > MaxMessageBytes+recordOver {
 		return fmt.Errorf("%w: %d bytes", ErrTooLong, len(b))
 	}
 	_, err = s.to.Write(b)
--- a/internal/control/protocol/records_test.go
+++ b/internal/control/protocol/records_test.go
@@ -17,16 +17,16 @@
 // Records come out as they went in, however the stream is cut, large ones among small ones.
 func TestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var in []FromPublisher
+		var in []PublisherMessage
 		for range rapid.IntRange(0, 8).Draw(t, "records") {
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				in = append(in, FromPublisher{Beat: &Beat{Number: rapid.Uint64().Draw(t, "number"),
-					Digest: document.Digest{1, 2, 3}, Unheard: rapid.Int64().Draw(t, "unheard")}})
+				in = append(in, PublisherMessage{Heartbeat: &Heartbeat{Number: rapid.Uint64().Draw(t, "number"),
+					Digest: document.Digest{1, 2, 3}, OriginatorSilenceMS: rapid.Int64().Draw(t, "unheard")}})
 			case 1:
-				in = append(in, FromPublisher{Delta: rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "delta")})
+				in = append(in, PublisherMessage{Delta: rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "delta")})
 			default:
-				in = append(in, FromPublisher{Snapshot: bytes.Repeat([]byte{7}, rapid.IntRange(1, 4*keepBuffer).Draw(t, "bytes"))})
+				in = append(in, PublisherMessage{Snapshot: bytes.Repeat([]byte{7}, rapid.IntRange(1, 4*keepBuffer).Draw(t, "bytes"))})
 			}
 		}
 		var wire bytes.Buffer
@@ -42,7 +42,7 @@
 		}
 		r := NewReader(from)
 		for i := range in {
-			var got FromPublisher
+			var got PublisherMessage
 			if err := r.Read(&got); err != nil {
 				t.Fatalf("record %d of %d: %v", i, len(in), err)
 			}
@@ -50,7 +50,7 @@
 				t.Fatalf("record %d: %+v, want %+v", i, got, in[i])
 			}
 		}
-		if err := r.Read(new(FromPublisher)); err != io.EOF {
+		if err := r.Read(new(PublisherMessage)); err != io.EOF {
 			t.Fatalf("at the end: %v", err)
 		}
 	})
@@ -58,12 +58,12 @@
 
 // A sequence that ends within a record says so, wherever that is.
 func TestRecordHalf(t *testing.T) {
-	whole, err := cbor.Marshal(FromFollower{Hello: &Hello{Name: "a", Region: "b", Number: 3, Digest: document.Digest{9}}})
+	whole, err := cbor.Marshal(FollowerMessage{Hello: &Hello{Name: "a", Region: "b", Number: 3, Digest: document.Digest{9}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := 1; n < len(whole); n++ {
-		if err := NewReader(bytes.NewReader(whole[:n])).Read(new(FromFollower)); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if err := NewReader(bytes.NewReader(whole[:n])).Read(new(FollowerMessage)); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Errorf("%d bytes of %d: %v", n, len(whole), err)
 		}
 	}
@@ -87,16 +87,16 @@
 // The bound holds against a record that claims little and against one that claims much; no more than it is read.
 func TestRecordBound(t *testing.T) {
 	huge := &endless{head: []byte{0xa1, 0x02, 0x5b, 0, 0, 1, 0, 0, 0, 0, 0}} // {2: a byte string of 2^40 bytes
-	if err := NewReader(huge).Read(new(FromPublisher)); !errors.Is(err, ErrTooLong) {
+	if err := NewReader(huge).Read(new(PublisherMessage)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("%v", err)
 	}
-	if huge.read > MostMessage+recordOver {
+	if huge.read > MaxMessageBytes+recordOver {
 		t.Errorf("%d bytes were read", huge.read)
 	}
-	if err := NewWriter(io.Discard).Write(&FromPublisher{Snapshot: make([]byte, MostMessage+recordOver)}); !errors.Is(err, ErrTooLong) {
+	if err := NewWriter(io.Discard).Write(&PublisherMessage{Snapshot: make([]byte, MaxMessageBytes+recordOver)}); !errors.Is(err, ErrTooLong) {
 		t.Errorf("%v", err)
 	}
-	most := &FromPublisher{Snapshot: make([]byte, MostMessage)}
+	most := &PublisherMessage{Snapshot: make([]byte, MaxMessageBytes)}
 	var wire bytes.Buffer
 	for range 2 {
 		if err := NewWriter(&wire).Write(most); err != nil {
@@ -105,8 +105,8 @@
 	}
 	r := NewReader(&wire)
 	for range 2 {
-		var got FromPublisher
-		if err := r.Read(&got); err != nil || len(got.Snapshot) != MostMessage {
+		var got PublisherMessage
+		if err := r.Read(&got); err != nil || len(got.Snapshot) != MaxMessageBytes {
 			t.Errorf("%d bytes, %v", len(got.Snapshot), err)
 		}
 	}
@@ -117,7 +117,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReader(bytes.NewReader(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")))
 		for range 300 {
-			if err := r.Read(new(FromFollower)); err != nil {
+			if err := r.Read(new(FollowerMessage)); err != nil {
 				return
 			}
 		}
--- a/internal/control/publish/book.go
+++ b/internal/control/publish/book.go
@@ -97,7 +97,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m.number, m.digest, m.seen = a.Number, a.Digest, now
-	m.refused = a.Refused[:min(len(a.Refused), mostRefused)]
+	m.refused = a.RefusalReason[:min(len(a.RefusalReason), mostRefused)]
 	m.leaving = m.leaving || a.Leaving
 	if m.refused != "" || m.number >= m.sent {
 		m.owes = time.Time{}
@@ -144,7 +144,7 @@
 		lines = append(lines, m.line(v, now, false))
 	}
 	slices.SortFunc(lines, func(x, y protocol.Follower) int {
-		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Region, y.Region), cmp.Compare(y.SeenMS, x.SeenMS))
+		return cmp.Or(cmp.Compare(x.Name, y.Name), cmp.Compare(x.Region, y.Region), cmp.Compare(y.LastSeenAgoMS, x.LastSeenAgoMS))
 	})
 	return lines
 }
@@ -160,7 +160,7 @@
 		lag = 0
 	}
 	return protocol.Follower{Name: m.name, Region: m.region, Publisher: m.publisher, Number: m.number, Digest: m.digest.String(),
-		LagMS: lagMS(lag), Refused: m.refused, Fork: m.fork, Leaving: m.leaving, Connected: connected, SeenMS: now.Sub(m.seen).Milliseconds()}
+		LagMS: lagMS(lag), RefusalReason: m.refused, Fork: m.fork, Leaving: m.leaving, Connected: connected, LastSeenAgoMS: now.Sub(m.seen).Milliseconds()}
 }
 
 // lagMS rounds up: what lags at all does not read as current.
--- a/internal/control/publish/client.go
+++ b/internal/control/publish/client.go
@@ -82,7 +82,7 @@
 		return fmt.Errorf("publish: %w", err)
 	}
 	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, protocol.MostMessage))
+	text, err := io.ReadAll(io.LimitReader(a.Body, protocol.MaxMessageBytes))
 	if err != nil {
 		return fmt.Errorf("publish: %s: %w", c.Address, err)
 	}
@@ -97,7 +97,7 @@
 
 // refusal makes an error of an answer.
 func refusal(status int, text []byte) error {
-	var r protocol.Refusal
+	var r protocol.ErrorResponse
 	if json.Unmarshal(text, &r) != nil || len(r.Faults) == 0 {
 		return fmt.Errorf("publish: status %d: %.200s", status, text)
 	}
--- a/internal/control/publish/helpers_test.go
+++ b/internal/control/publish/helpers_test.go
@@ -165,7 +165,7 @@
 	if h.Name == "" {
 		h.Name = "s0"
 	}
-	p.say(protocol.FromFollower{Hello: &h})
+	p.say(protocol.FollowerMessage{Hello: &h})
 	return p
 }
 
@@ -177,7 +177,7 @@
 	p.transport.CloseIdleConnections()
 }
 
-func (p *peer) say(m protocol.FromFollower) {
+func (p *peer) say(m protocol.FollowerMessage) {
 	p.t.Helper()
 	b, err := cbor.Marshal(&m)
 	if err != nil {
@@ -191,31 +191,31 @@
 }
 
 func (p *peer) ack(doc *document.Document) {
-	p.say(protocol.FromFollower{Ack: &protocol.Ack{Number: doc.Header().Number, Digest: doc.Digest()}})
+	p.say(protocol.FollowerMessage{Ack: &protocol.Ack{Number: doc.Header().Number, Digest: doc.Digest()}})
 }
 
 // next is the next record, whatever it is; an error is the stream's end.
-func (p *peer) next() (m protocol.FromPublisher, err error) {
+func (p *peer) next() (m protocol.PublisherMessage, err error) {
 	return m, p.dec.Decode(&m)
 }
 
 // version is the next record that is no beat.
-func (p *peer) version() (m protocol.FromPublisher, err error) {
+func (p *peer) version() (m protocol.PublisherMessage, err error) {
 	for m.Delta == nil && m.Snapshot == nil && err == nil {
-		m = protocol.FromPublisher{}
+		m = protocol.PublisherMessage{}
 		err = p.dec.Decode(&m)
 	}
 	return m, err
 }
 
 // beat is the next record, which must be a beat.
-func (p *peer) beat() *protocol.Beat {
+func (p *peer) beat() *protocol.Heartbeat {
 	p.t.Helper()
 	m, err := p.next()
-	if err != nil || m.Beat == nil {
+	if err != nil || m.Heartbeat == nil {
 		p.t.Fatalf("%d bytes of a delta, %d of a snapshot, %v: want a beat", len(m.Delta), len(m.Snapshot), err)
 	}
-	return m.Beat
+	return m.Heartbeat
 }
 
 // reach applies what comes until that version is in force, and returns it with
@@ -256,7 +256,7 @@
 
 // applyRecord applies what a follower is sent.
 func applyRecord(doc *document.Document, record []byte) (*document.Document, error) {
-	var m protocol.FromPublisher
+	var m protocol.PublisherMessage
 	if err := cbor.Unmarshal(record, &m); err != nil {
 		return nil, err
 	}
--- a/internal/control/publish/load_test.go
+++ b/internal/control/publish/load_test.go
@@ -130,7 +130,7 @@
 		case <-stop:
 		}
 	}()
-	p.say(protocol.FromFollower{Hello: at})
+	p.say(protocol.FollowerMessage{Hello: at})
 	for {
 		r, err := p.version()
 		select {
@@ -159,7 +159,7 @@
 			}
 			at.Number, at.Digest = delta.Header.Number, delta.Header.Digest()
 		}
-		p.say(protocol.FromFollower{Ack: &protocol.Ack{Number: at.Number, Digest: at.Digest}})
+		p.say(protocol.FollowerMessage{Ack: &protocol.Ack{Number: at.Number, Digest: at.Digest}})
 		latest.Store(at.Number)
 	}
 }
--- a/internal/control/publish/log.go
+++ b/internal/control/publish/log.go
@@ -53,7 +53,7 @@
 func (s *snapshot) make() error {
 	s.once.Do(func() {
 		if s.text, s.err = s.doc.Snapshot(); s.err == nil {
-			s.record, s.err = cbor.Marshal(&protocol.FromPublisher{Snapshot: s.text})
+			s.record, s.err = cbor.Marshal(&protocol.PublisherMessage{Snapshot: s.text})
 		}
 		s.done.Store(true)
 	})
@@ -181,7 +181,7 @@
 	entries []entry
 	whole   *snapshot // ... or this, see make
 	fork    bool      // ... or nothing, ever
-	beat    protocol.Beat
+	beat    protocol.Heartbeat
 	moved   <-chan struct{} // closed when there is more
 }
 
@@ -190,7 +190,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	head := v.first - 1 + uint64(len(v.entries))
-	n := next{entries: scratch[:0], moved: v.moved, beat: protocol.Beat{Number: head, Digest: v.digest}}
+	n := next{entries: scratch[:0], moved: v.moved, beat: protocol.Heartbeat{Number: head, Digest: v.digest}}
 	known, same := v.look(number, digest)
 	switch {
 	case number > head || head == 0:
--- a/internal/control/publish/publisher.go
+++ b/internal/control/publish/publisher.go
@@ -124,7 +124,7 @@
 }
 
 func newEntry(r record, now time.Time) (entry, error) {
-	b, err := cbor.Marshal(&protocol.FromPublisher{Delta: r.delta})
+	b, err := cbor.Marshal(&protocol.PublisherMessage{Delta: r.delta})
 	return entry{number: r.number, digest: r.digest, record: b, since: now}, err
 }
 
--- a/internal/control/publish/relay_test.go
+++ b/internal/control/publish/relay_test.go
@@ -51,7 +51,7 @@
 		if m.Snapshot != nil {
 			number = 8
 		}
-		if number == 8 && m.Beat != nil && m.Beat.Unheard >= protocol.OrphanMost.Milliseconds() {
+		if number == 8 && m.Heartbeat != nil && m.Heartbeat.OriginatorSilenceMS >= protocol.OriginatorTimeout.Milliseconds() {
 			break
 		}
 	}
@@ -114,7 +114,7 @@
 	links[0].Cut()
 	links[1].Cut()
 	a.versionsUpTo(t, 5)
-	const long = 2 * protocol.OrphanMost
+	const long = 2 * protocol.OriginatorTimeout
 	eventually(t, "both tell that the originator was not heard", func() bool { return b.unheard() > long && c.unheard() > long })
 	if b.Document().Header().Number != 2 || c.Document().Header().Number != 2 {
 		t.Error("there are versions that nobody published")
@@ -141,7 +141,7 @@
 		t.Errorf("%d deltas", steps)
 	}
 	v, err := b.Version(context.Background())
-	if err != nil || !strings.Contains(v.Disk, "no space left") {
+	if err != nil || !strings.Contains(v.DiskError, "no space left") {
 		t.Errorf("%+v, %v", v, err)
 	}
 	if n := b.logs.FilterMessageSnippet("cannot be written").Len(); n != 1 {
--- a/internal/control/publish/serve.go
+++ b/internal/control/publish/serve.go
@@ -75,13 +75,13 @@
 // version words a version as it stands here.
 func (p *Publisher) version(doc *document.Document) *protocol.Version {
 	v := versionOf(doc.Header(), doc.Digest())
-	v.Name, v.Region, v.UnheardMS, v.Oldest = p.set.Name, p.set.Region, p.unheard().Milliseconds(), p.versions.oldest()
+	v.PublisherName, v.PublisherRegion, v.OriginatorSilenceMS, v.Oldest = p.set.Name, p.set.Region, p.unheard().Milliseconds(), p.versions.oldest()
 	v.Followers, v.Forks = p.book.counts()
 	if p.relay != nil {
 		v.Originator = p.set.Follow[0].Address
 	}
 	if err := p.store.failure(); err != nil {
-		v.Disk = err.Error()
+		v.DiskError = err.Error()
 	}
 	return v
 }
@@ -92,7 +92,7 @@
 	if r.URL.Query().Get("lagging") == "1" {
 		some := make([]protocol.Follower, 0)
 		for _, f := range lines {
-			if f.LagMS > 0 || f.Refused != "" || f.Fork {
+			if f.LagMS > 0 || f.RefusalReason != "" || f.Fork {
 				some = append(some, f)
 			}
 		}
@@ -110,7 +110,7 @@
 // publishes takes a version from an operator.
 func (p *Publisher) publishes(w http.ResponseWriter, r *http.Request) {
 	if p.relay != nil {
-		p.refuse(w, http.StatusConflict, protocol.CodeOriginator, fmt.Sprintf("versions are published at %s", p.set.Follow[0].Address))
+		p.refuse(w, http.StatusConflict, protocol.CodeNotOriginator, fmt.Sprintf("versions are published at %s", p.set.Follow[0].Address))
 		return
 	}
 	select {
@@ -138,13 +138,13 @@
 		}
 	}
 	if len(faults) > 0 {
-		p.refuse(w, http.StatusBadRequest, protocol.CodeFaults, faults...)
+		p.refuse(w, http.StatusBadRequest, protocol.CodeInvalid, faults...)
 		return
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyWithin)) //nolint:errcheck // a connection that has ended shows below
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MostMessage))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxMessageBytes))
 	if err != nil {
-		p.refuse(w, http.StatusBadRequest, protocol.CodeFaults, err.Error())
+		p.refuse(w, http.StatusBadRequest, protocol.CodeInvalid, err.Error())
 		return
 	}
 	var h document.Header
@@ -164,7 +164,7 @@
 			h, err = p.Publish(changes, by, base)
 		}
 	default:
-		p.refuse(w, http.StatusUnsupportedMediaType, protocol.CodeFaults, fmt.Sprintf("Content-Type is %q, want %s or %s", kind, typeFile, typeChanges))
+		p.refuse(w, http.StatusUnsupportedMediaType, protocol.CodeInvalid, fmt.Sprintf("Content-Type is %q, want %s or %s", kind, typeFile, typeChanges))
 		return
 	}
 	if err != nil {
@@ -174,7 +174,7 @@
 	// Another version may have come since: what is answered is the one made here.
 	v := p.version(p.Document())
 	made := versionOf(h, h.Digest())
-	made.Name, made.Region, made.Oldest, made.Followers, made.Forks = v.Name, v.Region, v.Oldest, v.Followers, v.Forks
+	made.PublisherName, made.PublisherRegion, made.Oldest, made.Followers, made.Forks = v.PublisherName, v.PublisherRegion, v.Oldest, v.Followers, v.Forks
 	answer(w, http.StatusOK, made)
 }
 
@@ -193,11 +193,11 @@
 	code   string
 	status int
 }{
-	{ErrFaults, protocol.CodeFaults, http.StatusBadRequest},
-	{ErrNotOriginator, protocol.CodeOriginator, http.StatusConflict},
-	{ErrBase, protocol.CodeBase, http.StatusConflict},
-	{ErrSame, protocol.CodeSame, http.StatusConflict},
-	{ErrDisk, protocol.CodeDisk, http.StatusServiceUnavailable},
+	{ErrFaults, protocol.CodeInvalid, http.StatusBadRequest},
+	{ErrNotOriginator, protocol.CodeNotOriginator, http.StatusConflict},
+	{ErrBase, protocol.CodeBaseMismatch, http.StatusConflict},
+	{ErrSame, protocol.CodeNoChange, http.StatusConflict},
+	{ErrDisk, protocol.CodeDiskFailed, http.StatusServiceUnavailable},
 	{ErrBusy, protocol.CodeBusy, http.StatusServiceUnavailable},
 }
 
@@ -210,11 +210,11 @@
 		}
 	}
 	p.log.Error("a version could not be made", zap.Error(err))
-	p.refuse(w, http.StatusInternalServerError, protocol.CodeFaults, err.Error())
+	p.refuse(w, http.StatusInternalServerError, protocol.CodeInvalid, err.Error())
 }
 
 func (p *Publisher) refuse(w http.ResponseWriter, status int, code string, faults ...string) {
-	r := &protocol.Refusal{Code: code, Faults: faults}
+	r := &protocol.ErrorResponse{Code: code, Faults: faults}
 	if p.relay != nil {
 		r.Originator = p.set.Follow[0].Address
 	}
--- a/internal/control/publish/serve_test.go
+++ b/internal/control/publish/serve_test.go
@@ -49,7 +49,7 @@
 func TestHello(t *testing.T) {
 	m := serve(t, Settings{Deltas: 16})
 	empty := hello(t, m.Address, protocol.Hello{})
-	if b := empty.beat(); b.Number != 0 || b.Unheard != 0 {
+	if b := empty.beat(); b.Number != 0 || b.OriginatorSilenceMS != 0 {
 		t.Errorf("before the first version: %+v", b)
 	}
 	m.versionsUpTo(t, 10)
@@ -120,7 +120,7 @@
 	for _, a := range []protocol.Ack{{Number: 7, Digest: m.Document().Digest(), Fork: true}, {Number: 6, Digest: document.Digest{3}}} {
 		_, before := m.book.counts()
 		p := hello(t, m.Address, protocol.Hello{Name: "late", Number: 7, Digest: m.Document().Digest()})
-		p.say(protocol.FromFollower{Ack: &a})
+		p.say(protocol.FollowerMessage{Ack: &a})
 		eventually(t, "the fork is counted", func() bool { _, n := m.book.counts(); return n == before+1 })
 	}
 }
@@ -185,20 +185,20 @@
 			p.raw(append([]byte{0xa1, 0x01, 0xa1, 0x01, 0x7a, 0, 1, 0, 0}, bytes.Repeat([]byte("x"), 64<<10)...))
 		},
 		"deep":            func(p *peer) { p.raw(bytes.Repeat([]byte{0x81}, 5000)) },
-		"no part":         func(p *peer) { p.say(protocol.FromFollower{}) },
-		"no name":         func(p *peer) { p.say(protocol.FromFollower{Hello: &protocol.Hello{}}) },
-		"a long name":     func(p *peer) { p.say(protocol.FromFollower{Hello: &protocol.Hello{Name: long}}) },
-		"a long region":   func(p *peer) { p.say(protocol.FromFollower{Hello: &protocol.Hello{Name: "a", Region: long}}) },
-		"an ack at first": func(p *peer) { p.say(protocol.FromFollower{Ack: &protocol.Ack{}}) },
+		"no part":         func(p *peer) { p.say(protocol.FollowerMessage{}) },
+		"no name":         func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{}}) },
+		"a long name":     func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: long}}) },
+		"a long region":   func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a", Region: long}}) },
+		"an ack at first": func(p *peer) { p.say(protocol.FollowerMessage{Ack: &protocol.Ack{}}) },
 		"both parts": func(p *peer) {
-			p.say(protocol.FromFollower{Hello: &protocol.Hello{Name: "a"}, Ack: &protocol.Ack{}})
+			p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}, Ack: &protocol.Ack{}})
 		},
 		"hello twice": func(p *peer) {
 			for range 2 {
-				p.say(protocol.FromFollower{Hello: &protocol.Hello{Name: "a"}})
+				p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}})
 			}
 		},
-		"nonsense after hello": func(p *peer) { p.say(protocol.FromFollower{Hello: &protocol.Hello{Name: "a"}}); p.raw([]byte{0xff}) },
+		"nonsense after hello": func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}}); p.raw([]byte{0xff}) },
 	} {
 		p, err := dial(t, m.Address)
 		if err != nil {
@@ -315,7 +315,7 @@
 		t.Error("the service is not there")
 	}
 	v, err := m.Version(ctx)
-	if err != nil || v.Number != 1 || !strings.HasPrefix(v.Digest, m.Document().Digest().String()) || v.Originator != "" || v.Name != "c0" {
+	if err != nil || v.Number != 1 || !strings.HasPrefix(v.Digest, m.Document().Digest().String()) || v.Originator != "" || v.PublisherName != "c0" {
 		t.Errorf("%+v, %v", v, err)
 	}
 	in := m.Document().Digest()
@@ -392,7 +392,7 @@
 		{protocol.PathVersions + meta, typeChanges, "x", 400},
 		{protocol.PathVersions + meta, typeChanges, "\x9b\x7f\xff\xff\xff\xff\xff\xff\xff", 400},
 		{protocol.PathVersions + meta + "&base=12", typeFile, "", 400},
-		{protocol.PathVersions + meta, typeFile, strings.Repeat("#", protocol.MostMessage+1), 400},
+		{protocol.PathVersions + meta, typeFile, strings.Repeat("#", protocol.MaxMessageBytes+1), 400},
 		{protocol.PathVersions + meta, typeFile, "", 409},
 		{protocol.PathVersion, "", "", 405},
 		{"/", "", "", 404},
--- a/internal/control/publish/stream.go
+++ b/internal/control/publish/stream.go
@@ -45,8 +45,8 @@
 }
 
 // next reads one record. Without an error exactly one of its parts is there.
-func (r *reader) next() (protocol.FromFollower, error) {
-	var m protocol.FromFollower
+func (r *reader) next() (protocol.FollowerMessage, error) {
+	var m protocol.FollowerMessage
 	r.limit.N = mostWord
 	if err := r.dec.Decode(&m); err != nil {
 		if r.limit.N == 0 {
@@ -77,7 +77,7 @@
 // anything for the follower but its place in the log.
 func (p *Publisher) follow(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoMajor < 2 {
-		p.refuse(w, http.StatusHTTPVersionNotSupported, protocol.CodeFaults, "want HTTP/2")
+		p.refuse(w, http.StatusHTTPVersionNotSupported, protocol.CodeInvalid, "want HTTP/2")
 		return
 	}
 	select {
@@ -152,8 +152,8 @@
 	if known, same := s.p.versions.knows(a.Number, a.Digest); a.Fork || known && !same && a.Number > 0 {
 		s.forked(a.Number, a.Digest)
 	}
-	if a.Refused != "" {
-		s.p.log.Warn("a follower refuses a version", zap.String("follower", s.m.name), zap.Uint64("on", a.Number), zap.String("why", a.Refused))
+	if a.RefusalReason != "" {
+		s.p.log.Warn("a follower refuses a version", zap.String("follower", s.m.name), zap.Uint64("on", a.Number), zap.String("why", a.RefusalReason))
 	}
 }
 
@@ -168,14 +168,14 @@
 // send writes what the follower lacks, as far as the log has come, then waits
 // for more. It ends with ctx or when a write is not taken.
 func (s *stream) send(ctx context.Context, number uint64, digest document.Digest) error {
-	beats := time.NewTicker(protocol.BeatEvery)
+	beats := time.NewTicker(protocol.HeartbeatInterval)
 	defer beats.Stop()
 	scratch := make([]entry, 0, batchEntries)
 	beat, fork := true, false
 	for {
 		n := s.p.versions.after(number, digest, scratch)
 		if beat {
-			n.beat.Unheard = lagMS(s.p.unheard()) // rounded up: relays that follow each other do not keep it young
+			n.beat.OriginatorSilenceMS = lagMS(s.p.unheard()) // rounded up: relays that follow each other do not keep it young
 			if err := s.beat(&n.beat); err != nil {
 				return err
 			}
@@ -252,8 +252,8 @@
 	return err
 }
 
-func (s *stream) beat(b *protocol.Beat) error {
-	text, err := cbor.Marshal(&protocol.FromPublisher{Beat: b})
+func (s *stream) beat(b *protocol.Heartbeat) error {
+	text, err := cbor.Marshal(&protocol.PublisherMessage{Heartbeat: b})
 	if err == nil {
 		err = s.write(text)
 	}
@@ -269,7 +269,7 @@
 func (s *stream) write(b []byte) error {
 	for len(b) > 0 {
 		n := min(len(b), chunkBytes)
-		s.rc.SetWriteDeadline(time.Now().Add(protocol.WriteWithin)) //nolint:errcheck // a stream that has ended shows below
+		s.rc.SetWriteDeadline(time.Now().Add(protocol.WriteTimeout)) //nolint:errcheck // a stream that has ended shows below
 		if _, err := s.w.Write(b[:n]); err != nil {
 			return err
 		}
@@ -279,7 +279,7 @@
 }
 
 func (s *stream) flush() error {
-	s.rc.SetWriteDeadline(time.Now().Add(protocol.WriteWithin)) //nolint:errcheck // a stream that has ended shows below
+	s.rc.SetWriteDeadline(time.Now().Add(protocol.WriteTimeout)) //nolint:errcheck // a stream that has ended shows below
 	err := s.rc.Flush()
 	s.rc.SetWriteDeadline(time.Time{}) //nolint:errcheck // as above
 	return err
