--- a/cmd/kiteslip/control.go
+++ b/cmd/kiteslip/control.go
@@ -53,7 +53,7 @@
 	debug.SetMemoryLimit(controlMemory)
 	set := publish.Settings{Name: cfg.Name, Region: cfg.Region, Listen: cfg.Listen, Folder: cfg.Folder, Deltas: cfg.MaxDeltas, Log: log}
 	for _, f := range cfg.Upstreams {
-		set.Follow = append(set.Follow, follow.Publisher(f))
+		set.Follow = append(set.Follow, follow.Endpoint(f))
 	}
 	name := fnv.New64a()
 	name.Write([]byte(cfg.Name)) //nolint:errcheck // it has none
--- a/cmd/kiteslip/control_publish_test.go
+++ b/cmd/kiteslip/control_publish_test.go
@@ -28,7 +28,7 @@
 }
 
 // following starts a follower until the test ends.
-func following(t *testing.T, name string, publishers ...follow.Publisher) *applied {
+func following(t *testing.T, name string, publishers ...follow.Endpoint) *applied {
 	t.Helper()
 	f, err := follow.New(follow.Settings{Name: name, Region: "north", Publishers: publishers, Seed: 1})
 	if err != nil {
@@ -99,8 +99,8 @@
 func TestOriginatorKilledWhilePublishing(t *testing.T) {
 	a := machine(t, "c0", "north", 0)
 	b := machine(t, "c1", "north", 0, testfleet.ControlTarget{Address: a.Address, Region: "north"})
-	one := following(t, "s1", follow.Publisher{Address: a.Address, Region: "north"}, follow.Publisher{Address: b.Address, Region: "north"})
-	two := following(t, "s2", follow.Publisher{Address: b.Address, Region: "north"})
+	one := following(t, "s1", follow.Endpoint{Address: a.Address, Region: "north"}, follow.Endpoint{Address: b.Address, Region: "north"})
+	two := following(t, "s2", follow.Endpoint{Address: b.Address, Region: "north"})
 	rng := rand.New(rand.NewPCG(7, 7))
 	client := &publish.Client{Address: a.Address}
 	accepted := map[uint64]document.Digest{} // by the answer alone
@@ -178,7 +178,7 @@
 func TestCutHalfwayThroughADelta(t *testing.T) {
 	a := machine(t, "c0", "north", 0)
 	link := linkTo(t, a.Address)
-	f := following(t, "s1", follow.Publisher{Address: link.Address, Region: "north"})
+	f := following(t, "s1", follow.Endpoint{Address: link.Address, Region: "north"})
 	client := &publish.Client{Address: a.Address}
 	accepted := map[uint64]document.Digest{}
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -212,7 +212,7 @@
 	a := machine(t, "c0", "north", 0)
 	link := linkTo(t, a.Address)
 	b := machine(t, "c1", "south", 0, testfleet.ControlTarget{Address: link.Address, Region: "north"})
-	f := following(t, "s1", follow.Publisher{Address: b.Address, Region: "south"})
+	f := following(t, "s1", follow.Endpoint{Address: b.Address, Region: "south"})
 	client := &publish.Client{Address: a.Address}
 	for round := range 5 {
 		link.Silence(faultnet.Back) // nothing spreads
@@ -246,7 +246,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := following(t, "s1", follow.Publisher{Address: link.Address, Region: "north"})
+	f := following(t, "s1", follow.Endpoint{Address: link.Address, Region: "north"})
 	testfleet.Eventually(t, "the first version", func() bool { n, d := f.on(); return n == 1 && d == h1.Digest() })
 	// Its folder is lost, it starts empty at its own address, and publishes.
 	a.Kill()
--- a/cmd/kiteslip/follow.go
+++ b/cmd/kiteslip/follow.go
@@ -18,9 +18,9 @@
 // ends with ctx.
 func startBy(ctx context.Context, cfg *config.Config, signals server.Signals, log *zap.Logger) (*config.Config, *follow.Follower, server.Signals, error) {
 	set := follow.Settings{Name: cfg.Name, Region: cfg.Control.Region, Folder: cfg.Control.Folder,
-		Wait: time.Duration(cfg.Control.InitialWaitUS) * time.Microsecond, Seed: cfg.Seed, Log: log}
+		InitialWait: time.Duration(cfg.Control.InitialWaitUS) * time.Microsecond, Seed: cfg.Seed, Log: log}
 	for _, p := range cfg.Control.Publishers {
-		set.Publishers = append(set.Publishers, follow.Publisher{Address: p.Address, Region: p.Region})
+		set.Publishers = append(set.Publishers, follow.Endpoint{Address: p.Address, Region: p.Region})
 	}
 	f, err := follow.New(set)
 	if err != nil {
@@ -38,7 +38,7 @@
 		case <-done:
 		}
 	}()
-	doc, origin := f.First(ctx)
+	doc, origin := f.InitialVersion(ctx)
 	close(done)
 	<-watched
 	if len(notice) > 0 {
--- a/internal/control/follow/choose.go
+++ b/internal/control/follow/choose.go
@@ -66,7 +66,7 @@
 }
 
 func newSeeker(set *Settings) *seeker {
-	s := &seeker{relay: set.Publisher, at: -1, again: -1, states: make([]candidate, len(set.Publishers)),
+	s := &seeker{relay: set.Relay, at: -1, again: -1, states: make([]candidate, len(set.Publishers)),
 		pauses: func(d time.Duration) time.Duration { return d },
 		draw:   rand.New(rand.NewPCG(set.Seed, xxhash.Sum64String(set.Name)))}
 	score := make([]uint64, len(set.Publishers))
@@ -76,7 +76,7 @@
 	}
 	class := func(i int) int {
 		switch {
-		case set.Publisher && i == 0:
+		case set.Relay && i == 0:
 			return 0
 		case set.Publishers[i].Region == set.Region:
 			return 1
@@ -93,7 +93,7 @@
 		return 1
 	})
 	for i := range s.order {
-		if class(i) < 2 && !set.Publisher || set.Publisher && i == 0 {
+		if class(i) < 2 && !set.Relay || set.Relay && i == 0 {
 			s.near++
 		}
 	}
--- a/internal/control/follow/choose_test.go
+++ b/internal/control/follow/choose_test.go
@@ -47,7 +47,7 @@
 	set := Settings{Seed: 1}
 	var s *seeker
 	place := func(name string) int {
-		i := slices.IndexFunc(set.Publishers, func(p Publisher) bool { return p.Address == name })
+		i := slices.IndexFunc(set.Publishers, func(p Endpoint) bool { return p.Address == name })
 		if i < 0 {
 			t.Fatalf("no publisher %q", name)
 		}
@@ -65,12 +65,12 @@
 		case len(word) == 0 || word[0] == "#":
 			continue
 		case word[0] == "follower":
-			set.Name, set.Region, set.Publisher = word[1], word[3], len(word) > 4
+			set.Name, set.Region, set.Relay = word[1], word[3], len(word) > 4
 			continue
 		case word[0] == "publishers":
 			for _, w := range word[1:] {
 				address, region, _ := strings.Cut(w, "/")
-				set.Publishers = append(set.Publishers, Publisher{address, region})
+				set.Publishers = append(set.Publishers, Endpoint{address, region})
 			}
 			s = newSeeker(&set)
 			continue
@@ -141,7 +141,7 @@
 // Followers spread evenly over the publishers of their region, and when one is
 // gone its followers spread evenly over the rest, while no other moves.
 func TestSpread(t *testing.T) {
-	set := Settings{Region: "north", Publishers: []Publisher{{"10.0.0.1:7", "north"}, {"10.0.0.2:7", "north"},
+	set := Settings{Region: "north", Publishers: []Endpoint{{"10.0.0.1:7", "north"}, {"10.0.0.2:7", "north"},
 		{"10.0.0.3:7", "north"}, {"10.1.0.1:7", "south"}}}
 	const servers = 3000
 	first, second := map[int]int{}, map[int]int{}
@@ -172,7 +172,7 @@
 
 // Waits are drawn over all of their bound, and differ between followers.
 func TestJitter(t *testing.T) {
-	set := Settings{Region: "north", Publishers: []Publisher{{"10.0.0.1:7", "north"}}}
+	set := Settings{Region: "north", Publishers: []Endpoint{{"10.0.0.1:7", "north"}}}
 	quarters := [4]int{}
 	for i := range 400 {
 		set.Name = fmt.Sprintf("server-%d", i)
--- a/internal/control/follow/fake_test.go
+++ b/internal/control/follow/fake_test.go
@@ -282,9 +282,9 @@
 
 // settings of a follower of these publishers, all of its region.
 func settings(publishers ...*fake) Settings {
-	set := Settings{Name: "server-1", Region: "north", Seed: 7, Wait: patience}
+	set := Settings{Name: "server-1", Region: "north", Seed: 7, InitialWait: patience}
 	for _, p := range publishers {
-		set.Publishers = append(set.Publishers, Publisher{p.address, "north"})
+		set.Publishers = append(set.Publishers, Endpoint{p.address, "north"})
 	}
 	return set
 }
--- a/internal/control/follow/follow.go
+++ b/internal/control/follow/follow.go
@@ -18,50 +18,50 @@
 	"kiteslip/internal/control/document"
 )
 
-// Publisher is where one control machine listens.
-type Publisher struct {
+// Endpoint is where one control machine listens.
+type Endpoint struct {
 	Address string `json:"Address"`
 	Region  string `json:"Region"`
 }
 
 // Settings are what a Follower needs to know.
 type Settings struct {
-	Name       string // of the server
-	Region     string
-	Publishers []Publisher
-	Folder     string             // where the version in force is kept; "" = nowhere
-	Wait       time.Duration      // how long First waits for a publisher
-	Seed       uint64             // of the jitter
-	Publisher  bool               // it follows for a publisher, not for a server: the first of Publishers is the originator
-	Have       *document.Document // in force already, where what is in force is kept elsewhere than in Folder; nil = nothing
-	Log        *zap.Logger
+	Name        string // of the server
+	Region      string
+	Publishers  []Endpoint
+	Folder      string             // where the version in force is kept; "" = nowhere
+	InitialWait time.Duration      // how long First waits for a publisher
+	Seed        uint64             // of the jitter
+	Relay       bool               // it follows for a publisher, not for a server: the first of Publishers is the originator
+	InForce     *document.Document // in force already, where what is in force is kept elsewhere than in Folder; nil = nothing
+	Log         *zap.Logger
 }
 
-// Origin says where the version in force came from.
-type Origin string
+// Source says where the version in force came from.
+type Source string
 
 // The origins.
 const (
-	FromNone      Origin = "none"      // nothing is in force: the server's own file holds
-	FromFolder    Origin = "folder"    // as it was kept
-	FromPublisher Origin = "publisher" // as it was sent
+	SourceNone      Source = "none"      // nothing is in force: the server's own file holds
+	SourceFolder    Source = "folder"    // as it was kept
+	SourcePublisher Source = "publisher" // as it was sent
 )
 
 // State is what the operators' door and logs tell.
 type State struct {
-	Number    uint64
-	Digest    document.Digest
-	Origin    Origin
-	Publisher string        // the address of the stream that stands; "" = none
-	Unheard   time.Duration // since the originator was last heard, by what publishers say: the version's age
-	Lag       time.Duration // since a version that is not in force here was first told of; 0 = current
-	Refused   string        // why the version that came last is not in force
-	Fork      bool
-	Applied   int   // versions taken over since Run began
-	Snapshots int   // versions that came whole
-	Switches  int   // changes of publisher
-	Sent      int64 // bytes, both ways, since the start
-	Received  int64
+	Number            uint64
+	Digest            document.Digest
+	Source            Source
+	Publisher         string        // the address of the stream that stands; "" = none
+	OriginatorSilence time.Duration // since the originator was last heard, by what publishers say: the version's age
+	Lag               time.Duration // since a version that is not in force here was first told of; 0 = current
+	RefusalReason     string        // why the version that came last is not in force
+	Fork              bool
+	Applied           int   // versions taken over since Run began
+	Snapshots         int   // versions that came whole
+	Switches          int   // changes of publisher
+	SentBytes         int64 // bytes, both ways, since the start
+	ReceivedBytes     int64
 }
 
 // Apply takes a version over, and returns when it is in force or refused. delta is
--- a/internal/control/follow/follower.go
+++ b/internal/control/follow/follower.go
@@ -65,14 +65,14 @@
 	f := &Follower{set: set, log: set.Log, began: time.Now(), seek: newSeeker(&set),
 		keep: shelf{keeper: keeper{folder: set.Folder, log: set.Log}}, inForce: document.Empty(), timer: time.NewTimer(time.Hour)}
 	f.heard, f.unsure = f.began, true
-	f.state.Origin = FromNone
+	f.state.Source = SourceNone
 	kept, at := f.keep.load()
 	switch {
-	case set.Have != nil && set.Have.Header().Number > 0:
-		f.adopt(set.Have, FromFolder)
+	case set.InForce != nil && set.InForce.Header().Number > 0:
+		f.adopt(set.InForce, SourceFolder)
 	case kept != nil:
 		f.kept, f.heard, f.unsure = kept, at, false
-		f.adopt(kept, FromFolder)
+		f.adopt(kept, SourceFolder)
 	}
 	f.head = f.inForce
 	return f, nil
@@ -98,8 +98,8 @@
 		}
 		seen[p.Address] = true
 	}
-	if s.Wait < 0 {
-		fail("Settings.Wait is %v, want 0 or more", s.Wait)
+	if s.InitialWait < 0 {
+		fail("Settings.InitialWait is %v, want 0 or more", s.InitialWait)
 	}
 	return errors.Join(errs...)
 }
@@ -107,29 +107,29 @@
 // now is the time since New.
 func (f *Follower) now() time.Duration { return time.Since(f.began) }
 
-// First waits for the first version, for Settings.Wait at most, and returns the
+// InitialVersion waits for the first version, for Settings.Wait at most, and returns the
 // document to start by: the publisher's, else the one kept, else nil. One that
 // was kept and that a publisher confirms is the publisher's. Where nobody has
 // published anything yet the originator's word for that ends the wait. The stream
 // stays open for Run, and ends with ctx.
-func (f *Follower) First(ctx context.Context) (*document.Document, Origin) {
-	wait, cancel := context.WithTimeout(ctx, f.set.Wait)
+func (f *Follower) InitialVersion(ctx context.Context) (*document.Document, Source) {
+	wait, cancel := context.WithTimeout(ctx, f.set.InitialWait)
 	defer cancel()
-	if f.set.Wait > 0 {
+	if f.set.InitialWait > 0 {
 		f.follow(wait)
 	}
 	if f.cur != nil {
 		f.detached = context.AfterFunc(ctx, f.cur.cancel)
 	}
 	if f.inForce.Header().Number == 0 {
-		return nil, FromNone
+		return nil, SourceNone
 	}
-	return f.inForce, f.State().Origin
+	return f.inForce, f.State().Source
 }
 
 // Reject notes that the document that First returned, or Reject before, cannot
 // be used, and returns the next to start by: the one kept, else nil.
-func (f *Follower) Reject(why error) (*document.Document, Origin) {
+func (f *Follower) Reject(why error) (*document.Document, Source) {
 	refused := f.inForce
 	f.log.Error("control: the version is refused", zap.Uint64("version", refused.Header().Number),
 		zap.Stringer("digest", refused.Digest()), zap.Error(why))
@@ -140,19 +140,19 @@
 	if f.head.Header().Number < refused.Header().Number {
 		f.head = refused
 	}
-	origin := FromFolder
+	origin := SourceFolder
 	if next.Header().Number == 0 {
-		origin = FromNone
+		origin = SourceNone
 	}
 	f.mu.Lock()
 	f.inForce = next
-	f.state.Number, f.state.Digest, f.state.Origin, f.state.Refused = next.Header().Number, next.Digest(), origin, why.Error()
+	f.state.Number, f.state.Digest, f.state.Source, f.state.RefusalReason = next.Header().Number, next.Digest(), origin, why.Error()
 	if f.since.IsZero() {
 		f.since = time.Now()
 	}
 	f.mu.Unlock()
-	if origin == FromNone {
-		return nil, FromNone
+	if origin == SourceNone {
+		return nil, SourceNone
 	}
 	return next, origin
 }
@@ -165,7 +165,7 @@
 		f.detached = nil
 	}
 	f.apply = apply
-	if f.inForce.Header().Number > 0 && f.set.Have == nil && (f.kept == nil || f.kept.Digest() != f.inForce.Digest()) {
+	if f.inForce.Header().Number > 0 && f.set.InForce == nil && (f.kept == nil || f.kept.Digest() != f.inForce.Digest()) {
 		f.keep.save(f.now(), f.inForce, false, nil)
 	}
 	f.kept = nil
@@ -198,11 +198,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state
-	s.Unheard = max(0, time.Since(f.heard))
+	s.OriginatorSilence = max(0, time.Since(f.heard))
 	if !f.since.IsZero() {
 		s.Lag = max(time.Since(f.since), 1)
 	}
-	s.Sent, s.Received = f.count.sent.Load(), f.count.received.Load()
+	s.SentBytes, s.ReceivedBytes = f.count.sent.Load(), f.count.received.Load()
 	return s
 }
 
@@ -284,9 +284,9 @@
 	h := f.inForce.Header()
 	within := answerMost
 	if f.apply == nil { // a start gives more than one a chance within its wait
-		within = min(within, f.set.Wait/startTries)
+		within = min(within, f.set.InitialWait/startTries)
 	}
-	return open(p, f.set.Publishers[p].Address, &protocol.Hello{Name: f.set.Name, Region: f.set.Region, Publisher: f.set.Publisher,
+	return open(p, f.set.Publishers[p].Address, &protocol.Hello{Name: f.set.Name, Region: f.set.Region, Publisher: f.set.Relay,
 		Number: h.Number, Digest: f.digest()}, &f.count, f.now, within)
 }
 
--- a/internal/control/follow/follower_test.go
+++ b/internal/control/follow/follower_test.go
@@ -25,8 +25,8 @@
 		s.delta(deltas[3])
 		p.streams <- s
 	}()
-	doc, origin := f.First(context.Background())
-	if doc == nil || doc.Digest() != docs[3].Digest() || origin != FromPublisher {
+	doc, origin := f.InitialVersion(context.Background())
+	if doc == nil || doc.Digest() != docs[3].Digest() || origin != SourcePublisher {
 		t.Fatalf("%v, %v", doc, origin)
 	}
 	s := p.stream()
@@ -56,10 +56,10 @@
 	}
 	defer l.Close()
 	docs, _ := chain(t, 2)
-	set := Settings{Name: "server-1", Region: "north", Wait: 200 * time.Millisecond, Folder: t.TempDir(),
-		Publishers: []Publisher{{l.Addr().String(), "north"}}}
+	set := Settings{Name: "server-1", Region: "north", InitialWait: 200 * time.Millisecond, Folder: t.TempDir(),
+		Publishers: []Endpoint{{l.Addr().String(), "north"}}}
 	f := newFollowing(t, set)
-	if doc, origin := f.First(context.Background()); doc != nil || origin != FromNone {
+	if doc, origin := f.InitialVersion(context.Background()); doc != nil || origin != SourceNone {
 		t.Errorf("%v, %v", doc, origin)
 	}
 	f.run()
@@ -69,14 +69,14 @@
 	k.close()
 	f = newFollowing(t, set)
 	began := time.Now()
-	doc, origin := f.First(context.Background())
-	if doc == nil || doc.Digest() != docs[2].Digest() || origin != FromFolder {
+	doc, origin := f.InitialVersion(context.Background())
+	if doc == nil || doc.Digest() != docs[2].Digest() || origin != SourceFolder {
 		t.Errorf("%v, %v", doc, origin)
 	}
-	if took := time.Since(began); took < set.Wait {
+	if took := time.Since(began); took < set.InitialWait {
 		t.Errorf("it waited %v", took)
 	}
-	if st := f.State(); st.Number != 2 || st.Origin != FromFolder || st.Publisher != "" {
+	if st := f.State(); st.Number != 2 || st.Source != SourceFolder || st.Publisher != "" {
 		t.Errorf("%+v", st)
 	}
 	f.run()
@@ -101,8 +101,8 @@
 				s := <-p.streams
 				s.beat(kept, 0)
 			}()
-			doc, origin := f.First(context.Background())
-			if kept == nil && (doc != nil || origin != FromNone) || kept != nil && (doc.Digest() != kept.Digest() || origin != FromPublisher) {
+			doc, origin := f.InitialVersion(context.Background())
+			if kept == nil && (doc != nil || origin != SourceNone) || kept != nil && (doc.Digest() != kept.Digest() || origin != SourcePublisher) {
 				t.Errorf("%v, %v", doc, origin)
 			}
 			f.run()
@@ -128,13 +128,13 @@
 		s.delta(deltas[3])
 		p.streams <- s
 	}()
-	if doc, _ := f.First(context.Background()); doc.Digest() != docs[3].Digest() {
+	if doc, _ := f.InitialVersion(context.Background()); doc.Digest() != docs[3].Digest() {
 		t.Fatal("not the publisher's")
 	}
-	if doc, origin := f.Reject(errNoGood); doc == nil || doc.Digest() != docs[1].Digest() || origin != FromFolder {
+	if doc, origin := f.Reject(errNoGood); doc == nil || doc.Digest() != docs[1].Digest() || origin != SourceFolder {
 		t.Fatalf("%v, %v", doc, origin)
 	}
-	if doc, origin := f.Reject(errNoGood); doc != nil || origin != FromNone {
+	if doc, origin := f.Reject(errNoGood); doc != nil || origin != SourceNone {
 		t.Fatalf("%v, %v", doc, origin)
 	}
 	f.run()
@@ -165,7 +165,7 @@
 	gone.Close()
 	a, b := newFake(t), newFake(t)
 	set := settings(a, b)
-	set.Publishers = append(set.Publishers, Publisher{mute.Addr().String(), "north"}, Publisher{gone.Addr().String(), "north"})
+	set.Publishers = append(set.Publishers, Endpoint{mute.Addr().String(), "north"}, Endpoint{gone.Addr().String(), "north"})
 	f := follows(t, set)
 	next := func() (*fake, *fakeStream) {
 		t.Helper()
@@ -222,7 +222,7 @@
 		t.Fatal("the first was left though all say the same")
 	default:
 	}
-	if f.State().Unheard < lost {
+	if f.State().OriginatorSilence < lost {
 		t.Errorf("%+v", f.State())
 	}
 	stop()
@@ -234,7 +234,7 @@
 	s.left()
 	asked.beats(docs[1], 0)
 	eventually(t, "the other is followed", func() bool {
-		return f.State().Publisher == ranked[1].address && f.State().Unheard < protocol.OriginatorTimeout
+		return f.State().Publisher == ranked[1].address && f.State().OriginatorSilence < protocol.OriginatorTimeout
 	})
 }
 
@@ -300,15 +300,15 @@
 	}
 	defer l.Close()
 	docs, _ := chain(t, 1)
-	mute := Settings{Name: "server-1", Region: "north", Publishers: []Publisher{{l.Addr().String(), "north"}}, Wait: 50 * time.Millisecond}
+	mute := Settings{Name: "server-1", Region: "north", Publishers: []Endpoint{{l.Addr().String(), "north"}}, InitialWait: 50 * time.Millisecond}
 	round := func() {
 		for range 5 {
 			f := newFollowing(t, mute)
 			ctx, cancel := context.WithCancel(context.Background())
-			f.First(ctx)
+			f.InitialVersion(ctx)
 			cancel() // a start that was broken off
 			f = newFollowing(t, mute)
-			f.First(context.Background())
+			f.InitialVersion(context.Background())
 			f.run()
 			f.stop()
 			p := newFake(t)
@@ -329,8 +329,8 @@
 
 // Faulty settings are named, all at once.
 func TestSettings(t *testing.T) {
-	_, err := New(Settings{Region: strings.Repeat("r", 200), Wait: -1, Publishers: []Publisher{{"a:1", ""}, {"nowhere", ""}, {"a:1", ""}}})
-	for _, want := range []string{"Name", "Region", "Wait", "Publishers[1]", "Publishers[2]"} {
+	_, err := New(Settings{Region: strings.Repeat("r", 200), InitialWait: -1, Publishers: []Endpoint{{"a:1", ""}, {"nowhere", ""}, {"a:1", ""}}})
+	for _, want := range []string{"Name", "Region", "InitialWait", "Publishers[1]", "Publishers[2]"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("no %s in: %v", want, err)
 		}
--- a/internal/control/follow/keep_test.go
+++ b/internal/control/follow/keep_test.go
@@ -34,7 +34,7 @@
 	}
 	f.stop()
 	f = newFollowing(t, set)
-	if st := f.State(); st.Number != 20 || st.Digest != docs[20].Digest() || st.Origin != FromFolder {
+	if st := f.State(); st.Number != 20 || st.Digest != docs[20].Digest() || st.Source != SourceFolder {
 		t.Errorf("%+v", st)
 	}
 	f.run()
--- a/internal/control/follow/take.go
+++ b/internal/control/follow/take.go
@@ -74,14 +74,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.state.Fork = false
-	if f.apply == nil && f.state.Origin == FromFolder {
-		f.state.Origin = FromPublisher // it confirms what was kept
+	if f.apply == nil && f.state.Source == SourceFolder {
+		f.state.Source = SourcePublisher // it confirms what was kept
 	}
 	if hears && f.head == f.inForce {
 		f.told = f.state.Number
 	}
 	if f.told <= f.state.Number {
-		f.since, f.state.Refused = time.Time{}, ""
+		f.since, f.state.RefusalReason = time.Time{}, ""
 	}
 }
 
@@ -124,7 +124,7 @@
 		f.faulty(fmt.Errorf("version %d %v: %w", number, digest, err))
 		return
 	}
-	if base != f.inForce || base.Header().Number == 0 && !f.set.Publisher {
+	if base != f.inForce || base.Header().Number == 0 && !f.set.Relay {
 		d = nil
 	}
 	f.enforce(ctx, doc, d, text, false)
@@ -191,7 +191,7 @@
 // faulty refuses what nobody can act on, and leaves its sender.
 func (f *Follower) faulty(err error) {
 	f.mu.Lock()
-	f.state.Refused = err.Error()
+	f.state.RefusalReason = err.Error()
 	f.mu.Unlock()
 	f.log.Error("control: what came is refused", zap.String("publisher", f.set.Publishers[f.cur.to].Address), zap.Error(err))
 	f.leave(err.Error(), true)
@@ -232,7 +232,7 @@
 	}
 	f.gaps = 0
 	f.inForce, f.head = doc, doc
-	f.adopt(doc, FromPublisher)
+	f.adopt(doc, SourcePublisher)
 	if f.apply == nil {
 		f.current = h.Number >= f.told
 		return
@@ -250,12 +250,12 @@
 }
 
 // adopt notes the version in force.
-func (f *Follower) adopt(doc *document.Document, origin Origin) {
+func (f *Follower) adopt(doc *document.Document, origin Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.inForce = doc
-	f.state.Number, f.state.Digest, f.state.Origin = doc.Header().Number, doc.Digest(), origin
-	f.state.Refused, f.state.Fork = "", false
+	f.state.Number, f.state.Digest, f.state.Source = doc.Header().Number, doc.Digest(), origin
+	f.state.RefusalReason, f.state.Fork = "", false
 	if f.apply != nil {
 		f.state.Applied++
 	}
@@ -269,7 +269,7 @@
 func (f *Follower) refuse(doc *document.Document, err error) {
 	f.head = doc
 	f.mu.Lock()
-	f.state.Refused = err.Error()
+	f.state.RefusalReason = err.Error()
 	f.mu.Unlock()
 	f.log.Error("control: the version is refused", zap.Uint64("version", doc.Header().Number), zap.Stringer("digest", doc.Digest()),
 		zap.Uint64("in_force", f.inForce.Header().Number), zap.Error(err))
@@ -281,7 +281,7 @@
 func (f *Follower) word() protocol.Ack {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	refused := f.state.Refused
+	refused := f.state.RefusalReason
 	if len(refused) > document.MaxTextBytes {
 		refused = refused[:document.MaxTextBytes]
 	}
--- a/internal/control/follow/take_test.go
+++ b/internal/control/follow/take_test.go
@@ -39,8 +39,8 @@
 	s.beat(docs[4], 100*time.Millisecond)
 	eventually(t, "the state", func() bool {
 		st := f.State()
-		return st.Number == 4 && st.Digest == docs[4].Digest() && st.Origin == FromPublisher && st.Publisher == p.address && st.Lag == 0 &&
-			st.Applied == 4 && st.Switches == 1 && st.Sent > 0 && st.Received > 0 && st.Refused == "" && st.Unheard < patience
+		return st.Number == 4 && st.Digest == docs[4].Digest() && st.Source == SourcePublisher && st.Publisher == p.address && st.Lag == 0 &&
+			st.Applied == 4 && st.Switches == 1 && st.SentBytes > 0 && st.ReceivedBytes > 0 && st.RefusalReason == "" && st.OriginatorSilence < patience
 	})
 	f.stop()
 	if a := s.ack(); !a.Leaving || a.Number != 4 {
@@ -89,13 +89,13 @@
 			t.Errorf("%+v", a)
 		}
 	}
-	if st := f.State(); st.Number != 1 || st.Refused != errNoGood.Error() || st.Lag == 0 {
+	if st := f.State(); st.Number != 1 || st.RefusalReason != errNoGood.Error() || st.Lag == 0 {
 		t.Errorf("%+v", st)
 	}
 	s.beat(docs[3], 0)
 	s.delta(deltas[4])
 	wantAck(t, s.ack(), docs[4])
-	if st := f.State(); st.Refused != "" || st.Lag != 0 {
+	if st := f.State(); st.RefusalReason != "" || st.Lag != 0 {
 		t.Errorf("%+v", st)
 	}
 	s.delta(deltas[5])
@@ -220,12 +220,12 @@
 			if s.hello.Number != 2 {
 				t.Errorf("%+v", s.hello)
 			}
-			if f.said("what came is refused") != 1 || f.State().Refused == "" {
+			if f.said("what came is refused") != 1 || f.State().RefusalReason == "" {
 				t.Errorf("%+v", f.State())
 			}
 			s.delta(deltas[3])
 			wantAck(t, s.ack(), docs[3])
-			if st := f.State(); st.Refused != "" || st.Switches != 2 {
+			if st := f.State(); st.RefusalReason != "" || st.Switches != 2 {
 				t.Errorf("%+v", st)
 			}
 			ranked[0].none()
--- a/internal/control/publish/publish.go
+++ b/internal/control/publish/publish.go
@@ -30,10 +30,10 @@
 	Name   string
 	Region string
 	Listen string
-	Folder string             // of the log; needed
-	Follow []follow.Publisher // whom it follows, the originator first; none = it originates
-	Deltas int                // most deltas that the log holds; 0 = DefaultDeltas
-	Bytes  int                // most bytes of them; 0 = DefaultBytes
+	Folder string            // of the log; needed
+	Follow []follow.Endpoint // whom it follows, the originator first; none = it originates
+	Deltas int               // most deltas that the log holds; 0 = DefaultDeltas
+	Bytes  int               // most bytes of them; 0 = DefaultBytes
 	Seed   uint64
 	Log    *zap.Logger
 }
--- a/internal/control/publish/publisher.go
+++ b/internal/control/publish/publisher.go
@@ -67,7 +67,7 @@
 	}
 	if len(set.Follow) > 0 {
 		p.relay, err = follow.New(follow.Settings{Name: set.Name, Region: set.Region, Publishers: set.Follow,
-			Seed: set.Seed, Publisher: true, Have: p.Document(), Log: set.Log})
+			Seed: set.Seed, Relay: true, InForce: p.Document(), Log: set.Log})
 		if err != nil {
 			return nil, errors.Join(err, s.close())
 		}
@@ -289,5 +289,5 @@
 	if p.relay == nil {
 		return 0
 	}
-	return p.relay.State().Unheard
+	return p.relay.State().OriginatorSilence
 }
--- a/internal/lab/scale/fleetday/rig.go
+++ b/internal/lab/scale/fleetday/rig.go
@@ -123,10 +123,10 @@
 func region(n int) string { return fmt.Sprintf("region-%d", n) }
 
 // publishers is how a server of a region reaches the control machines.
-func (r *rig) publishers(from int) []follow.Publisher {
-	var list []follow.Publisher
+func (r *rig) publishers(from int) []follow.Endpoint {
+	var list []follow.Endpoint
 	for m := range r.machines {
-		list = append(list, follow.Publisher{Address: r.reach(from, m), Region: region(r.form.regionOfMachine(m))})
+		list = append(list, follow.Endpoint{Address: r.reach(from, m), Region: region(r.form.regionOfMachine(m))})
 	}
 	return list
 }
--- a/internal/lab/scale/hollow/servers.go
+++ b/internal/lab/scale/hollow/servers.go
@@ -31,9 +31,9 @@
 
 // Server is a hollow server.
 type Server struct {
-	Name       string             `json:"Name"`
-	Region     string             `json:"Region"`
-	Publishers []follow.Publisher `json:"Publishers"`
+	Name       string            `json:"Name"`
+	Region     string            `json:"Region"`
+	Publishers []follow.Endpoint `json:"Publishers"`
 }
 
 // The commands to a process of hollow servers, each with a server's name and the
@@ -178,7 +178,7 @@
 	cfg, err := config.ParseOperator(one.in.spec.Operator, nil)
 	if err == nil {
 		one.follower, err = follow.New(follow.Settings{Name: one.spec.Name, Region: one.spec.Region, Publishers: one.spec.Publishers,
-			Have: have, Wait: time.Duration(one.in.spec.WaitUS) * time.Microsecond, Seed: one.in.spec.Seed + one.number + uint64(life), Log: one.in.log})
+			InForce: have, InitialWait: time.Duration(one.in.spec.WaitUS) * time.Microsecond, Seed: one.in.spec.Seed + one.number + uint64(life), Log: one.in.log})
 	}
 	if err != nil {
 		one.in.say("error %s %q", one.spec.Name, err)
@@ -196,7 +196,7 @@
 
 // live is what a real server does with versions, in the same order.
 func (one *server) live(ctx context.Context, f *follow.Follower, cfg *config.Config, life int) error {
-	doc, _ := f.First(ctx)
+	doc, _ := f.InitialVersion(ctx)
 	if doc != nil {
 		with, err := cfg.WithDocument(doc)
 		if err != nil {
@@ -254,8 +254,8 @@
 		return State{Name: one.spec.Name}
 	}
 	s := one.follower.State()
-	return State{Name: one.spec.Name, Number: s.Number, Digest: s.Digest.String(), Sent: s.Sent, Received: s.Received,
-		Applied: s.Applied, Snapshots: s.Snapshots, Switches: s.Switches, Refused: s.Refused, Fork: s.Fork}
+	return State{Name: one.spec.Name, Number: s.Number, Digest: s.Digest.String(), Sent: s.SentBytes, Received: s.ReceivedBytes,
+		Applied: s.Applied, Snapshots: s.Snapshots, Switches: s.Switches, Refused: s.RefusalReason, Fork: s.Fork}
 }
 
 // idle is a runner that is never given a run: a hollow server has no callers.
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -68,9 +68,9 @@
 		return ops.ErrorReply("no [control]: the file's own teams and services are in force")
 	}
 	st := s.control.follower.State()
-	return ops.VersionReply(&ops.VersionState{Number: st.Number, Digest: st.Digest, Source: string(st.Origin), Publisher: st.Publisher,
-		AgeMS: st.Unheard.Milliseconds(), LagMS: st.Lag.Milliseconds(), RefusalReason: st.Refused, Fork: st.Fork, Applied: st.Applied,
-		Snapshots: st.Snapshots, Switches: st.Switches, SentBytes: st.Sent, ReceivedBytes: st.Received})
+	return ops.VersionReply(&ops.VersionState{Number: st.Number, Digest: st.Digest, Source: string(st.Source), Publisher: st.Publisher,
+		AgeMS: st.OriginatorSilence.Milliseconds(), LagMS: st.Lag.Milliseconds(), RefusalReason: st.RefusalReason, Fork: st.Fork, Applied: st.Applied,
+		Snapshots: st.Snapshots, Switches: st.Switches, SentBytes: st.SentBytes, ReceivedBytes: st.ReceivedBytes})
 }
 
 // controlFigures are those of the version in force; nil = control is off.
@@ -79,7 +79,7 @@
 		return nil
 	}
 	st := s.control.follower.State()
-	return &figures.Control{Version: int(st.Number), AgeMS: int(st.Unheard.Milliseconds()), LagMS: int(st.Lag.Milliseconds()),
-		Connected: st.Publisher != "", Refused: st.Refused != "", Fork: st.Fork, Applied: st.Applied, Snapshots: st.Snapshots,
-		Switches: st.Switches, SentBytes: int(st.Sent), ReceivedBytes: int(st.Received)}
+	return &figures.Control{Version: int(st.Number), AgeMS: int(st.OriginatorSilence.Milliseconds()), LagMS: int(st.Lag.Milliseconds()),
+		Connected: st.Publisher != "", Refused: st.RefusalReason != "", Fork: st.Fork, Applied: st.Applied, Snapshots: st.Snapshots,
+		Switches: st.Switches, SentBytes: int(st.SentBytes), ReceivedBytes: int(st.ReceivedBytes)}
 }
