--- a/cmd/kiteslip/control.go
+++ b/cmd/kiteslip/control.go
@@ -51,9 +51,9 @@
 	}
 	defer log.Sync() //nolint:errcheck // standard error cannot always be synced
 	debug.SetMemoryLimit(controlMemory)
-	set := publish.Settings{Name: cfg.Name, Region: cfg.Region, Listen: cfg.Listen, Folder: cfg.Folder, Deltas: cfg.MaxDeltas, Log: log}
+	set := publish.Settings{Name: cfg.Name, Region: cfg.Region, Listen: cfg.Listen, Folder: cfg.Folder, MaxDeltas: cfg.MaxDeltas, Log: log}
 	for _, f := range cfg.Upstreams {
-		set.Follow = append(set.Follow, follow.Endpoint(f))
+		set.Upstreams = append(set.Upstreams, follow.Endpoint(f))
 	}
 	name := fnv.New64a()
 	name.Write([]byte(cfg.Name)) //nolint:errcheck // it has none
@@ -100,7 +100,7 @@
 			return err
 		}
 	}
-	h, err := client.File(ctx, text, document.Meta{Author: c.Author, Reason: c.Reason}, base)
+	h, err := client.PublishFile(ctx, text, document.Meta{Author: c.Author, Reason: c.Reason}, base)
 	if err != nil {
 		return err
 	}
--- a/cmd/kiteslip/control_fleet_test.go
+++ b/cmd/kiteslip/control_fleet_test.go
@@ -130,7 +130,7 @@
 	l.t.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
 	defer end()
-	h, err := l.client.Changes(ctx, changes, document.Meta{Author: "anna", Reason: "a test"}, document.Digest{})
+	h, err := l.client.PublishChanges(ctx, changes, document.Meta{Author: "anna", Reason: "a test"}, document.Digest{})
 	if err != nil {
 		l.t.Fatal(err)
 	}
--- a/cmd/kiteslip/control_publish_test.go
+++ b/cmd/kiteslip/control_publish_test.go
@@ -114,7 +114,7 @@
 				for i := range 1 + n%3*100 { // some versions are large
 					changes = append(changes, oneTeam(fmt.Sprintf("bulk-%03d", i), float64(2+kill*1000+n))...)
 				}
-				h, err := client.Changes(soon(t), changes, byTest, document.Digest{})
+				h, err := client.PublishChanges(soon(t), changes, byTest, document.Digest{})
 				if err != nil {
 					unsure++
 					return // it was killed: this one may be there or not
@@ -153,7 +153,7 @@
 			accepted[v.Number] = digest // it was on disk, and is in force now
 		}
 	}
-	h, err := client.Changes(soon(t), oneTeam("end", 1), byTest, document.Digest{})
+	h, err := client.PublishChanges(soon(t), oneTeam("end", 1), byTest, document.Digest{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 		}
 		link.EndAfter(1 + rng.IntN(40_000)) // the version is larger
 		carried := link.Carried(faultnet.Back)
-		h, err := client.Changes(soon(t), changes, byTest, document.Digest{})
+		h, err := client.PublishChanges(soon(t), changes, byTest, document.Digest{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -216,7 +216,7 @@
 	client := &publish.Client{Address: a.Address}
 	for round := range 5 {
 		link.Silence(faultnet.Back) // nothing spreads
-		h, err := client.Changes(soon(t), oneTeam("a", float64(round+1)), byTest, document.Digest{})
+		h, err := client.PublishChanges(soon(t), oneTeam("a", float64(round+1)), byTest, document.Digest{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -242,7 +242,7 @@
 	a := machine(t, "c0", "north", 0)
 	link := linkTo(t, a.Address)
 	first := &publish.Client{Address: a.Address}
-	h1, err := first.Changes(soon(t), oneTeam("a", 1), byTest, document.Digest{})
+	h1, err := first.PublishChanges(soon(t), oneTeam("a", 1), byTest, document.Digest{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,7 +255,7 @@
 		t.Fatal(err)
 	}
 	for n := range 3 {
-		if _, err := first.Changes(soon(t), oneTeam("b", float64(n+1)), byTest, document.Digest{}); err != nil {
+		if _, err := first.PublishChanges(soon(t), oneTeam("b", float64(n+1)), byTest, document.Digest{}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/control/publish/client.go
+++ b/internal/control/publish/client.go
@@ -23,14 +23,14 @@
 // with errors.Is, whose text has all faults.
 type Client struct{ Address string }
 
-// File publishes a whole operator's file: its teams, services and pools. The
+// PublishFile publishes a whole operator's file: its teams, services and pools. The
 // originator makes the changes of it. base, if not zero, must be in force.
-func (c *Client) File(ctx context.Context, text []byte, by document.Meta, base document.Digest) (document.Header, error) {
+func (c *Client) PublishFile(ctx context.Context, text []byte, by document.Meta, base document.Digest) (document.Header, error) {
 	return c.publish(ctx, typeFile, text, by, base)
 }
 
-// Changes publishes changes as they are. base, if not zero, must be in force.
-func (c *Client) Changes(ctx context.Context, changes []document.Change, by document.Meta, base document.Digest) (document.Header, error) {
+// PublishChanges publishes changes as they are. base, if not zero, must be in force.
+func (c *Client) PublishChanges(ctx context.Context, changes []document.Change, by document.Meta, base document.Digest) (document.Header, error) {
 	body, err := cbor.Marshal(changes)
 	if err != nil {
 		return document.Header{}, err
--- a/internal/control/publish/helpers_test.go
+++ b/internal/control/publish/helpers_test.go
@@ -249,7 +249,7 @@
 func relayOf(name string, addresses ...string) Settings {
 	s := Settings{Name: name}
 	for _, a := range addresses {
-		s.Follow = append(s.Follow, follow.Endpoint{Address: a, Region: "north"})
+		s.Upstreams = append(s.Upstreams, follow.Endpoint{Address: a, Region: "north"})
 	}
 	return s
 }
--- a/internal/control/publish/load_test.go
+++ b/internal/control/publish/load_test.go
@@ -36,7 +36,7 @@
 // reach the others meanwhile, and those that are stuck are cut off.
 func TestStuckFollowers(t *testing.T) {
 	const stuck, warm, versions, teams, bytes = 8, 10, 40, 4000, 1 << 20
-	m := serve(t, Settings{Bytes: bytes})
+	m := serve(t, Settings{MaxBytes: bytes})
 	rng := rand.New(rand.NewPCG(1, 1))
 	m.must(t, many(rng, 1)...)
 	good := hello(t, m.Address, protocol.Hello{Name: "good"})
--- a/internal/control/publish/publish.go
+++ b/internal/control/publish/publish.go
@@ -27,29 +27,29 @@
 
 // Settings are what a Publisher needs to know.
 type Settings struct {
-	Name   string
-	Region string
-	Listen string
-	Folder string            // of the log; needed
-	Follow []follow.Endpoint // whom it follows, the originator first; none = it originates
-	Deltas int               // most deltas that the log holds; 0 = DefaultDeltas
-	Bytes  int               // most bytes of them; 0 = DefaultBytes
-	Seed   uint64
-	Log    *zap.Logger
+	Name      string
+	Region    string
+	Listen    string
+	Folder    string            // of the log; needed
+	Upstreams []follow.Endpoint // whom it follows, the originator first; none = it originates
+	MaxDeltas int               // most deltas that the log holds; 0 = DefaultDeltas
+	MaxBytes  int               // most bytes of them; 0 = DefaultBytes
+	Seed      uint64
+	Log       *zap.Logger
 }
 
 // The defaults of the log's bounds: some ten days of changes at the target's pace.
 const (
-	DefaultDeltas = 5_300
-	DefaultBytes  = 32 << 20
+	DefaultMaxDeltas = 5_300
+	DefaultMaxBytes  = 32 << 20
 )
 
 // The bounds on what is served at once and on what is kept of those that are gone.
 const (
-	MostFollowers = 2_048            // streams; one more is answered 503
+	MaxFollowers  = 2_048            // streams; one more is answered 503
 	keepFollowers = 10 * time.Minute // how long one that is gone is still told of
 	mostGone      = 4_096            // ... and how many of them
-	mostConns     = MostFollowers + 256
+	mostConns     = MaxFollowers + 256
 	mostWholes    = 64 // snapshots written at once: where all start together each is taken quickly, in its turn
 	mostBodies    = 4  // bodies of versions read at once, each of protocol.MostMessage at most
 )
@@ -68,13 +68,13 @@
 
 // Errors of Open, Publish and the Client, to be compared with errors.Is.
 var (
-	ErrInUse         = errors.New("publish: another process uses the folder")
-	ErrFolder        = errors.New("publish: the folder is no log of versions")
-	ErrDamage        = errors.New("publish: the log is damaged")
-	ErrDisk          = errors.New("publish: the log cannot be written") // until the next start
-	ErrNotOriginator = errors.New("publish: this machine does not originate versions")
-	ErrBase          = errors.New("publish: the base is not the version in force")
-	ErrSame          = errors.New("publish: nothing differs from the version in force")
-	ErrFaults        = errors.New("publish: the changes are refused")
-	ErrBusy          = errors.New("publish: too much at once")
+	ErrInUse          = errors.New("publish: another process uses the folder")
+	ErrUnknownFormat  = errors.New("publish: the folder is no log of versions")
+	ErrCorrupt        = errors.New("publish: the log is damaged")
+	ErrDiskFailed     = errors.New("publish: the log cannot be written") // until the next start
+	ErrNotOriginator  = errors.New("publish: this machine does not originate versions")
+	ErrBaseMismatch   = errors.New("publish: the base is not the version in force")
+	ErrNoChange       = errors.New("publish: nothing differs from the version in force")
+	ErrInvalidChanges = errors.New("publish: the changes are refused")
+	ErrBusy           = errors.New("publish: too much at once")
 )
--- a/internal/control/publish/publish_test.go
+++ b/internal/control/publish/publish_test.go
@@ -62,7 +62,7 @@
 func TestBounds(t *testing.T) {
 	for _, bound := range []struct{ deltas, bytes int }{{16, 0}, {1000, 4000}, {1, 0}, {1000, 1}} {
 		s, fs := set("log"), vfs.NewMem()
-		s.Deltas, s.Bytes = bound.deltas, bound.bytes
+		s.MaxDeltas, s.MaxBytes = bound.deltas, bound.bytes
 		p, err := open(s, fs)
 		if err != nil {
 			t.Fatal(err)
@@ -99,11 +99,11 @@
 		want    error
 		texts   []string
 	}{
-		{nil, document.Digest{}, ErrSame, nil},
-		{[]document.Change{team("t1", 1)}, document.Digest{}, ErrSame, nil},
-		{[]document.Change{team("new", 1)}, document.Digest{1}, ErrBase, nil},
-		{[]document.Change{team("", 1), team("b", -1)}, document.Digest{}, ErrFaults, nil},
-		{[]document.Change{{Drop: true, Team: &document.Team{Name: "nobody"}}, team("b", -1)}, document.Digest{}, ErrFaults, []string{"nobody", "b"}},
+		{nil, document.Digest{}, ErrNoChange, nil},
+		{[]document.Change{team("t1", 1)}, document.Digest{}, ErrNoChange, nil},
+		{[]document.Change{team("new", 1)}, document.Digest{1}, ErrBaseMismatch, nil},
+		{[]document.Change{team("", 1), team("b", -1)}, document.Digest{}, ErrInvalidChanges, nil},
+		{[]document.Change{{Drop: true, Team: &document.Team{Name: "nobody"}}, team("b", -1)}, document.Digest{}, ErrInvalidChanges, []string{"nobody", "b"}},
 	} {
 		_, err := p.Publish(c.changes, byTest, c.base)
 		if !errors.Is(err, c.want) {
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 		if _, err := open(set("log"), fs); err == nil || !strings.Contains(err.Error(), c.want) ||
-			!errors.Is(err, ErrDamage) && !errors.Is(err, ErrFolder) {
+			!errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnknownFormat) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
 	}
@@ -228,7 +228,7 @@
 		}
 		// The database may meet it by itself, beside all else, while it rewrites its tables.
 		store, err := openStore("log", fs)
-		if errors.Is(err, ErrDamage) {
+		if errors.Is(err, ErrCorrupt) {
 			found++
 			continue
 		}
@@ -237,7 +237,7 @@
 		}
 		if err := store.apart(func() error {
 			return store.db.Compact(context.Background(), []byte("a"), []byte("z"), false)
-		}); err != nil && !errors.Is(store.failure(), ErrDamage) {
+		}); err != nil && !errors.Is(store.failure(), ErrCorrupt) {
 			t.Errorf("seed %d: %v, want ErrDamage", seed, store.failure())
 		}
 		if store.failure() != nil { // it keeps its lock until the process ends
@@ -249,7 +249,7 @@
 		}
 		p, err := open(set("log"), fs)
 		switch {
-		case errors.Is(err, ErrDamage):
+		case errors.Is(err, ErrCorrupt):
 			found++
 		case err != nil:
 			t.Errorf("seed %d: %v, want ErrDamage", seed, err)
@@ -257,7 +257,7 @@
 			if p.Document().Digest() != digest {
 				t.Errorf("seed %d: another version is in force", seed)
 			}
-			if err := p.Close(); err != nil && !errors.Is(err, ErrDamage) {
+			if err := p.Close(); err != nil && !errors.Is(err, ErrCorrupt) {
 				t.Errorf("seed %d: %v", seed, err)
 			}
 		}
@@ -306,7 +306,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		mem := vfs.NewCrashableMem()
 		s := set("log")
-		s.Deltas = 1 + rng.IntN(40)
+		s.MaxDeltas = 1 + rng.IntN(40)
 		p, err := open(s, mem)
 		if err != nil {
 			t.Fatal(err)
@@ -342,7 +342,7 @@
 			return nil
 		}))
 		s := set("log")
-		s.Deltas = 8
+		s.MaxDeltas = 8
 		p, err := open(s, fs)
 		if err != nil {
 			t.Fatal(err)
@@ -355,7 +355,7 @@
 			if _, refused = p.Publish([]document.Change{team("x", float64(n+1))}, byTest, document.Digest{}); refused == nil {
 				continue
 			}
-			if !errors.Is(refused, ErrDisk) {
+			if !errors.Is(refused, ErrDiskFailed) {
 				t.Errorf("write %d: %v, want ErrDisk", at, refused)
 			}
 			if p.Document() != before {
@@ -369,7 +369,7 @@
 		}
 		failed++
 		left.Store(1 << 40) // the disk is well again: the machine does not know
-		if _, err := p.Publish([]document.Change{team("y", 1)}, byTest, document.Digest{}); !errors.Is(err, ErrDisk) {
+		if _, err := p.Publish([]document.Change{team("y", 1)}, byTest, document.Digest{}); !errors.Is(err, ErrDiskFailed) {
 			t.Errorf("write %d: after the failure: %v, want ErrDisk", at, err)
 		}
 		doc := p.Document()
--- a/internal/control/publish/publisher.go
+++ b/internal/control/publish/publisher.go
@@ -49,7 +49,7 @@
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	set.Deltas, set.Bytes = cmp.Or(set.Deltas, DefaultDeltas), cmp.Or(set.Bytes, DefaultBytes)
+	set.MaxDeltas, set.MaxBytes = cmp.Or(set.MaxDeltas, DefaultMaxDeltas), cmp.Or(set.MaxBytes, DefaultMaxBytes)
 	if set.Log == nil {
 		set.Log = zap.NewNop()
 	}
@@ -58,15 +58,15 @@
 		return nil, fmt.Errorf("%s: %w", set.Folder, err)
 	}
 	p := &Publisher{set: set, log: set.Log, store: s, book: newBook(),
-		places: make(chan struct{}, MostFollowers), wholes: make(chan struct{}, mostWholes),
+		places: make(chan struct{}, MaxFollowers), wholes: make(chan struct{}, mostWholes),
 		bodies:      make(chan struct{}, mostBodies),
 		helloWithin: helloWithin, ackWithin: ackWithin, pingAfter: pingAfter, pingWithin: pingWithin}
 	p.ending, p.end = context.WithCancel(context.Background())
 	if err := p.restore(); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", set.Folder, err), s.close())
 	}
-	if len(set.Follow) > 0 {
-		p.relay, err = follow.New(follow.Settings{Name: set.Name, Region: set.Region, Publishers: set.Follow,
+	if len(set.Upstreams) > 0 {
+		p.relay, err = follow.New(follow.Settings{Name: set.Name, Region: set.Region, Publishers: set.Upstreams,
 			Seed: set.Seed, Relay: true, InForce: p.Document(), Log: set.Log})
 		if err != nil {
 			return nil, errors.Join(err, s.close())
@@ -91,8 +91,8 @@
 	if s.Folder == "" {
 		fail("Settings.Folder is absent")
 	}
-	if s.Deltas < 0 || s.Bytes < 0 {
-		fail("Settings.Deltas is %d and Bytes %d, want 0 or more", s.Deltas, s.Bytes)
+	if s.MaxDeltas < 0 || s.MaxBytes < 0 {
+		fail("Settings.MaxDeltas is %d and MaxBytes %d, want 0 or more", s.MaxDeltas, s.MaxBytes)
 	}
 	return errors.Join(errs...)
 }
@@ -154,32 +154,32 @@
 
 func (p *Publisher) publish(changes func(*document.Document) []document.Change, by document.Meta, base document.Digest) (document.Header, error) {
 	if p.relay != nil {
-		return document.Header{}, fmt.Errorf("%w: %s does", ErrNotOriginator, p.set.Follow[0].Address)
+		return document.Header{}, fmt.Errorf("%w: %s does", ErrNotOriginator, p.set.Upstreams[0].Address)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	doc := p.versions.inForce()
 	if base != (document.Digest{}) && base != doc.Digest() {
-		return document.Header{}, fmt.Errorf("%w: in force is %d %v", ErrBase, doc.Header().Number, doc.Digest())
+		return document.Header{}, fmt.Errorf("%w: in force is %d %v", ErrBaseMismatch, doc.Header().Number, doc.Digest())
 	}
 	if err := p.store.failure(); err != nil {
 		return document.Header{}, err
 	}
 	list := changes(doc)
 	if len(list) == 0 {
-		return document.Header{}, fmt.Errorf("%w: %d %v", ErrSame, doc.Header().Number, doc.Digest())
+		return document.Header{}, fmt.Errorf("%w: %d %v", ErrNoChange, doc.Header().Number, doc.Digest())
 	}
 	by.Time = max(cmp.Or(by.Time, time.Now().UnixMicro()), doc.Header().Time)
 	delta, err := doc.Draft(list, by)
 	if err != nil && err.Error() == sameText {
-		return document.Header{}, fmt.Errorf("%w: %d %v", ErrSame, doc.Header().Number, doc.Digest())
+		return document.Header{}, fmt.Errorf("%w: %d %v", ErrNoChange, doc.Header().Number, doc.Digest())
 	}
 	if err != nil {
-		return document.Header{}, fmt.Errorf("%w:\n%w", ErrFaults, err)
+		return document.Header{}, fmt.Errorf("%w:\n%w", ErrInvalidChanges, err)
 	}
 	next, err := doc.Apply(delta)
 	if err != nil {
-		return document.Header{}, fmt.Errorf("%w:\n%w", ErrFaults, err)
+		return document.Header{}, fmt.Errorf("%w:\n%w", ErrInvalidChanges, err)
 	}
 	if err := p.append(next, delta); err != nil {
 		p.sayDisk(err)
@@ -205,7 +205,7 @@
 	if err != nil {
 		return err
 	}
-	drop := p.versions.excess(p.set.Deltas, p.set.Bytes, len(e.record))
+	drop := p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.record))
 	from := p.versions.oldest() + 1
 	w := &write{add: &r, from: from, to: from + uint64(drop), number: r.number, digest: r.digest}
 	// The deltas that stay must reach back to the snapshot, and be few after it.
@@ -238,7 +238,7 @@
 		return err
 	}
 	if err := p.append(doc, delta); err != nil {
-		if !errors.Is(err, ErrDisk) {
+		if !errors.Is(err, ErrDiskFailed) {
 			return err
 		}
 		p.sayDisk(err)
@@ -246,7 +246,7 @@
 		if err != nil {
 			return err
 		}
-		p.versions.add(doc, e, p.versions.excess(p.set.Deltas, p.set.Bytes, len(e.record)))
+		p.versions.add(doc, e, p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.record)))
 	}
 	p.logTaken(doc, false)
 	return nil
@@ -260,7 +260,7 @@
 	from, to := p.versions.oldest()+1, p.versions.inForce().Header().Number+1
 	err = p.store.commit(&write{snapshot: text, from: from, to: to, number: doc.Header().Number, digest: doc.Digest()})
 	switch {
-	case errors.Is(err, ErrDisk):
+	case errors.Is(err, ErrDiskFailed):
 		p.sayDisk(err)
 	case err != nil:
 		return err
@@ -278,7 +278,7 @@
 
 // sayDisk logs the first failure of the disk: there is no way back but a start.
 func (p *Publisher) sayDisk(err error) {
-	if errors.Is(err, ErrDisk) && !p.diskSaid {
+	if errors.Is(err, ErrDiskFailed) && !p.diskSaid {
 		p.diskSaid = true
 		p.log.Error("the log cannot be written: nothing more is kept until the next start", zap.Error(err))
 	}
--- a/internal/control/publish/relay_test.go
+++ b/internal/control/publish/relay_test.go
@@ -35,7 +35,7 @@
 	if _, err := b.Publish([]document.Change{team("x", 1)}, byTest, document.Digest{}); !errors.Is(err, ErrNotOriginator) {
 		t.Errorf("%v", err)
 	}
-	if _, err := b.Changes(within(t), []document.Change{team("x", 1)}, byTest, document.Digest{}); !errors.Is(err, ErrNotOriginator) || !strings.Contains(err.Error(), a.Address) {
+	if _, err := b.PublishChanges(within(t), []document.Change{team("x", 1)}, byTest, document.Digest{}); !errors.Is(err, ErrNotOriginator) || !strings.Contains(err.Error(), a.Address) {
 		t.Errorf("%v does not name %s", err, a.Address)
 	}
 	if lines, err := a.Followers(within(t), false); err != nil || len(lines) != 1 || lines[0].Name != "c1" || !lines[0].Publisher || lines[0].Number != 8 {
@@ -69,7 +69,7 @@
 
 // A relay starts from its own folder: it asks for what it lacks alone.
 func TestRelayStartsFromItsFolder(t *testing.T) {
-	a := serve(t, Settings{Name: "c0", Deltas: 16})
+	a := serve(t, Settings{Name: "c0", MaxDeltas: 16})
 	a.versionsUpTo(t, 3)
 	set := relayOf("c1", a.Address)
 	set.Folder = t.TempDir()
--- a/internal/control/publish/serve.go
+++ b/internal/control/publish/serve.go
@@ -36,7 +36,7 @@
 	both.SetUnencryptedHTTP2(true)
 	server := &http.Server{Handler: p.handler(), Protocols: &both, ReadHeaderTimeout: helloWithin, IdleTimeout: time.Minute,
 		MaxHeaderBytes: mostWord, ErrorLog: zap.NewStdLog(p.log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
-		HTTP2: &http.HTTP2Config{SendPingTimeout: p.pingAfter, PingTimeout: p.pingWithin, MaxConcurrentStreams: MostFollowers + 1}}
+		HTTP2: &http.HTTP2Config{SendPingTimeout: p.pingAfter, PingTimeout: p.pingWithin, MaxConcurrentStreams: MaxFollowers + 1}}
 	var relay sync.WaitGroup
 	if p.relay != nil {
 		relay.Go(func() { p.relay.Run(ctx, p.take) })
@@ -78,7 +78,7 @@
 	v.PublisherName, v.PublisherRegion, v.OriginatorSilenceMS, v.Oldest = p.set.Name, p.set.Region, p.unheard().Milliseconds(), p.versions.oldest()
 	v.Followers, v.Forks = p.book.counts()
 	if p.relay != nil {
-		v.Originator = p.set.Follow[0].Address
+		v.Originator = p.set.Upstreams[0].Address
 	}
 	if err := p.store.failure(); err != nil {
 		v.DiskError = err.Error()
@@ -110,7 +110,7 @@
 // publishes takes a version from an operator.
 func (p *Publisher) publishes(w http.ResponseWriter, r *http.Request) {
 	if p.relay != nil {
-		p.refuse(w, http.StatusConflict, protocol.CodeNotOriginator, fmt.Sprintf("versions are published at %s", p.set.Follow[0].Address))
+		p.refuse(w, http.StatusConflict, protocol.CodeNotOriginator, fmt.Sprintf("versions are published at %s", p.set.Upstreams[0].Address))
 		return
 	}
 	select {
@@ -152,14 +152,14 @@
 	case typeFile:
 		var next *document.Content
 		if next, err = config.ParseContent(string(body)); err != nil {
-			err = fmt.Errorf("%w:\n%w", ErrFaults, err)
+			err = fmt.Errorf("%w:\n%w", ErrInvalidChanges, err)
 		} else {
 			h, err = p.PublishContent(next, by, base)
 		}
 	case typeChanges:
 		var changes []document.Change
 		if err = lists.Unmarshal(body, &changes); err != nil {
-			err = fmt.Errorf("%w:\n%w", ErrFaults, err)
+			err = fmt.Errorf("%w:\n%w", ErrInvalidChanges, err)
 		} else {
 			h, err = p.Publish(changes, by, base)
 		}
@@ -193,11 +193,11 @@
 	code   string
 	status int
 }{
-	{ErrFaults, protocol.CodeInvalid, http.StatusBadRequest},
+	{ErrInvalidChanges, protocol.CodeInvalid, http.StatusBadRequest},
 	{ErrNotOriginator, protocol.CodeNotOriginator, http.StatusConflict},
-	{ErrBase, protocol.CodeBaseMismatch, http.StatusConflict},
-	{ErrSame, protocol.CodeNoChange, http.StatusConflict},
-	{ErrDisk, protocol.CodeDiskFailed, http.StatusServiceUnavailable},
+	{ErrBaseMismatch, protocol.CodeBaseMismatch, http.StatusConflict},
+	{ErrNoChange, protocol.CodeNoChange, http.StatusConflict},
+	{ErrDiskFailed, protocol.CodeDiskFailed, http.StatusServiceUnavailable},
 	{ErrBusy, protocol.CodeBusy, http.StatusServiceUnavailable},
 }
 
@@ -216,7 +216,7 @@
 func (p *Publisher) refuse(w http.ResponseWriter, status int, code string, faults ...string) {
 	r := &protocol.ErrorResponse{Code: code, Faults: faults}
 	if p.relay != nil {
-		r.Originator = p.set.Follow[0].Address
+		r.Originator = p.set.Upstreams[0].Address
 	}
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", strconv.Itoa(retryAfter))
--- a/internal/control/publish/serve_test.go
+++ b/internal/control/publish/serve_test.go
@@ -47,7 +47,7 @@
 
 // What a follower is sent goes by the version that it names.
 func TestHello(t *testing.T) {
-	m := serve(t, Settings{Deltas: 16})
+	m := serve(t, Settings{MaxDeltas: 16})
 	empty := hello(t, m.Address, protocol.Hello{})
 	if b := empty.beat(); b.Number != 0 || b.OriginatorSilenceMS != 0 {
 		t.Errorf("before the first version: %+v", b)
@@ -307,7 +307,7 @@
 	ctx := within(t)
 	const file = "[machine]\ncores = 2\n[[team]]\nname = \"red\"\nrequests_per_s = 5\n[[service]]\nname = \"maps\"\nowner = \"red\"\n" +
 		"[[service.contract]]\nclass = \"draw\"\neffect = \"repeatable\"\ndeadline_ms = 900\n"
-	h, err := m.File(ctx, []byte(file), document.Meta{Author: "ana ö", Reason: "line\nline"}, document.Digest{})
+	h, err := m.PublishFile(ctx, []byte(file), document.Meta{Author: "ana ö", Reason: "line\nline"}, document.Digest{})
 	if err != nil || h != m.Document().Header() || h.Author != "ana ö" || h.Reason != "line\nline" || h.Time == 0 {
 		t.Fatalf("%+v, %v", h, err)
 	}
@@ -319,7 +319,7 @@
 		t.Errorf("%+v, %v", v, err)
 	}
 	in := m.Document().Digest()
-	if h, err = m.Changes(ctx, []document.Change{team("blue", 3)}, byTest, in); err != nil || h.Number != 2 || h.Parent != in {
+	if h, err = m.PublishChanges(ctx, []document.Change{team("blue", 3)}, byTest, in); err != nil || h.Number != 2 || h.Parent != in {
 		t.Errorf("%+v, %v", h, err)
 	}
 	for _, c := range []struct {
@@ -329,31 +329,31 @@
 		texts []string
 	}{
 		{"the same file", func() error {
-			_, err := m.File(ctx, []byte(file+"[[team]]\nname = \"blue\"\nrequests_per_s = 3\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"blue\"\nrequests_per_s = 3\n"), byTest, document.Digest{})
 			return err
-		}, ErrSame, nil},
-		{"another base", func() error { _, err := m.File(ctx, []byte(file), byTest, in); return err }, ErrBase, []string{"in force is 2"}},
+		}, ErrNoChange, nil},
+		{"another base", func() error { _, err := m.PublishFile(ctx, []byte(file), byTest, in); return err }, ErrBaseMismatch, []string{"in force is 2"}},
 		{"faults in the file", func() error {
-			_, err := m.File(ctx, []byte(strings.ReplaceAll(file, "requests_per_s", "quota")+"[[teem]]\nname = \"a\"\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(strings.ReplaceAll(file, "requests_per_s", "quota")+"[[teem]]\nname = \"a\"\n"), byTest, document.Digest{})
 			return err
-		}, ErrFaults, []string{"team.quota", "teem"}},
+		}, ErrInvalidChanges, []string{"team.quota", "teem"}},
 		{"names twice", func() error {
-			_, err := m.File(ctx, []byte(file+"[[team]]\nname = \"red\"\nrequests_per_s = 1\n[[team]]\nrequests_per_s = 1\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"red\"\nrequests_per_s = 1\n[[team]]\nrequests_per_s = 1\n"), byTest, document.Digest{})
 			return err
-		}, ErrFaults, []string{"team[1].name", "team[2].name"}},
-		{"no TOML", func() error { _, err := m.File(ctx, []byte("]"), byTest, document.Digest{}); return err }, ErrFaults, nil},
+		}, ErrInvalidChanges, []string{"team[1].name", "team[2].name"}},
+		{"no TOML", func() error { _, err := m.PublishFile(ctx, []byte("]"), byTest, document.Digest{}); return err }, ErrInvalidChanges, nil},
 		{"faulty changes", func() error {
-			_, err := m.Changes(ctx, []document.Change{team("a", -1), {Drop: true, Team: &document.Team{Name: "nobody"}}}, byTest, document.Digest{})
+			_, err := m.PublishChanges(ctx, []document.Change{team("a", -1), {Drop: true, Team: &document.Team{Name: "nobody"}}}, byTest, document.Digest{})
 			return err
-		}, ErrFaults, []string{"a", "nobody"}},
+		}, ErrInvalidChanges, []string{"a", "nobody"}},
 		{"no author or reason", func() error {
-			_, err := m.Changes(ctx, []document.Change{team("a", 1)}, document.Meta{}, document.Digest{})
+			_, err := m.PublishChanges(ctx, []document.Change{team("a", 1)}, document.Meta{}, document.Digest{})
 			return err
-		}, ErrFaults, []string{"author", "reason"}},
+		}, ErrInvalidChanges, []string{"author", "reason"}},
 		{"a long reason", func() error {
-			_, err := m.Changes(ctx, []document.Change{team("a", 1)}, document.Meta{Author: "a", Reason: strings.Repeat("x", document.MaxTextBytes+1)}, document.Digest{})
+			_, err := m.PublishChanges(ctx, []document.Change{team("a", 1)}, document.Meta{Author: "a", Reason: strings.Repeat("x", document.MaxTextBytes+1)}, document.Digest{})
 			return err
-		}, ErrFaults, []string{"reason"}},
+		}, ErrInvalidChanges, []string{"reason"}},
 	} {
 		err := c.do()
 		if !errors.Is(err, c.want) {
--- a/internal/control/publish/store.go
+++ b/internal/control/publish/store.go
@@ -69,7 +69,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failed == nil {
-		s.failed = fmt.Errorf("%w: %w", ErrDisk, err)
+		s.failed = fmt.Errorf("%w: %w", ErrDiskFailed, err)
 		close(s.broken)
 	}
 }
@@ -110,7 +110,7 @@
 	// What the database would do by itself ends the goroutine that read the damage, in
 	// the middle of a compaction, which takes the process with it.
 	o.EventListener = &pebble.EventListener{DataCorruption: func(i pebble.DataCorruptionInfo) {
-		s.fail(fmt.Errorf("%w: %s: %w", ErrDamage, i.Path, i.Details))
+		s.fail(fmt.Errorf("%w: %s: %w", ErrCorrupt, i.Path, i.Details))
 	}}
 	err := s.apart(func() (err error) {
 		s.db, err = pebble.Open(folder, o)
@@ -130,12 +130,12 @@
 func named(err error) error {
 	text := err.Error()
 	switch {
-	case errors.Is(err, ErrDamage), errors.Is(err, ErrFolder):
+	case errors.Is(err, ErrCorrupt), errors.Is(err, ErrUnknownFormat):
 		return err
 	case strings.Contains(text, "lock held by current process"), strings.Contains(text, "resource temporarily unavailable"):
 		return fmt.Errorf("%w (%w)", ErrInUse, err)
 	case errors.Is(err, pebble.ErrCorruption), strings.Contains(text, "corrupt"), strings.Contains(text, "checksum"):
-		return fmt.Errorf("%w (%w)", ErrDamage, err)
+		return fmt.Errorf("%w (%w)", ErrCorrupt, err)
 	}
 	return err
 }
@@ -149,7 +149,7 @@
 	case string(format) == formatWord:
 		return nil
 	case format != nil:
-		return fmt.Errorf("%w: it says %.40q, want %q", ErrFolder, format, formatWord)
+		return fmt.Errorf("%w: it says %.40q, want %q", ErrUnknownFormat, format, formatWord)
 	}
 	it, err := s.db.NewIter(nil)
 	if err != nil {
@@ -160,7 +160,7 @@
 		return err
 	}
 	if strange {
-		return ErrFolder
+		return ErrUnknownFormat
 	}
 	return s.db.Set([]byte(formatKey), []byte(formatWord), pebble.Sync)
 }
@@ -200,21 +200,21 @@
 			if n := len(deltas); n > 0 {
 				before := &deltas[n-1]
 				if r.number != before.number+1 {
-					return fmt.Errorf("%w: version %d is absent", ErrDamage, before.number+1)
+					return fmt.Errorf("%w: version %d is absent", ErrCorrupt, before.number+1)
 				}
 				if r.parent != before.digest {
-					return fmt.Errorf("%w: version %d is not the one that version %d follows", ErrDamage, before.number, r.number)
+					return fmt.Errorf("%w: version %d is not the one that version %d follows", ErrCorrupt, before.number, r.number)
 				}
 			} else if r.number > snapshot+1 {
-				return fmt.Errorf("%w: version %d is absent", ErrDamage, snapshot+1)
+				return fmt.Errorf("%w: version %d is absent", ErrCorrupt, snapshot+1)
 			}
 			switch {
 			case r.number == snapshot && r.digest != doc.Digest():
-				return fmt.Errorf("%w: version %d is not the one in the snapshot", ErrDamage, r.number)
+				return fmt.Errorf("%w: version %d is not the one in the snapshot", ErrCorrupt, r.number)
 			case r.number > snapshot:
 				next, err := doc.Apply(delta)
 				if err != nil {
-					return fmt.Errorf("%w: version %d: %w", ErrDamage, r.number, err)
+					return fmt.Errorf("%w: version %d: %w", ErrCorrupt, r.number, err)
 				}
 				doc = next
 			}
@@ -238,7 +238,7 @@
 	}
 	doc, err := document.DecodeSnapshot(b)
 	if err != nil {
-		return nil, fmt.Errorf("%w: the snapshot: %w", ErrDamage, err)
+		return nil, fmt.Errorf("%w: the snapshot: %w", ErrCorrupt, err)
 	}
 	return doc, nil
 }
@@ -252,12 +252,12 @@
 	number, digest := uint64(0), document.Empty().Digest()
 	if head != nil {
 		if len(head) != 8+len(digest) {
-			return fmt.Errorf("%w: the head is %d bytes", ErrDamage, len(head))
+			return fmt.Errorf("%w: the head is %d bytes", ErrCorrupt, len(head))
 		}
 		number, digest = binary.BigEndian.Uint64(head), document.Digest(head[8:])
 	}
 	if at := doc.Header().Number; at != number || doc.Digest() != digest {
-		return fmt.Errorf("%w: it ends with version %d %v, want %d %v", ErrDamage, at, doc.Digest(), number, digest)
+		return fmt.Errorf("%w: it ends with version %d %v, want %d %v", ErrCorrupt, at, doc.Digest(), number, digest)
 	}
 	return nil
 }
@@ -268,15 +268,15 @@
 
 func decodeRecord(key, value []byte) (record, *document.Delta, error) {
 	if len(key) != 9 {
-		return record{}, nil, fmt.Errorf("%w: an entry %x", ErrDamage, key)
+		return record{}, nil, fmt.Errorf("%w: an entry %x", ErrCorrupt, key)
 	}
 	number, text := binary.BigEndian.Uint64(key[1:]), bytes.Clone(value)
 	delta, err := document.DecodeDelta(text)
 	if err != nil {
-		return record{}, nil, fmt.Errorf("%w: version %d: %w", ErrDamage, number, err)
+		return record{}, nil, fmt.Errorf("%w: version %d: %w", ErrCorrupt, number, err)
 	}
 	if delta.Header.Number != number {
-		return record{}, nil, fmt.Errorf("%w: version %d says that it is %d", ErrDamage, number, delta.Header.Number)
+		return record{}, nil, fmt.Errorf("%w: version %d says that it is %d", ErrCorrupt, number, delta.Header.Number)
 	}
 	return newRecord(delta, text), delta, nil
 }
--- a/internal/control/publish/stream.go
+++ b/internal/control/publish/stream.go
@@ -84,7 +84,7 @@
 	case p.places <- struct{}{}:
 		defer func() { <-p.places }()
 	default:
-		p.refuse(w, http.StatusServiceUnavailable, protocol.CodeBusy, fmt.Sprintf("%d followers are served", MostFollowers))
+		p.refuse(w, http.StatusServiceUnavailable, protocol.CodeBusy, fmt.Sprintf("%d followers are served", MaxFollowers))
 		return
 	}
 	s := &stream{p: p, w: w, rc: http.NewResponseController(w), in: newReader(r.Body)}
--- a/internal/lab/scale/fleetday/day.go
+++ b/internal/lab/scale/fleetday/day.go
@@ -94,7 +94,7 @@
 		return err
 	}
 	client := publish.Client{Address: r.machines[0].listen}
-	h, err := client.File(ctx, []byte(Operator(&r.content)), document.Meta{Author: "fleetday", Reason: "the first version"}, document.Digest{})
+	h, err := client.PublishFile(ctx, []byte(Operator(&r.content)), document.Meta{Author: "fleetday", Reason: "the first version"}, document.Digest{})
 	if err != nil {
 		return err
 	}
@@ -243,7 +243,7 @@
 		client := publish.Client{Address: r.machines[0].listen}
 		ctx, end := context.WithTimeout(ctx, 10*time.Second)
 		defer end()
-		h, err := client.Changes(ctx, d.drafter.Next(e.Tenants), document.Meta{Author: "fleetday", Reason: phase}, document.Digest{})
+		h, err := client.PublishChanges(ctx, d.drafter.Next(e.Tenants), document.Meta{Author: "fleetday", Reason: phase}, document.Digest{})
 		if err != nil {
 			return err
 		}
