--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures words what a server reports of itself, in the statsd form.
+// Package metrics words what a server reports of itself, in the statsd form.
 // It counts nothing: each figure is counted where its event ends.
-package figures
+package metrics
 
 import (
 	"fmt"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import "testing"
 
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -5,7 +5,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"kiteslip/internal/figures"
+	"kiteslip/internal/metrics"
 	"kiteslip/internal/ops"
 )
 
@@ -145,13 +145,13 @@
 }
 
 // figures gathers what is counted where each event ends.
-func (s *Server) figures() figures.Snapshot {
-	f := figures.Snapshot{Tries: s.link.Tries() + s.called, Active: s.core.Outstanding(), ConfigsApplied: s.applied, ConfigsRejected: s.rejected}
+func (s *Server) figures() metrics.Snapshot {
+	f := metrics.Snapshot{Tries: s.link.Tries() + s.called, Active: s.core.Outstanding(), ConfigsApplied: s.applied, ConfigsRejected: s.rejected}
 	for i, n := range s.core.AnswersByClass() {
-		f.Classes = append(f.Classes, figures.Class{Name: s.cfg.Classes[i], OK: n.Served, Shed: n.Refused, Errors: n.Failed})
+		f.Classes = append(f.Classes, metrics.Class{Name: s.cfg.Classes[i], OK: n.Served, Shed: n.Refused, Errors: n.Failed})
 	}
 	for _, p := range s.core.Pools() {
-		f.Pools = append(f.Pools, figures.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Guaranteed: p.Guaranteed,
+		f.Pools = append(f.Pools, metrics.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Guaranteed: p.Guaranteed,
 			Borrowed: p.Borrowed, Lent: p.Lent, MaxQueued: p.MaxQueued, SavedRuns: p.SavedRuns, Refused: p.Refused, BookedKB: int(p.BookedKB), HasCheapest: p.HasCheapest})
 	}
 	f.RejectedBy = s.rejects.Counts()
@@ -159,11 +159,11 @@
 	f.Control = s.controlFigures()
 	if w := s.keys.worker; w != nil {
 		k := w.Stats()
-		f.Keys = &figures.Keys{Restored: s.keys.restored, UnknownOutcome: s.keys.unknown, Commits: int(k.Commits), Records: int(k.Operations),
+		f.Keys = &metrics.Keys{Restored: s.keys.restored, UnknownOutcome: s.keys.unknown, Commits: int(k.Commits), Records: int(k.Operations),
 			Errors: int(k.Errors), MaxCommitMS: int(k.MaxCommitUS / 1000), Waiting: k.Waiting, DiskKB: int(k.DiskBytes / 1024),
 			UnrecordedRuns: s.core.UnrecordedRuns()}
 	} else if s.keys.failed != nil {
-		f.Keys = &figures.Keys{Errors: 1}
+		f.Keys = &metrics.Keys{Errors: 1}
 	}
 	return f
 }
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -4,8 +4,8 @@
 	"go.uber.org/zap"
 
 	"kiteslip/internal/core"
-	"kiteslip/internal/figures"
 	"kiteslip/internal/ledger"
+	"kiteslip/internal/metrics"
 	"kiteslip/internal/reject"
 )
 
@@ -53,11 +53,11 @@
 }
 
 // ledgerFigures are those of the calls; nil = there is no ledger.
-func (s *Server) ledgerFigures() *figures.Ledger {
+func (s *Server) ledgerFigures() *metrics.Ledger {
 	if s.below.client == nil {
 		return nil
 	}
-	f := &figures.Ledger{InFlight: s.core.CallsInFlight(), LateResults: s.below.late}
+	f := &metrics.Ledger{InFlight: s.core.CallsInFlight(), LateResults: s.below.late}
 	for _, end := range ledger.EndReasons() {
 		f.Outcomes = append(f.Outcomes, reject.CauseCount{Cause: end.String(), Count: s.below.ends[end]})
 	}
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"kiteslip/internal/control/follow"
-	"kiteslip/internal/figures"
+	"kiteslip/internal/metrics"
 	"kiteslip/internal/ops"
 )
 
@@ -74,12 +74,12 @@
 }
 
 // controlFigures are those of the version in force; nil = control is off.
-func (s *Server) controlFigures() *figures.Control {
+func (s *Server) controlFigures() *metrics.Control {
 	if s.control.follower == nil {
 		return nil
 	}
 	st := s.control.follower.State()
-	return &figures.Control{Version: int(st.Number), AgeMS: int(st.OriginatorSilence.Milliseconds()), LagMS: int(st.Lag.Milliseconds()),
+	return &metrics.Control{Version: int(st.Number), AgeMS: int(st.OriginatorSilence.Milliseconds()), LagMS: int(st.Lag.Milliseconds()),
 		Connected: st.Publisher != "", Refused: st.RefusalReason != "", Fork: st.Fork, Applied: st.Applied, Snapshots: st.Snapshots,
 		Switches: st.Switches, SentBytes: int(st.SentBytes), ReceivedBytes: int(st.ReceivedBytes)}
 }
