--- a/policy_test.go
+++ b/policy_test.go
@@ -1299,8 +1299,8 @@
 	if prepare, run = step(10_000); prepare != nil || run != nil {
 		t.Errorf("with nothing ready: prepares %v, runs %v", prepare, run)
 	}
-	if prepare, run = step(20_000, Event{Kind: Ready, ID: 2}); !slices.Equal(run, []RequestID{2}) {
-		t.Errorf("with one ready: runs %v", run)
+	if prepare, run = step(20_000, Event{Kind: Ready, ID: 2}); prepare != nil || !slices.Equal(run, []RequestID{2}) {
+		t.Errorf("with one ready: prepares %v, runs %v", prepare, run)
 	}
 	if prepare, run = step(30_000, Event{Kind: Disconnected, ID: 1}); !slices.Equal(prepare, []RequestID{3, 4}) || run != nil {
 		t.Errorf("with one gone: prepares %v, runs %v", prepare, run)
