--- a/calls_sum_test.go
+++ b/calls_sum_test.go
@@ -7,32 +7,32 @@
 	"testing"
 )
 
-// crowdOf is many workers that start in the same moment, cannot talk, and call
+// fleet is many workers that start in the same moment, cannot talk, and call
 // one dependency. It counts what all of them have in hand there, and send it.
-type crowdOf struct {
-	workers []*Worker
-	now     int64
-	queue   []due
-	inHand  int
-	most    int     // in hand at once
-	sent    []int64 // when each call was made
-	served  int
-	next    RequestID
-	takes   func(now int64) (int64, Outcome) // what a call made now takes, and how it ends
+type fleet struct {
+	workers    []*Worker
+	now        int64
+	queue      []scheduled
+	inHand     int
+	maxInHand  int     // in hand at once
+	sent       []int64 // when each call was made
+	served     int
+	next       RequestID
+	callResult func(now int64) (int64, Outcome) // what a call made now takes, and how it ends
 }
 
-type due struct {
-	at     int64
-	worker int
-	event  Event
-	hand   int // by how much it changes what is in hand
+type scheduled struct {
+	at          int64
+	worker      int
+	event       Event
+	inHandDelta int // by how much it changes what is in hand
 }
 
-func newCrowd(t *testing.T, n int, share float64, takes func(int64) (int64, Outcome)) *crowdOf {
+func newFleet(t *testing.T, n int, share float64, takes func(int64) (int64, Outcome)) *fleet {
 	t.Helper()
-	c := &crowdOf{takes: takes}
+	c := &fleet{callResult: takes}
 	for i := range n {
-		s := settings()
+		s := testSettings()
 		s.CallShare, s.Workers, s.JustStarted, s.Cores, s.Stop = share, n, true, 6, StopNever
 		s.MemoryKB = 400_000
 		w, err := New(s, uint64(i+1))
@@ -44,13 +44,13 @@
 	return c
 }
 
-func (c *crowdOf) put(d due) {
-	at, _ := slices.BinarySearchFunc(c.queue, d.at+1, func(q due, at int64) int { return cmp.Compare(q.at, at) })
+func (c *fleet) schedule(d scheduled) {
+	at, _ := slices.BinarySearchFunc(c.queue, d.at+1, func(q scheduled, at int64) int { return cmp.Compare(q.at, at) })
 	c.queue = slices.Insert(c.queue, at, d)
 }
 
-// play lets time go by in ticks, with an arrival at each worker every so often.
-func (c *crowdOf) play(span, every int64) {
+// run lets time go by in ticks, with an arrival at each worker every so often.
+func (c *fleet) run(span, every int64) {
 	const tick = 5_000
 	batch := make([][]Event, len(c.workers))
 	for end := c.now + span; c.now < end; c.now += tick {
@@ -60,7 +60,7 @@
 		for len(c.queue) > 0 && c.queue[0].at <= c.now {
 			d := c.queue[0]
 			c.queue = c.queue[1:]
-			c.inHand += d.hand
+			c.inHand += d.inHandDelta
 			if d.event.Kind != Timer {
 				batch[d.worker] = append(batch[d.worker], d.event)
 			}
@@ -78,33 +78,33 @@
 	}
 }
 
-func (c *crowdOf) act(i int, a Action) {
+func (c *fleet) act(i int, a Action) {
 	switch a.Kind {
 	case Run:
-		c.put(due{at: c.now + 20_000, worker: i, event: Event{Kind: NeedsCall, ID: a.ID}})
+		c.schedule(scheduled{at: c.now + 20_000, worker: i, event: Event{Kind: NeedsCall, ID: a.ID}})
 	case Call:
 		c.inHand++
-		c.most = max(c.most, c.inHand)
+		c.maxInHand = max(c.maxInHand, c.inHand)
 		c.sent = append(c.sent, c.now)
-		took, outcome := c.takes(c.now)
+		took, outcome := c.callResult(c.now)
 		gone := took // from the dependency
 		if took > a.After {
 			took, outcome = a.After, TimedOut
-			gone = min(gone, a.After+c.workers[i].set.MaxCallLinger)
+			gone = min(gone, a.After+c.workers[i].cfg.MaxCallLinger)
 		}
-		c.put(due{at: c.now + took, worker: i, event: Event{Kind: CallDone, ID: a.ID, Outcome: outcome, Elapsed: took}})
-		c.put(due{at: c.now + gone, worker: i, event: Event{Kind: Timer}, hand: -1})
+		c.schedule(scheduled{at: c.now + took, worker: i, event: Event{Kind: CallDone, ID: a.ID, Outcome: outcome, Elapsed: took}})
+		c.schedule(scheduled{at: c.now + gone, worker: i, event: Event{Kind: Timer}, inHandDelta: -1})
 		if outcome == OK {
 			c.served++
-			c.put(due{at: c.now + took + 20_000, worker: i, event: Event{Kind: Done, ID: a.ID, Outcome: OK}})
+			c.schedule(scheduled{at: c.now + took + 20_000, worker: i, event: Event{Kind: Done, ID: a.ID, Outcome: OK}})
 		}
 	case Fail:
-		c.put(due{at: c.now + 5_000, worker: i, event: Event{Kind: Done, ID: a.ID, Outcome: Cancelled}})
+		c.schedule(scheduled{at: c.now + 5_000, worker: i, event: Event{Kind: Done, ID: a.ID, Outcome: Cancelled}})
 	}
 }
 
-// window is the most that was sent within any span.
-func (c *crowdOf) window(span int64) int {
+// maxSentWithin is the most that was sent within any span.
+func (c *fleet) maxSentWithin(span int64) int {
 	most, from := 0, 0
 	for i, at := range c.sent {
 		for c.sent[from] < at-span {
@@ -115,8 +115,8 @@
 	return most
 }
 
-// bound is what may be sent beyond a budget of n calls by chance alone.
-func bound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+// withChance is what may be sent beyond a budget of n calls by chance alone.
+func withChance(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
 // A share below one call each was rounded up to one, by every worker at once:
 // thirty that started together had thirty calls in hand, where fifteen, or three,
@@ -131,10 +131,10 @@
 	} {
 		for _, n := range []int{20, 30} {
 			for _, share := range []float64{0.1, 0.3, 0.5, 0.8, 1.3, 2.5} {
-				c := newCrowd(t, n, share, takes)
-				c.play(20_000_000, 250_000)
-				if budget := float64(n) * share; float64(c.most) > bound(budget) {
-					t.Errorf("%s, %d workers with a share of %v: %d calls in hand at once, %.1f allowed", name, n, share, c.most, bound(budget))
+				c := newFleet(t, n, share, takes)
+				c.run(20_000_000, 250_000)
+				if budget := float64(n) * share; float64(c.maxInHand) > withChance(budget) {
+					t.Errorf("%s, %d workers with a share of %v: %d calls in hand at once, %.1f allowed", name, n, share, c.maxInHand, withChance(budget))
 				}
 				if name == "quick" && float64(c.served) < float64(n)*share*10 {
 					t.Errorf("%s, %d workers with a share of %v: %d calls went well", name, n, share, c.served)
@@ -146,20 +146,20 @@
 
 // A dependency that turns all away is sent no more than its budget's calls: what
 // is turned away at once comes back at once otherwise, from every worker.
-func TestSumOfCallsToOneThatRefuses(t *testing.T) {
+func TestSumOfCallsWhenDownstreamRejects(t *testing.T) {
 	for _, outcome := range []Outcome{Rejected, Unreachable, Failed} {
 		for _, share := range []float64{0.3, 0.8, 1.3, 2.5} {
 			const n, usual = 30, 200_000 // a call takes so long once the dependency is well
-			c := newCrowd(t, n, share, func(now int64) (int64, Outcome) {
+			c := newFleet(t, n, share, func(now int64) (int64, Outcome) {
 				if now > 3_000_000 && now < 13_000_000 {
 					return 1_000, outcome
 				}
 				return usual, OK
 			})
-			c.play(20_000_000, 100_000)
-			over := c.workers[0].set.CallShareWindow
-			if budget := n * share * float64(over) / usual; float64(c.window(over)) > bound(budget) {
-				t.Errorf("outcome %d, a share of %v: %d calls in %d s, %.0f allowed", outcome, share, c.window(over), over/1_000_000, bound(budget))
+			c.run(20_000_000, 100_000)
+			over := c.workers[0].cfg.CallShareWindow
+			if budget := n * share * float64(over) / usual; float64(c.maxSentWithin(over)) > withChance(budget) {
+				t.Errorf("outcome %d, a share of %v: %d calls in %d s, %.0f allowed", outcome, share, c.maxSentWithin(over), over/1_000_000, withChance(budget))
 			}
 			if last := c.sent[len(c.sent)-1]; last < 19_000_000 {
 				t.Errorf("outcome %d, a share of %v: nothing is sent any more after %d s", outcome, share, last/1_000_000)
--- a/cmd/simhost/hosts_test.go
+++ b/cmd/simhost/hosts_test.go
@@ -27,8 +27,8 @@
 //	MS drain MS
 //	> MS ACTION N ...
 
-// happening is one line of a script.
-type happening struct {
+// scriptEvent is one line of a script.
+type scriptEvent struct {
 	at    int64
 	event kiteslip.Event
 }
@@ -39,9 +39,9 @@
 var kinds = map[string]kiteslip.EventKind{"arrive": kiteslip.Arrive, "need": kiteslip.NeedsCall, "gone": kiteslip.Disconnected, "called": kiteslip.CallDone,
 	"done": kiteslip.Done, "drain": kiteslip.Drain}
 
-const origin = 1_000_000_000 // of the scripts' clock, microseconds
+const scriptStart = 1_000_000_000 // of the scripts' clock, microseconds
 
-func readScript(t *testing.T, text string) (all []happening, want []string) {
+func readScript(t *testing.T, text string) (all []scriptEvent, want []string) {
 	for _, line := range strings.Split(text, "\n") {
 		words := strings.Fields(line)
 		if len(words) == 0 || words[0] == "#" {
@@ -58,13 +58,13 @@
 			}
 			return n
 		}
-		h := happening{at: origin + number(words[0])*1000}
+		h := scriptEvent{at: scriptStart + number(words[0])*1000}
 		e := &h.event
 		if e.Kind = kinds[words[1]]; e.Kind == 0 {
 			t.Fatalf("%q: no such event", line)
 		}
 		if e.Kind == kiteslip.Drain {
-			e.Deadline = origin + number(words[2])*1000
+			e.Deadline = scriptStart + number(words[2])*1000
 		} else {
 			e.ID = kiteslip.RequestID(number(words[2]))
 		}
@@ -90,16 +90,16 @@
 	return all, want
 }
 
-// side is one host under a script.
-type side interface {
+// scriptHost is one host under a script.
+type scriptHost interface {
 	next() int64 // a timer is due then; 0 = none
 	step(now int64, events []kiteslip.Event)
-	said() []string
+	actions() []string
 }
 
-func play(s side, all []happening, until int64) []string {
-	s.step(origin, nil)
-	for now := int64(origin); now < until; {
+func play(s scriptHost, all []scriptEvent, until int64) []string {
+	s.step(scriptStart, nil)
+	for now := int64(scriptStart); now < until; {
 		at := until
 		if len(all) > 0 {
 			at = all[0].at
@@ -115,23 +115,23 @@
 		}
 		s.step(now, events)
 	}
-	return s.said()
+	return s.actions()
 }
 
-// speech words actions alike for both hosts.
-type speech struct {
+// actionLog words actions alike for both hosts.
+type actionLog struct {
 	now   int64
 	lines []string
 }
 
-func (s *speech) say(format string, args ...any) {
-	s.lines = append(s.lines, fmt.Sprintf("%d ", (s.now-origin)/1000)+fmt.Sprintf(format, args...))
+func (s *actionLog) add(format string, args ...any) {
+	s.lines = append(s.lines, fmt.Sprintf("%d ", (s.now-scriptStart)/1000)+fmt.Sprintf(format, args...))
 }
-func (s *speech) said() []string { return s.lines }
+func (s *actionLog) actions() []string { return s.lines }
 
-// simulated plays a script over the simulator's wire.
-type simulated struct {
-	speech
+// simulatorHost plays a script over the simulator's wire.
+type simulatorHost struct {
+	actionLog
 	t        *testing.T
 	in       io.Writer
 	out      io.Reader
@@ -143,16 +143,16 @@
 	enlisted bool
 }
 
-func newSimulated(t *testing.T, settings []byte) *simulated {
+func newSimulatorHost(t *testing.T, settings []byte) *simulatorHost {
 	in, hostIn := io.Pipe()
 	hostOut, out := io.Pipe()
 	go func() { out.CloseWithError(serve(in, out)) }()
 	t.Cleanup(func() { hostIn.Close() })
-	return &simulated{t: t, in: hostIn, out: hostOut, settings: settings, timers: map[uint64]int64{}, begun: map[uint32]bool{},
+	return &simulatorHost{t: t, in: hostIn, out: hostOut, settings: settings, timers: map[uint64]int64{}, begun: map[uint32]bool{},
 		calledAt: map[kiteslip.RequestID]int64{}, ranAt: map[kiteslip.RequestID]int64{}}
 }
 
-func (s *simulated) next() int64 {
+func (s *simulatorHost) next() int64 {
 	next := int64(0)
 	for _, at := range s.timers {
 		if next == 0 || at < next {
@@ -162,7 +162,7 @@
 	return next
 }
 
-func (s *simulated) step(now int64, events []kiteslip.Event) {
+func (s *simulatorHost) step(now int64, events []kiteslip.Event) {
 	s.now = now
 	le := binary.LittleEndian
 	var body []byte
@@ -240,7 +240,7 @@
 }
 
 // read words the actions of one reply.
-func (s *simulated) read(b []byte) {
+func (s *simulatorHost) read(b []byte) {
 	le := binary.LittleEndian
 	for len(b) > 0 {
 		code := b[0]
@@ -255,37 +255,37 @@
 			v := id()
 			s.begun[v] = true
 			s.ranAt[kiteslip.RequestID(v)] = s.now
-			s.say("run %d", v)
+			s.add("run %d", v)
 		case 67:
 			v := id()
 			s.calledAt[kiteslip.RequestID(v)] = s.now
-			s.say("call %d %d", v, id())
+			s.add("call %d %d", v, id())
 		case 68:
 			b = b[2+int(le.Uint16(b)):]
 		case 69:
-			s.say("health %v", b[0] == 1)
+			s.add("health %v", b[0] == 1)
 			b = b[2:]
 		case 70:
 			id()
 		case 71:
-			s.say("halt %d", id())
+			s.add("halt %d", id())
 		case 73:
-			s.say("reuse %d", id())
+			s.add("reuse %d", id())
 		case 74:
 			id()
 		case 75:
 			id()
 			id()
 		case 76:
-			s.say("fail %d", id())
+			s.add("fail %d", id())
 		case 77:
-			s.say("skip %d", id())
+			s.add("skip %d", id())
 		case 79:
 			v, after := id(), id()
 			if last := b[0] == 1; s.begun[v] {
-				s.say("fail %d", v)
+				s.add("fail %d", v)
 			} else {
-				s.say("refuse %d %d %v", v, after/1000, last)
+				s.add("refuse %d %d %v", v, after/1000, last)
 			}
 			b = b[1:]
 		default:
@@ -294,9 +294,9 @@
 	}
 }
 
-// real plays a script on the core, as the server's loop does.
-type real struct {
-	speech
+// coreHost plays a script on the core, as the server's loop does.
+type coreHost struct {
+	actionLog
 	t     *testing.T
 	core  *core.Core
 	open  map[kiteslip.RequestID]*core.Request
@@ -305,12 +305,12 @@
 	good  bool
 }
 
-func newReal(t *testing.T, text []byte) *real {
+func newCoreHost(t *testing.T, text []byte) *coreHost {
 	settings, _, err := wire.ParseSettings(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &real{t: t, open: map[kiteslip.RequestID]*core.Request{}, ids: map[*core.Request]kiteslip.RequestID{}, calls: map[kiteslip.RequestID]uint64{}}
+	r := &coreHost{t: t, open: map[kiteslip.RequestID]*core.Request{}, ids: map[*core.Request]kiteslip.RequestID{}, calls: map[kiteslip.RequestID]uint64{}}
 	if r.core, err = core.New(core.Settings{Policy: settings, Seed: 7}, r); err != nil {
 		t.Fatal(err)
 	}
@@ -318,9 +318,9 @@
 	return r
 }
 
-func (r *real) next() int64 { return r.core.NextStep() }
+func (r *coreHost) next() int64 { return r.core.NextStep() }
 
-func (r *real) step(now int64, events []kiteslip.Event) {
+func (r *coreHost) step(now int64, events []kiteslip.Event) {
 	r.now = now
 	for _, e := range events {
 		req := r.open[e.ID]
@@ -353,31 +353,31 @@
 	r.core.Step(now)
 	if good, _ := r.core.Health(); good != r.good {
 		r.good = good
-		r.say("health %v", good)
+		r.add("health %v", good)
 	}
 }
 
-func (r *real) Run(q *core.Request)            { r.say("run %d", r.ids[q]) }
-func (r *real) Resume(q *core.Request)         { r.say("run %d", r.ids[q]) }
-func (r *real) Halt(q *core.Request)           { r.say("halt %d", r.ids[q]) }
-func (r *real) Skip(q *core.Request, _ uint64) { r.say("skip %d", r.ids[q]) }
-func (r *real) Reply(*core.Request, []byte)    {}
-func (r *real) Abandon(uint64)                 {}
-func (r *real) Answer(stream uint32, a core.Answer) {
+func (r *coreHost) Run(q *core.Request)            { r.add("run %d", r.ids[q]) }
+func (r *coreHost) Resume(q *core.Request)         { r.add("run %d", r.ids[q]) }
+func (r *coreHost) Halt(q *core.Request)           { r.add("halt %d", r.ids[q]) }
+func (r *coreHost) Skip(q *core.Request, _ uint64) { r.add("skip %d", r.ids[q]) }
+func (r *coreHost) Reply(*core.Request, []byte)    {}
+func (r *coreHost) Abandon(uint64)                 {}
+func (r *coreHost) Answer(stream uint32, a core.Answer) {
 	switch a.Code {
 	case core.Refused:
-		r.say("refuse %d %d %v", stream, a.RetryAfter/1000, a.NoFailover)
+		r.add("refuse %d %d %v", stream, a.RetryAfter/1000, a.NoFailover)
 	case core.Failed:
 		if a.Cause != core.RunFailed {
-			r.say("fail %d", stream)
+			r.add("fail %d", stream)
 		}
 	}
 }
 
-func (r *real) Call(token uint64, ref string, _ []byte, patience int64) {
+func (r *coreHost) Call(token uint64, ref string, _ []byte, patience int64) {
 	id, _ := strconv.Atoi(ref)
 	r.calls[kiteslip.RequestID(id)] = token
-	r.say("call %d %d", id, patience)
+	r.add("call %d %d", id, patience)
 }
 
 func TestHostsAgree(t *testing.T) {
@@ -397,7 +397,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			all, want := readScript(t, string(text))
 			until := all[len(all)-1].at + 1_000_000
-			for name, host := range map[string]side{"simulator's host": newSimulated(t, settings), "real server's core": newReal(t, settings)} {
+			for name, host := range map[string]scriptHost{"simulator's host": newSimulatorHost(t, settings), "real server's core": newCoreHost(t, settings)} {
 				got := slices.DeleteFunc(play(host, all, until), func(s string) bool { return strings.Contains(s, " reuse ") })
 				if !slices.Equal(got, want) {
 					t.Errorf("%s:\n%s\nwant:\n%s", name, strings.Join(got, "\n"), strings.Join(want, "\n"))
--- a/groups.go
+++ b/groups.go
@@ -1,10 +1,10 @@
-// The books on classes and tenants: what is asked and served, with a fading memory, and the sums over all.
+// Usage of classes and tenants: worth requested and served, with decay, and the sums over all of them.
 //
-// A batch costs by what it touches, not by how many classes and tenants there are: a group fades when it is
-// touched, from its last touch; the sums over all fade as one, since all fade alike; and what a class weighs
-// in the means is taken in where it changes. No sum can drift away: the fading ones only add what is positive,
-// or move by what a base moved, and their rounding errors fade with what they belong to; the one that does
-// not fade carries its rounding error along. Retune adds all up anew.
+// The cost of a batch depends on what it touches, not on the number of classes and tenants: the usage of each
+// decays when it is used, from its last update; the sums over all decay together, since all decay alike; and
+// the weight of a class in the means is updated where it changes. No sum drifts: the decaying ones only add
+// positive values, or move by the change of a mean work, and their rounding errors decay with them; the one
+// that does not decay is a compensated sum. Reconfigure computes all of them anew.
 
 package kiteslip
 
@@ -14,188 +14,193 @@
 	"slices"
 )
 
-// group is what is known of a class or tenant, as of its last touch.
-type group struct {
-	asked, served float64 // worth, with the memory rateOver
-	arrived       float64 // requests, with the memory rateOver
-	at            int64   // of the last touch
+// usage is the usage of a class or tenant, as of its last update.
+type usage struct {
+	requested, served float64 // worth, decaying
+	arrived           float64 // requests, decaying
+	updatedAt         int64
 }
 
-// class is what is known of a class, in one cache line: that of thousands lies cold when its request comes.
+// class is the state of a class. It fills one cache line: with thousands of classes it is not in the cache
+// when a request arrives.
 type class struct {
-	group
-	base, runs, wait float64 // mean work of a run, runs so far, mean time of a run at calls
-	rank             int     // of its aim in byAim, see weights
+	usage
+	meanWork, runs, meanCallTime float64 // mean work of a run, number of runs, mean time of a run at calls
+	targetRank                   int     // index of its target time in byTarget, see classWeights
 }
 
-// tenant is what is known of a tenant, and its quota divided by the workers, in requests a second. It fills a
-// cache line, for that of one of thousands lies cold.
+// tenant is the usage of a tenant, and its quota divided by the workers, in requests per second. It fills one
+// cache line: with thousands of tenants it is not in the cache when a request arrives.
 type tenant struct {
-	group
+	usage
 	share float64
 	_     [3]float64
 }
 
-// fading is the clock of what fades: this batch, the one before, and what is left since.
-type fading struct {
-	now, before int64
-	step        float64
+// decay is the clock of decay: the time of this batch and of the one before, and the decay factor between
+// them.
+type decay struct {
+	now, prev int64
+	factor    float64
 }
 
-// next moves the clock to a batch at now, dt after the last.
-func (f *fading) next(now, dt int64) {
-	f.now, f.before = now, now-dt
-	f.step = math.Exp(-float64(dt) / rateOver)
+// advance moves the clock to a batch at now, dt after the last.
+func (d *decay) advance(now, dt int64) {
+	d.now, d.prev = now, now-dt
+	d.factor = math.Exp(-float64(dt) / decayTimeUS)
 }
 
-// touch returns g as it is now. What is touched in each batch costs no exponential.
-func (f *fading) touch(g *group) *group {
-	if g.at == f.now {
-		return g
+// refresh applies decay to g up to now and returns it. What is used in each batch costs no exponential.
+func (d *decay) refresh(u *usage) *usage {
+	if u.updatedAt == d.now {
+		return u
 	}
-	left := f.step
-	if g.at != f.before {
-		left = math.Exp(-float64(max(0, f.now-g.at)) / rateOver) // the first touch may lie before a clock's zero
+	factor := d.factor
+	if u.updatedAt != d.prev {
+		factor = math.Exp(-float64(max(0, d.now-u.updatedAt)) / decayTimeUS) // updatedAt may be before 0
 	}
-	g.asked, g.served, g.arrived, g.at = g.asked*left, g.served*left, g.arrived*left, f.now
-	return g
+	u.requested, u.served, u.arrived, u.updatedAt = u.requested*factor, u.served*factor, u.arrived*factor, d.now
+	return u
 }
 
-// sum adds numbers of both signs for as long as a process lives: low is the rounding error so far
-// (Neumaier's compensated sum).
-type sum struct{ high, low float64 }
+// compensatedSum adds numbers of both signs over the lifetime of a process (Neumaier's algorithm): low is the
+// rounding error so far.
+type compensatedSum struct{ high, low float64 }
 
-func (s *sum) add(x float64) {
+func (s *compensatedSum) add(x float64) {
 	t := s.high + x
 	back := t - s.high
 	s.low += (s.high - (t - back)) + (x - back)
 	s.high = t
 }
 
-// weights are the sums over the classes that the means are ratios of. A class weighs what is asked of it,
-// in requests, which fades, and a trifle, which does not.
-type weights struct {
-	asked, askedBase, askedAim float64 // fading: of weights, of weights times bases, and times aims
-	bases                      sum
-	aims                       float64  // of all classes
-	live                       []uint64 // a bit for each of byAim: it may be lively
-	byAim                      []aimed  // by aim, the shortest first
-}
-
-// inRequests is what of a class weighs as much as worth x of it.
-func (c *Class) inRequests(x float64) float64 { return x / max(c.Worth, 1e-9) }
-
-// aimed is one aim that classes have, and until when one of them at least weighs enough to be minded.
-type aimed struct {
-	aim   float64
-	until int64
-}
-
-// ask books that worth x is asked of a class.
-func (w *Worker) ask(class int, x float64) {
-	g := w.fading.touch(&w.classes[class].group)
-	g.asked += x
-	w.allClasses.asked += x
-	c, m := &w.set.Classes[class], &w.weights
-	k := c.inRequests(x)
-	m.asked += k
-	m.askedBase += k * w.classes[class].base
-	m.askedAim += k * float64(c.TargetTime)
-	w.enliven(class, c.inRequests(g.asked))
-}
-
-// enliven notes until when a class that weighs so much now will be minded for its aim.
-func (w *Worker) enliven(class int, asked float64) {
-	if asked > lively-trifle {
-		rank := w.classes[class].rank
-		at := &w.weights.byAim[rank]
-		at.until = max(at.until, w.fading.now+int64(math.Ceil(rateOver*math.Log(asked/(lively-trifle)))))
-		w.weights.live[rank/64] |= 1 << (rank % 64)
+// classWeights are the sums over the classes that the means are computed from. The weight of a class is the
+// worth requested of it, in requests, which decays, plus minClassWeight, which does not.
+type classWeights struct {
+	total, totalWork, totalTarget float64 // decaying: of weights, times mean work, and times target time
+	sumWork                       compensatedSum
+	sumTargets                    float64       // of all classes
+	active                        []uint64      // a bit for each of byTarget: it may be active
+	byTarget                      []targetEntry // ascending by target time
+}
+
+// worthInRequests converts worth x to a number of requests of the class.
+func (c *Class) worthInRequests(x float64) float64 { return x / max(c.Worth, 1e-9) }
+
+// targetEntry is a target time, and until when a class that has it is active, i.e. weighs over
+// activeClassWeight.
+type targetEntry struct {
+	target      float64
+	activeUntil int64
+}
+
+// recordRequested adds worth x that was requested of a class.
+func (w *Worker) recordRequested(class int, x float64) {
+	u := w.decay.refresh(&w.classes[class].usage)
+	u.requested += x
+	w.allClasses.requested += x
+	c, m := &w.cfg.Classes[class], &w.weights
+	k := c.worthInRequests(x)
+	m.total += k
+	m.totalWork += k * w.classes[class].meanWork
+	m.totalTarget += k * float64(c.TargetTime)
+	w.markActive(class, c.worthInRequests(u.requested))
+}
+
+// markActive extends the time during which a class of this weight is active.
+func (w *Worker) markActive(class int, weight float64) {
+	if weight > activeClassWeight-minClassWeight {
+		rank := w.classes[class].targetRank
+		entry := &w.weights.byTarget[rank]
+		entry.activeUntil = max(entry.activeUntil,
+			w.decay.now+int64(math.Ceil(decayTimeUS*math.Log(weight/(activeClassWeight-minClassWeight)))))
+		w.weights.active[rank/64] |= 1 << (rank % 64)
 	}
 }
 
-// askTenant books that worth x is asked for by a tenant.
-func (w *Worker) askTenant(tenant int, x float64) {
-	w.fading.touch(&w.tenants[tenant].group).asked += x
-	w.allTenants.asked += x
+// recordTenantRequested adds worth x that was requested by a tenant.
+func (w *Worker) recordTenantRequested(tenant int, x float64) {
+	w.decay.refresh(&w.tenants[tenant].usage).requested += x
+	w.allTenants.requested += x
 }
 
-// serve books worth x that was served on time.
-func (w *Worker) serve(class, tenant int, x float64) {
-	w.fading.touch(&w.classes[class].group).served += x
-	w.fading.touch(&w.tenants[tenant].group).served += x
+// recordServed adds worth x that was served in time.
+func (w *Worker) recordServed(class, tenant int, x float64) {
+	w.decay.refresh(&w.classes[class].usage).served += x
+	w.decay.refresh(&w.tenants[tenant].usage).served += x
 	w.allClasses.served += x
 	w.allTenants.served += x
 }
 
-// rebase sets the base of a class.
-func (w *Worker) rebase(class int, base float64) {
-	k := w.set.Classes[class].inRequests(w.fading.touch(&w.classes[class].group).asked)
-	w.weights.askedBase += k * (base - w.classes[class].base)
-	w.weights.bases.add(base)
-	w.weights.bases.add(-w.classes[class].base)
-	w.classes[class].base = base
+// setMeanWork sets the mean work of a class.
+func (w *Worker) setMeanWork(class int, mean float64) {
+	k := w.cfg.Classes[class].worthInRequests(w.decay.refresh(&w.classes[class].usage).requested)
+	w.weights.totalWork += k * (mean - w.classes[class].meanWork)
+	w.weights.sumWork.add(mean)
+	w.weights.sumWork.add(-w.classes[class].meanWork)
+	w.classes[class].meanWork = mean
 }
 
-// fadeAll lets the sums fade by what is left since the batch before.
-func (w *Worker) fadeAll() {
-	left, m := w.fading.step, &w.weights
-	w.allClasses.asked, w.allClasses.served = w.allClasses.asked*left, w.allClasses.served*left
-	w.allTenants.asked, w.allTenants.served = w.allTenants.asked*left, w.allTenants.served*left
-	m.asked, m.askedBase, m.askedAim = m.asked*left, m.askedBase*left, m.askedAim*left
+// decayTotals applies the decay since the previous batch to the sums.
+func (w *Worker) decayTotals() {
+	factor, m := w.decay.factor, &w.weights
+	w.allClasses.requested, w.allClasses.served = w.allClasses.requested*factor, w.allClasses.served*factor
+	w.allTenants.requested, w.allTenants.served = w.allTenants.requested*factor, w.allTenants.served*factor
+	m.total, m.totalWork, m.totalTarget = m.total*factor, m.totalWork*factor, m.totalTarget*factor
 }
 
-// shortestAim is the shortest aim among the classes that weigh enough, and the first one.
-func (w *Worker) shortestAim() float64 {
+// shortestTarget returns the shortest target time of the active classes and of the first class.
+func (w *Worker) shortestTarget() float64 {
 	m := &w.weights
-	shortest := float64(w.set.Classes[0].TargetTime)
-	for i, word := range m.live {
+	shortest := float64(w.cfg.Classes[0].TargetTime)
+	for i, word := range m.active {
 		for ; word != 0; word &= word - 1 {
 			bit := bits.TrailingZeros64(word)
-			if at := m.byAim[i*64+bit]; at.until > w.fading.now {
-				return min(shortest, at.aim)
+			if entry := m.byTarget[i*64+bit]; entry.activeUntil > w.decay.now {
+				return min(shortest, entry.target)
 			}
-			m.live[i] &^= 1 << bit
+			m.active[i] &^= 1 << bit
 		}
 	}
 	return shortest
 }
 
-// allot works out what is due here of each quota that is another than before, or of all where that can't be
-// told.
-func (w *Worker) allot(before []Tenant, workers int) {
-	now := w.set.Tenants
-	all := workers != w.set.Workers || len(before) > 0 && &before[0] == &now[0]
+// updateTenantShares computes this worker's share of each quota that has changed, or of all where that is
+// unknown: the list was changed in place.
+func (w *Worker) updateTenantShares(before []Tenant, workers int) {
+	now := w.cfg.Tenants
+	all := workers != w.cfg.Workers || len(before) > 0 && &before[0] == &now[0]
 	for i := range now {
 		if all || i >= len(before) || before[i] != now[i] {
-			w.tenants[i].share = now[i].Quota / float64(w.set.Workers)
+			w.tenants[i].share = now[i].Quota / float64(w.cfg.Workers)
 		}
 	}
 }
 
-// weigh adds the weights of all classes up anew, for new settings. It takes time for each class.
-func (w *Worker) weigh() {
-	m, classes := &w.weights, w.set.Classes
-	aims := make([]float64, len(classes))
+// rebuildWeights computes the weights of all classes anew, for new settings, in time proportional to their
+// number.
+func (w *Worker) rebuildWeights() {
+	m, classes := &w.weights, w.cfg.Classes
+	targets := make([]float64, len(classes))
 	for i := range classes {
-		aims[i] = float64(classes[i].TargetTime)
+		targets[i] = float64(classes[i].TargetTime)
 	}
-	slices.Sort(aims)
-	aims = slices.Compact(aims)
-	*m = weights{live: make([]uint64, len(aims)/64+1), byAim: make([]aimed, len(aims))}
-	for i, aim := range aims {
-		m.byAim[i] = aimed{aim, math.MinInt64}
+	slices.Sort(targets)
+	targets = slices.Compact(targets)
+	*m = classWeights{active: make([]uint64, len(targets)/64+1), byTarget: make([]targetEntry, len(targets))}
+	for i, target := range targets {
+		m.byTarget[i] = targetEntry{target, math.MinInt64}
 	}
 	for i := range classes {
-		aim := float64(classes[i].TargetTime)
-		w.classes[i].rank, _ = slices.BinarySearch(aims, aim)
-		m.bases.add(w.classes[i].base)
-		m.aims += aim
-		if k := classes[i].inRequests(w.fading.touch(&w.classes[i].group).asked); k > 0 {
-			m.asked += k
-			m.askedBase += k * w.classes[i].base
-			m.askedAim += k * aim
-			w.enliven(i, k)
+		target := float64(classes[i].TargetTime)
+		w.classes[i].targetRank, _ = slices.BinarySearch(targets, target)
+		m.sumWork.add(w.classes[i].meanWork)
+		m.sumTargets += target
+		if k := classes[i].worthInRequests(w.decay.refresh(&w.classes[i].usage).requested); k > 0 {
+			m.total += k
+			m.totalWork += k * w.classes[i].meanWork
+			m.totalTarget += k * target
+			w.markActive(i, k)
 		}
 	}
 }
--- a/groups_test.go
+++ b/groups_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// manyGroups are settings with that many tenants and classes of unlike worths, aims and quotas.
-func manyGroups(rng *rand.Rand, tenants, classes int) Settings {
-	s := settings()
+// settingsWithGroups are settings with that many tenants and classes of unlike worths, aims and quotas.
+func settingsWithGroups(rng *rand.Rand, tenants, classes int) Settings {
+	s := testSettings()
 	s.Classes, s.Tenants = s.Classes[:0], s.Tenants[:0]
 	s.Goal = Goal{Whole: 1, WorstClass: rng.Float64(), WorstTenant: rng.Float64()}
 	s.OverShareWorth = 0.3
-	regroup(rng, &s, tenants, classes)
+	changeGroups(rng, &s, tenants, classes)
 	return s
 }
 
-// regroup gives all classes other worths and aims, all tenants other quotas, and brings them to that many.
-func regroup(rng *rand.Rand, s *Settings, tenants, classes int) {
+// changeGroups gives all classes other worths and aims, all tenants other quotas, and brings them to that many.
+func changeGroups(rng *rand.Rand, s *Settings, tenants, classes int) {
 	old := s.Classes
 	s.Classes = make([]Class, max(classes, len(old)))
 	for i := range s.Classes {
@@ -45,69 +45,69 @@
 	}
 }
 
-// plainStep is Step in its plain form, kept to compare with: each batch fades all groups and adds them all up.
+// referenceStep is Step in its plain form, kept to compare with: each batch fades all groups and adds them all up.
 // It differs from Step in the two marked places alone.
-func plainStep(w *Worker, now int64, events []Event, acts []Action) []Action {
-	if !w.begun {
-		w.begun, w.last, w.progress = true, now, now
-		if w.born < 0 {
-			w.born = now
+func referenceStep(w *Worker, now int64, events []Event, acts []Action) []Action {
+	if !w.started {
+		w.started, w.prev, w.lastProgress = true, now, now
+		if w.startedAt < 0 {
+			w.startedAt = now
 		}
 		acts = append(acts, Action{Kind: Health, On: true, Cached: true})
 		w.now = now
-		w.callFirst()
+		w.delayFirstCall()
 	}
 	w.advance(now)
-	for _, g := range append(classGroups(w), tenantGroups(w)...) { // all fade in each batch
-		w.fading.touch(g)
+	for _, g := range append(classUsages(w), tenantUsages(w)...) { // all fade in each batch
+		w.decay.refresh(g)
 	}
-	w.fresh = w.fresh[:0]
+	w.arrived = w.arrived[:0]
 	for i := range events {
-		acts = w.take(&events[i], acts)
+		acts = w.handleEvent(&events[i], acts)
 	}
-	w.count()
-	w.allClasses, w.allTenants = plainTotal(w, classGroups(w)), plainTotal(w, tenantGroups(w)) // and are added up
-	w.meanBase, w.meanAim, w.leastAim = plainMeans(w)
-	acts = w.settle(acts)
+	w.recount()
+	w.allClasses, w.allTenants = referenceTotal(w, classUsages(w)), referenceTotal(w, tenantUsages(w)) // and are added up
+	w.meanWork, w.meanTarget, w.minTarget = referenceMeans(w)
+	acts = w.expire(acts)
 	acts = w.admit(acts)
 	acts = w.shed(acts)
-	acts = w.callBelow(acts)
+	acts = w.callDownstream(acts)
 	acts = w.start(acts)
 	acts = w.advise(acts)
-	w.sweep()
-	return w.arm(acts)
+	w.removeFinished()
+	return w.armTimer(acts)
 }
 
-func classGroups(w *Worker) (list []*group) {
+func classUsages(w *Worker) (list []*usage) {
 	for i := range w.classes {
-		list = append(list, &w.classes[i].group)
+		list = append(list, &w.classes[i].usage)
 	}
 	return list
 }
 
-func tenantGroups(w *Worker) (list []*group) {
+func tenantUsages(w *Worker) (list []*usage) {
 	for i := range w.tenants {
-		list = append(list, &w.tenants[i].group)
+		list = append(list, &w.tenants[i].usage)
 	}
 	return list
 }
 
-func plainTotal(w *Worker, of []*group) (all group) {
+func referenceTotal(w *Worker, of []*usage) (all usage) {
 	for _, g := range of {
-		w.fading.touch(g)
-		all.asked += g.asked
+		w.decay.refresh(g)
+		all.requested += g.requested
 		all.served += g.served
 	}
 	return all
 }
 
-// plainMeans walks all classes.
-func plainMeans(w *Worker) (meanBase, meanAim, leastAim float64) {
+// referenceMeans walks all classes.
+func referenceMeans(w *Worker) (meanBase, meanAim, leastAim float64) {
 	n := 0.0
 	leastAim = math.Inf(1)
-	for i, c := range w.set.Classes {
-		k := w.fading.touch(&w.classes[i].group).asked/max(c.Worth, 1e-9) + 1e-6
-		meanBase += k * w.classes[i].base
+	for i, c := range w.cfg.Classes {
+		k := w.decay.refresh(&w.classes[i].usage).requested/max(c.Worth, 1e-9) + 1e-6
+		meanBase += k * w.classes[i].meanWork
 		meanAim += k * float64(c.TargetTime)
 		n += k
 		if k > 1e-3 || i == 0 {
@@ -117,50 +117,50 @@
 	return max(meanBase/n, 1), max(meanAim/n, 1), max(leastAim, 1)
 }
 
-// near says whether two sums are the same but for their rounding.
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-11*max(math.Abs(a), math.Abs(b)) }
+// approxEqual says whether two sums are the same but for their rounding.
+func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-11*max(math.Abs(a), math.Abs(b)) }
 
-// wantSums fails where a kept sum is not what adding up anew gives. It touches no group of w.
-func wantSums(t *testing.T, w *Worker, what string) {
+// checkSums fails where a kept sum is not what adding up anew gives. It touches no group of w.
+func checkSums(t *testing.T, w *Worker, what string) {
 	t.Helper()
 	c := *w
 	c.classes = append([]class(nil), w.classes...)
 	c.tenants = append([]tenant(nil), w.tenants...)
-	base, aim, least := plainMeans(&c)
-	classes, tenants := plainTotal(&c, classGroups(&c)), plainTotal(&c, tenantGroups(&c))
+	base, aim, least := referenceMeans(&c)
+	classes, tenants := referenceTotal(&c, classUsages(&c)), referenceTotal(&c, tenantUsages(&c))
 	for _, v := range []struct {
 		name       string
 		kept, want float64
 	}{
-		{"asked of classes", w.allClasses.asked, classes.asked}, {"served of classes", w.allClasses.served, classes.served},
-		{"asked by tenants", w.allTenants.asked, tenants.asked}, {"served to tenants", w.allTenants.served, tenants.served},
-		{"the mean base", w.meanBase, base}, {"the mean aim", w.meanAim, aim},
+		{"asked of classes", w.allClasses.requested, classes.requested}, {"served of classes", w.allClasses.served, classes.served},
+		{"asked by tenants", w.allTenants.requested, tenants.requested}, {"served to tenants", w.allTenants.served, tenants.served},
+		{"the mean base", w.meanWork, base}, {"the mean aim", w.meanTarget, aim},
 	} {
-		if !near(v.kept, v.want) {
+		if !approxEqual(v.kept, v.want) {
 			t.Fatalf("%s: %s is kept as %v, adds up to %v", what, v.name, v.kept, v.want)
 		}
 	}
-	if w.leastAim != least {
-		t.Fatalf("%s: the least aim is kept as %v, is %v", what, w.leastAim, least)
+	if w.minTarget != least {
+		t.Fatalf("%s: the least aim is kept as %v, is %v", what, w.minTarget, least)
 	}
 }
 
-// mirror hands the same events to a worker with kept sums and to one in the plain form.
-type mirror struct {
-	t           *testing.T
-	name        string
-	kept, plain *Worker
-	running     []RequestID
-	calls       []RequestID
-	held        []RequestID
-	acts        map[ActionKind]int
+// comparison hands the same events to a worker with kept sums and to one in the plain form.
+type comparison struct {
+	t                      *testing.T
+	name                   string
+	incremental, reference *Worker
+	running                []RequestID
+	calls                  []RequestID
+	queued                 []RequestID
+	acts                   map[ActionKind]int
 }
 
-func (m *mirror) step(now int64, events []Event) {
+func (m *comparison) step(now int64, events []Event) {
 	m.t.Helper()
-	acts, want := m.kept.Step(now, events, nil), plainStep(m.plain, now, events, nil)
+	acts, want := m.incremental.Step(now, events, nil), referenceStep(m.reference, now, events, nil)
 	for i := range min(len(acts), len(want)) { // a figure for callers is rounded in its last digits
-		if near(acts[i].Value, want[i].Value) {
+		if approxEqual(acts[i].Value, want[i].Value) {
 			acts[i].Value = want[i].Value
 		}
 	}
@@ -178,8 +178,8 @@
 	}
 }
 
-// take draws one of a list, and takes it out.
-func take(rng *rand.Rand, from *[]RequestID) RequestID {
+// drawAndRemove draws one of a list, and takes it out.
+func drawAndRemove(rng *rand.Rand, from *[]RequestID) RequestID {
 	list := *from
 	i := rng.IntN(len(list))
 	id := list[i]
@@ -190,19 +190,19 @@
 
 // The kept sums and the fading at a touch decide as the plain form does, batch by batch, over streams with
 // spells of overload and of idleness, and with new settings between.
-func TestKeptSumsDecideAsThePlainForm(t *testing.T) {
+func TestIncrementalSumsDecideAsReference(t *testing.T) {
 	sizes := []struct{ tenants, classes int }{{3, 1}, {3, 4}, {40, 7}, {300, 60}, {2000, 60}, {1, 30}, {700, 2}, {2000, 60}}
 	total := map[ActionKind]int{}
 	for seed, size := range sizes {
 		rng := rand.New(rand.NewPCG(uint64(seed), 11))
-		s := manyGroups(rng, size.tenants, size.classes)
+		s := settingsWithGroups(rng, size.tenants, size.classes)
 		s.Stop, s.LoadSignal = Stop(seed%3), LoadSignal(seed%4)
 		kept, err := New(s, uint64(seed))
 		if err != nil {
 			t.Fatal(err)
 		}
 		plain, _ := New(s, uint64(seed))
-		m := &mirror{t: t, name: fmt.Sprintf("seed %d", seed), kept: kept, plain: plain, acts: total}
+		m := &comparison{t: t, name: fmt.Sprintf("seed %d", seed), incremental: kept, reference: plain, acts: total}
 		now, id := int64(seed)*1e15, RequestID(0)
 		rate, until := 0.0, int64(0)
 		for batch := range 4000 {
@@ -216,17 +216,17 @@
 			events := []Event{{Kind: Timer}}
 			for n := rate * rng.Float64() * 2; rng.Float64() < n; n-- {
 				id++
-				e := Event{Kind: Arrive, ID: id, Class: int(float64(len(kept.set.Classes)) * math.Pow(rng.Float64(), 2)),
-					Tenant: int(float64(len(kept.set.Tenants)) * math.Pow(rng.Float64(), 3)),
+				e := Event{Kind: Arrive, ID: id, Class: int(float64(len(kept.cfg.Classes)) * math.Pow(rng.Float64(), 2)),
+					Tenant: int(float64(len(kept.cfg.Tenants)) * math.Pow(rng.Float64(), 3)),
 					SizeKB: 5 + 60*rng.Float64(), Retry: rng.IntN(6) == 0, Waited: rng.Int64N(20_000)}
 				if rng.IntN(8) == 0 && id > 20 {
 					e.DuplicateOf = id - 1 - RequestID(rng.IntN(20))
 				}
-				m.held = append(m.held, id)
+				m.queued = append(m.queued, id)
 				events = append(events, e)
 			}
 			for n := 0.4 * float64(len(m.running)); len(m.running) > 0 && rng.Float64() < n; n-- {
-				e := Event{Kind: Done, ID: take(rng, &m.running), Outcome: OK}
+				e := Event{Kind: Done, ID: drawAndRemove(rng, &m.running), Outcome: OK}
 				switch rng.IntN(12) {
 				case 0:
 					e.Outcome = Outcome(rng.IntN(int(NotStarted)))
@@ -236,7 +236,7 @@
 				events = append(events, e)
 			}
 			for len(m.calls) > 0 && rng.IntN(3) == 0 {
-				e := Event{Kind: CallDone, ID: take(rng, &m.calls), Outcome: OK}
+				e := Event{Kind: CallDone, ID: drawAndRemove(rng, &m.calls), Outcome: OK}
 				if rng.IntN(5) == 0 {
 					e.Outcome = TimedOut
 				} else {
@@ -244,18 +244,18 @@
 				}
 				events = append(events, e)
 			}
-			if len(m.held) > 0 && rng.IntN(30) == 0 {
-				events = append(events, Event{Kind: Disconnected, ID: take(rng, &m.held)})
+			if len(m.queued) > 0 && rng.IntN(30) == 0 {
+				events = append(events, Event{Kind: Disconnected, ID: drawAndRemove(rng, &m.queued)})
 			}
 			if len(m.running) > 0 && rng.IntN(10) == 0 { // its run goes on until it is stopped
 				events = append(events, Event{Kind: Disconnected, ID: m.running[rng.IntN(len(m.running))]})
 			}
 			m.step(now, events)
 			if batch%50 == 0 {
-				wantSums(t, kept, m.name)
+				checkSums(t, kept, m.name)
 			}
 			if batch%500 == 499 {
-				regroup(rng, &s, len(s.Tenants)+rng.IntN(30), min(60, len(s.Classes)+rng.IntN(2)))
+				changeGroups(rng, &s, len(s.Tenants)+rng.IntN(30), min(60, len(s.Classes)+rng.IntN(2)))
 				s.Workers += rng.IntN(2)
 				if err := kept.Reconfigure(s); err != nil {
 					t.Fatal(err)
@@ -278,7 +278,7 @@
 }
 
 // The shortest aim counts for as long as its class weighs enough, to the microsecond; the first class's always.
-func TestShortestAimWhileItsClassIsLively(t *testing.T) {
+func TestShortestTargetWhileClassIsActive(t *testing.T) {
 	w, err := New(Settings{Cores: 1, MemoryKB: 1000, Classes: []Class{{TargetTime: 900, Timeout: 1000, Worth: 1}, {TargetTime: 300, Timeout: 1000, Worth: 2},
 		{TargetTime: 500, Timeout: 1000, Worth: 0.1}, {TargetTime: 500, Timeout: 1000, Worth: 3}, {TargetTime: 1500, Timeout: 2000, Worth: 1}, {TargetTime: 10, Timeout: 90}}}, 1)
 	if err != nil {
@@ -286,28 +286,28 @@
 	}
 	seen := map[float64]int{}
 	at := func(now int64) {
-		w.fading.next(now, now-w.now)
+		w.decay.advance(now, now-w.now)
 		w.now = now
-		w.mix()
-		if _, _, least := plainMeans(w); w.leastAim != least {
-			t.Fatalf("at %d the least aim is kept as %v, is %v", now, w.leastAim, least)
+		w.updateMeans()
+		if _, _, least := referenceMeans(w); w.minTarget != least {
+			t.Fatalf("at %d the least aim is kept as %v, is %v", now, w.minTarget, least)
 		}
-		seen[w.leastAim]++
+		seen[w.minTarget]++
 	}
 	at(1000)
-	for i, c := range w.set.Classes {
-		w.ask(i, c.Worth)
+	for i, c := range w.cfg.Classes {
+		w.recordRequested(i, c.Worth)
 	}
 	at(300_000)
-	w.ask(3, 3)
-	w.ask(2, 0.1)
-	w.ask(2, 0.1)
+	w.recordRequested(3, 3)
+	w.recordRequested(2, 0.1)
+	w.recordRequested(2, 0.1)
 	for _, least := range []float64{300, 500} { // the end of each, found by halving
 		on, off := w.now, w.now+1_000_000_000
 		for off-on > 1 {
-			g, mid := w.fading.touch(&w.classes[map[float64]int{300: 1, 500: 2}[least]].group), (on+off)/2
-			c := w.set.Classes[map[float64]int{300: 1, 500: 2}[least]]
-			if c.inRequests(g.asked)*math.Exp(-float64(mid-g.at)/rateOver)+1e-6 > 1e-3 {
+			g, mid := w.decay.refresh(&w.classes[map[float64]int{300: 1, 500: 2}[least]].usage), (on+off)/2
+			c := w.cfg.Classes[map[float64]int{300: 1, 500: 2}[least]]
+			if c.worthInRequests(g.requested)*math.Exp(-float64(mid-g.updatedAt)/decayTimeUS)+1e-6 > 1e-3 {
 				on = mid
 			} else {
 				off = mid
@@ -324,9 +324,9 @@
 
 // The sums do not drift: after as many changes as hours of service bring, with bases that rise and fall
 // by four orders, they are what adding up anew gives.
-func TestKeptSumsDoNotDrift(t *testing.T) {
+func TestIncrementalSumsDoNotDrift(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
-	w, err := New(manyGroups(rng, 50, 40), 1)
+	w, err := New(settingsWithGroups(rng, 50, 40), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -335,33 +335,33 @@
 		dt := rng.Int64N(30_000)
 		now += dt
 		w.now = now
-		w.fading.next(now, dt)
-		w.fadeAll()
+		w.decay.advance(now, dt)
+		w.decayTotals()
 		class, tenant := rng.IntN(40), rng.IntN(50)
-		w.ask(class, w.set.Classes[class].Worth)
-		w.askTenant(tenant, rng.Float64())
-		w.rebase(rng.IntN(40), math.Exp(9.2*rng.Float64()+5))
-		w.serve(rng.IntN(40), rng.IntN(50), rng.Float64())
+		w.recordRequested(class, w.cfg.Classes[class].Worth)
+		w.recordTenantRequested(tenant, rng.Float64())
+		w.setMeanWork(rng.IntN(40), math.Exp(9.2*rng.Float64()+5))
+		w.recordServed(rng.IntN(40), rng.IntN(50), rng.Float64())
 		if n%10_000 == 0 {
-			w.mix()
-			wantSums(t, w, fmt.Sprint("change ", n))
+			w.updateMeans()
+			checkSums(t, w, fmt.Sprint("change ", n))
 		}
 	}
 }
 
-// decisions plays requests through a worker that holds some others all along.
-type decisions struct {
+// decisionLoad plays requests through a worker that holds some others all along.
+type decisionLoad struct {
 	w       *Worker
 	rng     *rand.Rand
 	now     int64
 	next    RequestID
-	held    int
+	queued  int
 	running []RequestID
 	acts    []Action
 	events  [1]Event
 }
 
-func newDecisions(t testing.TB, tenants, classes, held int) *decisions {
+func newDecisions(t testing.TB, tenants, classes, held int) *decisionLoad {
 	s := Settings{Cores: 2, MemoryKB: 1e9, Goal: Goal{Whole: 1, WorstClass: 0.2, WorstTenant: 0.5}, OverShareWorth: 0.2,
 		Workers: 3, MaxRunsPerCore: 1.25, Tick: 2000, Tenants: make([]Tenant, tenants), Classes: make([]Class, classes)}
 	for i := range s.Classes {
@@ -375,10 +375,10 @@
 		t.Fatal(err)
 	}
 	for i := range s.Classes { // all classes have run
-		w.rebase(i, 5000)
+		w.setMeanWork(i, 5000)
 		w.classes[i].runs = 20
 	}
-	d := &decisions{w: w, rng: rand.New(rand.NewPCG(3, 3)), now: 1e15, held: held}
+	d := &decisionLoad{w: w, rng: rand.New(rand.NewPCG(3, 3)), now: 1e15, queued: held}
 	for range held + 600 {
 		d.request()
 	}
@@ -389,7 +389,7 @@
 }
 
 // step hands in one event.
-func (d *decisions) step(e Event) {
+func (d *decisionLoad) step(e Event) {
 	d.now += 5000
 	d.events[0] = e
 	d.acts = d.w.Step(d.now, d.events[:], d.acts[:0])
@@ -401,10 +401,10 @@
 }
 
 // request plays one: it comes, one ends, and a timer is due.
-func (d *decisions) request() {
+func (d *decisionLoad) request() {
 	d.next++
-	d.step(Event{Kind: Arrive, ID: d.next, Class: d.rng.IntN(len(d.w.set.Classes)), Tenant: d.rng.IntN(len(d.w.set.Tenants)), SizeKB: 10})
-	if len(d.w.reqs) > d.held+2 || d.held == 0 {
+	d.step(Event{Kind: Arrive, ID: d.next, Class: d.rng.IntN(len(d.w.cfg.Classes)), Tenant: d.rng.IntN(len(d.w.cfg.Tenants)), SizeKB: 10})
+	if len(d.w.reqs) > d.queued+2 || d.queued == 0 {
 		d.step(Event{Kind: Done, ID: d.running[0], Outcome: OK})
 		d.running = d.running[:copy(d.running, d.running[1:])]
 	}
@@ -417,10 +417,10 @@
 // A decision costs by what it touches: one of 21,000 tenants and 2,800 classes takes no longer than one of 3
 // and 4, with as much held. make measure-scale asks for a quarter more at most; here the bound is one that a
 // busy machine keeps too: with a walk over all groups in each batch it is passed many times over.
-func TestDecisionCostsAlikeAtAnySize(t *testing.T) {
+func TestDecisionCostIndependentOfSize(t *testing.T) {
 	for _, held := range []int{0, 50, 500} {
 		few, many := newDecisions(t, small[0], small[1], held), newDecisions(t, large[0], large[1], held)
-		best := func(d *decisions, least time.Duration) time.Duration {
+		best := func(d *decisionLoad, least time.Duration) time.Duration {
 			const requests = 40
 			begun := time.Now()
 			for range requests {
@@ -440,12 +440,12 @@
 }
 
 // New settings hold the loop: with 21,000 tenants and 2,800 classes nothing may be made for each entry.
-func TestRetuneMakesNothingForEachEntry(t *testing.T) {
+func TestReconfigureAllocatesNothingPerEntry(t *testing.T) {
 	w := newDecisions(t, large[0], large[1], 0).w
 	for _, worth := range []float64{0, 1} { // of the classes too
 		var sets []Settings
 		for n := range 8 {
-			s := w.set
+			s := w.cfg
 			s.Tenants, s.Classes = slices.Clone(s.Tenants), slices.Clone(s.Classes)
 			s.Tenants[5].Quota++
 			s.Classes[5].Worth += worth * float64(n)
@@ -476,11 +476,11 @@
 	}
 }
 
-func BenchmarkRetune(b *testing.B) {
+func BenchmarkReconfigure(b *testing.B) {
 	for _, changed := range []string{"tenant", "class"} {
 		b.Run("changed="+changed, func(b *testing.B) {
 			w := newDecisions(b, large[0], large[1], 0).w
-			s := w.set
+			s := w.cfg
 			s.Tenants, s.Classes = slices.Clone(s.Tenants), slices.Clone(s.Classes)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -501,9 +501,9 @@
 // A quota that is thin over many workers leaves less than one arrival here in the memory of rates: nearly all of
 // one arrival is beyond the share, as the fleet counts it, and goes behind what others send within theirs; a
 // flood is further beyond.
-func TestShareOfAThinQuota(t *testing.T) {
-	worker := func(quota ...float64) *bench {
-		return start(t, func(s *Settings) {
+func TestInShareOfSmallQuota(t *testing.T) {
+	worker := func(quota ...float64) *harness {
+		return newHarness(t, func(s *Settings) {
 			s.Cores, s.Workers, s.OverShareWorth, s.Downstream = 1, 470, 0.05, DownstreamNone
 			for _, q := range quota {
 				s.Tenants = append(s.Tenants, Tenant{Quota: q})
@@ -543,9 +543,9 @@
 	rng := rand.New(rand.NewPCG(8, 8)) // the share is the plain ratio to the bit
 	for range 2000 {
 		quota, arrived := 470*math.Exp(14*rng.Float64()-8), 60*rng.Float64()
-		b.w.set.Tenants[1].Quota = quota
-		b.w.allot(nil, 0)
-		b.w.fading.touch(&b.w.tenants[1].group).arrived = arrived
+		b.w.cfg.Tenants[1].Quota = quota
+		b.w.updateTenantShares(nil, 0)
+		b.w.decay.refresh(&b.w.tenants[1].usage).arrived = arrived
 		if got, want := b.w.inShare(1), min(1, quota/470/max(arrived/4, 1e-9)); got != want {
 			t.Fatalf("quota %v, %v arrived: share %v, want %v", quota, arrived, got, want)
 		}
@@ -553,8 +553,8 @@
 }
 
 // Settings that were changed in place and handed in again are taken over too.
-func TestRetuneWithSettingsChangedInPlace(t *testing.T) {
-	s := settings()
+func TestReconfigureWithSettingsChangedInPlace(t *testing.T) {
+	s := testSettings()
 	s.Tenants = []Tenant{{Quota: 8}, {Quota: 80}}
 	w, err := New(s, 1)
 	if err != nil {
@@ -566,7 +566,7 @@
 		t.Fatal(err)
 	}
 	w.Step(2000, nil, nil)
-	if wantSums(t, w, "in place"); w.tenants[1].share != 1 || w.tenants[0].share != 2 || w.leastAim != 500_000 {
-		t.Errorf("shares %v and %v, least aim %v", w.tenants[0].share, w.tenants[1].share, w.leastAim)
+	if checkSums(t, w, "in place"); w.tenants[1].share != 1 || w.tenants[0].share != 2 || w.minTarget != 500_000 {
+		t.Errorf("shares %v and %v, least aim %v", w.tenants[0].share, w.tenants[1].share, w.minTarget)
 	}
 }
--- a/internal/pool/limit.go
+++ b/internal/pool/limit.go
@@ -6,36 +6,36 @@
 // The source is Vegas (Brakmo, Peterson 1995) as the common concurrency
 // limiters have it: limit <- limit * base/latency + room for a short queue.
 type limiter struct {
-	limit float64
-	short float64 // latency over the base, of late
-	n     int     // ends since the last move
-	at    int64   // no move before this
+	limit        float64
+	latencyRatio float64 // latency over the base, of late
+	runsEnded    int     // ends since the last move
+	nextUpdate   int64   // no move before this
 }
 
 const (
-	tolerated   = 1.25 // latency may be this many times the base: the cores are shared, and work varies
-	gradientMin = 0.5  // no move takes more than half
-	smoothing   = 0.3  // weight of a move
-	shortWeight = 0.15
-	leastEnds   = 3   // ends in a move
-	limitMost   = 1e4 // whatever is learned
+	toleratedRatio     = 1.25 // latency may be this many times the base: the cores are shared, and work varies
+	minGradient        = 0.5  // no move takes more than half
+	smoothing          = 0.3  // weight of a move
+	latencyRatioWeight = 0.15
+	minRunsEnded       = 3   // ends in a move
+	maxLimit           = 1e4 // whatever is learned
 )
 
-func (l *limiter) start(limit float64) { l.limit, l.short = limit, 1 }
+func (l *limiter) start(limit float64) { l.limit, l.latencyRatio = limit, 1 }
 
-// end takes in that a run ended which took that many times the base. used says
+// runEnded takes in that a run ended which took that many times the base. used says
 // that the limit was in use: else the latency says nothing of what more would do.
-func (l *limiter) end(now int64, ratio float64, used bool, base float64) {
-	l.short += (min(ratio, 16) - l.short) * shortWeight
-	l.n++
-	if now < l.at || l.n < leastEnds {
+func (l *limiter) runEnded(now int64, ratio float64, used bool, base float64) {
+	l.latencyRatio += (min(ratio, 16) - l.latencyRatio) * latencyRatioWeight
+	l.runsEnded++
+	if now < l.nextUpdate || l.runsEnded < minRunsEnded {
 		return
 	}
-	l.at, l.n = now+int64(base), 0
-	gradient := max(gradientMin, min(1, tolerated/max(l.short, 1e-3)))
+	l.nextUpdate, l.runsEnded = now+int64(base), 0
+	gradient := max(minGradient, min(1, toleratedRatio/max(l.latencyRatio, 1e-3)))
 	if gradient == 1 && !used {
 		return
 	}
 	next := gradient*l.limit + math.Sqrt(l.limit)/2
-	l.limit = max(1, min(limitMost, l.limit+(next-l.limit)*smoothing))
+	l.limit = max(1, min(maxLimit, l.limit+(next-l.limit)*smoothing))
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -160,39 +160,39 @@
 	return 1
 }
 
-// state is one pool in service.
-type state struct {
+// poolState is one pool in service.
+type poolState struct {
 	Spec
-	waiting, running int
-	heldKB, ranKB    float64 // booked for what waits and what runs
-	run              float64 // mean work of one of its runs, as of the last ceilings
-	credit           float64 // in microseconds of one place, see own
-	limit            limiter
-	rate             rate // of its finishes
-	refused          int
-	own              int // of the last ceilings
-	most             int
+	waiting, running    int
+	queuedKB, runningKB float64 // booked for what waits and what runs
+	meanWork            float64 // mean work of one of its runs, as of the last ceilings
+	credit              float64 // in microseconds of one place, see own
+	limiter             limiter
+	doneRate            decayingRate // of its finishes
+	refused             int
+	guaranteed          int // of the last ceilings
+	maxRuns             int
 }
 
 // Allocator is the state of all pools of a server. The pool at 0 is the rest.
 type Allocator struct {
-	set     Settings
-	pools   []state
-	of      []int // by class: its pool
-	classes []cost
-	cheap   int // the cheapest class; -1 = not known yet
-	now     int64
-	share   float64 // the work that one run got done so far, see advance
-	running int
-	crowd   float64 // how many runs together may share the cores, as of the last ceilings
-	beside  int     // runs of another process on the same cores
-	places  int     // the module's running limit, as told last
-	out     kiteslip.Ceilings
+	cfg           Settings
+	pools         []poolState
+	poolOf        []int // by class: its pool
+	classes       []classCost
+	cheapest      int // the cheapest class; -1 = not known yet
+	now           int64
+	virtualTime   float64 // the work that one run got done so far, see advance
+	running       int
+	maxConcurrent float64 // how many runs together may share the cores, as of the last ceilings
+	peerRuns      int     // runs of another process on the same cores
+	runningLimit  int     // the module's running limit, as told last
+	ceilings      kiteslip.Ceilings
 }
 
 // New returns a book for settings that pass their Check.
 func New(s Settings) (*Allocator, error) {
-	b := &Allocator{cheap: -1}
+	b := &Allocator{cheapest: -1}
 	if err := b.Reconfigure(s); err != nil {
 		return nil, err
 	}
@@ -211,40 +211,40 @@
 		return fmt.Errorf("%w: a class has lost its place", ErrSettings)
 	}
 	was := b.pools
-	b.set = s
-	b.places = max(b.places, s.Cores)
-	b.pools = make([]state, len(s.Pools)+1)
+	b.cfg = s
+	b.runningLimit = max(b.runningLimit, s.Cores)
+	b.pools = make([]poolState, len(s.Pools)+1)
 	b.pools[0].Spec = Spec{Name: DefaultPool}
-	b.of = make([]int, len(s.Classes))
+	b.poolOf = make([]int, len(s.Classes))
 	for i := range s.Pools {
 		b.pools[i+1].Spec = s.Pools[i]
 		for _, c := range s.Pools[i].Classes {
-			b.of[c] = i + 1
+			b.poolOf[c] = i + 1
 		}
 	}
 	for len(b.classes) < len(s.Classes) {
-		b.classes = append(b.classes, cost{})
+		b.classes = append(b.classes, classCost{})
 	}
 	for i := range b.pools {
 		p := &b.pools[i]
-		if at := slices.IndexFunc(was, func(o state) bool { return o.Name == p.Name }); at >= 0 {
-			p.credit, p.limit, p.rate, p.refused = was[at].credit, was[at].limit, was[at].rate, was[at].refused
+		if at := slices.IndexFunc(was, func(o poolState) bool { return o.Name == p.Name }); at >= 0 {
+			p.credit, p.limiter, p.doneRate, p.refused = was[at].credit, was[at].limiter, was[at].doneRate, was[at].refused
 		} else {
-			p.limit.start(float64(s.Cores))
+			p.limiter.start(float64(s.Cores))
 		}
 	}
 	for c := range b.classes {
-		k, p := &b.classes[c], &b.pools[b.of[c]]
+		k, p := &b.classes[c], &b.pools[b.poolOf[c]]
 		p.waiting += k.waiting
 		p.running += k.running
-		p.heldKB += k.heldKB
-		p.ranKB += k.ranKB
+		p.queuedKB += k.queuedKB
+		p.runningKB += k.runningKB
 	}
-	b.crowd = b.findCrowd()
+	b.maxConcurrent = b.findMaxConcurrent()
 	for i := range b.pools {
-		b.pools[i].run = b.meanCost(&b.pools[i])
+		b.pools[i].meanWork = b.meanWork(&b.pools[i])
 	}
-	b.out = kiteslip.Ceilings{PoolOf: b.of, Pools: make([]kiteslip.Ceiling, len(b.pools))}
+	b.ceilings = kiteslip.Ceilings{PoolOf: b.poolOf, Pools: make([]kiteslip.Ceiling, len(b.pools))}
 	return nil
 }
 
@@ -257,70 +257,70 @@
 		return
 	}
 	b.now = now
-	b.share += float64(dt) * min(1, float64(b.set.Cores)/float64(max(1, b.running+b.beside)))
-	b.earn(float64(dt))
+	b.virtualTime += float64(dt) * min(1, float64(b.cfg.Cores)/float64(max(1, b.running+b.peerRuns)))
+	b.updateCredit(float64(dt))
 }
 
 // Arrive enters a request that waits from now on.
 func (b *Allocator) Arrive(now int64, class int, kb float64) {
 	b.advance(now)
-	k, p := &b.classes[class], &b.pools[b.of[class]]
+	k, p := &b.classes[class], &b.pools[b.poolOf[class]]
 	k.waiting++
-	k.heldKB += kb
+	k.queuedKB += kb
 	p.waiting++
-	p.heldKB += kb
+	p.queuedKB += kb
 }
 
 // Leave takes out a request that waited.
 func (b *Allocator) Leave(now int64, class int, kb float64) {
 	b.advance(now)
-	k, p := &b.classes[class], &b.pools[b.of[class]]
+	k, p := &b.classes[class], &b.pools[b.poolOf[class]]
 	k.waiting--
-	k.heldKB -= kb
+	k.queuedKB -= kb
 	p.waiting--
-	p.heldKB -= kb
+	p.queuedKB -= kb
 }
 
 // Begin notes that a request which waited runs from now on. What it returns is
 // wanted by End.
 func (b *Allocator) Begin(now int64, class int, kb float64) (mark float64) {
 	b.Leave(now, class, kb)
-	k, p := &b.classes[class], &b.pools[b.of[class]]
-	kb *= max(1, b.set.RunFactor)
+	k, p := &b.classes[class], &b.pools[b.poolOf[class]]
+	kb *= max(1, b.cfg.RunFactor)
 	k.running++
-	k.ranKB += kb
+	k.runningKB += kb
 	p.running++
-	p.ranKB += kb
+	p.runningKB += kb
 	b.running++
-	return b.share
+	return b.virtualTime
 }
 
 // End takes in the end of a run that took so long. Only one that ended well is
 // learned from: a failure may be quick or slow for reasons of its own.
 func (b *Allocator) End(now int64, class int, kb, mark float64, elapsed int64, ok bool) {
 	b.advance(now)
-	work := b.share - mark
-	k, p := &b.classes[class], &b.pools[b.of[class]]
-	kb *= max(1, b.set.RunFactor)
+	work := b.virtualTime - mark
+	k, p := &b.classes[class], &b.pools[b.poolOf[class]]
+	kb *= max(1, b.cfg.RunFactor)
 	k.running--
-	k.ranKB -= kb
+	k.runningKB -= kb
 	p.running--
-	p.ranKB -= kb
+	p.runningKB -= kb
 	b.running--
 	if !ok || elapsed <= 0 {
 		return
 	}
-	full := b.running+b.beside+1 >= b.set.Cores
+	full := b.running+b.peerRuns+1 >= b.cfg.Cores
 	k.learn(now, work)
-	p.rate.add(now)
-	p.limit.end(now, float64(elapsed)/k.base, full && p.running+1 >= p.most, k.base)
+	p.doneRate.add(now)
+	p.limiter.runEnded(now, float64(elapsed)/k.baseline, full && p.running+1 >= p.maxRuns, k.baseline)
 }
 
 // CountRefused counts a request that was turned away while it waited.
-func (b *Allocator) CountRefused(class int) { b.pools[b.of[class]].refused++ }
+func (b *Allocator) CountRefused(class int) { b.pools[b.poolOf[class]].refused++ }
 
 // SetPeerLoad takes in how many runs of another process share the cores.
 func (b *Allocator) SetPeerLoad(now int64, runs int) {
 	b.advance(now)
-	b.beside = max(0, runs)
+	b.peerRuns = max(0, runs)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -12,8 +12,8 @@
 
 const second = 1_000_000
 
-// four is a small broker: three pools on four cores, the last class in none.
-func four() Settings {
+// testSettings is a small broker: three pools on four cores, the last class in none.
+func testSettings() Settings {
 	return Settings{Cores: 4, MemoryKB: 10_000, RunFactor: 4, MaxRetryAfter: second, CheapReserve: 0.25,
 		Classes: []Class{{second, 4 * second}, {second, 4 * second}, {second, 3 * second}, {second, 4 * second}},
 		Pools: []Spec{
@@ -25,7 +25,7 @@
 
 func TestSettingsErrorsNameTheKey(t *testing.T) {
 	t.Parallel()
-	s := four()
+	s := testSettings()
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -47,19 +47,19 @@
 		"pool.memory adds up":  func(s *Settings) { s.Pools[0].MemoryShare = 0.9 },
 		"pool is there 65 tim": func(s *Settings) { s.Pools = append(make([]Spec, 62), s.Pools...) },
 	} {
-		s := four()
+		s := testSettings()
 		spoil(&s)
 		if err := s.Check(); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
-		if b, err := New(four()); err != nil || b.Reconfigure(s) == nil {
+		if b, err := New(testSettings()); err != nil || b.Reconfigure(s) == nil {
 			t.Errorf("%s: a faulty change is taken (%v)", key, err)
 		}
 	}
 }
 
-// one is a request as the model has it.
-type one struct {
+// modelRequest is a request as the model has it.
+type modelRequest struct {
 	class int
 	kb    float64
 	mark  float64
@@ -69,22 +69,22 @@
 
 // Whatever arrives, begins, ends, leaves and is set anew: the book has what
 // there is, no core is left idle by a limit, and all ceilings keep their bounds.
-func TestBookAgainstModel(t *testing.T) {
+func TestAllocatorAgainstModel(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		s := four()
+		s := testSettings()
 		b, err := New(s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := int64(second)
-		var all []one
+		var all []modelRequest
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += rapid.Int64Range(0, second).Draw(t, "dt")
 			pick := func() int { return rapid.IntRange(0, len(all)-1).Draw(t, "which") }
 			switch op := rapid.IntRange(0, 6).Draw(t, "op"); {
 			case op <= 2 || len(all) == 0:
-				o := one{class: rapid.IntRange(0, 3).Draw(t, "class"), kb: float64(rapid.IntRange(1, 64).Draw(t, "kb"))}
+				o := modelRequest{class: rapid.IntRange(0, 3).Draw(t, "class"), kb: float64(rapid.IntRange(1, 64).Draw(t, "kb"))}
 				b.Arrive(now, o.class, o.kb)
 				all = append(all, o)
 			case op == 3:
@@ -100,19 +100,19 @@
 				}
 				all = append(all[:i], all[i+1:]...)
 			default:
-				next := four()
+				next := testSettings()
 				next.Pools = next.Pools[rapid.IntRange(0, 2).Draw(t, "dropped"):]
 				if err := b.Reconfigure(next); err != nil {
 					t.Fatal(err)
 				}
 				s = next
 			}
-			check(t, b, &s, now, all)
+			checkInvariants(t, b, &s, now, all)
 		}
 	})
 }
 
-func check(t *rapid.T, b *Allocator, s *Settings, now int64, all []one) {
+func checkInvariants(t *rapid.T, b *Allocator, s *Settings, now int64, all []modelRequest) {
 	limit := rapid.IntRange(1, 40).Draw(t, "limit")
 	out := b.Ceilings(now, limit)
 	of := map[int]int{}
@@ -159,9 +159,9 @@
 	}
 }
 
-// play runs one class at a time on a machine whose cores are shared evenly:
+// runClass runs one class at a time on a machine whose cores are shared evenly:
 // keep runs are in hand all along, each of which takes that much work.
-func play(b *Allocator, now int64, class, keep int, work float64, length int64, watch func(now int64)) int64 {
+func runClass(b *Allocator, now int64, class, keep int, work float64, length int64, watch func(now int64)) int64 {
 	type run struct {
 		mark  float64
 		began int64
@@ -192,22 +192,22 @@
 // within seconds, and moves in one direction.
 func TestLimitRecovers(t *testing.T) {
 	t.Parallel()
-	b, err := New(four())
+	b, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const slow = 1 // the pool's place
-	limit := func() float64 { return b.pools[slow].limit.limit }
-	now := play(b, second, 0, 4, 50_000, 5*second, nil)
+	limit := func() float64 { return b.pools[slow].limiter.limit }
+	now := runClass(b, second, 0, 4, 50_000, 5*second, nil)
 	calm := limit()
-	now = play(b, now, 0, 40, 50_000, 5*second, nil)
+	now = runClass(b, now, 0, 40, 50_000, 5*second, nil)
 	floor := limit()
 	if floor > 0.6*calm {
 		t.Fatalf("ten runs a core leave the limit at %.1f of %.1f", floor, calm)
 	}
 	back, least, most := int64(0), math.Inf(1), 0.0
 	began := now
-	play(b, now, 0, 4, 50_000, 10*second, func(now int64) {
+	runClass(b, now, 0, 4, 50_000, 10*second, func(now int64) {
 		if back == 0 && limit() >= 4 {
 			back = now - began
 		}
@@ -227,20 +227,20 @@
 // in seconds though every run takes twice as long.
 func TestLimitFollowsASlowMachine(t *testing.T) {
 	t.Parallel()
-	b, err := New(four())
+	b, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := play(b, second, 0, 4, 50_000, 5*second, nil)
-	calm := b.pools[1].limit.limit
+	now := runClass(b, second, 0, 4, 50_000, 5*second, nil)
+	calm := b.pools[1].limiter.limit
 	lowest, noticed := calm, 0.0
-	play(b, now, 0, 4, 100_000, 12*second, func(int64) {
-		lowest, noticed = min(lowest, b.pools[1].limit.limit), max(noticed, b.pools[1].limit.short)
+	runClass(b, now, 0, 4, 100_000, 12*second, func(int64) {
+		lowest, noticed = min(lowest, b.pools[1].limiter.limit), max(noticed, b.pools[1].limiter.latencyRatio)
 	})
-	if noticed < tolerated {
+	if noticed < toleratedRatio {
 		t.Errorf("runs of twice the time show as %.2f", noticed)
 	}
-	if l := b.pools[1].limit.limit; lowest < 0.6*calm || l < 0.9*calm {
+	if l := b.pools[1].limiter.limit; lowest < 0.6*calm || l < 0.9*calm {
 		t.Errorf("at half the speed the limit falls from %.1f to %.1f and is at %.1f after 12 s", calm, lowest, l)
 	}
 }
@@ -249,26 +249,26 @@
 // fro between classes of like cost.
 func TestCheapestIsLearned(t *testing.T) {
 	t.Parallel()
-	b, err := New(four())
+	b, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := play(b, second, 0, 2, 80_000, 3*second, nil)
+	now := runClass(b, second, 0, 2, 80_000, 3*second, nil)
 	if b.CheapestClass() != 0 {
 		t.Errorf("the only class that runs is not the cheapest, but %d", b.CheapestClass())
 	}
-	now = play(b, now, 2, 2, 20_000, 3*second, nil)
+	now = runClass(b, now, 2, 2, 20_000, 3*second, nil)
 	if b.CheapestClass() != 2 {
 		t.Errorf("cheapest is %d, want 2", b.CheapestClass())
 	}
 	for range 5 { // like costs, in turn
-		now = play(b, now, 1, 2, 19_000, second, nil)
-		now = play(b, now, 2, 2, 21_000, second, nil)
+		now = runClass(b, now, 1, 2, 19_000, second, nil)
+		now = runClass(b, now, 2, 2, 21_000, second, nil)
 		if b.CheapestClass() != 2 {
 			t.Fatalf("the reserve moved to %d for a tenth", b.CheapestClass())
 		}
 	}
-	now = play(b, now, 2, 2, 90_000, 8*second, nil)
+	now = runClass(b, now, 2, 2, 90_000, 8*second, nil)
 	if b.CheapestClass() != 1 {
 		t.Errorf("cheapest is %d after class 2 got dear, want 1", b.CheapestClass())
 	}
@@ -280,17 +280,17 @@
 // An hour without work saves up a bounded number of runs.
 func TestCreditIsBounded(t *testing.T) {
 	t.Parallel()
-	b, err := New(four())
+	b, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := play(b, second, 2, 2, 50_000, 2*second, nil)
+	now := runClass(b, second, 2, 2, 50_000, 2*second, nil)
 	b.Arrive(now+3600*second, 2, 1)
 	out := b.Ceilings(now+3600*second, 8)
-	if own := out.Pools[2].GuaranteedRuns; own < 2 || float64(own) > 2+creditRuns*4*0.4 {
+	if own := out.Pools[2].GuaranteedRuns; own < 2 || float64(own) > 2+maxCreditRuns*4*0.4 {
 		t.Errorf("after an hour %d places are the pool's own", own)
 	}
-	now = play(b, now+3600*second, 2, 8, 50_000, 3*second, nil)
+	now = runClass(b, now+3600*second, 2, 8, 50_000, 3*second, nil)
 	b.Arrive(now, 2, 1)
 	if own := b.Ceilings(now, 8).Pools[2].GuaranteedRuns; own > 2 {
 		t.Errorf("a pool that owes has %d places of its own", own)
@@ -299,9 +299,9 @@
 
 // Memory that another pool may claim as its own is not given away, and what
 // nobody claims is.
-func TestMemoryIsLent(t *testing.T) {
+func TestUnclaimedMemoryIsLent(t *testing.T) {
 	t.Parallel()
-	b, err := New(four())
+	b, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/kiteslip.go
+++ b/kiteslip.go
@@ -1,48 +1,47 @@
-// Package kiteslip decides, inside one server of a fleet, what it takes,
-// runs and turns away.
+// Package kiteslip is the decision logic of one server of a fleet: admission, queueing, load shedding,
+// deduplication of keyed requests, calls to downstream dependencies and graceful shutdown.
 //
-// A host owns one Worker for each server process. It hands the worker what
-// happened since the last call (arrivals, finished runs, calls, timers) and
-// carries out the actions that come back, in their order. The contract:
+// A host owns one Worker for each server process. It passes the worker what happened since the last step
+// (arrivals, finished runs, calls, timers) and carries out the returned actions in their order. The contract:
 //
 //   - A Worker belongs to one goroutine at a time. It reads no clock, starts no
 //     goroutine and does no I/O; the same events give the same actions.
 //   - Times are microseconds on any clock that only advances. Durations are
 //     microseconds too, sizes are kilobytes.
-//   - An arrival is held until the worker says Run, Refuse or Fail. Refuse and
-//     Fail are final answers which the host sends; after Run or Reuse the host
+//   - An arrival is queued until the worker returns Run, Refuse or Fail. Refuse and
+//     Fail are final answers, which the host sends; after Run or Reuse the host
 //     sends the result itself when the work ends, unless an answer was given.
 //   - Each Run and each Reuse that took effect ends with one Done event. A run
-//     that needs a call below stops and reports Needs; Call, Skip or Fail
-//     releases it. Each Call ends with one Called event unless Done comes first.
-//   - Halt, Call, Skip, Keep and Forget about a request that is over are legal
-//     to ignore. Say, Refuse's advice, Idle, Health and Log are advice: a host
-//     with no use for them may ignore them, the rules do not rest on them.
-//   - A Timer action asks for one Timer event at or after its time; a host must
-//     honour it, for deadlines hang on it.
+//     that needs a downstream call stops and reports NeedsCall; Call, Skip or Fail
+//     resumes it. Each Call ends with one CallDone event unless Done comes first.
+//   - Halt, Call, Skip, Retain and Forget may be ignored if their request has already
+//     ended. SetLoadSignal, the retry-after of Refuse, SetIdleTimeout, Health and Log are
+//     advice: a host with no use for them may ignore them, no guarantee depends on them.
+//   - A SetTimer action asks for one Timer event at or after its time; a host must
+//     honour it, since deadlines depend on it.
 package kiteslip
 
-// RequestID names one try of a request on this worker; it is never used again
-// while the worker lives. Zero is no request.
+// RequestID identifies one try of a request on this worker; it is never reused
+// during the worker's lifetime. Zero means no request.
 type RequestID uint32
 
-// Effect says what running a request twice would do.
+// Effect says what happens if a request runs twice.
 type Effect uint8
 
 // The effects.
 const (
 	Repeatable Effect = iota // running twice does no harm
-	Keyed                    // repeats carry a key and are recognised through kept entries
-	Once                     // must not run twice and cannot be recognised
+	Keyed                    // tries carry a key; duplicates are recognised through key entries
+	Once                     // must not run twice, and duplicates cannot be recognised
 )
 
 // Downstream says what requests call while they run.
 type Downstream uint8
 
-// The kinds of dependency.
+// The kinds of downstream dependency.
 const (
 	DownstreamNone   Downstream = iota // no calls
-	DownstreamShared                   // one dependency serves every worker
+	DownstreamShared                   // one dependency serves all workers
 	DownstreamTier                     // another tier of workers
 )
 
@@ -52,78 +51,77 @@
 // The ways to stop work.
 const (
 	StopNever   Stop = iota // Halt is not allowed
-	StopDiscard             // a stopped run loses its work and is held again
-	StopFreeze              // a stopped run keeps its work and memory until Run
+	StopDiscard             // a halted run loses its work and is queued again
+	StopFreeze              // a halted run keeps its work and memory until the next Run
 )
 
-// LoadSignal says what callers make of the value set by Say.
+// LoadSignal says how callers interpret the value of SetLoadSignal.
 type LoadSignal uint8
 
-// The meanings of the free value.
+// The meanings of the load signal.
 const (
-	LoadSignalNone      LoadSignal = iota // Say is not allowed
-	LoadSignalMinRank                     // nothing of a lower rank is sent here
-	LoadSignalAllowance                   // requests each caller may have outstanding here
-	LoadSignalWeight                      // probability that a caller does not pass by
+	LoadSignalNone      LoadSignal = iota // SetLoadSignal is not allowed
+	LoadSignalMinRank                     // requests of a lower rank are not sent here
+	LoadSignalAllowance                   // requests that each caller may have outstanding here
+	LoadSignalWeight                      // probability that a caller does not skip this worker
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Effect          Effect
-	TargetTime      int64   // an answer within this of the first try earns the full worth
-	Timeout         int64   // the time a client waits, all tries together
-	Window          int64   // Keyed: how long after its arrival a request may come again
+	TargetTime      int64   // an answer within this time after the first try earns the full worth
+	Timeout         int64   // how long a caller waits, all tries together
+	Window          int64   // Keyed: how long after its arrival duplicates of a request may arrive
 	Worth           float64 // worth of one answer
-	LateWorth       float64 // share of the worth earned after the aim
-	CallsDownstream bool    // its requests may call below
-	Prepare         bool    // its requests begin only once they are Ready, which Prepare asks for
-	SkipWorth       float64 // share of the worth earned without the call; 0 = must not be left out
+	LateWorth       float64 // share of the worth earned after the target time
+	CallsDownstream bool    // its requests may make downstream calls
+	Prepare         bool    // its requests start only after Ready, which the Prepare action asks for
+	SkipWorth       float64 // share of the worth earned without the call; 0 = the call is required
 }
 
 // Tenant describes one tenant.
 type Tenant struct {
-	Quota float64 // requests a second, over all workers, within its share
+	Quota float64 // requests per second, over all workers, that count at full worth
 }
 
-// Goal weighs the parts of the result: all of it, its poorest class, tenant and window.
+// Goal weighs the parts of the overall result: the total, and the worst class, tenant and time window.
 type Goal struct{ Whole, WorstClass, WorstTenant, WorstWindow float64 }
 
-// Settings are what a worker is told at its start. A zero value means that
-// the thing is absent, unless New says that it is needed.
+// Settings configure a worker. A zero value means that the feature is absent, unless marked as required.
 type Settings struct {
-	Cores           int     // needed
-	MemoryKB        float64 // needed
-	RunFactor       float64 // memory of a running request over that of a held one
-	KeyKB           float64 // memory of one kept entry
-	Classes         []Class // needed
+	Cores           int     // required
+	MemoryKB        float64 // required
+	RunFactor       float64 // memory of a running request divided by that of a queued one
+	KeyKB           float64 // memory of one key entry
+	Classes         []Class // required
 	Tenants         []Tenant
-	WorthByWork     bool    // worth is counted for each unit of work, not for each request
+	WorthByWork     bool    // worth is earned per unit of work, not per request
 	OverShareWorth  float64 // share of the worth earned beyond a tenant's quota
 	Goal            Goal
 	Workers         int   // workers of this tier, as at the start
 	Callers         int   // callers of this tier, as at the start
 	Stage           int   // 0 = the first tier
-	Tick            int64 // batches come no more often than this
+	Tick            int64 // minimum interval between batches
 	Stop            Stop
 	LoadSignal      LoadSignal
-	LoadSignalTTL   int64 // how long a caller minds the free value
-	MaxRetryAfter   int64 // longest advice to stay away; 0 = none is passed on
-	ReuseFor        int64 // how long a read's answer may serve other requests; 0 = never
-	IdleAfter       int64 // callers close idle connections after this
-	MarksRetries    bool  // further tries are marked
+	LoadSignalTTL   int64 // how long a caller observes the load signal
+	MaxRetryAfter   int64 // maximum retry-after; 0 = none is passed on
+	ReuseFor        int64 // how long the answer to a read may serve other requests; 0 = never
+	IdleAfter       int64 // callers close connections that have been idle for this long
+	MarksRetries    bool  // retries are marked
 	Downstream      Downstream
-	CallShare       float64 // BelowShared: mean calls in hand that this worker's part can bear
-	CallShareWindow int64   // ... averaged over this
-	MaxCallLinger   int64   // longest that an abandoned call stays in the dependency's hands
-	JustStarted     bool    // starts cold
-	ColdSpeed       float64 // least share of its speed that a cold worker starts at
-	WarmupTime      int64   // and is warm within this
-	MaxRunsPerCore  float64 // running requests a core that a warm worker survives
-	MaxRunsWindow   int64   // ... in the mean of this
-	DrainGrace      int64   // what arrives this long after Drain must not run
-	AnswerSlack     int64   // an answer counts as in time until this long after it was due
-	WastePrice      float64 // price of work that served no answer
-	LateFailPrice   float64 // price of worth unserved after its aim
+	CallShare       float64 // DownstreamShared: mean number of outstanding calls allowed to this worker
+	CallShareWindow int64   // averaging window of CallShare
+	MaxCallLinger   int64   // how long at most the dependency keeps working on an abandoned call
+	JustStarted     bool    // the cores are cold at the start
+	ColdSpeed       float64 // lowest initial speed of cold cores, as a share of full speed
+	WarmupTime      int64   // time within which cold cores reach full speed
+	MaxRunsPerCore  float64 // concurrent runs per core that a warm worker survives
+	MaxRunsWindow   int64   // averaging window of MaxRunsPerCore
+	DrainGrace      int64   // requests that arrive this long after Drain must not run
+	AnswerSlack     int64   // an answer still counts as in time this long after its deadline
+	WastePrice      float64 // cost of work that served no answer
+	LateFailPrice   float64 // cost of worth that is not served by the end of its target time
 }
 
 // EventKind says what happened.
@@ -131,56 +129,56 @@
 
 // The events.
 const (
-	Arrive       EventKind = iota + 1 // a request was read and is now held
+	Arrive       EventKind = iota + 1 // a request was read and is now queued
 	Done                              // a run or a reuse ended: Outcome, Elapsed
-	NeedsCall                         // a run stands at a call below
-	CallDone                          // a call ended: Outcome, Elapsed
-	Disconnected                      // nobody waits for this request any longer
-	Timer                             // a timer is due: Token, Gauges
-	Drain                             // the worker will be stopped at Deadline
-	Handover                          // another has its place: it still answers what comes, and is stopped at Deadline
-	Ready                             // what Prepare asked for is done: the request may begin
-	PeerLoad                          // another worker shares its machine: Runs on the cores, SizeKB booked
+	NeedsCall                         // a run needs a downstream call
+	CallDone                          // a downstream call ended: Outcome, Elapsed
+	Disconnected                      // the caller of this request has gone
+	Timer                             // a timer expired: Token, Gauges
+	Drain                             // shutdown notice: the worker will be stopped at Deadline
+	Handover                          // a successor took over: this one serves what arrives, until Deadline
+	Ready                             // the preparation of a request is complete: it may start
+	PeerLoad                          // load of another worker on the machine: Runs on the cores, SizeKB booked
 )
 
 // Outcome says how a run or a call ended.
 type Outcome uint8
 
-// The outcomes. Only Full, Unreachable and Moot prove that nothing ran.
+// The outcomes. Only Rejected, Unreachable and NotStarted prove that nothing ran.
 const (
 	Failed Outcome = iota
 	OK
-	Rejected    // the call was turned away unseen
+	Rejected    // the call was rejected without being looked at
 	TimedOut    // the call was abandoned
-	Unreachable // what lies below was not reached
+	Unreachable // the dependency could not be reached
 	Reset       // the call was cut short
-	Cancelled   // the run was stopped
-	NotStarted  // nothing began, the request was over
+	Cancelled   // the run was halted
+	NotStarted  // the request had ended before anything started
 )
 
-// Gauges are the worker's own readings; Set is false where there were none.
+// Gauges are the worker's own measurements; Valid is false where there were none.
 type Gauges struct {
 	Valid                                   bool
 	Busy, Runnable, MemoryUsed, Connections float32
 }
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is one thing that happened. Which fields are used depends on Kind.
 type Event struct {
 	Kind        EventKind
 	Outcome     Outcome
-	Retry       bool // Arrive: marked as a further try or second copy
+	Retry       bool // Arrive: marked as a retry or as a second copy
 	Write       bool // Arrive: a write
 	ID          RequestID
-	DuplicateOf RequestID // Arrive: the kept request that this one repeats
+	DuplicateOf RequestID // Arrive: the retained request that this one duplicates
 	Class       int
 	Tenant      int
 	Caller      int
 	Key         uint64
-	Deadline    int64 // Arrive: when its caller gives up (0 = untold); Drain, Handover: when the worker is stopped
-	Runs        int   // Beside
-	Waited      int64 // Arrive: time since it reached the machine
-	WorkHint    int64 // Arrive: expected work, 0 = untold
-	Elapsed     int64 // Done, Called
+	Deadline    int64 // Arrive: when the caller gives up (0 = unknown); Drain, Handover: when the worker stops
+	Runs        int   // PeerLoad
+	Waited      int64 // Arrive: read delay, the time since the request reached the machine
+	WorkHint    int64 // Arrive: expected work, 0 = unknown
+	Elapsed     int64 // Done, CallDone
 	SizeKB      float64
 	Rank        float64
 	Token       uint64
@@ -192,24 +190,24 @@
 
 // The actions.
 const (
-	Run            ActionKind = iota + 1 // begin or resume a request
-	Refuse                               // final answer: never ran, or is Repeatable; After = stay away so long, On = go nowhere else
-	Fail                                 // final answer: an error, no assurance
-	Halt                                 // stop running work
-	Call                                 // make the call; After = patience
-	Skip                                 // go on without the call
-	Reuse                                // serve from the result of the request it repeats
-	Retain                               // record the request for After
-	Forget                               // drop its entry
-	SetLoadSignal                        // set the free value
-	Health                               // On = checks are told good, Stored = without work
-	SetIdleTimeout                       // close connections idle for After
-	SetTimer                             // ask for a Timer event after After with Token
-	Log                                  // a line for the operators
-	Prepare                              // make a held request ready to begin; ends with one Ready event, unless it is over first
+	Run            ActionKind = iota + 1 // start or resume a request
+	Refuse                               // final answer: never ran or Repeatable; After = retry-after, On = no failover
+	Fail                                 // final answer: an error, the request may have run
+	Halt                                 // stop a run
+	Call                                 // make the downstream call; After = its timeout
+	Skip                                 // resume without the downstream call
+	Reuse                                // serve from the result of the request that this one duplicates
+	Retain                               // keep a key entry of the request for After
+	Forget                               // delete its key entry
+	SetLoadSignal                        // set the load signal to Value
+	Health                               // On = health checks succeed, Cached = they are answered without work
+	SetIdleTimeout                       // close connections that have been idle for After
+	SetTimer                             // send a Timer event with Token after After
+	Log                                  // log Text for the operators
+	Prepare                              // prepare a queued request: one Ready event follows, unless it ends
 )
 
-// Action is one thing to do. Which fields count depends on Kind.
+// Action is one thing to do. Which fields are used depends on Kind.
 type Action struct {
 	Kind   ActionKind
 	On     bool
@@ -221,23 +219,23 @@
 	Text   string
 }
 
-// Ceiling is what one pool of classes may have in the next batch.
+// Ceiling bounds what one pool of classes may have in the batches that follow.
 type Ceiling struct {
-	GuaranteedRuns  int     // running places that are its own: filled before all others
-	MaxRuns         int     // running places it may have at all
-	ReservedRuns    int     // places beyond the running limit, while it has fewer runs than this
-	MaxQueued       int     // held requests it may have
-	GuaranteedCores float64 // that its own places amount to: how fast what it holds gets done at the least
-	GuaranteedKB    float64 // memory that is its own: below it arrivals pass the draw
+	GuaranteedRuns  int     // running slots of its own: filled before all others
+	MaxRuns         int     // running slots it may have at most
+	ReservedRuns    int     // slots beyond the running limit, while it has fewer runs than this
+	MaxQueued       int     // queued requests it may have
+	GuaranteedCores float64 // cores that its own slots amount to: the lowest rate at which its queue is served
+	GuaranteedKB    float64 // memory of its own: below it arrivals pass the admission draw
 	MaxKB           float64 // memory that it may have booked
-	RetryAfter      int64   // advice for what it turns away
+	RetryAfter      int64   // retry-after of what it refuses
 }
 
 // Ceilings are those of all pools. The cheapest class, if it is known, has
-// places beyond the limit of its own.
+// running slots of its own beyond the limit.
 type Ceilings struct {
 	PoolOf                          []int // by class: its pool
 	Pools                           []Ceiling
-	MaxRuns                         int // running places of all pools together
-	CheapestClass, CheapestReserved int // Cheap: -1 = not known
+	MaxRuns                         int // running slots of all pools together
+	CheapestClass, CheapestReserved int // CheapestClass: -1 = not known
 }
--- a/policy_advise.go
+++ b/policy_advise.go
@@ -1,4 +1,4 @@
-// What callers are told: health, the free value, how long connections idle.
+// What callers are told: health, load signal, idle timeout.
 
 package kiteslip
 
@@ -7,78 +7,81 @@
 	"math"
 )
 
-// advise tells callers how much to send, from this worker's own load.
+// advise sets health, idle timeout and load signal according to this worker's load.
 func (w *Worker) advise(acts []Action) []Action {
-	healthy := (w.stop == 0 || w.replaced) && w.failing < failOff && !w.stalled()
+	healthy := (w.stopAt == 0 || w.handedOver) && w.failureRate < unhealthyFailureRate && !w.stalled()
 	if healthy != w.healthy {
 		w.healthy = healthy
 		acts = append(acts, Action{Kind: Health, On: healthy, Cached: true})
 		acts = append(acts, Action{Kind: Log, Text: fmt.Sprintf("health %v: failing %.2f, last progress %d ms ago",
-			healthy, w.failing, (w.now-w.progress)/1000)})
+			healthy, w.failureRate, (w.now-w.lastProgress)/1000)})
 	}
-	if w.now < w.adviseAt {
+	if w.now < w.nextAdvice {
 		return acts
 	}
-	w.adviseAt = w.now + idleTimer
-	acts = w.connections(acts)
-	if w.set.LoadSignal == LoadSignalNone {
+	w.nextAdvice = w.now + idleTimerUS
+	acts = w.adviseIdleTimeout(acts)
+	if w.cfg.LoadSignal == LoadSignalNone {
 		return acts
 	}
-	v := 0.0
+	signal := 0.0
 	switch {
-	case w.set.LoadSignal == LoadSignalMinRank:
-		move := w.pressure - 1
+	case w.cfg.LoadSignal == LoadSignalMinRank:
+		move := w.waitRatio - 1
 		if !healthy {
 			move = 1
 		}
-		// Up to the least valuable class (equal portions of rank): taking more, it swings from nothing to all.
-		w.floor = max(0, min(1/float64(len(w.set.Classes)), w.floor+floorStep*max(-1, min(2, move))))
-		v = w.floor
-	case healthy && w.set.LoadSignal == LoadSignalAllowance:
-		v = allowAim * w.meanAim * float64(w.set.Cores) / w.meanBase / float64(w.set.Callers)
-		v *= (1 - w.failing) / max(1, w.pressure)
+		// At most the rank of the least valuable class (classes share the ranks evenly): beyond it, load
+		// oscillates.
+		w.minRank = max(0, min(1/float64(len(w.cfg.Classes)), w.minRank+minRankStep*max(-1, min(2, move))))
+		signal = w.minRank
+	case healthy && w.cfg.LoadSignal == LoadSignalAllowance:
+		signal = allowanceTargetShare * w.meanTarget * float64(w.cfg.Cores) / w.meanWork / float64(w.cfg.Callers)
+		signal *= (1 - w.failureRate) / max(1, w.waitRatio)
 	case healthy:
-		v = 1 / max(1, w.pressure)
+		signal = 1 / max(1, w.waitRatio)
 	}
-	if math.Abs(v-w.said) > 0.01 {
-		w.said = v
-		acts = append(acts, Action{Kind: SetLoadSignal, Value: v})
+	if math.Abs(signal-w.lastSignal) > 0.01 {
+		w.lastSignal = signal
+		acts = append(acts, Action{Kind: SetLoadSignal, Value: signal})
 	}
 	return acts
 }
 
-// connections guards against a table full of connections that nobody uses: where a caller comes back, on the
-// mean, only after its connection has closed by itself, it is closed at once. It harms where few of many
-// callers send nearly all. Not in a storm, where most is refused and read late: a full table turns tries away
-// unread then. That harms if the storm is short: the table takes part of the cores.
-func (w *Worker) connections(acts []Action) []Action {
-	w.storm = (w.storm || w.unread > backlogAim*w.leastAim) && w.refused > refusedMost
-	closing := float64(w.set.Callers)*rateOver > w.arrivals*float64(w.set.IdleAfter) && !w.storm
-	if closing == w.closing || w.set.IdleAfter <= 0 {
+// adviseIdleTimeout prevents a table full of connections that nobody uses: if the mean interval between a
+// caller's requests exceeds IdleAfter, connections are closed at once. It is wrong where a few of many
+// callers send nearly all requests. In a retry storm the timeout stays long, since a full table rejects tries
+// unread; that is wrong if the storm is short, since the table takes part of the cores.
+func (w *Worker) adviseIdleTimeout(acts []Action) []Action {
+	w.retryStorm = (w.retryStorm || w.readDelay > backlogTargetShare*w.minTarget) &&
+		w.refusalRate > retryStormRefusalRate
+	closeEarly := float64(w.cfg.Callers)*decayTimeUS > w.arrivals*float64(w.cfg.IdleAfter) && !w.retryStorm
+	if closeEarly == w.closeIdleEarly || w.cfg.IdleAfter <= 0 {
 		return acts
 	}
-	after := w.set.IdleAfter
-	if w.closing = closing; closing {
-		after = min(after, shortIdle)
+	timeout := w.cfg.IdleAfter
+	if w.closeIdleEarly = closeEarly; closeEarly {
+		timeout = min(timeout, shortIdleTimeoutUS)
 	}
-	return append(acts, Action{Kind: SetIdleTimeout, After: after})
+	return append(acts, Action{Kind: SetIdleTimeout, After: timeout})
 }
 
-// stalled says that none of what is on the cores gets on; one long run on a small machine is no stall.
+// stalled reports whether no run makes progress. One long run on a small machine is not a stall.
 func (w *Worker) stalled() bool {
-	return float64(w.now-w.progress)*float64(min(w.onCore-w.besideRuns, w.set.Cores)) > stallRuns*w.meanBase
+	return float64(w.now-w.lastProgress)*float64(min(w.onCore-w.peerRuns, w.cfg.Cores)) >
+		stallMeanRuns*w.meanWork
 }
 
-// arm keeps a timer going.
-func (w *Worker) arm(acts []Action) []Action {
-	span := int64(idleTimer)
+// armTimer keeps a timer running.
+func (w *Worker) armTimer(acts []Action) []Action {
+	interval := int64(idleTimerUS)
 	if len(w.reqs) > 0 {
-		span = busyTimer
+		interval = busyTimerUS
 	}
-	if w.timerAt != 0 && w.timerAt <= w.now+span {
+	if w.timerAt != 0 && w.timerAt <= w.now+interval {
 		return acts
 	}
 	w.timerToken++
-	w.timerAt = w.now + span
-	return append(acts, Action{Kind: SetTimer, After: span, Token: w.timerToken})
+	w.timerAt = w.now + interval
+	return append(acts, Action{Kind: SetTimer, After: interval, Token: w.timerToken})
 }
--- a/policy_calls.go
+++ b/policy_calls.go
@@ -1,4 +1,4 @@
-// Calls below: which are made, for how long, left out or given up.
+// Downstream calls: which are made, their timeouts, and which are skipped or fail.
 
 package kiteslip
 
@@ -8,158 +8,162 @@
 	"slices"
 )
 
-// called takes in the end of a call and moves the limit of calls.
-func (w *Worker) called(r *request, e *Event) {
-	if r.phase != calling {
+// handleCallDone records the end of a call and adapts the limit of calls.
+func (w *Worker) handleCallDone(r *request, e *Event) {
+	if r.phase != inCall {
 		return
 	}
-	took := w.now - r.callAt
-	r.waits += took
-	w.progress = w.now
-	w.callEnds(r, e.Outcome)
-	if w.shared {
-		w.callPause(float64(took), e.Outcome != OK)
+	took := w.now - r.callSince
+	r.callTime += took
+	w.lastProgress = w.now
+	w.endCallBooking(r, e.Outcome)
+	if w.sharedDownstream {
+		w.delayNextCall(float64(took), e.Outcome != OK)
 	}
 	if t := float64(took); e.Outcome == OK || e.Outcome == TimedOut && t > w.callMean {
 		if w.callMean == 0 {
-			w.callMean, w.callBase = t, t
+			w.callMean, w.callBaseline = t, t
 		}
-		w.callMean += (t - w.callMean) * 2 * learn
-		w.callBase = min(w.callBase+(w.callMean-w.callBase)*callDrift, w.callMean)
+		w.callMean += (t - w.callMean) * 2 * meanWeight
+		w.callBaseline = min(w.callBaseline+(w.callMean-w.callBaseline)*callBaselineDrift, w.callMean)
 	}
 	if e.Outcome == OK {
-		r.calls++
-		w.onto(r)
+		r.callsDone++
+		w.enterCore(r)
 	} else {
-		r.phase, r.callAt = atCall, w.now
-		r.tries++
-		c := &w.set.Classes[r.class]
-		unrun := e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotStarted
-		if c.Effect != Repeatable && !unrun || c.SkipWorth > 0 && e.Outcome == TimedOut {
-			r.tries = math.MaxInt32 // it may have taken effect, or better do without
+		r.phase, r.callSince = awaitingCall, w.now
+		r.failedCalls++
+		c := &w.cfg.Classes[r.class]
+		neverRan := e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotStarted
+		if c.Effect != Repeatable && !neverRan || c.SkipWorth > 0 && e.Outcome == TimedOut {
+			r.failedCalls = math.MaxInt32 // it may have taken effect, or skipping it is better
 		}
 	}
-	if e.Outcome != OK || w.callMean > callSlow*w.callBase {
-		if w.now >= w.callSpan {
-			w.moveCalls(w.callLimit * limitCut)
-			w.callSpan = w.now + int64(w.callMean)
+	if e.Outcome != OK || w.callMean > slowCallMultiple*w.callBaseline {
+		if w.now >= w.nextCallCut {
+			w.setCallLimit(w.callLimit * limitCutFactor)
+			w.nextCallCut = w.now + int64(w.callMean)
 		}
-	} else if w.callsFull {
-		w.moveCalls(w.callLimit + min(1, callGrow+w.callLimit*w.callLimit))
+	} else if w.callsLimited {
+		w.setCallLimit(w.callLimit + min(1, callLimitGrowth+w.callLimit*w.callLimit))
 	}
 }
 
-func (w *Worker) moveCalls(limit float64) {
-	least, most := 1.0, math.Inf(1)
-	if w.shared {
-		least, most = w.set.CallShare*shareLeast, w.set.CallShare*shareMost
+// setCallLimit sets the limit of calls, within bounds.
+func (w *Worker) setCallLimit(limit float64) {
+	minLimit, maxLimit := 1.0, math.Inf(1)
+	if w.sharedDownstream {
+		minLimit, maxLimit = w.cfg.CallShare*minCallLimitShare, w.cfg.CallShare*maxCallLimitShare
 	}
-	w.callLimit = max(least, min(limit, most))
+	w.callLimit = max(minLimit, min(limit, maxLimit))
 }
 
-// callPause moves the time of the next call. Less than one call at a time is one now and then, by chance:
-// workers that pause together return together. What is turned away at once counts as a usual call, or every
-// worker would send it again at once; after the second in a row nothing is sent for as long as one takes.
-func (w *Worker) callPause(took float64, failed bool) {
-	part := w.callPart()
-	if w.callLimit < 1 && w.callMean > callSlow*w.callBase {
-		part = min(part, w.callLimit)
-	}
-	usual := cmp.Or(w.callMean, callShort*float64(w.set.CallShareWindow))
+// delayNextCall moves the earliest time of the next call. The pause is random: workers that pause together
+// would return together. A call rejected at once counts as one of the usual time, otherwise every worker
+// would repeat it at once; after the second failure in a row nothing is sent for the usual time of a call.
+func (w *Worker) delayNextCall(took float64, failed bool) {
+	dutyCycle := w.callDutyCycle()
+	if w.callLimit < 1 && w.callMean > slowCallMultiple*w.callBaseline {
+		dutyCycle = min(dutyCycle, w.callLimit)
+	}
+	usualTime := cmp.Or(w.callMean, minCallTimeShare*float64(w.cfg.CallShareWindow))
 	if failed {
-		took = max(took, usual)
+		took = max(took, usualTime)
 	}
 	after := func(from int64, pause float64) int64 {
-		return max(w.now, from) + int64(min(pause, float64(w.set.CallShareWindow))*(0.5+w.rng.Float64()))
+		return max(w.now, from) + int64(min(pause, float64(w.cfg.CallShareWindow))*(0.5+w.rng.Float64()))
 	}
-	w.callNext = after(w.callNext, took*(1/part-1))
-	if failed && w.callFailed {
-		w.callAgain = after(w.callAgain, usual/max(1, w.callLimit))
+	w.nextFirstCall = after(w.nextFirstCall, took*(1/dutyCycle-1))
+	if failed && w.lastCallFailed {
+		w.nextCall = after(w.nextCall, usualTime/max(1, w.callLimit))
 	}
-	w.callFailed = failed
+	w.lastCallFailed = failed
 }
 
-// callPart is the part of the time in which a worker may have one call in hand, where less than one at a time
-// is its due: whatever a call takes, the sum of all workers' calls stays around what their shares add up to.
-func (w *Worker) callPart() float64 {
-	return max(min(sharePart*w.set.CallShare*w.speed(), 1), 1e-3)
+// callDutyCycle returns the share of the time in which a worker with a share below one call may have one
+// outstanding: however long calls take, the calls of all workers add up to about the sum of their shares.
+func (w *Worker) callDutyCycle() float64 {
+	return max(min(fractionalCallShare*w.cfg.CallShare*w.coreSpeed(), 1), 1e-3)
 }
 
-// callFirst spreads the first calls of workers that start together and cannot know of each other: what is
-// called at once is their part by chance, and the rest comes over the told span.
-func (w *Worker) callFirst() {
-	if part := w.callPart(); w.shared && w.rng.Float64() >= part {
-		w.callNext = w.now + int64(w.rng.Float64()*float64(w.set.CallShareWindow))
+// delayFirstCall spreads the first calls of workers that start together and know nothing of each other: a
+// random part of them, as large as the duty cycle, may call at once, the others within CallShareWindow.
+func (w *Worker) delayFirstCall() {
+	if dutyCycle := w.callDutyCycle(); w.sharedDownstream && w.rng.Float64() >= dutyCycle {
+		w.nextFirstCall = w.now + int64(w.rng.Float64()*float64(w.cfg.CallShareWindow))
 	}
 }
 
-// callRoom is how long a call made now may take. A shared dependency dies of all workers' calls on the mean
-// of the told span. Each call is booked with all that it may take and linger; while what is booked in the
-// last span and ahead stays under a worker's share, no span holds more, whatever the dependency does.
-func (w *Worker) callRoom(r *request) int64 {
-	if float64(w.out) >= max(1, w.callLimit*w.speed()) ||
-		w.now < w.callNext && r.calls == 0 || w.now < w.callAgain {
-		w.callsFull = true
+// maxCallTime returns how long a call made now may take. A shared dependency fails by the calls of all
+// workers, averaged over CallShareWindow. Each call is booked with the longest time that it may take and
+// linger; while the bookings of the last window and ahead stay below the share, no window has more, however
+// long calls take.
+func (w *Worker) maxCallTime(r *request) int64 {
+	if float64(w.inCall) >= max(1, w.callLimit*w.coreSpeed()) ||
+		w.now < w.nextFirstCall && r.callsDone == 0 || w.now < w.nextCall {
+		w.callsLimited = true
 		return 0
 	}
-	if !w.shared {
+	if !w.sharedDownstream {
 		return math.MaxInt64
 	}
 	booked := int64(0)
-	for _, c := range w.calls {
-		booked += c.until - max(c.from, w.now-w.set.CallShareWindow)
+	for _, c := range w.callBookings {
+		booked += c.until - max(c.from, w.now-w.cfg.CallShareWindow)
 	}
-	return int64(w.budget) - booked - w.set.MaxCallLinger
+	return int64(w.callBudget) - booked - w.cfg.MaxCallLinger
 }
 
-// callBelow makes, leaves out or gives up the calls that requests stand at.
-func (w *Worker) callBelow(acts []Action) []Action {
-	w.callsFull, w.places = false, w.places[:0]
+// callDownstream makes, skips or fails the calls that requests wait for.
+func (w *Worker) callDownstream(acts []Action) []Action {
+	w.callsLimited, w.sortKeys = false, w.sortKeys[:0]
 	for i := range w.reqs {
-		if r := &w.reqs[i]; r.phase == atCall && !r.answered {
-			// What the call itself earns; what has most of its calls behind it goes first.
-			unskipped := 1 - w.set.Classes[r.class].SkipWorth
-			r.density = w.gain(r) * w.classes[r.class].base * unskipped * float64(1+r.calls)
-			w.places = append(w.places, w.place(i))
+		if r := &w.reqs[i]; r.phase == awaitingCall && !r.answered {
+			// The value of the call itself; requests that have most of their calls behind them go first.
+			unskipped := 1 - w.cfg.Classes[r.class].SkipWorth
+			r.valueDensity = w.value(r) * w.classes[r.class].meanWork * unskipped * float64(1+r.callsDone)
+			w.sortKeys = append(w.sortKeys, w.sortKey(i))
 		}
 	}
-	slices.SortFunc(w.places, better)
-	crowd, slow := w.crowd(), w.shared && w.callMean > callSlow*w.callBase
-	for n, p := range w.places {
-		if float64(w.onCore+w.out+1) > crowd {
-			break // what comes back from calls is on the cores at once
+	slices.SortFunc(w.sortKeys, compareSortKeys)
+	safe, slowCalls := w.safeRuns(), w.sharedDownstream && w.callMean > slowCallMultiple*w.callBaseline
+	for n, p := range w.sortKeys {
+		if float64(w.onCore+w.inCall+1) > safe {
+			break // runs whose calls return need cores at once
 		}
 		r := &w.reqs[p.index]
-		c := &w.set.Classes[r.class]
-		left := w.earnUntil(r) - w.now
-		rest := max(w.classes[r.class].base-r.work, w.classes[r.class].base*restShare)
-		turn := w.callMean * (1.5 + float64(n)/w.callLimit)
-		if r.tries > callTries && c.SkipWorth == 0 {
+		c := &w.cfg.Classes[r.class]
+		left := w.usefulUntil(r) - w.now
+		remaining := max(w.classes[r.class].meanWork-r.work, w.classes[r.class].meanWork*minRemainingShare)
+		expected := w.callMean * (1.5 + float64(n)/w.callLimit)
+		if r.failedCalls > maxCallRetries && c.SkipWorth == 0 {
 			acts = w.fail(r, acts)
 			continue
 		}
-		if c.SkipWorth > 0 && (r.tries > callTries || slow && w.must+w.wanting > 0 ||
-			float64(r.aim-w.now) < turn+rest && w.now < r.aim) {
+		if c.SkipWorth > 0 && (r.failedCalls > maxCallRetries ||
+			slowCalls && w.requiredCalls+w.queuedRequiredCalls > 0 ||
+			float64(r.softDeadline-w.now) < expected+remaining && w.now < r.softDeadline) {
 			acts = append(acts, Action{Kind: Skip, ID: r.id})
-			r.waits += w.now - r.callAt
-			w.onto(r)
+			r.callTime += w.now - r.callSince
+			w.enterCore(r)
 			w.onCore++
 			continue
 		}
-		room := w.callRoom(r)
+		maxTime := w.maxCallTime(r)
 		if c.Effect == Repeatable && w.callMean > 0 {
-			left = min(left, int64(callPatience*w.callMean))
+			left = min(left, int64(callTimeoutMultiple*w.callMean))
 		}
-		patience := max(min(left, room), w.set.Tick, 1000)
-		need := min(float64(w.set.CallShareWindow)*callShort, (w.budget-float64(w.set.MaxCallLinger))/2, float64(left))
-		if patience > room || float64(patience) < need {
+		timeout := max(min(left, maxTime), w.cfg.Tick, 1000)
+		minTime := min(float64(w.cfg.CallShareWindow)*minCallTimeShare,
+			(w.callBudget-float64(w.cfg.MaxCallLinger))/2, float64(left))
+		if timeout > maxTime || float64(timeout) < minTime {
 			continue
 		}
-		acts = append(acts, Action{Kind: Call, ID: r.id, After: patience})
-		r.waits += w.now - r.callAt
-		r.phase, r.callAt = calling, w.now
-		w.calls = append(w.calls, span{r.id, w.now, w.now + patience + w.set.MaxCallLinger})
-		w.out++
+		acts = append(acts, Action{Kind: Call, ID: r.id, After: timeout})
+		r.callTime += w.now - r.callSince
+		r.phase, r.callSince = inCall, w.now
+		w.callBookings = append(w.callBookings, callBooking{r.id, w.now, w.now + timeout + w.cfg.MaxCallLinger})
+		w.inCall++
 	}
 	return acts
 }
--- a/policy_keys.go
+++ b/policy_keys.go
@@ -1,82 +1,82 @@
-// Keys: what is recorded, and what a repeat gets.
+// Keys: what is retained, and how duplicates are answered.
 
 package kiteslip
 
 import "slices"
 
-// keep records r until then.
-func (w *Worker) keep(r *request, until int64, acts []Action) []Action {
+// retain adds a key entry for r that lasts until the given time.
+func (w *Worker) retain(r *request, until int64, acts []Action) []Action {
 	until = max(until, w.now+1)
-	r.kept = true
-	w.table = append(w.table, entry{r.id, until})
-	w.memory += w.set.KeyKB
+	r.retained = true
+	w.keyTable = append(w.keyTable, keyEntry{r.id, until})
+	w.memoryKB += w.cfg.KeyKB
 	return append(acts, Action{Kind: Retain, ID: r.id, After: until - w.now})
 }
 
-// repeat deals with an arrival that repeats a kept request: it waits while that is held, and is served from
-// its result once it has begun.
-func (w *Worker) repeat(r *request, acts []Action) []Action {
-	head := w.find(r.head)
-	for n := 0; head != nil && head.phase == held && head.head != 0 && n < 64; n++ {
-		head = w.find(head.head)
+// handleDuplicate decides about an arrival that duplicates a retained request: it waits while the original is
+// queued, and is served from its result once that has started.
+func (w *Worker) handleDuplicate(r *request, acts []Action) []Action {
+	original := w.find(r.duplicateOf)
+	for n := 0; original != nil && original.phase == queued && original.duplicateOf != 0 && n < 64; n++ {
+		original = w.find(original.duplicateOf)
 	}
-	keyed := w.set.Classes[r.class].Effect == Keyed
+	keyed := w.cfg.Classes[r.class].Effect == Keyed
 	switch {
-	case head == r:
-		r.head = 0
-	case head != nil && head.phase == held && !head.ran:
-		if r.head = 0; keyed {
-			r.head = head.id
+	case original == r:
+		r.duplicateOf = 0
+	case original != nil && original.phase == queued && !original.ran:
+		if r.duplicateOf = 0; keyed {
+			r.duplicateOf = original.id
 		}
-	case head != nil && head.phase == over && (!keyed || !head.ran):
-		r.head = 0
-	case w.memory+float64(w.set.Cores)*w.largest > w.set.MemoryKB:
-		// Guards against repeats that pile up behind one run: these can neither be refused nor shed.
+	case original != nil && original.phase == finished && (!keyed || !original.ran):
+		r.duplicateOf = 0
+	case w.memoryKB+float64(w.cfg.Cores)*w.largestKB > w.cfg.MemoryKB:
+		// Duplicates that await one result can be neither refused nor shed: they must not fill the memory.
 		acts = w.fail(r, acts)
 	default:
-		r.head, r.ran, r.phase = 0, true, copying
+		r.duplicateOf, r.ran, r.phase = 0, true, awaitingResult
 		acts = append(acts, Action{Kind: Reuse, ID: r.id})
 	}
 	return acts
 }
 
-// copies serves the held repeats of a request that has just begun.
-func (w *Worker) copies(r *request, acts []Action) []Action {
-	if !r.kept {
+// serveDuplicates lets the queued duplicates of a request that has just started await its result.
+func (w *Worker) serveDuplicates(r *request, acts []Action) []Action {
+	if !r.retained {
 		return acts
 	}
 	for i := range w.reqs {
-		if t := &w.reqs[i]; t.head == r.id && t.phase == held {
-			t.head, t.ran, t.phase = 0, true, copying
-			acts = append(acts, Action{Kind: Reuse, ID: t.id})
+		if dup := &w.reqs[i]; dup.duplicateOf == r.id && dup.phase == queued {
+			dup.duplicateOf, dup.ran, dup.phase = 0, true, awaitingResult
+			acts = append(acts, Action{Kind: Reuse, ID: dup.id})
 		}
 	}
 	return acts
 }
 
-// leave ends a request that is not running. If it never ran, its oldest repeat takes its place.
-func (w *Worker) leave(r *request, acts []Action) []Action {
-	was := r.phase
-	r.phase = over
-	w.memory -= r.size
-	if u, _ := w.pool(r.class); u != nil && was == held {
-		u.held, u.kb = u.held-1, u.kb-r.size
+// remove ends a request that is not running. If it never ran, its oldest duplicate replaces it.
+func (w *Worker) remove(r *request, acts []Action) []Action {
+	prevPhase := r.phase
+	r.phase = finished
+	w.memoryKB -= r.sizeKB
+	if u, _ := w.pool(r.class); u != nil && prevPhase == queued {
+		u.queued, u.kb = u.queued-1, u.kb-r.sizeKB
 	}
-	if was != held || r.ran || !r.kept {
+	if prevPhase != queued || r.ran || !r.retained {
 		return acts
 	}
-	r.kept = false
-	w.table = slices.DeleteFunc(w.table, func(e entry) bool { return e.id == r.id })
+	r.retained = false
+	w.keyTable = slices.DeleteFunc(w.keyTable, func(e keyEntry) bool { return e.id == r.id })
 	acts = append(acts, Action{Kind: Forget, ID: r.id})
-	next := RequestID(0)
+	successor := RequestID(0)
 	for i := range w.reqs {
-		t := &w.reqs[i]
-		if t.head != r.id || t.phase != held {
+		dup := &w.reqs[i]
+		if dup.duplicateOf != r.id || dup.phase != queued {
 			continue
 		}
-		if t.head = next; next == 0 {
-			next = t.id
-			acts = w.keep(t, t.reached+w.set.Classes[t.class].Window+keyMargin, acts)
+		if dup.duplicateOf = successor; successor == 0 {
+			successor = dup.id
+			acts = w.retain(dup, dup.arrivedAt+w.cfg.Classes[dup.class].Window+keyMarginUS, acts)
 		}
 	}
 	return acts
--- a/policy_limit.go
+++ b/policy_limit.go
@@ -1,101 +1,101 @@
-// The running limit: its growth and cut, what a finished run teaches, and the crowd that is safe.
+// The running limit: its growth and cuts, the mean work of classes, and the number of safe runs.
 
 package kiteslip
 
 import "math"
 
-// done takes in the end of a run or reuse, and moves the limit.
-func (w *Worker) done(r *request, e *Event) {
+// handleDone records the end of a run or reuse, and adapts the running limit.
+func (w *Worker) handleDone(r *request, e *Event) {
 	if e.Outcome == NotStarted {
-		r.phase = over
+		r.phase = finished
 		return
 	}
-	wasCopy := r.phase == copying
-	if r.phase == calling && w.shared { // given up with its request
-		w.callPause(float64(w.now-r.callAt), true)
+	wasReuse := r.phase == awaitingResult
+	if r.phase == inCall && w.sharedDownstream { // the call is abandoned with its request
+		w.delayNextCall(float64(w.now-r.callSince), true)
 	}
-	w.callEnds(r, TimedOut)
+	w.endCallBooking(r, TimedOut)
 	full := w.onCore >= w.limit
-	w.offCore(r)
+	w.leaveCore(r)
 	if e.Outcome == Cancelled && !r.answered {
-		if r.phase = held; w.set.Stop == StopFreeze {
+		if r.phase = queued; w.cfg.Stop == StopFreeze {
 			r.phase = paused
 		}
 		return
 	}
-	r.phase = over
-	w.progress = w.now
-	if !wasCopy && !r.answered {
-		w.failing *= 1 - 2*learn
+	r.phase = finished
+	w.lastProgress = w.now
+	if !wasReuse && !r.answered {
+		w.failureRate *= 1 - 2*meanWeight
 		if e.Outcome == Failed {
-			w.failing += 2 * learn
+			w.failureRate += 2 * meanWeight
 		}
 	}
-	if stopped := e.Outcome == Cancelled && r.work > w.classes[r.class].base; stopped && !wasCopy {
-		w.learn(r) // it would have taken longer still: without these, only what is short is learned
+	if stopped := e.Outcome == Cancelled && r.work > w.classes[r.class].meanWork; stopped && !wasReuse {
+		w.updateMeanWork(r) // it would have taken longer still; otherwise only short runs would count
 	}
 	if e.Outcome != OK {
 		return
 	}
-	c := &w.set.Classes[r.class]
-	if !r.answered && w.now <= r.aim {
-		w.serve(r.class, r.tenant, c.Worth)
+	c := &w.cfg.Classes[r.class]
+	if !r.answered && w.now <= r.softDeadline {
+		w.recordServed(r.class, r.tenant, c.Worth)
 	}
-	if wasCopy {
+	if wasReuse {
 		return
 	}
-	late := float64(r.wall) > lateMultiple*w.classes[r.class].base
-	w.learn(r)
-	w.spanDone++
+	late := float64(r.coreTime) > lateMultiple*w.classes[r.class].meanWork
+	w.updateMeanWork(r)
+	w.windowDone++
 	if late {
-		w.spanLate++
-	} else if full && w.now <= r.due && !(w.gauges.Valid && w.gauges.Runnable >= float32(w.set.Cores)) {
-		// Only with a core to spare: more runs would only share out cores that reading needs too.
-		w.limit = min(w.limit+1, int(w.crowd()))
+		w.windowLate++
+	} else if full && w.now <= r.deadline && !(w.gauges.Valid && w.gauges.Runnable >= float32(w.cfg.Cores)) {
+		// Only with a core to spare: more runs would only divide cores that reading needs too.
+		w.limit = min(w.limit+1, int(w.safeRuns()))
 	}
-	w.overdue = w.overdue || w.now > r.due
-	// A tenth of fewer than ten is no share: on a few cores one long run in a base latency cut the limit.
-	if w.now >= w.spanEnd && (w.overdue || float64(w.spanDone)*lateShare >= 1) {
-		if w.overdue || float64(w.spanLate) > lateShare*float64(w.spanDone) {
-			w.limit = int(float64(w.limit) * limitCut)
+	w.overdue = w.overdue || w.now > r.deadline
+	// With fewer runs than 1/maxLateShare one late run exceeds it: on few cores, single long runs cut the limit.
+	if w.now >= w.windowEnd && (w.overdue || float64(w.windowDone)*maxLateShare >= 1) {
+		if w.overdue || float64(w.windowLate) > maxLateShare*float64(w.windowDone) {
+			w.limit = int(float64(w.limit) * limitCutFactor)
 		}
-		w.limit = max(w.limit, w.set.Cores)
-		w.spanEnd = w.now + int64(w.meanBase)
-		w.spanDone, w.spanLate, w.overdue = 0, 0, false
+		w.limit = max(w.limit, w.cfg.Cores)
+		w.windowEnd = w.now + int64(w.meanWork)
+		w.windowDone, w.windowLate, w.overdue = 0, 0, false
 	}
 }
 
-// learn takes the work of r into the base of its class. One run of many times the usual work moves it no
-// further than one of heavyRun bases.
-func (w *Worker) learn(r *request) {
+// updateMeanWork adds the work of r to the mean of its class, as heavyRunMultiple times the mean at most.
+func (w *Worker) updateMeanWork(r *request) {
 	w.classes[r.class].runs++
-	weight := max(learn, 1/(w.classes[r.class].runs+firstWeight))
-	base := w.classes[r.class].base
-	w.rebase(r.class, base+(min(r.work, heavyRun*base)-base)*weight)
-	w.classes[r.class].wait += (float64(r.waits) - w.classes[r.class].wait) * weight
+	weight := max(meanWeight, 1/(w.classes[r.class].runs+initialWorkWeight))
+	mean := w.classes[r.class].meanWork
+	w.setMeanWork(r.class, mean+(min(r.work, heavyRunMultiple*mean)-mean)*weight)
+	w.classes[r.class].meanCallTime += (float64(r.callTime) - w.classes[r.class].meanCallTime) * weight
 }
 
-// mix takes the means over the classes, weighed by what is asked for.
-func (w *Worker) mix() {
+// updateMeans sets the means over the classes, weighted by the worth requested.
+func (w *Worker) updateMeans() {
 	m := &w.weights
-	n := m.asked + trifle*float64(len(w.classes))
-	w.meanBase = max((m.askedBase+trifle*(m.bases.high+m.bases.low))/n, 1)
-	w.meanAim = max((m.askedAim+trifle*m.aims)/n, 1)
-	w.leastAim = max(w.shortestAim(), 1)
+	n := m.total + minClassWeight*float64(len(w.classes))
+	w.meanWork = max((m.totalWork+minClassWeight*(m.sumWork.high+m.sumWork.low))/n, 1)
+	w.meanTarget = max((m.totalTarget+minClassWeight*m.sumTargets)/n, 1)
+	w.minTarget = max(w.shortestTarget(), 1)
 }
 
-// crowd is how many begun requests are safe, with the slowest warming that the settings allow.
-func (w *Worker) crowd() float64 {
-	if w.set.MaxRunsPerCore <= 0 {
+// safeRuns returns how many started requests are safe, for the slowest warm-up that the settings allow.
+func (w *Worker) safeRuns() float64 {
+	if w.cfg.MaxRunsPerCore <= 0 {
 		return math.MaxInt32
 	}
-	return max(1, crowdRoom*float64(w.set.Cores)*(1+(w.set.MaxRunsPerCore-1)*w.speed()))
+	return max(1, safeRunsShare*float64(w.cfg.Cores)*(1+(w.cfg.MaxRunsPerCore-1)*w.coreSpeed()))
 }
 
-// speed is the least share of their full speed that the settings allow the cores to have now.
-func (w *Worker) speed() float64 {
-	if !w.set.JustStarted || w.set.WarmupTime <= 0 {
+// coreSpeed returns the lowest speed that the settings allow the cores to have now, as a share of full speed.
+func (w *Worker) coreSpeed() float64 {
+	if !w.cfg.JustStarted || w.cfg.WarmupTime <= 0 {
 		return 1
 	}
-	return min(1, w.set.ColdSpeed+(1-w.set.ColdSpeed)*float64(max(0, w.now-w.born))/float64(w.set.WarmupTime))
+	return min(1, w.cfg.ColdSpeed+
+		(1-w.cfg.ColdSpeed)*float64(max(0, w.now-w.startedAt))/float64(w.cfg.WarmupTime))
 }
--- a/policy_order.go
+++ b/policy_order.go
@@ -1,4 +1,4 @@
-// The order of the hold, and what is turned away because it can't be answered in time.
+// The order of the queue, and the refusal of what can't be answered in time.
 
 package kiteslip
 
@@ -7,147 +7,150 @@
 	"slices"
 )
 
-// gain is what serving r on time adds to the goal for its core time: its worth, less where its tenant is
-// beyond its share, more where its class or tenant is the one served worst.
-func (w *Worker) gain(r *request) float64 {
-	g, in := w.set.Goal, w.inShare(r.tenant)
-	worth := w.set.Classes[r.class].Worth * (in + (1-in)*w.set.OverShareWorth)
-	if !w.set.WorthByWork {
-		worth /= max(w.classes[r.class].base, 1) // else what a longer one costs more, it also earns more
+// value returns what answering r in time adds to the goal for its core time: its worth, reduced if its tenant
+// is over its quota, increased if its class or tenant is the worst served.
+func (w *Worker) value(r *request) float64 {
+	goal, within := w.cfg.Goal, w.inShare(r.tenant)
+	worth := w.cfg.Classes[r.class].Worth * (within + (1-within)*w.cfg.OverShareWorth)
+	if !w.cfg.WorthByWork {
+		worth /= max(w.classes[r.class].meanWork, 1) // otherwise longer requests earn more as well
 	}
-	class := w.lag(&w.classes[r.class].group, &w.allClasses)
-	tenant := w.lag(&w.tenants[r.tenant].group, &w.allTenants)
-	return worth * (g.Whole + g.WorstClass*class + g.WorstTenant*tenant)
+	class := w.serviceDeficit(&w.classes[r.class].usage, &w.allClasses)
+	tenant := w.serviceDeficit(&w.tenants[r.tenant].usage, &w.allTenants)
+	return worth * (goal.Whole + goal.WorstClass*class + goal.WorstTenant*tenant)
 }
 
-// inShare is the part of a tenant's arrivals here that lies within its share. A tenant lags by what it is
-// served of that part: counted by all it asks, a flood would pass for the worst served.
+// inShare returns the part of a tenant's arrivals here that is within its quota. The service deficit of a
+// tenant is that of this part: counted by all that it requests, a flood would pass for the worst served.
 //
-// Where less than one arrival is due here within the memory, most of the one that is judged is beyond its
-// share. Counting one such arrival as within was tried: what the fleet counts as beyond went first then.
+// Where less than one arrival is due here within decayTimeUS, most of a single arrival is over the quota.
+// Counting such an arrival as within it made requests go first that the fleet counts as over quota.
 func (w *Worker) inShare(tenant int) float64 {
-	if w.set.Stage > 0 || tenant >= len(w.set.Tenants) {
+	if w.cfg.Stage > 0 || tenant >= len(w.cfg.Tenants) {
 		return 1
 	}
 	t := &w.tenants[tenant]
-	rate, share := w.fading.touch(&t.group).arrived/(rateOver/1e6), t.share
+	rate, share := w.decay.refresh(&t.usage).arrived/(decayTimeUS/1e6), t.share
 	return min(1, share/max(rate, 1e-9))
 }
 
-// lag is the weight of one group's share in the goal, by how far it falls behind all.
-func (w *Worker) lag(g, all *group) float64 {
-	w.fading.touch(g)
-	asked := all.asked + 1e-9
-	if g.asked < 1 {
+// serviceDeficit returns the weight of a class or tenant in the goal, by how much worse than all it is
+// served.
+func (w *Worker) serviceDeficit(u, all *usage) float64 {
+	w.decay.refresh(u)
+	requested := all.requested + 1e-9
+	if u.requested < 1 {
 		return 1
 	}
-	behind := (all.served/asked - g.served/g.asked) / lagFull
-	return max(0, min(1, behind)) * asked / g.asked
+	behind := (all.served/requested - u.served/u.requested) / fullDeficit
+	return max(0, min(1, behind)) * requested / u.requested
 }
 
-// better orders two requests: the denser first, then the earlier aim; while the wait is too long the newest:
-// in turn all would be just in time here, too late for those with earlier tries. A pool that can start all it
-// holds in places of its own has no such wait.
-func better(x, y place) int {
-	if dense := cmp.Compare(y.density, x.density); dense != 0 {
-		return dense
+// compareSortKeys orders two requests: the higher value density first, then the earlier soft deadline, or the
+// newest while the queueing delay is too long: in order all would be answered just in time here, too late for
+// those with earlier tries. A pool that can start its whole queue in guaranteed slots has no such delay.
+func compareSortKeys(x, y sortKey) int {
+	if byDensity := cmp.Compare(y.valueDensity, x.valueDensity); byDensity != 0 {
+		return byDensity
 	}
-	if aim := cmp.Compare(x.aim, y.aim); aim != 0 && x.newest {
-		return -aim
-	} else if aim != 0 {
-		return aim
+	if byDeadline := cmp.Compare(x.softDeadline, y.softDeadline); byDeadline != 0 && x.newestFirst {
+		return -byDeadline
+	} else if byDeadline != 0 {
+		return byDeadline
 	}
 	return cmp.Compare(x.id, y.id)
 }
 
-// place is what orders request i.
-func (w *Worker) place(i int) place {
+// sortKey returns the sort key of request i.
+func (w *Worker) sortKey(i int) sortKey {
 	r := &w.reqs[i]
-	newest := w.pressure > 1 && (w.ceil == nil || !w.uses[w.ceil.PoolOf[r.class]].light)
-	return place{density: r.density, aim: r.aim, id: r.id, index: int32(i), newest: newest}
+	newest := w.waitRatio > 1 && (w.ceilings == nil || !w.poolUsage[w.ceilings.PoolOf[r.class]].withinGuarantee)
+	return sortKey{valueDensity: r.valueDensity, softDeadline: r.softDeadline, id: r.id, index: int32(i),
+		newestFirst: newest}
 }
 
-// shed orders the hold, refuses what cannot be answered in time, and keeps the memory under its top.
+// shed sorts the queue, refuses what can't be answered in time, and keeps the memory below memoryTop.
 func (w *Worker) shed(acts []Action) []Action {
-	w.places = w.places[:0]
-	ahead := 0.0
-	w.must, w.wanting, w.heavy = 0, 0, 0
+	w.sortKeys = w.sortKeys[:0]
+	workAhead := 0.0
+	w.requiredCalls, w.queuedRequiredCalls, w.heavyRuns = 0, 0, 0
 	for i := range w.reqs {
 		r := &w.reqs[i]
 		switch r.phase {
-		case held, paused:
-			if r.head != 0 || r.answered {
+		case queued, paused:
+			if r.duplicateOf != 0 || r.answered {
 				continue
 			}
-			if c := &w.set.Classes[r.class]; c.CallsDownstream && c.SkipWorth == 0 {
-				w.wanting++
+			if c := &w.cfg.Classes[r.class]; c.CallsDownstream && c.SkipWorth == 0 {
+				w.queuedRequiredCalls++
 			}
-			r.density = w.gain(r)
+			r.valueDensity = w.value(r)
 			if r.late {
-				r.density *= w.set.Classes[r.class].LateWorth
+				r.valueDensity *= w.cfg.Classes[r.class].LateWorth
 			}
-			w.places = append(w.places, w.place(i))
-		case running, atCall, calling:
-			b := w.classes[r.class].base
-			if r.phase == atCall && !r.answered && w.set.Classes[r.class].SkipWorth == 0 {
-				w.must++
+			w.sortKeys = append(w.sortKeys, w.sortKey(i))
+		case running, awaitingCall, inCall:
+			mean := w.classes[r.class].meanWork
+			if r.phase == awaitingCall && !r.answered && w.cfg.Classes[r.class].SkipWorth == 0 {
+				w.requiredCalls++
 			}
 			done := r.work
 			if r.phase == running {
-				done += w.share - r.mark
+				done += w.virtualTime - r.virtualStart
 			}
-			if done > heavyRun*b {
-				w.heavy++
+			if done > heavyRunMultiple*mean {
+				w.heavyRuns++
 			}
-			ahead += max(b-done, b*restShare)
+			workAhead += max(mean-done, mean*minRemainingShare)
 			if u, _ := w.pool(r.class); u != nil {
-				u.ahead += max(b-done, b*restShare)
+				u.workAhead += max(mean-done, mean*minRemainingShare)
 			}
 		}
 	}
-	slices.SortFunc(w.places, better)
-	cores := float64(w.set.Cores)
-	tail := 0.0
-	kept := w.order[:0]
-	for _, p := range w.places {
+	slices.SortFunc(w.sortKeys, compareSortKeys)
+	cores := float64(w.cfg.Cores)
+	lastWait := 0.0
+	queue := w.queue[:0]
+	for _, p := range w.sortKeys {
 		r := &w.reqs[p.index]
-		b := w.classes[r.class].base
-		begin, hope := 0.0, r.aim
-		if w.onCore >= w.limit || len(kept) > 0 {
-			hope = r.hope
-			begin = max(0, ahead/cores-w.meanBase/2)
+		mean := w.classes[r.class].meanWork
+		wait, useful := 0.0, r.softDeadline
+		if w.onCore >= w.limit || len(queue) > 0 {
+			useful = r.latestUseful
+			wait = max(0, workAhead/cores-w.meanWork/2)
 		}
 		u, ceil := w.pool(r.class)
-		if ceil != nil && ceil.GuaranteedCores > 0 { // what is a pool's own does not wait behind others
-			begin = min(begin, u.ahead/ceil.GuaranteedCores)
+		if ceil != nil && ceil.GuaranteedCores > 0 { // guaranteed cores do not wait for others
+			wait = min(wait, u.workAhead/ceil.GuaranteedCores)
 		}
-		c := &w.set.Classes[r.class]
-		finish := w.now + int64(begin+b*runAllowance+w.classes[r.class].wait)
-		aim := min(hope, w.end(r))
-		if finish > aim && r.phase == held {
-			if c.LateWorth > 0 && finish <= w.end(r) && w.now < r.aim {
+		c := &w.cfg.Classes[r.class]
+		finish := w.now + int64(wait+mean*runTimeMargin+w.classes[r.class].meanCallTime)
+		latest := min(useful, w.answerDeadline(r))
+		if finish > latest && r.phase == queued {
+			if c.LateWorth > 0 && finish <= w.answerDeadline(r) && w.now < r.softDeadline {
 				r.late = true
-			} else if w.classes[r.class].runs > 0 && w.inHand > 0 {
-				// Guards against tries that walk on: each is read again, at a cost, until readings alone fill the fleet.
-				// What had its chance here stays refused; it hurts where others idle.
-				acts = w.refuse(r, w.away(finish-aim, c), true, acts)
+			} else if w.classes[r.class].runs > 0 && w.inProgress > 0 {
+				// Without failover: tries that go from server to server are read at a cost each time, until reading
+				// alone fills the fleet. What had its chance here stays refused, even if others are idle.
+				acts = w.refuse(r, w.retryAfter(finish-latest, c), true, acts)
 				continue
 			}
 		}
-		tail = max(tail, begin)
-		ahead += b
+		lastWait = max(lastWait, wait)
+		workAhead += mean
 		if u != nil {
-			u.ahead += b
+			u.workAhead += mean
 		}
-		kept = append(kept, int(p.index))
+		queue = append(queue, int(p.index))
 	}
-	w.pressure = max((tail+w.unread)/(holdAim*w.meanAim), w.unread/(unreadAim*w.leastAim))
-	w.order, w.tail = kept, int64(tail)
-	// Memory: over the top the least valuable held requests go first.
-	for n := len(w.order) - 1; n >= 0 && w.memory > w.top(); n-- {
-		r := &w.reqs[w.order[n]]
-		if r.phase == held {
-			acts = w.refuse(r, w.set.MaxRetryAfter, false, acts)
+	w.waitRatio = max((lastWait+w.readDelay)/(queueTargetShare*w.meanTarget),
+		w.readDelay/(readTargetShare*w.minTarget))
+	w.queue, w.queueWait = queue, int64(lastWait)
+	// Over memoryTop the least valuable queued requests are refused.
+	for n := len(w.queue) - 1; n >= 0 && w.memoryKB > w.memoryTop(); n-- {
+		r := &w.reqs[w.queue[n]]
+		if r.phase == queued {
+			acts = w.refuse(r, w.cfg.MaxRetryAfter, false, acts)
 		}
 	}
 	return acts
--- a/policy_start.go
+++ b/policy_start.go
@@ -1,113 +1,115 @@
-// What begins next, within the limit, the crowd and the pools' places.
+// What starts next, within the running limit, the safe runs and the ceilings of the pools.
 
 package kiteslip
 
-// start begins held requests, best first, while the limit and the guards allow.
+// start starts queued requests in their order, while the limits allow.
 func (w *Worker) start(acts []Action) []Action {
-	crowd, limit := w.crowd(), w.limit
-	// Guards against a backlog that callers leave before it is read: they hear neither refusal nor advice then,
-	// and send more. Half of the cores are left to reading until it is caught up.
-	if w.unread > backlogAim*w.leastAim {
-		limit = max(1, w.set.Cores/2)
+	safe, limit := w.safeRuns(), w.limit
+	// Callers that leave before their requests are read hear neither refusal nor retry-after and send more: half
+	// of the cores are left to reading until the backlog is gone.
+	if w.readDelay > backlogTargetShare*w.minTarget {
+		limit = max(1, w.cfg.Cores/2)
 	}
-	// Guards against a few heavy runs that hold all places while others could be done beside them: these run
-	// beyond the limit, and show that the cores get on. It harms where heavy runs crowd the cores already.
-	limit += min(w.heavy, w.set.Cores)
-	// What must be prepared before it begins is, while others run: no place waits for it. Not many at once:
-	// what is prepared and then refused was prepared in vain.
-	ahead := 0
-	for _, i := range w.order {
+	// A few heavy runs must not occupy all slots while others could run beside them: those run beyond the limit
+	// and show that there is progress. It is harmful where heavy runs overload the cores already.
+	limit += min(w.heavyRuns, w.cfg.Cores)
+	// Requests are prepared while others run: no slot waits for it. Only a few at once: it is wasted if they are
+	// refused then.
+	preparing := 0
+	for _, i := range w.queue {
 		r := &w.reqs[i]
-		if !w.set.Classes[r.class].Prepare || r.head != 0 || !r.asked && ahead >= w.set.Cores {
+		if !w.cfg.Classes[r.class].Prepare || r.duplicateOf != 0 || !r.prepareSent && preparing >= w.cfg.Cores {
 			continue
 		}
-		if ahead++; !r.asked {
-			r.asked = true
+		if preparing++; !r.prepareSent {
+			r.prepareSent = true
 			acts = append(acts, Action{Kind: Prepare, ID: r.id})
 		}
 	}
-	if w.ceil != nil {
-		limit = min(limit, max(1, w.ceil.MaxRuns))
+	if w.ceilings != nil {
+		limit = min(limit, max(1, w.ceilings.MaxRuns))
 	}
-	for own := w.ceil != nil; ; own = false { // first what pools have of their own
-		owed := 0
-		if own {
-			owed = w.owed(limit)
+	for guaranteed := w.ceilings != nil; ; guaranteed = false { // guaranteed slots first
+		starts := 0
+		if guaranteed {
+			starts = w.guaranteedStarts(limit)
 		}
-		for _, i := range w.order {
+		for _, i := range w.queue {
 			r := &w.reqs[i]
-			if float64(w.onCore+w.out+1) > crowd || own && owed <= 0 || !own && w.onCore >= limit {
+			if float64(w.onCore+w.inCall+1) > safe || guaranteed && starts <= 0 || !guaranteed && w.onCore >= limit {
 				break
 			}
-			if r.phase != held && r.phase != paused || r.head != 0 || r.answered || !w.fits(r, own, limit) ||
-				w.set.Classes[r.class].Prepare && !r.ready {
+			if r.phase != queued && r.phase != paused || r.duplicateOf != 0 || r.answered ||
+				!w.poolAllows(r, guaranteed, limit) || w.cfg.Classes[r.class].Prepare && !r.ready {
 				continue
 			}
-			if r.phase == held {
-				// What runs and then waits for its call too long is lost, and a keyed one for good: it is held.
-				if c := &w.set.Classes[r.class]; w.shared && c.CallsDownstream && c.SkipWorth == 0 &&
-					(float64(w.must) >= w.callLimit || w.callNext > w.now+int64(w.classes[r.class].base*restShare)) {
+			if r.phase == queued {
+				// A run that waits too long for its call is lost, a keyed one for good: it stays in the queue instead.
+				if c := &w.cfg.Classes[r.class]; w.sharedDownstream && c.CallsDownstream && c.SkipWorth == 0 &&
+					(float64(w.requiredCalls) >= w.callLimit ||
+						w.nextFirstCall > w.now+int64(w.classes[r.class].meanWork*minRemainingShare)) {
 					continue
 				}
-				more := r.size * (w.set.RunFactor - 1)
-				if w.memory+more > w.top() && w.inHand > 0 || w.memory+more > w.set.MemoryKB {
+				extraKB := r.sizeKB * (w.cfg.RunFactor - 1)
+				if w.memoryKB+extraKB > w.memoryTop() && w.inProgress > 0 || w.memoryKB+extraKB > w.cfg.MemoryKB {
 					continue
 				}
-				w.memory += more
-				w.inHand++
+				w.memoryKB += extraKB
+				w.inProgress++
 			}
-			owed--
+			starts--
 			r.ran = true
-			w.onto(r)
+			w.enterCore(r)
 			w.onCore++
 			if u, _ := w.pool(r.class); u != nil {
-				u.running, u.held = u.running+1, u.held-1
-				if r.class == w.ceil.CheapestClass {
-					w.cheapRuns++
+				u.running, u.queued = u.running+1, u.queued-1
+				if r.class == w.ceilings.CheapestClass {
+					w.cheapestRuns++
 				}
 			}
 			acts = append(acts, Action{Kind: Run, ID: r.id})
-			acts = w.copies(r, acts)
+			acts = w.serveDuplicates(r, acts)
 		}
-		if !own {
+		if !guaranteed {
 			return acts
 		}
 	}
 }
 
-// fits says whether the pool of r has a place for it: one of its own, beyond the limit too where it has some
-// to spare, or any below its most.
-func (w *Worker) fits(r *request, own bool, limit int) bool {
+// poolAllows reports whether the pool of r has a running slot: a guaranteed one, also beyond the limit where
+// it has reserved slots, or any below its maximum.
+func (w *Worker) poolAllows(r *request, guaranteed bool, limit int) bool {
 	u, c := w.pool(r.class)
 	switch {
 	case c == nil:
 		return true
-	case !own:
+	case !guaranteed:
 		return u.running < c.MaxRuns
 	}
-	spare := 0
-	if r.class == w.ceil.CheapestClass {
-		spare = w.ceil.CheapestReserved
+	reserved := 0
+	if r.class == w.ceilings.CheapestClass {
+		reserved = w.ceilings.CheapestReserved
 	}
-	return w.onCore < limit+spare && u.running < c.GuaranteedRuns || u.running < c.ReservedRuns || w.cheapRuns < spare
+	return w.onCore < limit+reserved && u.running < c.GuaranteedRuns || u.running < c.ReservedRuns ||
+		w.cheapestRuns < reserved
 }
 
-// owed is how many held requests may start in places of their pools' own, or beyond the limit.
-func (w *Worker) owed(limit int) int {
+// guaranteedStarts returns how many queued requests may start in guaranteed slots, or beyond the limit.
+func (w *Worker) guaranteedStarts(limit int) int {
 	n := 0
-	for i := range w.uses {
-		u, c := &w.uses[i], &w.ceil.Pools[i]
-		n += max(0, min(u.held, c.GuaranteedRuns-u.running))
+	for i := range w.poolUsage {
+		u, c := &w.poolUsage[i], &w.ceilings.Pools[i]
+		n += max(0, min(u.queued, c.GuaranteedRuns-u.running))
 	}
 	n = min(n, max(0, limit-w.onCore))
-	for i := range w.uses {
-		u, c := &w.uses[i], &w.ceil.Pools[i]
-		n += max(0, min(u.held, c.ReservedRuns-u.running))
+	for i := range w.poolUsage {
+		u, c := &w.poolUsage[i], &w.ceilings.Pools[i]
+		n += max(0, min(u.queued, c.ReservedRuns-u.running))
 	}
-	if w.ceil.CheapestClass >= 0 {
-		u, c := w.pool(w.ceil.CheapestClass)
-		room := min(limit+w.ceil.CheapestReserved-w.onCore, c.GuaranteedRuns-u.running)
-		n += max(0, min(u.held, max(room, w.ceil.CheapestReserved-w.cheapRuns)))
+	if w.ceilings.CheapestClass >= 0 {
+		u, c := w.pool(w.ceilings.CheapestClass)
+		room := min(limit+w.ceilings.CheapestReserved-w.onCore, c.GuaranteedRuns-u.running)
+		n += max(0, min(u.queued, max(room, w.ceilings.CheapestReserved-w.cheapestRuns)))
 	}
 	return n
 }
--- a/policy_test.go
+++ b/policy_test.go
@@ -14,7 +14,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Cores: 2, MemoryKB: 10000, RunFactor: 8, KeyKB: 20,
 		Classes: []Class{
@@ -29,15 +29,15 @@
 	}
 }
 
-// bench is a worker with the actions of its last step.
-type bench struct {
+// harness is a worker with the actions of its last step.
+type harness struct {
 	t *testing.T
 	w *Worker
 }
 
-func start(t *testing.T, change func(*Settings)) *bench {
+func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
-	s := settings()
+	s := testSettings()
 	if change != nil {
 		change(&s)
 	}
@@ -45,12 +45,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &bench{t, w}
+	return &harness{t, w}
 }
 
-func (b *bench) step(now int64, events ...Event) []Action { return b.w.Step(now, events, nil) }
+func (b *harness) step(now int64, events ...Event) []Action { return b.w.Step(now, events, nil) }
 
-func has(acts []Action, kind ActionKind, id RequestID) bool {
+func hasAction(acts []Action, kind ActionKind, id RequestID) bool {
 	for _, a := range acts {
 		if a.Kind == kind && a.ID == id {
 			return true
@@ -59,9 +59,9 @@
 	return false
 }
 
-func (b *bench) want(acts []Action, kind ActionKind, id RequestID, yes bool) {
+func (b *harness) want(acts []Action, kind ActionKind, id RequestID, yes bool) {
 	b.t.Helper()
-	if has(acts, kind, id) != yes {
+	if hasAction(acts, kind, id) != yes {
 		b.t.Fatalf("action %d about %d: want %v, got %+v", kind, id, yes, acts)
 	}
 }
@@ -93,7 +93,7 @@
 		"Classes[2].Worth":  func(s *Settings) { s.Classes[2].Worth = math.NaN() },
 		"Tenants[1].Quota":  func(s *Settings) { s.Tenants = []Tenant{{Quota: 1}, {Quota: -2}} },
 	} {
-		s := settings()
+		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), "Settings."+field) {
 			t.Errorf("%s: error %v", field, err)
@@ -101,8 +101,8 @@
 	}
 }
 
-func TestKeptBeforeItRuns(t *testing.T) {
-	b := start(t, nil)
+func TestKeyRetainedBeforeRun(t *testing.T) {
+	b := newHarness(t, nil)
 	acts := b.step(1000, arrival(1, 1))
 	for _, a := range acts {
 		switch a.Kind {
@@ -118,8 +118,8 @@
 	t.Fatal("never kept")
 }
 
-func TestRepeatIsServedFromTheFirst(t *testing.T) {
-	b := start(t, nil)
+func TestDuplicateReusesResult(t *testing.T) {
+	b := newHarness(t, nil)
 	twin := arrival(2, 1)
 	twin.DuplicateOf = 1
 	acts := b.step(1000, arrival(1, 1), twin)
@@ -134,8 +134,8 @@
 	b.want(acts, Refuse, 3, false)
 }
 
-func TestRepeatTakesThePlaceOfOneThatLeft(t *testing.T) {
-	b := start(t, nil)
+func TestDuplicateReplacesAbandonedRequest(t *testing.T) {
+	b := newHarness(t, nil)
 	b.step(1000, arrival(1, 0), arrival(2, 0)) // the cores are full
 	twin := arrival(4, 1)
 	twin.DuplicateOf = 3
@@ -148,7 +148,7 @@
 }
 
 func TestLostWorkOfKeyedIsNeitherRunNorRefused(t *testing.T) {
-	b := start(t, nil)
+	b := newHarness(t, nil)
 	b.step(1000, arrival(1, 1))
 	acts := b.step(2000, Event{Kind: Done, ID: 1, Outcome: Cancelled})
 	b.want(acts, Fail, 1, true)
@@ -158,7 +158,7 @@
 
 func TestCallOfKeyedNotRepeatedUnlessItNeverRan(t *testing.T) {
 	for outcome, again := range map[Outcome]bool{Rejected: true, Unreachable: true, TimedOut: false, Reset: false, Failed: false} {
-		b := start(t, nil)
+		b := newHarness(t, nil)
 		b.step(1000, arrival(1, 1))
 		b.want(b.step(10_000, Event{Kind: NeedsCall, ID: 1}), Call, 1, true)
 		acts := b.step(20_000, Event{Kind: CallDone, ID: 1, Outcome: outcome, Elapsed: 10_000})
@@ -169,7 +169,7 @@
 
 func TestAnsweredWhenDue(t *testing.T) {
 	for _, stage := range []string{"running", "at call", "calling"} {
-		b := start(t, nil)
+		b := newHarness(t, nil)
 		b.step(1000, arrival(1, 1))
 		if stage != "running" {
 			b.step(2000, Event{Kind: NeedsCall, ID: 1})
@@ -177,14 +177,14 @@
 		acts := b.step(2_000_000, Event{Kind: Timer})
 		b.want(acts, Fail, 1, true)
 	}
-	b := start(t, nil)
+	b := newHarness(t, nil)
 	waited := arrival(1, 1)
 	waited.Waited = 1_999_000 // hardly any time is left
 	b.want(b.step(2_000_000, waited), Refuse, 1, true)
 }
 
-func TestWorthlessWorkIsStopped(t *testing.T) {
-	b := start(t, nil)
+func TestUselessWorkIsStopped(t *testing.T) {
+	b := newHarness(t, nil)
 	b.step(1000, arrival(1, 0))
 	acts := b.step(2_001_001, Event{Kind: Timer}) // past its aim, and late answers earn nothing
 	b.want(acts, Fail, 1, false)                  // callers would answer an error with another try
@@ -192,20 +192,20 @@
 	if acts[0].Kind != Refuse || !acts[0].On {
 		t.Errorf("want a refusal for good, got %+v", acts[0])
 	}
-	b = start(t, func(s *Settings) { s.Stop = StopNever })
+	b = newHarness(t, func(s *Settings) { s.Stop = StopNever })
 	b.step(1000, arrival(1, 0))
 	b.want(b.step(4_990_000, Event{Kind: Timer}), Halt, 1, false)
 }
 
 func TestDrain(t *testing.T) {
-	b := start(t, nil)
+	b := newHarness(t, nil)
 	b.step(1000, Event{Kind: Drain, Deadline: 4_000_000})
 	b.want(b.step(1_500_000, arrival(1, 0)), Run, 1, true)
 	acts := b.step(2_100_000, arrival(2, 0))
 	b.want(acts, Refuse, 2, true)
 	b.want(b.step(3_750_000, Event{Kind: Timer}), Refuse, 1, true)
 	// What came just before the last answers were due was begun, cut short, and failed.
-	b = start(t, nil)
+	b = newHarness(t, nil)
 	b.step(1000, Event{Kind: Drain, Deadline: 2_000_000})
 	b.want(b.step(1_000_000, arrival(1, 0)), Run, 1, true)
 	b.want(b.step(1_200_000, arrival(2, 0)), Refuse, 2, true)
@@ -215,7 +215,7 @@
 // left arrivals unread for seconds.
 func TestLimitGrowsOnlyWithACoreToSpare(t *testing.T) {
 	for runnable, grows := range map[float32]bool{1: true, 2: false, 6: false} {
-		b := start(t, nil)
+		b := newHarness(t, nil)
 		now, id := int64(1000), RequestID(1)
 		b.step(now, Event{Kind: Timer, Gauges: Gauges{Valid: true, Runnable: runnable}}, arrival(1, 0), arrival(2, 0))
 		for range 8 {
@@ -230,8 +230,8 @@
 }
 
 // All workers using their whole share at once killed what they called.
-func TestCallsStayUnderTheShare(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Cores = 8; s.MemoryKB = 1e6 })
+func TestCallsStayBelowShare(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.Cores = 8; s.MemoryKB = 1e6 })
 	var arrivals, needs []Event
 	for id := RequestID(1); id <= 8; id++ {
 		arrivals = append(arrivals, arrival(id, 1))
@@ -251,9 +251,9 @@
 
 // A worker with less than one call in its share had one in hand all the time when calls hung, and so had
 // all others: the dependency died of it. Whatever calls do, no told span may hold more than the share.
-func TestNoSpanHoldsMoreCallsThanTheShare(t *testing.T) {
+func TestCallsInAnyWindowStayBelowShare(t *testing.T) {
 	for _, took := range []int64{30_000, 400_000, 3_000_000, 60_000_000} { // the last: only patience ends them
-		b := start(t, func(s *Settings) {
+		b := newHarness(t, func(s *Settings) {
 			s.CallShare, s.MemoryKB = 0.46, 1e6
 			s.Classes[1].TargetTime, s.Classes[1].Timeout = 2_800_000, 8_600_000
 		})
@@ -320,8 +320,8 @@
 
 // Runs were begun while others stood at their call without room: they were cut off there, and a keyed one
 // can never run again.
-func TestNoRunThatMustCallIsBegunWhileOneWaitsForRoom(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Cores, s.MemoryKB, s.CallShare = 4, 1e6, 0.4 })
+func TestRequiredCallWaitingBlocksNewCallers(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.Cores, s.MemoryKB, s.CallShare = 4, 1e6, 0.4 })
 	b.step(1000, arrival(1, 1), arrival(2, 1))
 	b.step(2000, Event{Kind: NeedsCall, ID: 1}, Event{Kind: NeedsCall, ID: 2}) // the call of one takes the room
 	acts := b.step(3000, arrival(3, 1), arrival(4, 0))
@@ -331,21 +331,21 @@
 }
 
 // Slow readers were sent their full part: the free value must count what waits unread.
-func TestUnreadWaitRaisesTheFloor(t *testing.T) {
-	b := start(t, func(s *Settings) { s.LoadSignal = LoadSignalMinRank })
+func TestReadDelayRaisesMinRank(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.LoadSignal = LoadSignalMinRank })
 	for i := range RequestID(20) {
 		e := arrival(i+1, 0)
 		e.Waited = 1_500_000
 		b.step(1000+int64(i)*100_000, e)
 	}
-	if b.w.said <= 0 {
-		t.Fatalf("floor said %v, want above 0", b.w.said)
+	if b.w.lastSignal <= 0 {
+		t.Fatalf("floor said %v, want above 0", b.w.lastSignal)
 	}
 }
 
 // An idle spell is no stall: after one, quiet days were refused.
-func TestIdleSpellIsNoStall(t *testing.T) {
-	b := start(t, nil)
+func TestIdlePeriodIsNotAStall(t *testing.T) {
+	b := newHarness(t, nil)
 	b.step(1000, arrival(1, 0))
 	b.step(101_000, Event{Kind: Done, ID: 1, Outcome: OK})
 	acts := b.step(60_000_000, arrival(2, 0), arrival(3, 0), arrival(4, 0))
@@ -354,12 +354,12 @@
 }
 
 func TestFailingWorkerRefusesButProbes(t *testing.T) {
-	b := start(t, nil)
+	b := newHarness(t, nil)
 	now, ran, refused := int64(0), 0, 0
 	for id := RequestID(1); id < 200; id++ {
 		now += 50_000
 		acts := b.step(now, arrival(id, 0))
-		if has(acts, Refuse, id) {
+		if hasAction(acts, Refuse, id) {
 			refused++
 		} else {
 			ran++
@@ -371,8 +371,8 @@
 	}
 }
 
-func TestUnknownThings(t *testing.T) {
-	b := start(t, nil)
+func TestUnknownEventsIgnored(t *testing.T) {
+	b := newHarness(t, nil)
 	acts := b.step(1000, Event{Kind: Arrive, ID: 1, Class: 77, Tenant: 9, SizeKB: 1}, Event{Kind: Done, ID: 5},
 		Event{Kind: CallDone, ID: 6}, Event{Kind: NeedsCall, ID: 7}, Event{Kind: Disconnected, ID: 8}, Event{Kind: 99})
 	b.want(acts, Refuse, 1, true)
@@ -384,14 +384,14 @@
 // A seeded stream of legal events: the invariants of the rules hold, and the same events give the same actions.
 func TestRandomStream(t *testing.T) {
 	for seed := range uint64(6) {
-		if a, b := stream(t, seed), stream(t, seed); !reflect.DeepEqual(a, b) {
+		if a, b := randomStream(t, seed), randomStream(t, seed); !reflect.DeepEqual(a, b) {
 			t.Fatalf("seed %d: two runs differ", seed)
 		}
 	}
 }
 
-func stream(t *testing.T, seed uint64) []Action {
-	s := settings()
+func randomStream(t *testing.T, seed uint64) []Action {
+	s := testSettings()
 	s.Stop = Stop(seed % 3)
 	w, err := New(s, seed)
 	if err != nil {
@@ -446,8 +446,8 @@
 				}
 			}
 		}
-		if w.count(); w.memory > s.MemoryKB {
-			t.Fatalf("seed %d: memory %v", seed, w.memory)
+		if w.recount(); w.memoryKB > s.MemoryKB {
+			t.Fatalf("seed %d: memory %v", seed, w.memoryKB)
 		}
 		for _, l := range live {
 			if r := tries[l]; !r.ended && now > r.due {
@@ -515,10 +515,10 @@
 }
 
 // Behind a backlog that callers leave before it is read, half of the cores are left to reading.
-func TestReadingComesFirstBehindABacklog(t *testing.T) {
+func TestReadBacklogHalvesRuns(t *testing.T) {
 	for waited, want := range map[int64]int{0: 2, 1_500_000: 1} {
-		b := start(t, nil)
-		b.w.unread = float64(waited)
+		b := newHarness(t, nil)
+		b.w.readDelay = float64(waited)
 		one, two := arrival(1, 0), arrival(2, 0)
 		one.Waited, two.Waited = waited, waited
 		runs := 0
@@ -534,8 +534,8 @@
 }
 
 // A repeat of a try that was turned away in the same batch is a request of its own.
-func TestRepeatOfARefusedTwinStandsAlone(t *testing.T) {
-	b := start(t, nil)
+func TestDuplicateOfRefusedRequestRuns(t *testing.T) {
+	b := newHarness(t, nil)
 	first, twin := arrival(1, 1), arrival(2, 1)
 	first.Waited = 1_990_000 // due at once
 	twin.DuplicateOf = 1
@@ -547,7 +547,7 @@
 }
 
 func TestReadsOfOneSubjectShareAnAnswer(t *testing.T) {
-	b := start(t, func(s *Settings) { s.ReuseFor = 100_000 })
+	b := newHarness(t, func(s *Settings) { s.ReuseFor = 100_000 })
 	first := arrival(1, 0)
 	first.Key = 5
 	acts := b.step(1000, first)
@@ -560,35 +560,35 @@
 	b.want(acts, Run, 2, false)
 }
 
-func TestCallLeftOutWhereItWouldCostTheAim(t *testing.T) {
-	b := start(t, nil)
+func TestCallSkippedWhenTargetWouldBeMissed(t *testing.T) {
+	b := newHarness(t, nil)
 	b.step(1000, arrival(1, 0))
-	b.w.callMean, b.w.callBase = 3_000_000, 3_000_000 // calls take longer than the aim
+	b.w.callMean, b.w.callBaseline = 3_000_000, 3_000_000 // calls take longer than the aim
 	acts := b.step(10_000, Event{Kind: NeedsCall, ID: 1})
 	b.want(acts, Skip, 1, true)
 	b.want(acts, Call, 1, false)
 }
 
 // A cold server dies of a smaller crowd than a warm one.
-func TestCrowdOfAColdServer(t *testing.T) {
+func TestSafeRunsOfColdServer(t *testing.T) {
 	for cold, want := range map[bool]float64{false: 0.8 * 2 * 8, true: 0.8 * 2 * (1 + 7*0.2)} {
-		b := start(t, func(s *Settings) { s.JustStarted = cold })
+		b := newHarness(t, func(s *Settings) { s.JustStarted = cold })
 		b.step(1000)
-		if got := b.w.crowd(); got < want-1e-9 || got > want+1e-9 {
+		if got := b.w.safeRuns(); got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("cold %v: crowd %v, want %v", cold, got, want)
 		}
 	}
 }
 
-func TestMemoryRefusesAtTheTop(t *testing.T) {
-	b := start(t, func(s *Settings) { s.MemoryKB = 600 })
+func TestRefusesAtMemoryTop(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.MemoryKB = 600 })
 	refused := 0
 	for id := RequestID(1); id <= 60; id++ {
-		if has(b.step(1000+int64(id)*2000, arrival(id, 0)), Refuse, id) {
+		if hasAction(b.step(1000+int64(id)*2000, arrival(id, 0)), Refuse, id) {
 			refused++
 		}
-		if b.w.count(); b.w.memory > b.w.top() {
-			t.Fatalf("memory %v over the top %v", b.w.memory, b.w.top())
+		if b.w.recount(); b.w.memoryKB > b.w.memoryTop() {
+			t.Fatalf("memory %v over the top %v", b.w.memoryKB, b.w.memoryTop())
 		}
 	}
 	if refused == 0 {
@@ -597,14 +597,14 @@
 }
 
 func TestNoRoomForAKeyIsRefusedBeforeItRuns(t *testing.T) {
-	b := start(t, func(s *Settings) { s.KeyKB = 9990 })
+	b := newHarness(t, func(s *Settings) { s.KeyKB = 9990 })
 	acts := b.step(1000, arrival(1, 1))
 	b.want(acts, Refuse, 1, true)
 	b.want(acts, Run, 1, false)
 }
 
-func TestWithinAShareBeforeBeyondIt(t *testing.T) {
-	b := start(t, func(s *Settings) {
+func TestWithinQuotaBeforeOverQuota(t *testing.T) {
+	b := newHarness(t, func(s *Settings) {
 		s.Cores, s.Tenants = 1, []Tenant{{Quota: 4}, {Quota: 4}}
 		s.OverShareWorth = 0.05
 	})
@@ -619,8 +619,8 @@
 	b.want(acts, Run, 1, false)
 }
 
-func TestHangTurnsHealthBadAndBack(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Classes[1].Timeout = 8_000_000 })
+func TestHealthFollowsStall(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.Classes[1].Timeout = 8_000_000 })
 	b.step(1000, arrival(1, 1))
 	turned := func(acts []Action, on bool) bool {
 		for _, a := range acts {
@@ -638,16 +638,16 @@
 	}
 }
 
-func TestAllowanceAndWeightFollowThePressure(t *testing.T) {
+func TestLoadSignalFollowsWaitRatio(t *testing.T) {
 	for _, free := range []LoadSignal{LoadSignalAllowance, LoadSignalWeight} {
 		said := map[bool]float64{}
 		for _, behind := range []bool{false, true} {
-			b := start(t, func(s *Settings) { s.LoadSignal, s.Cores = free, 16 })
+			b := newHarness(t, func(s *Settings) { s.LoadSignal, s.Cores = free, 16 })
 			if behind {
-				b.w.unread = 2_000_000
+				b.w.readDelay = 2_000_000
 			}
 			b.step(1000, Event{Kind: Timer})
-			said[behind] = b.w.said
+			said[behind] = b.w.lastSignal
 		}
 		if said[true] >= said[false] {
 			t.Errorf("free %d: said %v behind, %v without", free, said[true], said[false])
@@ -655,8 +655,8 @@
 	}
 }
 
-// crowd lets a worker learn its base and then gives it far more at once than it can do in time.
-func (b *bench) crowd() []Action {
+// overload lets a worker learn its base and then gives it far more at once than it can do in time.
+func (b *harness) overload() []Action {
 	for id := RequestID(1); id < 30; id++ {
 		b.step(int64(id)*400_000, arrival(id, 0))
 		b.step(int64(id)*400_000+300_000, Event{Kind: Done, ID: id, Outcome: OK})
@@ -670,10 +670,10 @@
 }
 
 // Refused tries that walked on from server to server were read a dozen times in a fleet of hundreds.
-func TestWhatCannotBeInTimeDoesNotWalkOn(t *testing.T) {
-	b := start(t, nil)
+func TestLateRefusalForbidsRetryElsewhere(t *testing.T) {
+	b := newHarness(t, nil)
 	refused := 0
-	for _, a := range b.crowd() {
+	for _, a := range b.overload() {
 		if a.Kind == Refuse {
 			if refused++; !a.On {
 				t.Errorf("%d was refused and may try elsewhere", a.ID)
@@ -686,18 +686,18 @@
 }
 
 // Advice of just what came too much brought all back at once. It is longer than that now, and within the setting.
-func TestAdviceOutlastsTheExcess(t *testing.T) {
-	b := start(t, func(s *Settings) { s.MaxRetryAfter = 3_000_000 })
-	c := &b.w.set.Classes[0]
+func TestRetryAfterExceedsBacklog(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.MaxRetryAfter = 3_000_000 })
+	c := &b.w.cfg.Classes[0]
 	for _, over := range []int64{0, 50_000, 400_000, 2_000_000} {
-		b.w.reqs = append(b.w.reqs[:0], request{id: 1, phase: held, due: 9_000_000, aim: 2_000_000})
-		acts := b.w.refuse(&b.w.reqs[0], b.w.away(over, c), true, nil)
-		if got := acts[0].After; got > b.w.set.MaxRetryAfter || got < min(2*over+c.TargetTime/10, b.w.set.MaxRetryAfter) {
+		b.w.reqs = append(b.w.reqs[:0], request{id: 1, phase: queued, deadline: 9_000_000, softDeadline: 2_000_000})
+		acts := b.w.refuse(&b.w.reqs[0], b.w.retryAfter(over, c), true, nil)
+		if got := acts[0].After; got > b.w.cfg.MaxRetryAfter || got < min(2*over+c.TargetTime/10, b.w.cfg.MaxRetryAfter) {
 			t.Errorf("%d us too late: stay away for %d us", over, got)
 		}
 	}
 	refused := 0
-	for _, a := range b.crowd() {
+	for _, a := range b.overload() {
 		if a.Kind == Refuse {
 			if refused++; a.After < c.TargetTime/10 {
 				t.Errorf("%d was refused for %d us", a.ID, a.After)
@@ -710,11 +710,11 @@
 }
 
 // Sixteen of the largest sizes were most of a small machine's memory: the draw refused three of four.
-func TestTopOnASmallMachine(t *testing.T) {
+func TestMemoryTopOnSmallMachine(t *testing.T) {
 	for cores, want := range map[int]float64{1: 2, 2: 4, 8: 16, 64: 16} {
-		b := start(t, func(s *Settings) { s.Cores = cores })
+		b := newHarness(t, func(s *Settings) { s.Cores = cores })
 		b.step(1000, arrival(1, 0))
-		if got := (10000 - b.w.top()) / 10; got != want {
+		if got := (10000 - b.w.memoryTop()) / 10; got != want {
 			t.Errorf("%d cores: the top lies %v sizes below the memory, want %v", cores, got, want)
 		}
 	}
@@ -722,8 +722,8 @@
 
 // Hundreds of callers filled the table with connections that none of them used again.
 func TestIdleConnectionsAreClosedWhenTheyAreNotUsedAgain(t *testing.T) {
-	for callers, want := range map[int]int64{4: 30_000_000, 1000: shortIdle} {
-		b := start(t, func(s *Settings) { s.Callers, s.IdleAfter = callers, 30_000_000 })
+	for callers, want := range map[int]int64{4: 30_000_000, 1000: shortIdleTimeoutUS} {
+		b := newHarness(t, func(s *Settings) { s.Callers, s.IdleAfter = callers, 30_000_000 })
 		after := int64(30_000_000)
 		for id := RequestID(1); id < 60; id++ { // five arrivals a second
 			acts := b.step(int64(id)*200_000, arrival(id, 0))
@@ -738,15 +738,15 @@
 			t.Errorf("%d callers: idle connections are closed after %d, want %d", callers, after, want)
 		}
 	}
-	b := start(t, nil)
-	if has(b.step(1000, arrival(1, 0)), SetIdleTimeout, 0) {
+	b := newHarness(t, nil)
+	if hasAction(b.step(1000, arrival(1, 0)), SetIdleTimeout, 0) {
 		t.Error("connections are steered where no idle time is told")
 	}
 }
 
 // In turn, a long hold was served just before its aims, too late for tries that had lost time elsewhere.
 func TestNewestFirstWhileTheWaitIsTooLong(t *testing.T) {
-	b := start(t, nil)
+	b := newHarness(t, nil)
 	b.step(1000, arrival(1, 0), arrival(2, 0))
 	b.step(2000, arrival(3, 0))
 	b.step(300_000, arrival(4, 0))
@@ -754,8 +754,8 @@
 		pressure float64
 		first    RequestID
 	}{{0.5, 3}, {2, 4}} {
-		b.w.pressure = c.pressure
-		if better(b.w.place(b.w.at[3]), b.w.place(b.w.at[4])) < 0 != (c.first == 3) {
+		b.w.waitRatio = c.pressure
+		if compareSortKeys(b.w.sortKey(b.w.byID[3]), b.w.sortKey(b.w.byID[4])) < 0 != (c.first == 3) {
 			t.Errorf("pressure %v: want %d first", c.pressure, c.first)
 		}
 	}
@@ -763,16 +763,16 @@
 
 // A floor of one a caller asked hundreds of callers for hundreds of requests on two cores.
 func TestAllowanceOfManyCallersIsAFraction(t *testing.T) {
-	b := start(t, func(s *Settings) { s.LoadSignal, s.Callers = LoadSignalAllowance, 300 })
+	b := newHarness(t, func(s *Settings) { s.LoadSignal, s.Callers = LoadSignalAllowance, 300 })
 	b.step(1000, Event{Kind: Timer})
-	if b.w.said <= 0 || b.w.said >= 1 {
-		t.Errorf("300 callers are allowed %v each on two cores", b.w.said)
+	if b.w.lastSignal <= 0 || b.w.lastSignal >= 1 {
+		t.Errorf("300 callers are allowed %v each on two cores", b.w.lastSignal)
 	}
 }
 
 // A flood refused beyond its share passed for the tenant served worst, and was put first.
-func TestFloodIsNotTheTenantServedWorst(t *testing.T) {
-	b := start(t, func(s *Settings) {
+func TestOverQuotaTenantHasNoDeficit(t *testing.T) {
+	b := newHarness(t, func(s *Settings) {
 		s.Tenants = []Tenant{{Quota: 8}, {Quota: 8}}
 		s.Goal = Goal{Whole: 1, WorstTenant: 1}
 	})
@@ -789,14 +789,14 @@
 			b.step(now+20_000, Event{Kind: Disconnected, ID: id})
 		}
 	}
-	if flood, within := b.w.lag(&b.w.tenants[0].group, &b.w.allTenants), b.w.lag(&b.w.tenants[1].group, &b.w.allTenants); flood >= within {
+	if flood, within := b.w.serviceDeficit(&b.w.tenants[0].usage, &b.w.allTenants), b.w.serviceDeficit(&b.w.tenants[1].usage, &b.w.allTenants); flood >= within {
 		t.Errorf("the flood lags by %v, the tenant within its share by %v", flood, within)
 	}
 }
 
 // One giant request put the top at zero for good: everything after it was refused.
-func TestOneGiantDoesNotShutTheTop(t *testing.T) {
-	b := start(t, nil)
+func TestOneLargeRequestDoesNotBlockAdmission(t *testing.T) {
+	b := newHarness(t, nil)
 	giant := arrival(1, 0)
 	giant.SizeKB = 9000
 	b.step(1000, giant)
@@ -805,19 +805,19 @@
 }
 
 // Repeats that wait on one run can neither be refused nor shed; they must not outgrow the memory.
-func TestRepeatsDoNotOutgrowTheMemory(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Classes[1].Timeout, s.Classes[1].TargetTime = 60_000_000, 50_000_000 })
+func TestDuplicatesStayWithinMemory(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.Classes[1].Timeout, s.Classes[1].TargetTime = 60_000_000, 50_000_000 })
 	first := arrival(1, 1)
 	b.step(1000, first)
 	waiting := 0
 	for id := RequestID(2); id < 1200; id++ {
 		again := arrival(id, 1)
 		again.DuplicateOf = 1
-		if has(b.step(int64(id)*1000, again), Reuse, id) {
+		if hasAction(b.step(int64(id)*1000, again), Reuse, id) {
 			waiting++
 		}
-		if b.w.count(); b.w.memory > b.w.set.MemoryKB {
-			t.Fatalf("%v of %v kB in use with %d repeats", b.w.memory, b.w.set.MemoryKB, id)
+		if b.w.recount(); b.w.memoryKB > b.w.cfg.MemoryKB {
+			t.Fatalf("%v of %v kB in use with %d repeats", b.w.memoryKB, b.w.cfg.MemoryKB, id)
 		}
 	}
 	if waiting < 500 {
@@ -828,11 +828,11 @@
 // One run of five means turned a small machine's health bad, and callers that check went away.
 func TestOneLongRunIsNoStall(t *testing.T) {
 	for runs, healthy := range map[int]bool{1: true, 2: false} {
-		b := start(t, func(s *Settings) { s.Classes[0].TargetTime = 4_000_000 })
+		b := newHarness(t, func(s *Settings) { s.Classes[0].TargetTime = 4_000_000 })
 		for id := RequestID(1); id <= RequestID(runs); id++ {
 			b.step(1000, arrival(id, 0))
 		}
-		b.step(1000+int64(11*b.w.meanBase), Event{Kind: Timer})
+		b.step(1000+int64(11*b.w.meanWork), Event{Kind: Timer})
 		if b.w.healthy != healthy {
 			t.Errorf("%d runs without progress for eleven means: healthy is %v", runs, b.w.healthy)
 		}
@@ -840,38 +840,38 @@
 }
 
 // A floor over the class that most ask for turned nearly all away, fell to zero, and rose again.
-func TestFloorStopsAtTheLeastValuableClass(t *testing.T) {
-	b := start(t, func(s *Settings) { s.LoadSignal = LoadSignalMinRank })
+func TestMinRankStopsAtLeastValuableClass(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.LoadSignal = LoadSignalMinRank })
 	for now := int64(1); now < 20; now++ {
-		b.w.unread = 3_000_000
+		b.w.readDelay = 3_000_000
 		b.step(now*1_000_000, Event{Kind: Timer})
 	}
 	for now := int64(200); now < 400; now++ {
-		b.w.unread = 3_000_000
+		b.w.readDelay = 3_000_000
 		b.step(now*100_000, Event{Kind: Timer})
 	}
-	if want := 1.0 / 3; b.w.floor < want-0.01 || b.w.floor > want {
-		t.Errorf("the floor is %v, want %v for three classes", b.w.floor, want)
+	if want := 1.0 / 3; b.w.minRank < want-0.01 || b.w.minRank > want {
+		t.Errorf("the floor is %v, want %v for three classes", b.w.minRank, want)
 	}
 }
 
 // One short first run made a base of a few milliseconds: health flapped and the limit was cut at every start.
-func TestOneShortRunIsNoBase(t *testing.T) {
-	b := start(t, nil)
-	guess := b.w.classes[0].base
+func TestOneShortRunDoesNotSetMeanWork(t *testing.T) {
+	b := newHarness(t, nil)
+	guess := b.w.classes[0].meanWork
 	b.step(1000, arrival(1, 0))
 	b.step(3000, Event{Kind: Done, ID: 1, Outcome: OK})
-	if b.w.classes[0].base < guess/2 || b.w.classes[0].base >= guess {
-		t.Errorf("the base went from %v to %v by one run of 2000", guess, b.w.classes[0].base)
+	if b.w.classes[0].meanWork < guess/2 || b.w.classes[0].meanWork >= guess {
+		t.Errorf("the base went from %v to %v by one run of 2000", guess, b.w.classes[0].meanWork)
 	}
 }
 
 // Costs spread so that a tenth of all runs takes two means: with two or three finishes in a base latency one
 // long run cut the limit each time, and quick servers stood half idle while they refused.
 func TestOneLongRunDoesNotCutTheLimit(t *testing.T) {
-	b := start(t, nil)
+	b := newHarness(t, nil)
 	b.w.limit = 6
-	b.w.rebase(0, 200_000)
+	b.w.setMeanWork(0, 200_000)
 	b.step(1000, arrival(1, 0))
 	b.step(901_000, Event{Kind: Done, ID: 1, Outcome: OK})
 	if b.w.limit < 6 {
@@ -880,7 +880,7 @@
 	now, id := int64(1_000_000), RequestID(2)
 	for range 12 { // all late
 		b.step(now, arrival(id, 0))
-		b.w.rebase(0, 200_000)
+		b.w.setMeanWork(0, 200_000)
 		now += 900_000
 		b.step(now, Event{Kind: Done, ID: id, Outcome: OK})
 		id++
@@ -891,22 +891,22 @@
 }
 
 // One run of thirty times the usual work doubled what was expected of all.
-func TestHeavyRunDoesNotSpoilTheBase(t *testing.T) {
-	b := start(t, nil)
-	b.w.rebase(0, 200_000)
+func TestHeavyRunIsClampedInMeanWork(t *testing.T) {
+	b := newHarness(t, nil)
+	b.w.setMeanWork(0, 200_000)
 	b.w.classes[0].runs = 100
-	b.w.set.Classes[0].TargetTime, b.w.set.Classes[0].Timeout = 20_000_000, 20_000_000
+	b.w.cfg.Classes[0].TargetTime, b.w.cfg.Classes[0].Timeout = 20_000_000, 20_000_000
 	b.step(1000, arrival(1, 0))
 	b.step(6_001_000, Event{Kind: Done, ID: 1, Outcome: OK})
-	if b.w.classes[0].base > 260_000 {
-		t.Errorf("the base went from 200000 to %v by one heavy run", b.w.classes[0].base)
+	if b.w.classes[0].meanWork > 260_000 {
+		t.Errorf("the base went from 200000 to %v by one heavy run", b.w.classes[0].meanWork)
 	}
 }
 
 // Two heavy runs on two cores kept all else out, and turned health off for want of progress.
 func TestHeavyRunsLeaveRoomForOthers(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Classes[0].TargetTime, s.Classes[0].Timeout = 20_000_000, 20_000_000 })
-	b.w.rebase(0, 200_000)
+	b := newHarness(t, func(s *Settings) { s.Classes[0].TargetTime, s.Classes[0].Timeout = 20_000_000, 20_000_000 })
+	b.w.setMeanWork(0, 200_000)
 	b.w.classes[0].runs = 100
 	b.step(1000, arrival(1, 0), arrival(2, 0))
 	b.want(b.step(500_000, arrival(3, 0)), Run, 3, false)
@@ -918,9 +918,9 @@
 }
 
 // Answers to further tries came after the aim of the first, and earned nothing.
-func TestFurtherTriesHaveLessOfTheirAimLeft(t *testing.T) {
-	left := func(b *bench, id RequestID) int64 { return b.w.find(id).hope - b.w.find(id).reached }
-	b := start(t, nil)
+func TestRetriesHaveEarlierSoftDeadline(t *testing.T) {
+	left := func(b *harness, id RequestID) int64 { return b.w.find(id).latestUseful - b.w.find(id).arrivedAt }
+	b := newHarness(t, nil)
 	marked := arrival(2, 0)
 	marked.Retry = true
 	b.step(1000, arrival(1, 0), marked)
@@ -928,7 +928,7 @@
 		t.Errorf("a first try has %d left, a marked one %d", left(b, 1), left(b, 2))
 	}
 	// Unmarked: what is left of the caller's time tells it, unless it is a usual patience.
-	b = start(t, func(s *Settings) { s.MemoryKB = 1e6 })
+	b = newHarness(t, func(s *Settings) { s.MemoryKB = 1e6 })
 	for id := RequestID(1); id <= 60; id++ {
 		e := arrival(id, 0)
 		e.Deadline = 1000 + 4_000_000
@@ -950,21 +950,21 @@
 // Where worth is counted by work, long classes were put last for nothing.
 func TestWorthByWork(t *testing.T) {
 	for byWork, first := range map[bool]RequestID{false: 2, true: 1} {
-		b := start(t, func(s *Settings) {
+		b := newHarness(t, func(s *Settings) {
 			s.Cores, s.WorthByWork = 1, byWork
 			s.Classes = []Class{{TargetTime: 3_000_000, Timeout: 5_000_000, Worth: 2}, {TargetTime: 3_000_000, Timeout: 5_000_000, Worth: 1}}
 		})
-		b.w.rebase(0, 400_000)
-		b.w.rebase(1, 100_000)
+		b.w.setMeanWork(0, 400_000)
+		b.w.setMeanWork(1, 100_000)
 		b.want(b.step(1000, arrival(1, 0), arrival(2, 1)), Run, first, true)
 	}
 }
 
 // Final answers are given at once: what stood at a call past all that it could earn was left until it was due.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
+func TestExpiredRequestIsAnsweredAtOnce(t *testing.T) {
 	for _, stop := range []Stop{StopNever, StopDiscard, StopFreeze} {
 		for _, phase := range []string{"held", "running", "at call", "calling", "copying"} {
-			b := start(t, func(s *Settings) {
+			b := newHarness(t, func(s *Settings) {
 				s.Cores, s.Stop, s.CallShare = 1, stop, 40
 				s.Classes[0].Timeout, s.ReuseFor, s.Classes[0].SkipWorth = 9_000_000, 1000, 0
 			})
@@ -972,7 +972,7 @@
 			switch phase {
 			case "held":
 				b.w.limit = 1
-				b.w.rebase(0, 1)
+				b.w.setMeanWork(0, 1)
 				b.step(1000, arrival(9, 2))
 				b.step(1000, e)
 			case "copying":
@@ -984,12 +984,12 @@
 			}
 			if phase == "at call" || phase == "calling" {
 				if phase == "at call" {
-					b.w.callNext = 1 << 60
+					b.w.nextFirstCall = 1 << 60
 				}
 				b.step(2000, Event{Kind: NeedsCall, ID: 1})
 			}
 			acts := b.step(2_001_001, Event{Kind: Timer}) // its aim has passed, late worth is nothing
-			ended := has(acts, Refuse, 1) || has(acts, Fail, 1)
+			ended := hasAction(acts, Refuse, 1) || hasAction(acts, Fail, 1)
 			if want := phase != "running" || stop != StopNever; ended != want {
 				t.Errorf("stop %d, %s: answered %v, want %v: %+v", stop, phase, ended, want, acts)
 			}
@@ -998,8 +998,8 @@
 }
 
 // In a storm each try on a new connection was read at a cost; a full table turns it away unread.
-func TestTablesFillInAStorm(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Callers, s.IdleAfter = 1000, 30_000_000 })
+func TestIdleTimeoutNotShortenedInRetryStorm(t *testing.T) {
+	b := newHarness(t, func(s *Settings) { s.Callers, s.IdleAfter = 1000, 30_000_000 })
 	idle := func(now int64) (after int64) {
 		for _, a := range b.step(now, Event{Kind: Timer}) {
 			if a.Kind == SetIdleTimeout {
@@ -1009,33 +1009,33 @@
 		return after
 	}
 	b.step(1000, arrival(1, 0))
-	b.w.unread, b.w.refused = 1_500_000, 0.9
+	b.w.readDelay, b.w.refusalRate = 1_500_000, 0.9
 	if got := idle(1_000_000); got != 30_000_000 {
 		t.Errorf("in a storm idle connections are closed after %d", got)
 	}
-	b.w.unread, b.w.refused = 0, 0.2
-	if got := idle(2_000_000); got != shortIdle {
+	b.w.readDelay, b.w.refusalRate = 0, 0.2
+	if got := idle(2_000_000); got != shortIdleTimeoutUS {
 		t.Errorf("after it idle connections are closed after %d", got)
 	}
 }
 
 // Only finished, short runs were learned, and those stopped at their aim looked in time again and again.
-func TestStoppedRunsCountForTheBase(t *testing.T) {
-	b := start(t, nil)
-	b.w.rebase(0, 200_000)
+func TestStoppedRunsCountInMeanWork(t *testing.T) {
+	b := newHarness(t, nil)
+	b.w.setMeanWork(0, 200_000)
 	b.w.classes[0].runs = 100
 	b.step(1000, arrival(1, 0))
 	b.step(2_001_001, Event{Kind: Timer}) // stopped and answered at its aim
 	b.step(2_002_000, Event{Kind: Done, ID: 1, Outcome: Cancelled})
-	if b.w.classes[0].base <= 210_000 {
-		t.Errorf("the base stays at %v after a run stopped at 2000000", b.w.classes[0].base)
+	if b.w.classes[0].meanWork <= 210_000 {
+		t.Errorf("the base stays at %v after a run stopped at 2000000", b.w.classes[0].meanWork)
 	}
 }
 
 // A class that must run once and carries no key: no second run, no refusal once it has begun.
 func TestOnceIsNeverRunAgain(t *testing.T) {
 	for _, stop := range []Stop{StopNever, StopDiscard, StopFreeze} {
-		b := start(t, func(s *Settings) { s.Stop = stop })
+		b := newHarness(t, func(s *Settings) { s.Stop = stop })
 		b.want(b.step(1000, arrival(1, 2)), Run, 1, true)
 		if stop == StopDiscard { // its work was lost
 			acts := b.step(2000, Event{Kind: Done, ID: 1, Outcome: Cancelled})
@@ -1055,14 +1055,14 @@
 		b.want(b.step(701_000, Event{Kind: Done, ID: 1, Outcome: Failed}), Run, 1, false)
 	}
 	for outcome, again := range map[Outcome]bool{Rejected: true, Unreachable: true, TimedOut: false, Reset: false, Failed: false} {
-		b := start(t, nil) // an uncertain call is not made again
+		b := newHarness(t, nil) // an uncertain call is not made again
 		b.step(1000, arrival(1, 2))
 		b.step(10_000, Event{Kind: NeedsCall, ID: 1})
 		acts := b.step(20_000, Event{Kind: CallDone, ID: 1, Outcome: outcome})
 		b.want(acts, Call, 1, again)
 		b.want(acts, Refuse, 1, false)
 	}
-	b := start(t, func(s *Settings) { s.MemoryKB = 30 }) // full: never begun, so it may be refused
+	b := newHarness(t, func(s *Settings) { s.MemoryKB = 30 }) // full: never begun, so it may be refused
 	b.step(1000, arrival(1, 2), arrival(2, 2), arrival(3, 2))
 	for id := RequestID(1); id <= 3; id++ {
 		if r := b.w.find(id); r != nil && r.answered && r.ran {
@@ -1073,26 +1073,26 @@
 
 // Paused work keeps the memory of a running request until it is answered.
 func TestPausedWorkCountsAgainstTheMemory(t *testing.T) {
-	b := start(t, func(s *Settings) { s.Stop = StopFreeze })
+	b := newHarness(t, func(s *Settings) { s.Stop = StopFreeze })
 	b.step(1000, arrival(1, 0), arrival(2, 0))
 	b.w.limit = 0
 	b.step(2000, Event{Kind: Done, ID: 1, Outcome: Cancelled})
-	if b.w.count(); b.w.find(1).phase != paused || b.w.memory != 160 {
-		t.Fatalf("phase %d, memory %v, want paused and 160", b.w.find(1).phase, b.w.memory)
+	if b.w.recount(); b.w.find(1).phase != paused || b.w.memoryKB != 160 {
+		t.Fatalf("phase %d, memory %v, want paused and 160", b.w.find(1).phase, b.w.memoryKB)
 	}
 	b.w.limit = 0
 	acts := b.step(2_001_001, Event{Kind: Timer})
 	b.want(acts, Refuse, 1, true)
 	b.step(2_002_000, Event{Kind: Done, ID: 2, Outcome: Cancelled})
-	if b.w.count(); b.w.memory != 0 {
-		t.Errorf("%v kB left behind", b.w.memory)
+	if b.w.recount(); b.w.memoryKB != 0 {
+		t.Errorf("%v kB left behind", b.w.memoryKB)
 	}
 }
 
 // A crowd of calls that come back all at once stays under the crowd that kills, warm or cold.
-func TestCallsThatReturnTogetherAreNoCrowd(t *testing.T) {
+func TestCallsReturningTogetherStayWithinSafeRuns(t *testing.T) {
 	for cold, most := range map[bool]float64{false: 2 * 5, true: 2 * (1 + 4*0.32)} {
-		b := start(t, func(s *Settings) {
+		b := newHarness(t, func(s *Settings) {
 			s.JustStarted, s.ColdSpeed, s.MaxRunsPerCore, s.CallShare, s.MemoryKB = cold, 0.32, 5, 400, 1e6
 		})
 		b.w.limit = 100
@@ -1110,7 +1110,7 @@
 			}
 		}
 		b.step(2000, calling...)
-		if b.w.count(); float64(b.w.onCore) > most || b.w.onCore == 0 {
+		if b.w.recount(); float64(b.w.onCore) > most || b.w.onCore == 0 {
 			t.Errorf("cold %v: %d on the cores at once, %v kill", cold, b.w.onCore, most)
 		}
 	}
@@ -1119,7 +1119,7 @@
 // What all servers call failed half of their runs, and half of a fleet left the list at once.
 func TestHalfOfRunsFailingLeavesHealthOn(t *testing.T) {
 	for of, healthy := range map[int]bool{2: true, 1: false} { // every second run fails, or all
-		b := start(t, nil)
+		b := newHarness(t, nil)
 		for id := RequestID(1); id < 120; id++ {
 			now := int64(id) * 400_000
 			b.step(now, arrival(id, 0))
@@ -1130,25 +1130,25 @@
 			b.step(now+50_000, Event{Kind: Done, ID: id, Outcome: outcome})
 		}
 		if b.w.healthy != healthy {
-			t.Errorf("one in %d fails: healthy %v, failing %.2f", of, b.w.healthy, b.w.failing)
+			t.Errorf("one in %d fails: healthy %v, failing %.2f", of, b.w.healthy, b.w.failureRate)
 		}
 	}
 }
 
 // A standstill of six tenths of a second just before the stop must not hold the last answers back past it.
-func TestDrainLeavesTimeForAStandstill(t *testing.T) {
-	b := start(t, nil)
+func TestDrainToleratesPauseBeforeStop(t *testing.T) {
+	b := newHarness(t, nil)
 	b.step(1000, arrival(1, 0), arrival(2, 1), arrival(3, 0), Event{Kind: Drain, Deadline: 1_600_000})
 	acts := b.step(1_600_000-640_000, Event{Kind: Timer})
 	for id := RequestID(1); id <= 3; id++ {
-		if !has(acts, Refuse, id) && !has(acts, Fail, id) {
+		if !hasAction(acts, Refuse, id) && !hasAction(acts, Fail, id) {
 			t.Errorf("%d is not answered 0.64 s before the stop", id)
 		}
 	}
 }
 
 func TestHandoverIsNoDrain(t *testing.T) {
-	b := start(t, func(s *Settings) {
+	b := newHarness(t, func(s *Settings) {
 		s.Downstream, s.Classes[0].CallsDownstream, s.Classes[0].SkipWorth = DownstreamNone, false, 0
 	})
 	b.step(0)
@@ -1165,8 +1165,8 @@
 	b.want(b.step(8_000_000, arrival(3, 0)), Refuse, 3, true)
 }
 
-func TestRunsBesideCountAsOurs(t *testing.T) {
-	b := start(t, func(s *Settings) {
+func TestPeerRunsCount(t *testing.T) {
+	b := newHarness(t, func(s *Settings) {
 		s.Downstream, s.Classes[0].CallsDownstream, s.Classes[0].SkipWorth = DownstreamNone, false, 0
 	})
 	b.step(0)
@@ -1185,12 +1185,12 @@
 	}
 }
 
-func TestRetune(t *testing.T) {
-	b := start(t, nil)
+func TestReconfigure(t *testing.T) {
+	b := newHarness(t, nil)
 	b.step(0)
 	open := b.step(1000, arrival(1, 1))
 	b.want(open, Run, 1, true)
-	next := settings()
+	next := testSettings()
 	next.Classes = append(next.Classes, Class{Effect: Repeatable, TargetTime: 1_000_000, Timeout: 2_000_000, Worth: 1})
 	next.Tenants = []Tenant{{Quota: 5}, {Quota: 7}}
 	if err := b.w.Reconfigure(next); err != nil {
@@ -1200,12 +1200,12 @@
 	late.Tenant = 1
 	b.want(b.step(2000, late), Run, 2, true)
 	b.step(3000, Event{Kind: Done, ID: 1, Outcome: OK, Elapsed: 2000}, Event{Kind: Done, ID: 2, Outcome: OK, Elapsed: 1000})
-	if b.w.classes[1].runs != 1 || b.w.classes[3].runs != 1 || b.w.inHand != 0 {
-		t.Errorf("what was open is lost: %v, %d in hand", b.w.classes, b.w.inHand)
+	if b.w.classes[1].runs != 1 || b.w.classes[3].runs != 1 || b.w.inProgress != 0 {
+		t.Errorf("what was open is lost: %v, %d in hand", b.w.classes, b.w.inProgress)
 	}
-	before := b.w.set.Classes
-	for what, s := range map[string]Settings{"fewer classes": settings(), "no classes": {Cores: 1, MemoryKB: 1}} {
-		if err := b.w.Reconfigure(s); err == nil || !reflect.DeepEqual(b.w.set.Classes, before) {
+	before := b.w.cfg.Classes
+	for what, s := range map[string]Settings{"fewer classes": testSettings(), "no classes": {Cores: 1, MemoryKB: 1}} {
+		if err := b.w.Reconfigure(s); err == nil || !reflect.DeepEqual(b.w.cfg.Classes, before) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -1215,7 +1215,7 @@
 // is not passed, the reserve lies beyond the limit, and what waits has a bound.
 func TestCeilings(t *testing.T) {
 	t.Parallel()
-	s := settings()
+	s := testSettings()
 	s.Downstream, s.Classes[0].CallsDownstream, s.Classes[1].CallsDownstream, s.MaxRunsPerCore, s.ColdSpeed = 0, false, false, 0, 0
 	play := func(c *Ceilings, classes ...int) (runs, refused []int) {
 		w, err := New(s, 1)
@@ -1270,7 +1270,7 @@
 // for at once as there are cores, no place waits for them, and each is asked for once.
 func TestPrepare(t *testing.T) {
 	t.Parallel()
-	s := settings()
+	s := testSettings()
 	s.Downstream, s.Classes[0].CallsDownstream, s.Classes[1].CallsDownstream = 0, false, false
 	s.Classes[1].Prepare = true
 	w, err := New(s, 1)
--- a/state.go
+++ b/state.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// check returns an error that names each setting which cannot be used.
+// check returns an error that names each unusable setting, by the names of the platform's page
+// (Class.TargetTime is Aim there, Class.Timeout Limit, MaxRunsPerCore CrowdMultiple, ColdSpeed ColdFrom).
 func (s *Settings) check() error {
 	var errs []error
 	need := func(ok bool, name string, value any) {
@@ -25,7 +26,7 @@
 	need(size(s.MaxRunsPerCore), "CrowdMultiple", s.MaxRunsPerCore)
 	need(s.ColdSpeed >= 0 && s.ColdSpeed <= 1, "ColdFrom", s.ColdSpeed)
 	need(len(s.Classes) > 0, "Classes", s.Classes)
-	// Nothing is worded for what is sound: there are thousands of entries, and Retune holds the loop meanwhile.
+	// No text is formatted for valid entries: there are thousands, and the loop is blocked during Reconfigure.
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		if c.Effect <= Once && c.TargetTime >= 0 && c.Timeout > 0 && c.Window >= 0 && size(c.Worth) {
@@ -46,8 +47,8 @@
 	return errors.Join(errs...)
 }
 
-// fill puts neutral values where a setting is absent.
-func (s *Settings) fill() {
+// setDefaults sets neutral values where a setting is absent.
+func (s *Settings) setDefaults() {
 	s.RunFactor = max(s.RunFactor, 1)
 	s.Workers, s.Callers = max(s.Workers, 1), max(s.Callers, 1)
 	if s.Goal.Whole+s.Goal.WorstClass+s.Goal.WorstTenant <= 0 {
@@ -55,169 +56,170 @@
 	}
 }
 
-// SetWarmup tells when the cores came up, and whether they were cold then, to a
-// worker whose host learns it only after the start.
+// SetWarmup tells the worker when the cores were started and whether they were cold then, for hosts that
+// learn it only after the worker's start.
 func (w *Worker) SetWarmup(cold bool, since int64) {
-	w.set.JustStarted, w.born = cold, max(since, 0)
+	w.cfg.JustStarted, w.startedAt = cold, max(since, 0)
 }
 
-// use is what a pool has in hand.
-type use struct {
-	running, held int
-	kb, ahead     float64 // memory booked; work that is ahead of the next one in the hold
-	light         bool    // all that it holds could start in places of its own
+// poolUsage is what the requests of a pool use.
+type poolUsage struct {
+	running, queued int
+	kb, workAhead   float64 // memory booked; work ahead of the next request in the queue
+	withinGuarantee bool    // its whole queue could start in guaranteed slots
 }
 
-// SetCeilings hands in the ceilings of the pools for the batches that follow; nil =
-// there are none. They must name a pool for each class.
+// SetCeilings sets the ceilings of the pools for the batches that follow; nil = there are none. They must
+// name a pool for each class.
 func (w *Worker) SetCeilings(c *Ceilings) {
-	w.ceil = c
+	w.ceilings = c
 	if c == nil {
-		w.uses = nil
-	} else if len(w.uses) != len(c.Pools) {
-		w.uses = make([]use, len(c.Pools))
+		w.poolUsage = nil
+	} else if len(w.poolUsage) != len(c.Pools) {
+		w.poolUsage = make([]poolUsage, len(c.Pools))
 	}
 }
 
-// Limit is how many requests may run by the running limit now.
+// Limit returns the running limit: how many requests may run now.
 func (w *Worker) Limit() int { return w.limit }
 
-// pool returns what the pool of a class has and may have; nil = there are no pools.
-func (w *Worker) pool(class int) (*use, *Ceiling) {
-	if w.ceil == nil {
+// pool returns the usage and the ceiling of a class's pool; nil = there are no pools.
+func (w *Worker) pool(class int) (*poolUsage, *Ceiling) {
+	if w.ceilings == nil {
 		return nil, nil
 	}
-	at := w.ceil.PoolOf[class]
-	return &w.uses[at], &w.ceil.Pools[at]
+	i := w.ceilings.PoolOf[class]
+	return &w.poolUsage[i], &w.ceilings.Pools[i]
 }
 
-// Reconfigure takes over new settings. Classes and tenants keep their places, new
-// ones follow; what was learned stays. On an error nothing has changed. The
-// slices in s are the worker's from then on: what changes in them comes by
-// another Retune, which is cheaper with fresh slices.
+// Reconfigure applies new settings. Classes and tenants keep their slots, new ones follow; learned values
+// stay. On an error nothing has changed. The worker keeps the slices in s: changes in them are announced by
+// another Reconfigure, which is cheaper with new slices.
 func (w *Worker) Reconfigure(s Settings) error {
 	if err := s.check(); err != nil {
 		return err
 	}
-	if len(s.Classes) < len(w.classes) || len(s.Tenants) < len(w.set.Tenants) {
-		return errors.New("kiteslip: a class or tenant has lost its place")
+	if len(s.Classes) < len(w.classes) || len(s.Tenants) < len(w.cfg.Tenants) {
+		return errors.New("kiteslip: the new settings have fewer classes or tenants than before")
 	}
-	s.fill()
-	s.JustStarted = w.set.JustStarted
-	before := w.set
-	w.set = s
+	s.setDefaults()
+	s.JustStarted = w.cfg.JustStarted
+	before := w.cfg
+	w.cfg = s
 	for _, c := range s.Classes[len(w.classes):] {
-		w.classes = append(w.classes, class{base: float64(c.TargetTime) / firstGuess})
+		w.classes = append(w.classes, class{meanWork: float64(c.TargetTime) / initialWorkDivisor})
 	}
 	if more := len(s.Tenants) - len(w.tenants); more > 0 {
 		w.tenants = append(w.tenants, make([]tenant, more)...)
 	}
-	w.allot(before.Tenants, before.Workers)
-	if !unchanged(before.Classes, s.Classes) {
-		w.weigh()
+	w.updateTenantShares(before.Tenants, before.Workers)
+	if !sameContents(before.Classes, s.Classes) {
+		w.rebuildWeights()
 	}
 	w.limit = max(w.limit, s.Cores)
-	w.shared = s.Downstream == DownstreamShared && s.CallShare > 0 && s.CallShareWindow > 0
-	w.budget = shareSafe * s.CallShare * float64(s.CallShareWindow)
-	w.moveCalls(w.callLimit)
+	w.sharedDownstream = s.Downstream == DownstreamShared && s.CallShare > 0 && s.CallShareWindow > 0
+	w.callBudget = callBudgetShare * s.CallShare * float64(s.CallShareWindow)
+	w.setCallLimit(w.callLimit)
 	return nil
 }
 
-// unchanged says whether nothing in a list has changed, as far as can be told: not where it was changed in place.
-func unchanged[T comparable](before, now []T) bool {
-	return len(before) > 0 && &before[0] != &now[0] && slices.Equal(before, now)
+// sameContents reports whether a list has not changed, as far as that is known: not if it was changed in
+// place.
+func sameContents[T comparable](prev, now []T) bool {
+	return len(prev) > 0 && &prev[0] != &now[0] && slices.Equal(prev, now)
 }
 
-// find returns the request of that id, or nil.
+// find returns the request with that ID, or nil.
 func (w *Worker) find(id RequestID) *request {
-	if i, ok := w.at[id]; ok {
+	if i, ok := w.byID[id]; ok {
 		return &w.reqs[i]
 	}
 	return nil
 }
 
-// sweep drops what is over.
-func (w *Worker) sweep() {
+// removeFinished removes the requests that have ended.
+func (w *Worker) removeFinished() {
 	n := 0
 	for i := range w.reqs {
-		if w.reqs[i].phase == over {
-			delete(w.at, w.reqs[i].id)
+		if w.reqs[i].phase == finished {
+			delete(w.byID, w.reqs[i].id)
 			continue
 		}
 		if n != i {
 			w.reqs[n] = w.reqs[i]
-			w.at[w.reqs[n].id] = n
+			w.byID[w.reqs[n].id] = n
 		}
 		n++
 	}
 	w.reqs = w.reqs[:n]
 }
 
-// count adds up what is in hand. It is done anew for each batch, so that no error can build up.
-func (w *Worker) count() {
-	w.onCore, w.inHand, w.atCalls, w.out, w.memory = w.besideRuns, w.besideRuns, 0, 0, w.besideKB
-	clear(w.uses)
-	w.cheapRuns = 0
+// recount counts the requests by phase and sums up their memory, anew for each batch so that errors can't
+// accumulate.
+func (w *Worker) recount() {
+	w.onCore, w.inProgress, w.awaitingCall, w.inCall, w.memoryKB = w.peerRuns, w.peerRuns, 0, 0, w.peerKB
+	clear(w.poolUsage)
+	w.cheapestRuns = 0
 	for i := range w.reqs {
 		r := &w.reqs[i]
 		u, _ := w.pool(r.class)
 		switch r.phase {
-		case held, copying:
-			w.memory += r.size
-			if u != nil && r.phase == held {
-				u.held++
-				u.kb += r.size
+		case queued, awaitingResult:
+			w.memoryKB += r.sizeKB
+			if u != nil && r.phase == queued {
+				u.queued++
+				u.kb += r.sizeKB
 			}
 			continue
-		case over:
+		case finished:
 			continue
 		case running:
 			w.onCore++
-		case atCall:
-			w.atCalls++
-		case calling:
-			w.out++
+		case awaitingCall:
+			w.awaitingCall++
+		case inCall:
+			w.inCall++
 		}
-		w.inHand++
-		w.memory += r.size * w.set.RunFactor
+		w.inProgress++
+		w.memoryKB += r.sizeKB * w.cfg.RunFactor
 		if u != nil {
 			u.running++
-			u.kb += r.size * w.set.RunFactor
-			if r.class == w.ceil.CheapestClass {
-				w.cheapRuns++
+			u.kb += r.sizeKB * w.cfg.RunFactor
+			if r.class == w.ceilings.CheapestClass {
+				w.cheapestRuns++
 			}
 		}
 	}
-	for i := range w.uses {
-		u := &w.uses[i]
-		u.light = u.held+u.running <= w.ceil.Pools[i].GuaranteedRuns
+	for i := range w.poolUsage {
+		u := &w.poolUsage[i]
+		u.withinGuarantee = u.queued+u.running <= w.ceilings.Pools[i].GuaranteedRuns
 	}
-	w.memory += float64(len(w.table)) * w.set.KeyKB
+	w.memoryKB += float64(len(w.keyTable)) * w.cfg.KeyKB
 }
 
-// offCore books the time that a run spent on the cores.
-func (w *Worker) offCore(r *request) {
+// leaveCore adds the time that a run has spent on the cores.
+func (w *Worker) leaveCore(r *request) {
 	if r.phase == running {
-		r.wall += w.now - r.began
-		r.work += w.share - r.mark
+		r.coreTime += w.now - r.onCoreSince
+		r.work += w.virtualTime - r.virtualStart
 	}
 }
 
-// onto notes that a run is on the cores from now.
-func (w *Worker) onto(r *request) {
-	if w.onCore == w.besideRuns {
-		w.progress = w.now
+// enterCore records that a run is on the cores from now on.
+func (w *Worker) enterCore(r *request) {
+	if w.onCore == w.peerRuns {
+		w.lastProgress = w.now
 	}
-	r.phase, r.began, r.mark = running, w.now, w.share
+	r.phase, r.onCoreSince, r.virtualStart = running, w.now, w.virtualTime
 }
 
-// callEnds notes that the call of r is over; an abandoned one may linger below.
-func (w *Worker) callEnds(r *request, how Outcome) {
-	for i := range w.calls {
-		if c := &w.calls[i]; c.id != r.id || c.from != r.callAt {
+// endCallBooking records that the call of r has ended; an abandoned one may linger at the dependency.
+func (w *Worker) endCallBooking(r *request, outcome Outcome) {
+	for i := range w.callBookings {
+		if c := &w.callBookings[i]; c.id != r.id || c.from != r.callSince {
 			continue
-		} else if how == TimedOut {
-			c.until = min(c.until, w.now+w.set.MaxCallLinger)
+		} else if outcome == TimedOut {
+			c.until = min(c.until, w.now+w.cfg.MaxCallLinger)
 		} else {
 			c.until = min(c.until, w.now)
 		}
--- a/state_test.go
+++ b/state_test.go
@@ -4,7 +4,7 @@
 
 // A worker that hears late how its cores started bears fewer runs while they
 // are cold, counted from when they came up.
-func TestWarmth(t *testing.T) {
+func TestSetWarmup(t *testing.T) {
 	s := Settings{Cores: 4, MemoryKB: 1000, Classes: []Class{{TargetTime: 1000, Timeout: 1000}},
 		MaxRunsPerCore: 8, ColdSpeed: 0.2, WarmupTime: 10_000_000}
 	crowd := func(tell bool, cold bool, since int64) float64 {
@@ -16,7 +16,7 @@
 			w.SetWarmup(cold, since)
 		}
 		w.Step(20_000_000, nil, nil)
-		return w.crowd()
+		return w.safeRuns()
 	}
 	untold, hot := crowd(false, false, 0), crowd(true, false, 20_000_000)
 	cold, warming := crowd(true, true, 20_000_000), crowd(true, true, 15_000_000)
