--- a/worker.go
+++ b/worker.go
@@ -1,4 +1,4 @@
-// What a Worker knows. It is kept here and decided upon in the policy files.
+// The state of a Worker. The policy files decide on it.
 
 package kiteslip
 
@@ -6,126 +6,130 @@
 	"math/rand/v2"
 )
 
+// phase is the state of a request.
 type phase uint8
 
 const (
-	held    phase = iota // waits for us; twins of a held request too
-	running              // on the cores
-	atCall               // stands at a call, waits for us
-	calling              // waits for the call
-	paused               // stopped with its work kept
-	copying              // waits on the result of another
-	over                 // nothing of it is left
+	queued         phase = iota // waits to run; duplicates of a queued request too
+	running                     // on the cores
+	awaitingCall                // waits for permission to make a call
+	inCall                      // its call is outstanding
+	paused                      // stopped with its work kept
+	awaitingResult              // a duplicate that waits for the original's result
+	finished                    // ended, removed at the end of the batch
 )
 
+// request is one try that has arrived and has not ended.
 type request struct {
-	id, head            RequestID // head: the kept request that it repeats, if that is still held
-	class, tenant       int
-	phase               phase
-	kept, ran, answered bool
-	asked, ready        bool // it was to be prepared; it is
-	late                bool // will miss its aim, may still earn late worth
-	size, density       float64
-	reached, due, aim   int64
-	hope                int64   // it is worth beginning if it ends by this
-	began, wall         int64   // when it last got a core, time on the cores before that
-	work, mark          float64 // its part of a core so far, and the share clock at began
-	callAt, waits       int64   // when it came to its call or made it, time spent at calls
-	tries, calls        int     // calls of this stand that failed, calls that were made
+	id, duplicateOf                   RequestID // duplicateOf: the queued original, retained
+	class, tenant                     int
+	phase                             phase
+	retained, ran, answered           bool
+	prepareSent, ready                bool // Prepare was sent; the preparation is complete
+	late                              bool // will miss its soft deadline, may still earn late worth
+	sizeKB, valueDensity              float64
+	arrivedAt, deadline, softDeadline int64
+	latestUseful                      int64   // its run must end by this to be worth starting
+	onCoreSince, coreTime             int64   // when it last got a core; time on the cores before that
+	work, virtualStart                float64 // its work so far; the virtual time at onCoreSince
+	callSince, callTime               int64   // when it began to wait for or made its call; time spent at calls
+	failedCalls, callsDone            int     // failed tries of the current call; completed calls
 }
 
-// entry is one record of the table of keys.
-type entry struct {
+// keyEntry is an entry of the key table.
+type keyEntry struct {
 	id    RequestID
 	until int64
 }
 
-// span is the time that one call is in hand below: until it ends, or could at the latest.
-type span struct {
+// callBooking is the time during which a call may occupy the dependency: until it ends, or could end at the
+// latest.
+type callBooking struct {
 	id          RequestID
 	from, until int64
 }
 
-// place is what the order of a request hangs on. These are sorted, small and in a row, not the requests.
-type place struct {
-	density float64
-	aim     int64
-	id      RequestID
-	index   int32
-	newest  bool // among equals the newest goes first
+// sortKey is what the order of a request depends on. The keys are sorted instead of the requests: small and
+// contiguous.
+type sortKey struct {
+	valueDensity float64
+	softDeadline int64
+	id           RequestID
+	index        int32
+	newestFirst  bool // at equal value density the newest goes first
 }
 
 // Worker decides for one server process.
 type Worker struct {
-	set       Settings
-	rng       *rand.Rand
-	now, last int64   // this batch and the previous one
-	share     float64 // the share clock, see advance
-	reqs      []request
-	at        map[RequestID]int
-	fresh     []RequestID // arrivals of this batch
-	order     []int       // the hold, best first
-	places    []place     // what is sorted in this batch: the hold, then the calls to make
-	table     []entry
+	cfg         Settings
+	rng         *rand.Rand
+	now, prev   int64   // this batch and the previous one
+	virtualTime float64 // see advance
+	reqs        []request
+	byID        map[RequestID]int
+	arrived     []RequestID // arrivals of this batch
+	queue       []int       // indexes of the queued requests, best first
+	sortKeys    []sortKey   // what is sorted in this batch: the queue, then the calls to make
+	keyTable    []keyEntry
 
-	onCore, inHand, atCalls, out int // running, all begun, standing at calls, calls made
-	memory, largest              float64
+	onCore, inProgress, awaitingCall, inCall int // running; all started; waiting to call; calls outstanding
+	memoryKB, largestKB                      float64
 
-	limit, spanDone, spanLate     int
-	progress                      int64 // the last sign of work getting on
-	classes                       []class
-	tenants                       []tenant
-	allClasses, allTenants        group // asked and served of all together, as of this batch
-	fading                        fading
-	weights                       weights // of the classes in the means below
-	gauges                        Gauges
-	arrivals, failing             float64 // arrivals and the share of failed runs, with a fading memory
-	refused                       float64 // the share of refused arrivals, of late
-	begun, healthy, overdue       bool
-	closing, storm                bool // connections are closed early; most is refused, and late to be read
-	shared, callsFull             bool // all workers share what lies below; calls wait for room there
-	heavy                         int  // runs of many times the usual work
-	must, wanting                 int  // how many wait for a call that can't be left out, at it or held
-	callLimit, callBase, callMean float64
-	budget                        float64 // call time of the told span that may be booked
-	calls                         []span  // calls of the told span and those in hand
-	probeAt, spanEnd, callSpan    int64
-	callNext, callAgain           int64   // no first call before this; none at all
-	callFailed                    bool    // the last call failed
-	born, drainAt, stop, margin   int64   // margin: all is answered this long before the stop
-	replaced                      bool    // another worker has this one's place: stop is no notice to leave
-	besideRuns                    int     // what another worker has on this machine
-	besideKB                      float64 // ... and has booked
-	timerAt, adviseAt, tail       int64   // tail: the wait of the last in the hold
-	timerToken                    uint64
-	floor, said, unread           float64               // unread: mean time to be read, of late
-	meanBase, meanAim, leastAim   float64               // over the classes as they are asked for
-	pressure, told                float64               // the wait over its part of an aim; all of patience
-	patience                      [patienceBins]float64 // arrivals by the part of their limit left
-	ceil                          *Ceilings             // of the pools; nil = there are none
-	uses                          []use                 // by pool
-	cheapRuns                     int                   // runs of the cheapest class
+	limit, windowDone, windowLate         int
+	lastProgress                          int64 // the last sign of progress
+	classes                               []class
+	tenants                               []tenant
+	allClasses, allTenants                usage // totals of all, as of this batch
+	decay                                 decay
+	weights                               classWeights // of the classes in the means below
+	gauges                                Gauges
+	arrivals, failureRate                 float64 // arrivals and share of failed runs, decaying
+	refusalRate                           float64 // recent share of refused arrivals
+	started, healthy, overdue             bool
+	closeIdleEarly, retryStorm            bool // idle connections are closed early; most is refused, read late
+	sharedDownstream, callsLimited        bool // all workers share the dependency; calls wait for the limit
+	heavyRuns                             int  // runs of many times the mean work
+	requiredCalls, queuedRequiredCalls    int  // requests that wait for a required call; queued ones that will
+	callLimit, callBaseline, callMean     float64
+	callBudget                            float64       // call time that may be booked in CallShareWindow
+	callBookings                          []callBooking // of CallShareWindow and ahead
+	nextProbe, windowEnd, nextCallCut     int64
+	nextFirstCall, nextCall               int64   // no first call of a request before this; no call at all
+	lastCallFailed                        bool    // the last call failed
+	startedAt, drainSince, stopAt, margin int64   // margin: all is answered this long before stopAt
+	handedOver                            bool    // a successor took over: stopAt is no shutdown notice
+	peerRuns                              int     // runs of another worker on this machine
+	peerKB                                float64 // ... and the memory that it has booked
+	timerAt, nextAdvice, queueWait        int64   // queueWait: the wait of the last in the queue
+	timerToken                            uint64
+	minRank, lastSignal, readDelay        float64              // readDelay: recent mean
+	meanWork, meanTarget, minTarget       float64              // over the classes, weighted by requested worth
+	waitRatio, timeoutSamples             float64              // queueing delay / allowance; sum of counts
+	timeoutCounts                         [timeoutBins]float64 // arrivals by the share of their timeout left
+	ceilings                              *Ceilings            // of the pools; nil = there are none
+	poolUsage                             []poolUsage          // by pool
+	cheapestRuns                          int                  // runs of the cheapest class
 }
 
-// New returns a worker that has just started. It returns an error that names the setting which cannot be
-// used. The slices in s are the worker's from then on.
+// New returns a worker that has just started, or an error that names each unusable setting. The worker keeps
+// the slices in s.
 func New(s Settings, seed uint64) (*Worker, error) {
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	s.fill()
+	s.setDefaults()
 	w := &Worker{
-		shared: s.Downstream == DownstreamShared && s.CallShare > 0 && s.CallShareWindow > 0,
-		set:    s, rng: rand.New(rand.NewPCG(seed, 0)), at: map[RequestID]int{}, limit: s.Cores,
+		sharedDownstream: s.Downstream == DownstreamShared && s.CallShare > 0 && s.CallShareWindow > 0,
+		cfg:              s, rng: rand.New(rand.NewPCG(seed, 0)), byID: map[RequestID]int{}, limit: s.Cores,
 		classes: make([]class, len(s.Classes)), tenants: make([]tenant, max(len(s.Tenants), 1)),
-		healthy: true, born: -1, said: -1,
+		healthy: true, startedAt: -1, lastSignal: -1,
 	}
 	for i, c := range s.Classes {
-		w.classes[i].base = float64(c.TargetTime) / firstGuess
+		w.classes[i].meanWork = float64(c.TargetTime) / initialWorkDivisor
 	}
-	w.weigh()
-	w.allot(nil, 0)
-	w.budget = shareSafe * s.CallShare * float64(s.CallShareWindow)
-	w.moveCalls(float64(s.Cores))
+	w.rebuildWeights()
+	w.updateTenantShares(nil, 0)
+	w.callBudget = callBudgetShare * s.CallShare * float64(s.CallShareWindow)
+	w.setCallLimit(float64(s.Cores))
 	return w, nil
 }
