--- a/groups.go
+++ b/groups.go
@@ -50,7 +50,7 @@
 	d.factor = math.Exp(-float64(dt) / decayTimeUS)
 }
 
-// refresh applies decay to g up to now and returns it. What is used in each batch costs no exponential.
+// refresh applies decay to u up to now and returns it. What is used in each batch costs no exponential.
 func (d *decay) refresh(u *usage) *usage {
 	if u.updatedAt == d.now {
 		return u
--- a/groups_test.go
+++ b/groups_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// settingsWithGroups are settings with that many tenants and classes of unlike worths, aims and quotas.
+// settingsWithGroups returns settings with that many tenants and classes, of random worths, target times and
+// quotas.
 func settingsWithGroups(rng *rand.Rand, tenants, classes int) Settings {
 	s := testSettings()
 	s.Classes, s.Tenants = s.Classes[:0], s.Tenants[:0]
@@ -20,7 +21,8 @@
 	return s
 }
 
-// changeGroups gives all classes other worths and aims, all tenants other quotas, and brings them to that many.
+// changeGroups draws new worths and target times of all classes and quotas of all tenants, and adds some up
+// to those numbers.
 func changeGroups(rng *rand.Rand, s *Settings, tenants, classes int) {
 	old := s.Classes
 	s.Classes = make([]Class, max(classes, len(old)))
@@ -45,8 +47,8 @@
 	}
 }
 
-// referenceStep is Step in its plain form, kept to compare with: each batch fades all groups and adds them all up.
-// It differs from Step in the two marked places alone.
+// referenceStep is Step in its simple form, for comparison: each batch applies decay to all usages and sums
+// all of them up. It differs from Step only in the two marked places.
 func referenceStep(w *Worker, now int64, events []Event, acts []Action) []Action {
 	if !w.started {
 		w.started, w.prev, w.lastProgress = true, now, now
@@ -58,7 +60,7 @@
 		w.delayFirstCall()
 	}
 	w.advance(now)
-	for _, g := range append(classUsages(w), tenantUsages(w)...) { // all fade in each batch
+	for _, g := range append(classUsages(w), tenantUsages(w)...) { // first difference: decay of all
 		w.decay.refresh(g)
 	}
 	w.arrived = w.arrived[:0]
@@ -66,7 +68,7 @@
 		acts = w.handleEvent(&events[i], acts)
 	}
 	w.recount()
-	w.allClasses, w.allTenants = referenceTotal(w, classUsages(w)), referenceTotal(w, tenantUsages(w)) // and are added up
+	w.allClasses, w.allTenants = referenceTotal(w, classUsages(w)), referenceTotal(w, tenantUsages(w)) // second difference: sums
 	w.meanWork, w.meanTarget, w.minTarget = referenceMeans(w)
 	acts = w.expire(acts)
 	acts = w.admit(acts)
@@ -78,6 +80,7 @@
 	return w.armTimer(acts)
 }
 
+// classUsages returns the usages of all classes.
 func classUsages(w *Worker) (list []*usage) {
 	for i := range w.classes {
 		list = append(list, &w.classes[i].usage)
@@ -85,6 +88,7 @@
 	return list
 }
 
+// tenantUsages returns the usages of all tenants.
 func tenantUsages(w *Worker) (list []*usage) {
 	for i := range w.tenants {
 		list = append(list, &w.tenants[i].usage)
@@ -92,6 +96,7 @@
 	return list
 }
 
+// referenceTotal sums up usages.
 func referenceTotal(w *Worker, of []*usage) (all usage) {
 	for _, g := range of {
 		w.decay.refresh(g)
@@ -101,51 +106,51 @@
 	return all
 }
 
-// referenceMeans walks all classes.
-func referenceMeans(w *Worker) (meanBase, meanAim, leastAim float64) {
+// referenceMeans computes the means over all classes.
+func referenceMeans(w *Worker) (meanWork, meanTarget, minTarget float64) {
 	n := 0.0
-	leastAim = math.Inf(1)
+	minTarget = math.Inf(1)
 	for i, c := range w.cfg.Classes {
 		k := w.decay.refresh(&w.classes[i].usage).requested/max(c.Worth, 1e-9) + 1e-6
-		meanBase += k * w.classes[i].meanWork
-		meanAim += k * float64(c.TargetTime)
+		meanWork += k * w.classes[i].meanWork
+		meanTarget += k * float64(c.TargetTime)
 		n += k
 		if k > 1e-3 || i == 0 {
-			leastAim = min(leastAim, float64(c.TargetTime))
+			minTarget = min(minTarget, float64(c.TargetTime))
 		}
 	}
-	return max(meanBase/n, 1), max(meanAim/n, 1), max(leastAim, 1)
+	return max(meanWork/n, 1), max(meanTarget/n, 1), max(minTarget, 1)
 }
 
-// approxEqual says whether two sums are the same but for their rounding.
+// approxEqual reports whether two sums are equal except for rounding.
 func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-11*max(math.Abs(a), math.Abs(b)) }
 
-// checkSums fails where a kept sum is not what adding up anew gives. It touches no group of w.
+// checkSums fails the test if an incremental sum differs from the sum over all. It does not apply decay in w.
 func checkSums(t *testing.T, w *Worker, what string) {
 	t.Helper()
 	c := *w
 	c.classes = append([]class(nil), w.classes...)
 	c.tenants = append([]tenant(nil), w.tenants...)
-	base, aim, least := referenceMeans(&c)
+	work, target, least := referenceMeans(&c)
 	classes, tenants := referenceTotal(&c, classUsages(&c)), referenceTotal(&c, tenantUsages(&c))
 	for _, v := range []struct {
-		name       string
-		kept, want float64
+		name              string
+		incremental, want float64
 	}{
-		{"asked of classes", w.allClasses.requested, classes.requested}, {"served of classes", w.allClasses.served, classes.served},
-		{"asked by tenants", w.allTenants.requested, tenants.requested}, {"served to tenants", w.allTenants.served, tenants.served},
-		{"the mean base", w.meanWork, base}, {"the mean aim", w.meanTarget, aim},
+		{"requested of classes", w.allClasses.requested, classes.requested}, {"served of classes", w.allClasses.served, classes.served},
+		{"requested by tenants", w.allTenants.requested, tenants.requested}, {"served to tenants", w.allTenants.served, tenants.served},
+		{"the mean work", w.meanWork, work}, {"the mean target time", w.meanTarget, target},
 	} {
-		if !approxEqual(v.kept, v.want) {
-			t.Fatalf("%s: %s is kept as %v, adds up to %v", what, v.name, v.kept, v.want)
+		if !approxEqual(v.incremental, v.want) {
+			t.Fatalf("%s: %s is %v incrementally, %v in sum", what, v.name, v.incremental, v.want)
 		}
 	}
 	if w.minTarget != least {
-		t.Fatalf("%s: the least aim is kept as %v, is %v", what, w.minTarget, least)
+		t.Fatalf("%s: the shortest target time is %v incrementally, %v in fact", what, w.minTarget, least)
 	}
 }
 
-// comparison hands the same events to a worker with kept sums and to one in the plain form.
+// comparison passes the same events to a worker with incremental sums and to one with the reference form.
 type comparison struct {
 	t                      *testing.T
 	name                   string
@@ -159,13 +164,13 @@
 func (m *comparison) step(now int64, events []Event) {
 	m.t.Helper()
 	acts, want := m.incremental.Step(now, events, nil), referenceStep(m.reference, now, events, nil)
-	for i := range min(len(acts), len(want)) { // a figure for callers is rounded in its last digits
+	for i := range min(len(acts), len(want)) { // load signals differ in the last digits by rounding
 		if approxEqual(acts[i].Value, want[i].Value) {
 			acts[i].Value = want[i].Value
 		}
 	}
 	if !reflect.DeepEqual(acts, want) {
-		m.t.Fatalf("%s at %d: %+v, in the plain form %+v", m.name, now, acts, want)
+		m.t.Fatalf("%s at %d: %+v, in the reference form %+v", m.name, now, acts, want)
 	}
 	for _, a := range acts {
 		m.acts[a.Kind]++
@@ -178,7 +183,7 @@
 	}
 }
 
-// drawAndRemove draws one of a list, and takes it out.
+// drawAndRemove draws an element of a list and removes it.
 func drawAndRemove(rng *rand.Rand, from *[]RequestID) RequestID {
 	list := *from
 	i := rng.IntN(len(list))
@@ -188,8 +193,8 @@
 	return id
 }
 
-// The kept sums and the fading at a touch decide as the plain form does, batch by batch, over streams with
-// spells of overload and of idleness, and with new settings between.
+// Incremental sums and decay on use lead to the same decisions as the reference form, batch by batch, over
+// random streams with periods of overload and idleness, and with new settings in between.
 func TestIncrementalSumsDecideAsReference(t *testing.T) {
 	sizes := []struct{ tenants, classes int }{{3, 1}, {3, 4}, {40, 7}, {300, 60}, {2000, 60}, {1, 30}, {700, 2}, {2000, 60}}
 	total := map[ActionKind]int{}
@@ -197,16 +202,16 @@
 		rng := rand.New(rand.NewPCG(uint64(seed), 11))
 		s := settingsWithGroups(rng, size.tenants, size.classes)
 		s.Stop, s.LoadSignal = Stop(seed%3), LoadSignal(seed%4)
-		kept, err := New(s, uint64(seed))
+		incremental, err := New(s, uint64(seed))
 		if err != nil {
 			t.Fatal(err)
 		}
-		plain, _ := New(s, uint64(seed))
-		m := &comparison{t: t, name: fmt.Sprintf("seed %d", seed), incremental: kept, reference: plain, acts: total}
+		reference, _ := New(s, uint64(seed))
+		m := &comparison{t: t, name: fmt.Sprintf("seed %d", seed), incremental: incremental, reference: reference, acts: total}
 		now, id := int64(seed)*1e15, RequestID(0)
 		rate, until := 0.0, int64(0)
 		for batch := range 4000 {
-			if now > until { // another spell: few or many arrivals, or an hour without any
+			if now > until { // another period: few or many arrivals, or an hour without any
 				until = now + rng.Int64N(4_000_000)
 				if rate = []float64{0.05, 0.5, 2, 5}[rng.IntN(4)]; rng.IntN(40) == 0 {
 					now += rng.Int64N(3_600_000_000)
@@ -216,8 +221,8 @@
 			events := []Event{{Kind: Timer}}
 			for n := rate * rng.Float64() * 2; rng.Float64() < n; n-- {
 				id++
-				e := Event{Kind: Arrive, ID: id, Class: int(float64(len(kept.cfg.Classes)) * math.Pow(rng.Float64(), 2)),
-					Tenant: int(float64(len(kept.cfg.Tenants)) * math.Pow(rng.Float64(), 3)),
+				e := Event{Kind: Arrive, ID: id, Class: int(float64(len(incremental.cfg.Classes)) * math.Pow(rng.Float64(), 2)),
+					Tenant: int(float64(len(incremental.cfg.Tenants)) * math.Pow(rng.Float64(), 3)),
 					SizeKB: 5 + 60*rng.Float64(), Retry: rng.IntN(6) == 0, Waited: rng.Int64N(20_000)}
 				if rng.IntN(8) == 0 && id > 20 {
 					e.DuplicateOf = id - 1 - RequestID(rng.IntN(20))
@@ -252,32 +257,32 @@
 			}
 			m.step(now, events)
 			if batch%50 == 0 {
-				checkSums(t, kept, m.name)
+				checkSums(t, incremental, m.name)
 			}
 			if batch%500 == 499 {
 				changeGroups(rng, &s, len(s.Tenants)+rng.IntN(30), min(60, len(s.Classes)+rng.IntN(2)))
 				s.Workers += rng.IntN(2)
-				if err := kept.Reconfigure(s); err != nil {
+				if err := incremental.Reconfigure(s); err != nil {
 					t.Fatal(err)
 				}
 				for i := range s.Tenants {
-					if kept.tenants[i].share != s.Tenants[i].Quota/float64(s.Workers) {
-						t.Fatalf("%s: tenant %d has a share of %v with %v over %d workers", m.name, i, kept.tenants[i].share,
+					if incremental.tenants[i].share != s.Tenants[i].Quota/float64(s.Workers) {
+						t.Fatalf("%s: tenant %d has a share of %v with %v over %d workers", m.name, i, incremental.tenants[i].share,
 							s.Tenants[i].Quota, s.Workers)
 					}
 				}
-				plain.Reconfigure(s)
+				reference.Reconfigure(s)
 			}
 		}
 	}
 	for _, kind := range []ActionKind{Run, Refuse, Fail, Halt, Call, Retain, Reuse, SetLoadSignal} {
 		if total[kind] < 20 {
-			t.Errorf("the streams brought action %d %d times: they show nothing of it", kind, total[kind])
+			t.Errorf("the streams caused action %d only %d times: it is not tested", kind, total[kind])
 		}
 	}
 }
 
-// The shortest aim counts for as long as its class weighs enough, to the microsecond; the first class's always.
+// The shortest target time counts exactly as long as its class weighs enough; that of the first class always.
 func TestShortestTargetWhileClassIsActive(t *testing.T) {
 	w, err := New(Settings{Cores: 1, MemoryKB: 1000, Classes: []Class{{TargetTime: 900, Timeout: 1000, Worth: 1}, {TargetTime: 300, Timeout: 1000, Worth: 2},
 		{TargetTime: 500, Timeout: 1000, Worth: 0.1}, {TargetTime: 500, Timeout: 1000, Worth: 3}, {TargetTime: 1500, Timeout: 2000, Worth: 1}, {TargetTime: 10, Timeout: 90}}}, 1)
@@ -290,7 +295,7 @@
 		w.now = now
 		w.updateMeans()
 		if _, _, least := referenceMeans(w); w.minTarget != least {
-			t.Fatalf("at %d the least aim is kept as %v, is %v", now, w.minTarget, least)
+			t.Fatalf("at %d the shortest target time is %v incrementally, %v in fact", now, w.minTarget, least)
 		}
 		seen[w.minTarget]++
 	}
@@ -302,7 +307,7 @@
 	w.recordRequested(3, 3)
 	w.recordRequested(2, 0.1)
 	w.recordRequested(2, 0.1)
-	for _, least := range []float64{300, 500} { // the end of each, found by halving
+	for _, least := range []float64{300, 500} { // the end of each, found by bisection
 		on, off := w.now, w.now+1_000_000_000
 		for off-on > 1 {
 			g, mid := w.decay.refresh(&w.classes[map[float64]int{300: 1, 500: 2}[least]].usage), (on+off)/2
@@ -322,8 +327,8 @@
 	}
 }
 
-// The sums do not drift: after as many changes as hours of service bring, with bases that rise and fall
-// by four orders, they are what adding up anew gives.
+// After as many changes as hours of service bring, with mean works that vary by four orders of magnitude, the
+// sums are still equal to those computed anew.
 func TestIncrementalSumsDoNotDrift(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	w, err := New(settingsWithGroups(rng, 50, 40), 1)
@@ -349,7 +354,7 @@
 	}
 }
 
-// decisionLoad plays requests through a worker that holds some others all along.
+// decisionLoad runs requests through a worker that has a constant number of others queued.
 type decisionLoad struct {
 	w       *Worker
 	rng     *rand.Rand
@@ -361,7 +366,8 @@
 	events  [1]Event
 }
 
-func newDecisions(t testing.TB, tenants, classes, held int) *decisionLoad {
+// newDecisions returns a load that keeps that many requests queued.
+func newDecisions(t testing.TB, tenants, classes, queued int) *decisionLoad {
 	s := Settings{Cores: 2, MemoryKB: 1e9, Goal: Goal{Whole: 1, WorstClass: 0.2, WorstTenant: 0.5}, OverShareWorth: 0.2,
 		Workers: 3, MaxRunsPerCore: 1.25, Tick: 2000, Tenants: make([]Tenant, tenants), Classes: make([]Class, classes)}
 	for i := range s.Classes {
@@ -378,17 +384,17 @@
 		w.setMeanWork(i, 5000)
 		w.classes[i].runs = 20
 	}
-	d := &decisionLoad{w: w, rng: rand.New(rand.NewPCG(3, 3)), now: 1e15, queued: held}
-	for range held + 600 {
+	d := &decisionLoad{w: w, rng: rand.New(rand.NewPCG(3, 3)), now: 1e15, queued: queued}
+	for range queued + 600 {
 		d.request()
 	}
-	if n := len(w.reqs); held == 0 && n != 0 || held > 0 && n != held+2 {
-		t.Fatalf("%d in hand with %d to be held", n, held)
+	if n := len(w.reqs); queued == 0 && n != 0 || queued > 0 && n != queued+2 {
+		t.Fatalf("%d requests with %d to be queued", n, queued)
 	}
 	return d
 }
 
-// step hands in one event.
+// step passes one event.
 func (d *decisionLoad) step(e Event) {
 	d.now += 5000
 	d.events[0] = e
@@ -400,7 +406,7 @@
 	}
 }
 
-// request plays one: it comes, one ends, and a timer is due.
+// request runs one request: it arrives, another one ends, and a timer expires.
 func (d *decisionLoad) request() {
 	d.next++
 	d.step(Event{Kind: Arrive, ID: d.next, Class: d.rng.IntN(len(d.w.cfg.Classes)), Tenant: d.rng.IntN(len(d.w.cfg.Tenants)), SizeKB: 10})
@@ -414,12 +420,12 @@
 // small and large are the sizes whose decisions are compared.
 var small, large = [2]int{3, 4}, [2]int{21_000, 2800}
 
-// A decision costs by what it touches: one of 21,000 tenants and 2,800 classes takes no longer than one of 3
-// and 4, with as much held. make measure-scale asks for a quarter more at most; here the bound is one that a
-// busy machine keeps too: with a walk over all groups in each batch it is passed many times over.
+// The cost of a decision depends on what it touches: with 21,000 tenants and 2,800 classes it is no higher
+// than with 3 and 4 at the same queue length. make measure-scale allows a quarter more; the bound here is one
+// that holds on a busy machine as well: a walk over all usages in each batch exceeds it many times over.
 func TestDecisionCostIndependentOfSize(t *testing.T) {
-	for _, held := range []int{0, 50, 500} {
-		few, many := newDecisions(t, small[0], small[1], held), newDecisions(t, large[0], large[1], held)
+	for _, queued := range []int{0, 50, 500} {
+		few, many := newDecisions(t, small[0], small[1], queued), newDecisions(t, large[0], large[1], queued)
 		best := func(d *decisionLoad, least time.Duration) time.Duration {
 			const requests = 40
 			begun := time.Now()
@@ -432,14 +438,14 @@
 		for round := 0; round < 200 && (round < 20 || b > 2*a); round++ { // interleaved: both meet the same machine
 			a, b = best(few, a), best(many, b)
 		}
-		t.Logf("held %d: %v and %v a request, %.2f times", held, a, b, float64(b)/float64(a))
+		t.Logf("queued %d: %v and %v a request, %.2f times", queued, a, b, float64(b)/float64(a))
 		if b > 2*a {
-			t.Errorf("with %d held a request costs %v with 3 tenants, %v with 21,000", held, a, b)
+			t.Errorf("with %d queued a request costs %v with 3 tenants, %v with 21,000", queued, a, b)
 		}
 	}
 }
 
-// New settings hold the loop: with 21,000 tenants and 2,800 classes nothing may be made for each entry.
+// New settings block the loop: with 21,000 tenants and 2,800 classes nothing may be allocated per entry.
 func TestReconfigureAllocatesNothingPerEntry(t *testing.T) {
 	w := newDecisions(t, large[0], large[1], 0).w
 	for _, worth := range []float64{0, 1} { // of the classes too
@@ -498,9 +504,9 @@
 	}
 }
 
-// A quota that is thin over many workers leaves less than one arrival here in the memory of rates: nearly all of
-// one arrival is beyond the share, as the fleet counts it, and goes behind what others send within theirs; a
-// flood is further beyond.
+// A small quota divided by many workers leaves less than one arrival per worker within decayTimeUS: nearly
+// all of a single arrival is over the quota, as the fleet counts it, and goes behind requests within their
+// quota; a flood is further over it.
 func TestInShareOfSmallQuota(t *testing.T) {
 	worker := func(quota ...float64) *harness {
 		return newHarness(t, func(s *Settings) {
@@ -511,48 +517,48 @@
 		})
 	}
 	const thin = 30_000.0 / 21_000
-	b := worker(47_000, thin)
-	b.step(0, arrival(90, 0)) // takes the one place
+	h := worker(47_000, thin)
+	h.step(0, arrival(90, 0)) // takes the only slot
 	small, big := arrival(1, 0), arrival(2, 0)
 	small.Tenant = 1
-	b.step(1000, small)
-	b.step(2000, big)
-	if in := b.w.inShare(1); math.Abs(in*82.25-1) > 0.01 {
+	h.step(1000, small)
+	h.step(2000, big)
+	if in := h.w.inShare(1); math.Abs(in*82.25-1) > 0.01 {
 		t.Errorf("%v of the one arrival is within the share, want one in 82.25", in)
 	}
-	b.want(b.step(3000, Event{Kind: Done, ID: 90, Outcome: OK}), Run, 2, true)
+	h.want(h.step(3000, Event{Kind: Done, ID: 90, Outcome: OK}), Run, 2, true)
 
-	b = worker(47_000, thin, 0) // a flood of such a tenant goes behind another's arrival still
-	b.step(0, arrival(90, 0))
+	h = worker(47_000, thin, 0) // a flood of such a tenant goes behind another's arrival as well
+	h.step(0, arrival(90, 0))
 	for id := RequestID(100); id < 140; id++ {
 		flood := arrival(id, 0)
 		flood.Tenant = 1
-		b.step(int64(id)*10_000, flood)
+		h.step(int64(id)*10_000, flood)
 	}
-	if in := b.w.inShare(1); in > 1.1/40/82 {
+	if in := h.w.inShare(1); in > 1.1/40/82 {
 		t.Errorf("%v of the flood is within the share", in)
 	}
-	b.step(1_500_000, arrival(2, 0))
-	b.want(b.step(1_600_000, Event{Kind: Done, ID: 90, Outcome: OK}), Run, 2, true)
+	h.step(1_500_000, arrival(2, 0))
+	h.want(h.step(1_600_000, Event{Kind: Done, ID: 90, Outcome: OK}), Run, 2, true)
 	none := arrival(3, 0)
 	none.Tenant = 2
-	if b.step(1_700_000, none); b.w.inShare(2) != 0 {
-		t.Errorf("a tenant without a quota has %v within its share", b.w.inShare(2))
+	if h.step(1_700_000, none); h.w.inShare(2) != 0 {
+		t.Errorf("a tenant without a quota has %v within its share", h.w.inShare(2))
 	}
 
-	rng := rand.New(rand.NewPCG(8, 8)) // the share is the plain ratio to the bit
+	rng := rand.New(rand.NewPCG(8, 8)) // the share is the simple ratio, to the bit
 	for range 2000 {
 		quota, arrived := 470*math.Exp(14*rng.Float64()-8), 60*rng.Float64()
-		b.w.cfg.Tenants[1].Quota = quota
-		b.w.updateTenantShares(nil, 0)
-		b.w.decay.refresh(&b.w.tenants[1].usage).arrived = arrived
-		if got, want := b.w.inShare(1), min(1, quota/470/max(arrived/4, 1e-9)); got != want {
+		h.w.cfg.Tenants[1].Quota = quota
+		h.w.updateTenantShares(nil, 0)
+		h.w.decay.refresh(&h.w.tenants[1].usage).arrived = arrived
+		if got, want := h.w.inShare(1), min(1, quota/470/max(arrived/4, 1e-9)); got != want {
 			t.Fatalf("quota %v, %v arrived: share %v, want %v", quota, arrived, got, want)
 		}
 	}
 }
 
-// Settings that were changed in place and handed in again are taken over too.
+// Settings that were changed in place and passed again are applied as well.
 func TestReconfigureWithSettingsChangedInPlace(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Quota: 8}, {Quota: 80}}
@@ -567,6 +573,6 @@
 	}
 	w.Step(2000, nil, nil)
 	if checkSums(t, w, "in place"); w.tenants[1].share != 1 || w.tenants[0].share != 2 || w.minTarget != 500_000 {
-		t.Errorf("shares %v and %v, least aim %v", w.tenants[0].share, w.tenants[1].share, w.minTarget)
+		t.Errorf("shares %v and %v, shortest target time %v", w.tenants[0].share, w.tenants[1].share, w.minTarget)
 	}
 }
--- a/policy.go
+++ b/policy.go
@@ -118,10 +118,10 @@
 		return w.handleArrival(e, acts)
 	case Drain:
 		w.drainSince, w.stopAt, w.handedOver = w.now, e.Deadline, false
-		w.margin = min(maxStopMarginUS, (w.stopAt-w.now)/2)
+		w.stopMargin = min(maxStopMarginUS, (w.stopAt-w.now)/2)
 	case Handover:
 		w.stopAt, w.handedOver = e.Deadline, true
-		w.margin = min(maxStopMarginUS, (w.stopAt-w.now)/2)
+		w.stopMargin = min(maxStopMarginUS, (w.stopAt-w.now)/2)
 	case PeerLoad:
 		w.peerRuns, w.peerKB = max(0, e.Runs), max(0, e.SizeKB)
 	case Timer:
--- a/policy_admit.go
+++ b/policy_admit.go
@@ -51,7 +51,7 @@
 		draw := p >= 1 || p > 0 && w.rng.Float64() < p
 		noRoom := c.Effect == Keyed && w.memoryKB+w.cfg.KeyKB > w.memoryTop()
 		stopping := w.stopAt != 0 && (!w.handedOver && r.arrivedAt > w.drainSince+w.cfg.DrainGrace ||
-			w.now >= w.stopAt-w.margin-min(admitMarginUS, w.margin/2))
+			w.now >= w.stopAt-w.stopMargin-min(admitMarginUS, w.stopMargin/2))
 		// Fast failures would attract requests: what is refused can be served elsewhere.
 		failing := w.failureRate > sheddingFailureRate && w.now < w.nextProbe && w.rng.Float64() < w.failureRate
 		if draw || noRoom || failing || stopping {
--- a/policy_answers.go
+++ b/policy_answers.go
@@ -6,7 +6,7 @@
 func (w *Worker) answerDeadline(r *request) int64 {
 	last := r.deadline - 2*w.cfg.Tick - busyTimerUS
 	if w.stopAt != 0 {
-		last = min(last, w.stopAt-w.margin)
+		last = min(last, w.stopAt-w.stopMargin)
 	}
 	return last
 }
--- a/worker.go
+++ b/worker.go
@@ -75,40 +75,40 @@
 	onCore, inProgress, awaitingCall, inCall int // running; all started; waiting to call; calls outstanding
 	memoryKB, largestKB                      float64
 
-	limit, windowDone, windowLate         int
-	lastProgress                          int64 // the last sign of progress
-	classes                               []class
-	tenants                               []tenant
-	allClasses, allTenants                usage // totals of all, as of this batch
-	decay                                 decay
-	weights                               classWeights // of the classes in the means below
-	gauges                                Gauges
-	arrivals, failureRate                 float64 // arrivals and share of failed runs, decaying
-	refusalRate                           float64 // recent share of refused arrivals
-	started, healthy, overdue             bool
-	closeIdleEarly, retryStorm            bool // idle connections are closed early; most is refused, read late
-	sharedDownstream, callsLimited        bool // all workers share the dependency; calls wait for the limit
-	heavyRuns                             int  // runs of many times the mean work
-	requiredCalls, queuedRequiredCalls    int  // requests that wait for a required call; queued ones that will
-	callLimit, callBaseline, callMean     float64
-	callBudget                            float64       // call time that may be booked in CallShareWindow
-	callBookings                          []callBooking // of CallShareWindow and ahead
-	nextProbe, windowEnd, nextCallCut     int64
-	nextFirstCall, nextCall               int64   // no first call of a request before this; no call at all
-	lastCallFailed                        bool    // the last call failed
-	startedAt, drainSince, stopAt, margin int64   // margin: all is answered this long before stopAt
-	handedOver                            bool    // a successor took over: stopAt is no shutdown notice
-	peerRuns                              int     // runs of another worker on this machine
-	peerKB                                float64 // ... and the memory that it has booked
-	timerAt, nextAdvice, queueWait        int64   // queueWait: the wait of the last in the queue
-	timerToken                            uint64
-	minRank, lastSignal, readDelay        float64              // readDelay: recent mean
-	meanWork, meanTarget, minTarget       float64              // over the classes, weighted by requested worth
-	waitRatio, timeoutSamples             float64              // queueing delay / allowance; sum of counts
-	timeoutCounts                         [timeoutBins]float64 // arrivals by the share of their timeout left
-	ceilings                              *Ceilings            // of the pools; nil = there are none
-	poolUsage                             []poolUsage          // by pool
-	cheapestRuns                          int                  // runs of the cheapest class
+	limit, windowDone, windowLate             int
+	lastProgress                              int64 // the last sign of progress
+	classes                                   []class
+	tenants                                   []tenant
+	allClasses, allTenants                    usage // totals of all, as of this batch
+	decay                                     decay
+	weights                                   classWeights // of the classes in the means below
+	gauges                                    Gauges
+	arrivals, failureRate                     float64 // arrivals and share of failed runs, decaying
+	refusalRate                               float64 // recent share of refused arrivals
+	started, healthy, overdue                 bool
+	closeIdleEarly, retryStorm                bool // idle connections are closed early; most is refused, read late
+	sharedDownstream, callsLimited            bool // all workers share the dependency; calls wait for the limit
+	heavyRuns                                 int  // runs of many times the mean work
+	requiredCalls, queuedRequiredCalls        int  // requests that wait for a required call; queued ones that will
+	callLimit, callBaseline, callMean         float64
+	callBudget                                float64       // call time that may be booked in CallShareWindow
+	callBookings                              []callBooking // of CallShareWindow and ahead
+	nextProbe, windowEnd, nextCallCut         int64
+	nextFirstCall, nextCall                   int64   // no first call of a request before this; no call at all
+	lastCallFailed                            bool    // the last call failed
+	startedAt, drainSince, stopAt, stopMargin int64   // margin: all is answered this long before stopAt
+	handedOver                                bool    // a successor took over: stopAt is no shutdown notice
+	peerRuns                                  int     // runs of another worker on this machine
+	peerKB                                    float64 // ... and the memory that it has booked
+	timerAt, nextAdvice, queueWait            int64   // queueWait: the wait of the last in the queue
+	timerToken                                uint64
+	minRank, lastSignal, readDelay            float64              // readDelay: recent mean
+	meanWork, meanTarget, minTarget           float64              // over the classes, weighted by requested worth
+	waitRatio, timeoutSamples                 float64              // queueing delay / allowance; sum of counts
+	timeoutCounts                             [timeoutBins]float64 // arrivals by the share of their timeout left
+	ceilings                                  *Ceilings            // of the pools; nil = there are none
+	poolUsage                                 []poolUsage          // by pool
+	cheapestRuns                              int                  // runs of the cheapest class
 }
 
 // New returns a worker that has just started, or an error that names each unusable setting. The worker keeps
