--- a/internal/pool/cost.go
+++ b/internal/pool/cost.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// classCost is what is known of one class.
+// classCost is the load of one class and what is known of its cost.
 type classCost struct {
 	waiting, running    int
 	queuedKB, runningKB float64
-	baseline            float64 // work of one run: follows down soon and up slowly
-	meanWork            float64 // ... and the plain mean
+	baseline            float64 // low estimate of the work of a run: falls quickly and rises slowly
+	meanWork            float64 // plain mean work of a run
 	runsSeen            int
 	updatedAt           int64
 }
 
 const (
-	baselineDownWeight  = 0.2       // weight of a run that took less work than the base
-	baselineUpWeight    = 0.03      // ... and of one that took more
-	meanWorkWeight      = 0.15      // weight in the mean once enough were seen
-	baselineCatchUpUS   = 4_000_000 // a base that is too low has caught up most of the way by then, however few runs there are
+	baselineDownWeight  = 0.2       // weight of a run below the baseline
+	baselineUpWeight    = 0.03      // weight of a run above it
+	meanWorkWeight      = 0.15      // weight of a run in the mean once there are enough
+	baselineCatchUpUS   = 4_000_000 // a low baseline has mostly caught up within this, at any rate of runs
 	minCheapestRuns     = 20        // runs of a class before it can be the cheapest
-	cheapestSwitchRatio = 0.85      // another class has to cost less than this part to take its place
+	cheapestSwitchRatio = 0.85      // another class must cost less than this part to become the cheapest
 )
 
-// learn takes in the work of one run. The base is a low mean: half of the runs
-// lie above it by chance alone, and a crowded machine must not pass for a slow
-// one at once; but a machine that got slow must be known as such in seconds.
+// learn adds the work of one run. The baseline is a low mean: half of the runs are
+// above it by chance alone, and an overloaded machine must not pass for a slow one
+// at once; but a machine that has become slow must be recognised within seconds.
 func (k *classCost) learn(now int64, work float64) {
 	work = max(work, 1)
 	k.runsSeen++
@@ -43,7 +43,7 @@
 	}
 }
 
-// findCheapest keeps the class that costs least for one request.
+// findCheapest updates the class that costs least per request.
 func (b *Allocator) findCheapest() {
 	best := -1
 	for c := range b.classes {
@@ -59,11 +59,11 @@
 	}
 }
 
-// CheapestClass is the class that does the least work for one request, as learned;
+// CheapestClass returns the class with the least work per request, as learned;
 // -1 = not known yet.
 func (b *Allocator) CheapestClass() int { return b.cheapest }
 
-// decayingRate counts events a second with a fading memory.
+// decayingRate counts events per second, with decay.
 type decayingRate struct {
 	count     float64
 	updatedAt int64
@@ -71,9 +71,10 @@
 
 const (
 	rateDecayUS = 2e6
-	rateStepUS  = 10_000 // finer steps change nothing that matters
+	rateStepUS  = 10_000 // finer steps make no difference
 )
 
+// decay applies the decay up to now.
 func (r *decayingRate) decay(now int64) {
 	if now-r.updatedAt > rateStepUS {
 		r.count *= math.Exp(-float64(now-r.updatedAt) / rateDecayUS)
@@ -81,12 +82,13 @@
 	}
 }
 
+// add counts one event.
 func (r *decayingRate) add(now int64) {
 	r.decay(now)
 	r.count++
 }
 
-// perSecond is the rate of late.
+// perSecond returns the recent rate.
 func (r *decayingRate) perSecond(now int64) float64 {
 	r.decay(now)
 	return r.count / (rateDecayUS / 1e6)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,13 +1,13 @@
-// Package pool decides how many places and how much memory each pool of
-// classes may have. It keeps a book on what waits and runs, learns what a
-// request of each class costs, and before each batch works out ceilings for
-// the kiteslip module, which obeys them. docs/design/pools.md says why it is
-// as it is.
+// Package pool decides how many running slots and how much memory each pool of
+// classes may have. It counts what is queued and running, learns the work of a
+// request of each class, and before each batch computes ceilings for the
+// policy, which enforces them. The reasons for the design are in
+// docs/design/pools.md.
 //
-// A Book belongs to one goroutine. It reads no clock and does no I/O: the time
-// comes in with each call and only advances. Times and durations are
-// microseconds, sizes kilobytes. Nothing here grows with the number of
-// requests: all state is per class and per pool.
+// An Allocator belongs to one goroutine. It reads no clock and does no I/O: the
+// time is an argument of each call and only advances. Times and durations are
+// microseconds, sizes kilobytes. No state grows with the number of requests:
+// all of it is per class and per pool.
 package pool
 
 import (
@@ -23,29 +23,29 @@
 type Spec struct {
 	Name           string
 	Classes        []int
-	Share          float64 // of the running places: its own whenever it wants them
-	MaxShare       float64 // of the running places: never more; 0 = all
-	Reserve        float64 // of the cores: places beyond the running limit, not lent
-	MemoryShare    float64 // of the memory: its own; 0 = as Share
-	MaxMemoryShare float64 // of the memory: never more; 0 = all
-	MaxQueued      int     // requests that may wait; 0 = what can be served in time
+	Share          float64 // of the running slots: guaranteed
+	MaxShare       float64 // of the running slots: at most this; 0 = all
+	Reserve        float64 // of the cores: slots beyond the running limit, which are not lent
+	MemoryShare    float64 // of the memory: guaranteed; 0 = as Share
+	MaxMemoryShare float64 // of the memory: at most this; 0 = all
+	MaxQueued      int     // queued requests; 0 = as many as can be served in time
 }
 
-// Class is what a Book must know of a class.
+// Class is what an Allocator must know of a class.
 type Class struct{ TargetTime, Timeout int64 }
 
 // Settings declare the pools of one server.
 type Settings struct {
 	Cores         int
 	MemoryKB      float64
-	RunFactor     float64 // memory of a running request over that of a held one
-	MaxRetryAfter int64   // longest advice to stay away; 0 = none is given
+	RunFactor     float64 // memory of a running request divided by that of a queued one
+	MaxRetryAfter int64   // maximum retry-after; 0 = none is given
 	Classes       []Class
 	Pools         []Spec
-	CheapReserve  float64 // of the cores: places beyond the running limit for the cheapest class
+	CheapReserve  float64 // of the cores: slots beyond the running limit for the cheapest class
 }
 
-// SettingsFor returns settings for the machine and classes of a module, without pools.
+// SettingsFor returns settings for the machine and the classes of the policy, without pools.
 func SettingsFor(m *kiteslip.Settings) *Settings {
 	s := &Settings{Cores: m.Cores, MemoryKB: m.MemoryKB, RunFactor: m.RunFactor, MaxRetryAfter: m.MaxRetryAfter}
 	for i := range m.Classes {
@@ -54,27 +54,27 @@
 	return s
 }
 
-// ReservedRuns is how many places beyond the running limit a reserve amounts to.
+// ReservedRuns returns the number of slots beyond the running limit that a reserve amounts to.
 func (s *Settings) ReservedRuns(reserve float64) int {
 	return int(math.Ceil(reserve * float64(s.Cores)))
 }
 
-// DefaultPool is the name of the pool of all classes that no other names. It has no share.
+// DefaultPool is the name of the pool of all classes that are in no other. It has no share.
 const DefaultPool = "rest"
 
-// MaxPools pools of one server. A decision takes time for each of them.
+// MaxPools is the maximum number of pools of one server. The time of a decision is proportional to their number.
 const MaxPools = 64
 
 // ErrSettings is wrapped by all errors about settings.
 var ErrSettings = errors.New("pool")
 
-// Check returns an error that names each faulty key, joined; nil = none.
+// Check returns an error that names each faulty configuration key, joined; nil = none.
 func (s *Settings) Check() error {
 	var errs []error
 	fail := func(key, format string, args ...any) {
 		errs = append(errs, fmt.Errorf("%w: %s %s", ErrSettings, key, fmt.Sprintf(format, args...)))
 	}
-	part := func(key string, v float64) {
+	inUnit := func(key string, v float64) {
 		if !(v >= 0 && v <= 1) {
 			fail(key, "is %v, want 0 to 1", v)
 		}
@@ -88,7 +88,7 @@
 	if len(s.Pools) > MaxPools {
 		fail("pool", "is there %d times, want %d at most", len(s.Pools), MaxPools)
 	}
-	part("pools.cheap_reserve", s.CheapReserve)
+	inUnit("pools.cheap_reserve", s.CheapReserve)
 	names, owner := map[string]bool{DefaultPool: true}, map[int]string{}
 	share, memory := 0.0, 0.0
 	for i := range s.Pools {
@@ -109,11 +109,11 @@
 				owner[c] = p.Name
 			}
 		}
-		part(key+".share", p.Share)
-		part(key+".most", p.MaxShare)
-		part(key+".reserve", p.Reserve)
-		part(key+".memory", p.MemoryShare)
-		part(key+".memory_most", p.MaxMemoryShare)
+		inUnit(key+".share", p.Share)
+		inUnit(key+".most", p.MaxShare)
+		inUnit(key+".reserve", p.Reserve)
+		inUnit(key+".memory", p.MemoryShare)
+		inUnit(key+".memory_most", p.MaxMemoryShare)
 		if p.MaxShare > 0 && p.MaxShare < p.Share {
 			fail(key+".most", "is %v, less than the share of %v", p.MaxShare, p.Share)
 		}
@@ -136,7 +136,7 @@
 	return errors.Join(errs...)
 }
 
-// GuaranteedMemory is the part of the memory that is the pool's own.
+// GuaranteedMemory returns the share of the memory that is guaranteed to the pool.
 func (p *Spec) GuaranteedMemory() float64 {
 	if p.MemoryShare > 0 {
 		return p.MemoryShare
@@ -144,7 +144,7 @@
 	return p.Share
 }
 
-// EffectiveMaxShare is the part of the running places that the pool never passes.
+// EffectiveMaxShare returns the share of the running slots that the pool never exceeds.
 func (p *Spec) EffectiveMaxShare() float64 {
 	if p.MaxShare > 0 {
 		return p.MaxShare
@@ -152,7 +152,7 @@
 	return 1
 }
 
-// EffectiveMaxMemory is the part of the memory that the pool never passes.
+// EffectiveMaxMemory returns the share of the memory that the pool never exceeds.
 func (p *Spec) EffectiveMaxMemory() float64 {
 	if p.MaxMemoryShare > 0 {
 		return p.MaxMemoryShare
@@ -160,21 +160,21 @@
 	return 1
 }
 
-// poolState is one pool in service.
+// poolState is the state of one pool.
 type poolState struct {
 	Spec
 	waiting, running    int
-	queuedKB, runningKB float64 // booked for what waits and what runs
-	meanWork            float64 // mean work of one of its runs, as of the last ceilings
-	credit              float64 // in microseconds of one place, see own
+	queuedKB, runningKB float64 // memory booked for queued and running requests
+	meanWork            float64 // mean work of one of its runs, as of the last Ceilings
+	credit              float64 // in microseconds of one slot, see guaranteedRuns
 	limiter             limiter
-	doneRate            decayingRate // of its finishes
+	doneRate            decayingRate // of its completed runs
 	refused             int
-	guaranteed          int // of the last ceilings
+	guaranteed          int // as of the last Ceilings
 	maxRuns             int
 }
 
-// Allocator is the state of all pools of a server. The pool at 0 is the rest.
+// Allocator is the state of all pools of a server. The pool at index 0 is the default pool.
 type Allocator struct {
 	cfg           Settings
 	pools         []poolState
@@ -182,15 +182,15 @@
 	classes       []classCost
 	cheapest      int // the cheapest class; -1 = not known yet
 	now           int64
-	virtualTime   float64 // the work that one run got done so far, see advance
+	virtualTime   float64 // the work done by one run so far, see advance
 	running       int
-	maxConcurrent float64 // how many runs together may share the cores, as of the last ceilings
-	peerRuns      int     // runs of another process on the same cores
-	runningLimit  int     // the module's running limit, as told last
+	maxConcurrent float64 // how many runs together may share the cores, as of the last Ceilings
+	peerRuns      int     // runs of the peer on the same cores
+	runningLimit  int     // the policy's running limit, as of the last Ceilings
 	ceilings      kiteslip.Ceilings
 }
 
-// New returns a book for settings that pass their Check.
+// New returns an allocator for settings that pass Check.
 func New(s Settings) (*Allocator, error) {
 	b := &Allocator{cheapest: -1}
 	if err := b.Reconfigure(s); err != nil {
@@ -199,18 +199,18 @@
 	return b, nil
 }
 
-// Reconfigure takes over new settings, in which classes have the places that they had
-// and new ones follow. A pool that keeps its name keeps its credit and limit;
-// what waits and runs is counted in the pool that its class is in now. On an
-// error nothing has changed.
+// Reconfigure applies new settings, in which classes keep their slots and new
+// ones follow. A pool that keeps its name keeps its credit and limit; queued
+// and running requests are counted in the pool that their class is in now. On
+// an error nothing has changed.
 func (b *Allocator) Reconfigure(s Settings) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
 	if len(s.Classes) < len(b.classes) {
-		return fmt.Errorf("%w: a class has lost its place", ErrSettings)
+		return fmt.Errorf("%w: the new settings have fewer classes than before", ErrSettings)
 	}
-	was := b.pools
+	prev := b.pools
 	b.cfg = s
 	b.runningLimit = max(b.runningLimit, s.Cores)
 	b.pools = make([]poolState, len(s.Pools)+1)
@@ -227,8 +227,8 @@
 	}
 	for i := range b.pools {
 		p := &b.pools[i]
-		if at := slices.IndexFunc(was, func(o poolState) bool { return o.Name == p.Name }); at >= 0 {
-			p.credit, p.limiter, p.doneRate, p.refused = was[at].credit, was[at].limiter, was[at].doneRate, was[at].refused
+		if old := slices.IndexFunc(prev, func(q poolState) bool { return q.Name == p.Name }); old >= 0 {
+			p.credit, p.limiter, p.doneRate, p.refused = prev[old].credit, prev[old].limiter, prev[old].doneRate, prev[old].refused
 		} else {
 			p.limiter.start(float64(s.Cores))
 		}
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// advance moves the clocks. The share clock counts the work that one run gets
-// done where all that runs shares the cores evenly.
+// advance moves the clocks. Virtual time is the work that one run gets done if
+// all runs share the cores evenly.
 func (b *Allocator) advance(now int64) {
 	dt := now - b.now
 	if b.now == 0 || dt <= 0 {
@@ -261,7 +261,7 @@
 	b.updateCredit(float64(dt))
 }
 
-// Arrive enters a request that waits from now on.
+// Arrive adds a request that is queued from now on.
 func (b *Allocator) Arrive(now int64, class int, kb float64) {
 	b.advance(now)
 	k, p := &b.classes[class], &b.pools[b.poolOf[class]]
@@ -271,7 +271,7 @@
 	p.queuedKB += kb
 }
 
-// Leave takes out a request that waited.
+// Leave removes a queued request.
 func (b *Allocator) Leave(now int64, class int, kb float64) {
 	b.advance(now)
 	k, p := &b.classes[class], &b.pools[b.poolOf[class]]
@@ -281,9 +281,9 @@
 	p.queuedKB -= kb
 }
 
-// Begin notes that a request which waited runs from now on. What it returns is
-// wanted by End.
-func (b *Allocator) Begin(now int64, class int, kb float64) (mark float64) {
+// Begin records that a queued request runs from now on. The result is an
+// argument of End.
+func (b *Allocator) Begin(now int64, class int, kb float64) (virtualStart float64) {
 	b.Leave(now, class, kb)
 	k, p := &b.classes[class], &b.pools[b.poolOf[class]]
 	kb *= max(1, b.cfg.RunFactor)
@@ -295,11 +295,11 @@
 	return b.virtualTime
 }
 
-// End takes in the end of a run that took so long. Only one that ended well is
-// learned from: a failure may be quick or slow for reasons of its own.
-func (b *Allocator) End(now int64, class int, kb, mark float64, elapsed int64, ok bool) {
+// End records the end of a run of that duration. Only successful runs are learned
+// from: a failure may be quick or slow for other reasons.
+func (b *Allocator) End(now int64, class int, kb, virtualStart float64, elapsed int64, ok bool) {
 	b.advance(now)
-	work := b.virtualTime - mark
+	work := b.virtualTime - virtualStart
 	k, p := &b.classes[class], &b.pools[b.poolOf[class]]
 	kb *= max(1, b.cfg.RunFactor)
 	k.running--
@@ -316,10 +316,10 @@
 	p.limiter.runEnded(now, float64(elapsed)/k.baseline, full && p.running+1 >= p.maxRuns, k.baseline)
 }
 
-// CountRefused counts a request that was turned away while it waited.
+// CountRefused counts a queued request that was refused.
 func (b *Allocator) CountRefused(class int) { b.pools[b.poolOf[class]].refused++ }
 
-// SetPeerLoad takes in how many runs of another process share the cores.
+// SetPeerLoad sets how many runs of the peer share the cores.
 func (b *Allocator) SetPeerLoad(now int64, runs int) {
 	b.advance(now)
 	b.peerRuns = max(0, runs)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -12,7 +12,7 @@
 
 const second = 1_000_000
 
-// testSettings is a small broker: three pools on four cores, the last class in none.
+// testSettings declare a small server: three pools on four cores, the last class in none of them.
 func testSettings() Settings {
 	return Settings{Cores: 4, MemoryKB: 10_000, RunFactor: 4, MaxRetryAfter: second, CheapReserve: 0.25,
 		Classes: []Class{{second, 4 * second}, {second, 4 * second}, {second, 3 * second}, {second, 4 * second}},
@@ -23,6 +23,7 @@
 		}}
 }
 
+// An error about settings names the faulty key, and faulty settings are not applied.
 func TestSettingsErrorsNameTheKey(t *testing.T) {
 	t.Parallel()
 	s := testSettings()
@@ -53,12 +54,12 @@
 			t.Errorf("%s: %v", key, err)
 		}
 		if b, err := New(testSettings()); err != nil || b.Reconfigure(s) == nil {
-			t.Errorf("%s: a faulty change is taken (%v)", key, err)
+			t.Errorf("%s: faulty settings are applied (%v)", key, err)
 		}
 	}
 }
 
-// modelRequest is a request as the model has it.
+// modelRequest is a request in the model.
 type modelRequest struct {
 	class int
 	kb    float64
@@ -67,8 +68,9 @@
 	runs  bool
 }
 
-// Whatever arrives, begins, ends, leaves and is set anew: the book has what
-// there is, no core is left idle by a limit, and all ceilings keep their bounds.
+// For any sequence of arrivals, starts, ends, departures and new settings: the
+// counts match the model, no core is left idle by a limit, and all ceilings stay
+// within their bounds.
 func TestAllocatorAgainstModel(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -112,19 +114,20 @@
 	})
 }
 
+// checkInvariants compares the allocator with the requests of the model.
 func checkInvariants(t *rapid.T, b *Allocator, s *Settings, now int64, all []modelRequest) {
 	limit := rapid.IntRange(1, 40).Draw(t, "limit")
 	out := b.Ceilings(now, limit)
-	of := map[int]int{}
+	poolOf := map[int]int{}
 	for i, p := range s.Pools {
 		for _, c := range p.Classes {
-			of[c] = i + 1
+			poolOf[c] = i + 1
 		}
 	}
 	running, waiting, total := make([]int, len(s.Pools)+1), make([]int, len(s.Pools)+1), 0
 	kb := make([]float64, len(s.Pools)+1)
 	for _, o := range all {
-		if at := of[o.class]; o.runs {
+		if at := poolOf[o.class]; o.runs {
 			running[at]++
 			total++
 			kb[at] += o.kb * s.RunFactor
@@ -134,46 +137,46 @@
 		}
 	}
 	if out.MaxRuns < s.Cores {
-		t.Fatalf("%d places on %d cores", out.MaxRuns, s.Cores)
+		t.Fatalf("%d running slots on %d cores", out.MaxRuns, s.Cores)
 	}
-	for i, f := range b.Stats() {
+	for i, stats := range b.Stats() {
 		c := out.Pools[i]
-		if f.Running != running[i] || f.Waiting != waiting[i] || math.Abs(f.BookedKB-kb[i]) > 1e-6 {
-			t.Fatalf("pool %s: %+v, want %d running, %d waiting, %v KB", f.Name, f, running[i], waiting[i], kb[i])
+		if stats.Running != running[i] || stats.Waiting != waiting[i] || math.Abs(stats.BookedKB-kb[i]) > 1e-6 {
+			t.Fatalf("pool %s: %+v, want %d running, %d waiting, %v KB", stats.Name, stats, running[i], waiting[i], kb[i])
 		}
-		most := 1.0
+		maxShare := 1.0
 		if i > 0 {
-			most = s.Pools[i-1].EffectiveMaxShare()
+			maxShare = s.Pools[i-1].EffectiveMaxShare()
 		}
-		idle := min(s.Cores-total, int(math.Ceil(most*float64(limit)))-running[i])
+		idle := min(s.Cores-total, int(math.Ceil(maxShare*float64(limit)))-running[i])
 		if c.MaxRuns < 1 || idle > 0 && c.MaxRuns < running[i]+idle {
-			t.Fatalf("pool %s may have %d runs, has %d, and %d of %d cores are idle", f.Name, c.MaxRuns, running[i], s.Cores-total, s.Cores)
+			t.Fatalf("pool %s may have %d runs, has %d, and %d of %d cores are idle", stats.Name, c.MaxRuns, running[i], s.Cores-total, s.Cores)
 		}
 		if c.GuaranteedRuns < 0 || c.GuaranteedRuns > 64 || c.MaxQueued < 1 || c.MaxKB < 0 || c.MaxKB > s.MemoryKB || c.GuaranteedKB > c.MaxKB+1e-6 ||
 			c.RetryAfter < 1000 || c.RetryAfter > s.MaxRetryAfter || c.GuaranteedCores < 0 || c.GuaranteedCores > float64(s.Cores) || math.IsNaN(c.GuaranteedCores) {
-			t.Fatalf("pool %s: %+v", f.Name, c)
+			t.Fatalf("pool %s: %+v", stats.Name, c)
 		}
 		if i > 0 && running[i] == 0 && waiting[i] > 0 && c.GuaranteedRuns < int(s.Pools[i-1].Share*float64(s.Cores)) {
-			t.Fatalf("pool %s has %d places of its own, its share is %v of %d", f.Name, c.GuaranteedRuns, s.Pools[i-1].Share, s.Cores)
+			t.Fatalf("pool %s has %d guaranteed slots, its share is %v of %d", stats.Name, c.GuaranteedRuns, s.Pools[i-1].Share, s.Cores)
 		}
 	}
 }
 
-// runClass runs one class at a time on a machine whose cores are shared evenly:
-// keep runs are in hand all along, each of which takes that much work.
-func runClass(b *Allocator, now int64, class, keep int, work float64, length int64, watch func(now int64)) int64 {
+// runClass runs one class on a machine whose cores are shared evenly: a constant number of concurrent runs,
+// each of which takes that much work.
+func runClass(b *Allocator, now int64, class, concurrent int, work float64, length int64, watch func(now int64)) int64 {
 	type run struct {
 		mark  float64
 		began int64
 	}
 	var runs []run
-	each := int64(work * max(1, float64(keep)/4))
-	for end := now + length; now < end; now += each / int64(keep) {
-		for len(runs) < keep {
+	duration := int64(work * max(1, float64(concurrent)/4))
+	for end := now + length; now < end; now += duration / int64(concurrent) {
+		for len(runs) < concurrent {
 			b.Arrive(now, class, 1)
 			runs = append(runs, run{b.Begin(now, class, 1), now})
 		}
-		for len(runs) > 0 && now-runs[0].began >= each {
+		for len(runs) > 0 && now-runs[0].began >= duration {
 			b.End(now, class, 1, runs[0].mark, now-runs[0].began, true)
 			runs = runs[1:]
 		}
@@ -188,43 +191,43 @@
 	return now
 }
 
-// A crowd drives the limit to its floor; once it is over the limit is back
-// within seconds, and moves in one direction.
+// Overload drives the limit to its minimum; once it is over, the limit recovers
+// within seconds, without oscillating.
 func TestLimitRecovers(t *testing.T) {
 	t.Parallel()
 	b, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
-	const slow = 1 // the pool's place
+	const slow = 1 // index of the pool
 	limit := func() float64 { return b.pools[slow].limiter.limit }
 	now := runClass(b, second, 0, 4, 50_000, 5*second, nil)
-	calm := limit()
+	normal := limit()
 	now = runClass(b, now, 0, 40, 50_000, 5*second, nil)
-	floor := limit()
-	if floor > 0.6*calm {
-		t.Fatalf("ten runs a core leave the limit at %.1f of %.1f", floor, calm)
+	lowest := limit()
+	if lowest > 0.6*normal {
+		t.Fatalf("ten runs a core leave the limit at %.1f of %.1f", lowest, normal)
 	}
-	back, least, most := int64(0), math.Inf(1), 0.0
+	recovered, lowestAfter, highestAfter := int64(0), math.Inf(1), 0.0
 	began := now
 	runClass(b, now, 0, 4, 50_000, 10*second, func(now int64) {
-		if back == 0 && limit() >= 4 {
-			back = now - began
+		if recovered == 0 && limit() >= 4 {
+			recovered = now - began
 		}
 		if now >= began+3*second {
-			least, most = min(least, limit()), max(most, limit())
+			lowestAfter, highestAfter = min(lowestAfter, limit()), max(highestAfter, limit())
 		}
 	})
-	if back == 0 || back > 3*second {
-		t.Errorf("the limit is at %.1f; it took %d ms to come back to the cores", limit(), back/1000)
+	if recovered == 0 || recovered > 3*second {
+		t.Errorf("the limit is at %.1f; it took %d ms to recover to the number of cores", limit(), recovered/1000)
 	}
-	if most > 1.1*least {
-		t.Errorf("the limit swings between %.1f and %.1f once it is back", least, most)
+	if highestAfter > 1.1*lowestAfter {
+		t.Errorf("the limit varies between %.1f and %.1f after its recovery", lowestAfter, highestAfter)
 	}
 }
 
-// Speed that halves for good is a slow machine, not a crowd: the limit is back
-// in seconds though every run takes twice as long.
+// A machine that runs at half speed for good is slow, not overloaded: the limit
+// recovers within seconds though every run takes twice as long.
 func TestLimitFollowsASlowMachine(t *testing.T) {
 	t.Parallel()
 	b, err := New(testSettings())
@@ -232,21 +235,21 @@
 		t.Fatal(err)
 	}
 	now := runClass(b, second, 0, 4, 50_000, 5*second, nil)
-	calm := b.pools[1].limiter.limit
-	lowest, noticed := calm, 0.0
+	normal := b.pools[1].limiter.limit
+	lowest, highestRatio := normal, 0.0
 	runClass(b, now, 0, 4, 100_000, 12*second, func(int64) {
-		lowest, noticed = min(lowest, b.pools[1].limiter.limit), max(noticed, b.pools[1].limiter.latencyRatio)
+		lowest, highestRatio = min(lowest, b.pools[1].limiter.limit), max(highestRatio, b.pools[1].limiter.latencyRatio)
 	})
-	if noticed < toleratedRatio {
-		t.Errorf("runs of twice the time show as %.2f", noticed)
+	if highestRatio < toleratedRatio {
+		t.Errorf("runs of twice the time give a latency ratio of %.2f", highestRatio)
 	}
-	if l := b.pools[1].limiter.limit; lowest < 0.6*calm || l < 0.9*calm {
-		t.Errorf("at half the speed the limit falls from %.1f to %.1f and is at %.1f after 12 s", calm, lowest, l)
+	if l := b.pools[1].limiter.limit; lowest < 0.6*normal || l < 0.9*normal {
+		t.Errorf("at half the speed the limit falls from %.1f to %.1f and is at %.1f after 12 s", normal, lowest, l)
 	}
 }
 
-// The cheapest class is learned, changes when costs swap places, and not to and
-// fro between classes of like cost.
+// The cheapest class is learned, changes when the costs are exchanged, and does not
+// alternate between classes of similar cost.
 func TestCheapestIsLearned(t *testing.T) {
 	t.Parallel()
 	b, err := New(testSettings())
@@ -261,23 +264,23 @@
 	if b.CheapestClass() != 2 {
 		t.Errorf("cheapest is %d, want 2", b.CheapestClass())
 	}
-	for range 5 { // like costs, in turn
+	for range 5 { // similar costs, in turn
 		now = runClass(b, now, 1, 2, 19_000, second, nil)
 		now = runClass(b, now, 2, 2, 21_000, second, nil)
 		if b.CheapestClass() != 2 {
-			t.Fatalf("the reserve moved to %d for a tenth", b.CheapestClass())
+			t.Fatalf("the reserve moved to class %d for a tenth of the cost", b.CheapestClass())
 		}
 	}
 	now = runClass(b, now, 2, 2, 90_000, 8*second, nil)
 	if b.CheapestClass() != 1 {
-		t.Errorf("cheapest is %d after class 2 got dear, want 1", b.CheapestClass())
+		t.Errorf("cheapest is %d after class 2 became expensive, want 1", b.CheapestClass())
 	}
 	if out := b.Ceilings(now, 8); out.CheapestClass != 1 || out.CheapestReserved != 1 {
-		t.Errorf("the reserve is %d places for class %d", out.CheapestReserved, out.CheapestClass)
+		t.Errorf("the reserve is %d slots for class %d", out.CheapestReserved, out.CheapestClass)
 	}
 }
 
-// An hour without work saves up a bounded number of runs.
+// A pool without work for an hour saves up a bounded number of runs.
 func TestCreditIsBounded(t *testing.T) {
 	t.Parallel()
 	b, err := New(testSettings())
@@ -287,17 +290,17 @@
 	now := runClass(b, second, 2, 2, 50_000, 2*second, nil)
 	b.Arrive(now+3600*second, 2, 1)
 	out := b.Ceilings(now+3600*second, 8)
-	if own := out.Pools[2].GuaranteedRuns; own < 2 || float64(own) > 2+maxCreditRuns*4*0.4 {
-		t.Errorf("after an hour %d places are the pool's own", own)
+	if slots := out.Pools[2].GuaranteedRuns; slots < 2 || float64(slots) > 2+maxCreditRuns*4*0.4 {
+		t.Errorf("after an hour the pool has %d guaranteed slots", slots)
 	}
 	now = runClass(b, now+3600*second, 2, 8, 50_000, 3*second, nil)
 	b.Arrive(now, 2, 1)
-	if own := b.Ceilings(now, 8).Pools[2].GuaranteedRuns; own > 2 {
-		t.Errorf("a pool that owes has %d places of its own", own)
+	if slots := b.Ceilings(now, 8).Pools[2].GuaranteedRuns; slots > 2 {
+		t.Errorf("a pool in debt has %d guaranteed slots", slots)
 	}
 }
 
-// Memory that another pool may claim as its own is not given away, and what
+// Guaranteed memory that another pool may claim is not lent, and memory that
 // nobody claims is.
 func TestUnclaimedMemoryIsLent(t *testing.T) {
 	t.Parallel()
@@ -310,7 +313,7 @@
 	}
 	out := b.Ceilings(second, 4)
 	if kb := out.Pools[1].MaxKB; kb != 10_000 {
-		t.Errorf("alone a pool may book %v KB of 10,000", kb)
+		t.Errorf("with no other pool in use a pool may book %v KB of 10,000", kb)
 	}
 	b.Arrive(second, 2, 100)
 	out = b.Ceilings(second, 4)
@@ -318,13 +321,13 @@
 		t.Errorf("beside a pool with a share of 0.4 another may book %v KB, want 6,000", kb)
 	}
 	if kb := out.Pools[2].MaxKB; kb < 4_000 {
-		t.Errorf("a pool may book %v KB of its own 4,000", kb)
+		t.Errorf("a pool may book %v KB of its guaranteed 4,000", kb)
 	}
 	if kb := out.Pools[3].MaxKB; kb > 5_000 {
 		t.Errorf("a pool with a bound of half may book %v KB", kb)
 	}
 	var none kiteslip.Ceiling
 	if out.Pools[0] == none {
-		t.Error("the rest has no ceiling at all")
+		t.Error("the default pool has no ceiling at all")
 	}
 }
