--- a/cmd/simhost/hosts_test.go
+++ b/cmd/simhost/hosts_test.go
@@ -17,9 +17,9 @@
 	"kiteslip/internal/wire"
 )
 
-// The simulator's host and the real server's core are to make the same of the
-// same events. Each script under testdata/hosts has events and the actions that
-// must follow; both hosts play it.
+// The simulator's host and the core of the real server must act alike on the same
+// events. Each script under testdata/hosts has events, and the actions that must
+// follow from them; both hosts run it.
 //
 //	MS arrive N CLASS [timeout=MS] [again] [prior=N]
 //	MS need|gone N
@@ -39,8 +39,9 @@
 var kinds = map[string]kiteslip.EventKind{"arrive": kiteslip.Arrive, "need": kiteslip.NeedsCall, "gone": kiteslip.Disconnected, "called": kiteslip.CallDone,
 	"done": kiteslip.Done, "drain": kiteslip.Drain}
 
-const scriptStart = 1_000_000_000 // of the scripts' clock, microseconds
+const scriptStartUS = 1_000_000_000 // start of the scripts' clock
 
+// readScript returns the events of a script and the actions that it wants.
 func readScript(t *testing.T, text string) (all []scriptEvent, want []string) {
 	for _, line := range strings.Split(text, "\n") {
 		words := strings.Fields(line)
@@ -58,13 +59,13 @@
 			}
 			return n
 		}
-		h := scriptEvent{at: scriptStart + number(words[0])*1000}
+		h := scriptEvent{at: scriptStartUS + number(words[0])*1000}
 		e := &h.event
 		if e.Kind = kinds[words[1]]; e.Kind == 0 {
 			t.Fatalf("%q: no such event", line)
 		}
 		if e.Kind == kiteslip.Drain {
-			e.Deadline = scriptStart + number(words[2])*1000
+			e.Deadline = scriptStartUS + number(words[2])*1000
 		} else {
 			e.ID = kiteslip.RequestID(number(words[2]))
 		}
@@ -90,16 +91,17 @@
 	return all, want
 }
 
-// scriptHost is one host under a script.
+// scriptHost runs the events of a script and notes the actions.
 type scriptHost interface {
-	next() int64 // a timer is due then; 0 = none
+	next() int64 // when the next timer is due; 0 = none
 	step(now int64, events []kiteslip.Event)
 	actions() []string
 }
 
-func play(s scriptHost, all []scriptEvent, until int64) []string {
-	s.step(scriptStart, nil)
-	for now := int64(scriptStart); now < until; {
+// runScript runs the events of a script, and timers up to that time, and returns the actions.
+func runScript(s scriptHost, all []scriptEvent, until int64) []string {
+	s.step(scriptStartUS, nil)
+	for now := int64(scriptStartUS); now < until; {
 		at := until
 		if len(all) > 0 {
 			at = all[0].at
@@ -118,18 +120,18 @@
 	return s.actions()
 }
 
-// actionLog words actions alike for both hosts.
+// actionLog formats actions in one way for both hosts.
 type actionLog struct {
 	now   int64
 	lines []string
 }
 
 func (s *actionLog) add(format string, args ...any) {
-	s.lines = append(s.lines, fmt.Sprintf("%d ", (s.now-scriptStart)/1000)+fmt.Sprintf(format, args...))
+	s.lines = append(s.lines, fmt.Sprintf("%d ", (s.now-scriptStartUS)/1000)+fmt.Sprintf(format, args...))
 }
 func (s *actionLog) actions() []string { return s.lines }
 
-// simulatorHost plays a script over the simulator's wire.
+// simulatorHost runs a script over the simulator's protocol.
 type simulatorHost struct {
 	actionLog
 	t        *testing.T
@@ -137,7 +139,7 @@
 	out      io.Reader
 	settings []byte
 	timers   map[uint64]int64
-	begun    map[uint32]bool
+	started  map[uint32]bool
 	calledAt map[kiteslip.RequestID]int64
 	ranAt    map[kiteslip.RequestID]int64
 	enlisted bool
@@ -148,7 +150,7 @@
 	hostOut, out := io.Pipe()
 	go func() { out.CloseWithError(serve(in, out)) }()
 	t.Cleanup(func() { hostIn.Close() })
-	return &simulatorHost{t: t, in: hostIn, out: hostOut, settings: settings, timers: map[uint64]int64{}, begun: map[uint32]bool{},
+	return &simulatorHost{t: t, in: hostIn, out: hostOut, settings: settings, timers: map[uint64]int64{}, started: map[uint32]bool{},
 		calledAt: map[kiteslip.RequestID]int64{}, ranAt: map[kiteslip.RequestID]int64{}}
 }
 
@@ -239,7 +241,7 @@
 	s.read(reply)
 }
 
-// read words the actions of one reply.
+// read notes the actions of one reply.
 func (s *simulatorHost) read(b []byte) {
 	le := binary.LittleEndian
 	for len(b) > 0 {
@@ -253,7 +255,7 @@
 			b = b[8:]
 		case 66:
 			v := id()
-			s.begun[v] = true
+			s.started[v] = true
 			s.ranAt[kiteslip.RequestID(v)] = s.now
 			s.add("run %d", v)
 		case 67:
@@ -282,10 +284,10 @@
 			s.add("skip %d", id())
 		case 79:
 			v, after := id(), id()
-			if last := b[0] == 1; s.begun[v] {
+			if noFailover := b[0] == 1; s.started[v] {
 				s.add("fail %d", v)
 			} else {
-				s.add("refuse %d %d %v", v, after/1000, last)
+				s.add("refuse %d %d %v", v, after/1000, noFailover)
 			}
 			b = b[1:]
 		default:
@@ -294,15 +296,15 @@
 	}
 }
 
-// coreHost plays a script on the core, as the server's loop does.
+// coreHost runs a script on the core, as the server's loop does.
 type coreHost struct {
 	actionLog
-	t     *testing.T
-	core  *core.Core
-	open  map[kiteslip.RequestID]*core.Request
-	ids   map[*core.Request]kiteslip.RequestID
-	calls map[kiteslip.RequestID]uint64 // tokens
-	good  bool
+	t       *testing.T
+	core    *core.Core
+	open    map[kiteslip.RequestID]*core.Request
+	ids     map[*core.Request]kiteslip.RequestID
+	calls   map[kiteslip.RequestID]uint64 // tokens
+	healthy bool
 }
 
 func newCoreHost(t *testing.T, text []byte) *coreHost {
@@ -351,8 +353,8 @@
 		}
 	}
 	r.core.Step(now)
-	if good, _ := r.core.Health(); good != r.good {
-		r.good = good
+	if good, _ := r.core.Health(); good != r.healthy {
+		r.healthy = good
 		r.add("health %v", good)
 	}
 }
@@ -374,12 +376,14 @@
 	}
 }
 
-func (r *coreHost) Call(token uint64, ref string, _ []byte, patience int64) {
+func (r *coreHost) Call(token uint64, ref string, _ []byte, timeout int64) {
 	id, _ := strconv.Atoi(ref)
 	r.calls[kiteslip.RequestID(id)] = token
-	r.add("call %d %d", id, patience)
+	r.add("call %d %d", id, timeout)
 }
 
+// Both hosts carry out the actions that each script wants: the simulator would show nothing about a server that decides
+// differently.
 func TestHostsAgree(t *testing.T) {
 	settings, err := os.ReadFile("testdata/hosts/site.json")
 	if err != nil {
@@ -398,7 +402,7 @@
 			all, want := readScript(t, string(text))
 			until := all[len(all)-1].at + 1_000_000
 			for name, host := range map[string]scriptHost{"simulator's host": newSimulatorHost(t, settings), "real server's core": newCoreHost(t, settings)} {
-				got := slices.DeleteFunc(play(host, all, until), func(s string) bool { return strings.Contains(s, " reuse ") })
+				got := slices.DeleteFunc(runScript(host, all, until), func(s string) bool { return strings.Contains(s, " reuse ") })
 				if !slices.Equal(got, want) {
 					t.Errorf("%s:\n%s\nwant:\n%s", name, strings.Join(got, "\n"), strings.Join(want, "\n"))
 				}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts kiteslip workers on the wire of the bench: batches of
-// events on standard input, one reply each on standard output.
+// Command simhost hosts kiteslip workers for the simulator: it reads batches of events from standard
+// input, and writes one reply with the actions for each to standard output.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// host is one instance and its events of the batch in hand.
+// host is one instance, and its events of the current batch.
 type host struct {
 	worker *kiteslip.Worker
 	gauges []string
@@ -28,6 +28,7 @@
 	queued bool
 }
 
+// serve answers batches until the end of the input.
 func serve(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<20))
 	writer := bufio.NewWriterSize(out, 1<<20)
@@ -49,7 +50,7 @@
 			h := hosts[rec.Instance]
 			switch rec.Kind {
 			case wire.Shutdown:
-				// Killed: an instance that started anew in this batch queues again.
+				// An instance that is enlisted again in the same batch is queued again.
 				delete(hosts, rec.Instance)
 				continue
 			case wire.Enlist:
