--- a/groups.go
+++ b/groups.go
@@ -165,8 +165,8 @@
 	return shortest
 }
 
-// updateTenantShares computes this worker's share of each quota that has changed, or of all where that is
-// unknown: the list was changed in place.
+// updateTenantShares computes this worker's share of each quota that has changed, or of all quotas if the
+// number of workers has changed or the list was changed in place.
 func (w *Worker) updateTenantShares(before []Tenant, workers int) {
 	now := w.cfg.Tenants
 	all := workers != w.cfg.Workers || len(before) > 0 && &before[0] == &now[0]
--- a/groups_test.go
+++ b/groups_test.go
@@ -469,10 +469,10 @@
 }
 
 func BenchmarkDecision(b *testing.B) {
-	for _, held := range []int{0, 50, 500} {
+	for _, queued := range []int{0, 50, 500} {
 		for _, size := range [][2]int{small, {100, 60}, {1000, 300}, large} {
-			b.Run(fmt.Sprintf("tenants=%d/classes=%d/held=%d", size[0], size[1], held), func(b *testing.B) {
-				d := newDecisions(b, size[0], size[1], held)
+			b.Run(fmt.Sprintf("tenants=%d/classes=%d/held=%d", size[0], size[1], queued), func(b *testing.B) {
+				d := newDecisions(b, size[0], size[1], queued)
 				b.ReportAllocs()
 				for b.Loop() {
 					d.request()
--- a/internal/pool/ceilings.go
+++ b/internal/pool/ceilings.go
@@ -9,11 +9,11 @@
 const (
 	minQueued            = 16  // requests that may always be queued in a pool
 	maxQueued            = 1e5 // bound of the queue at any rate
-	queuedShare          = 1.0 // of what is done within the longest timeout may be queued
+	queuedShare          = 1.0 // share of what is done within the longest timeout that may be queued
 	maxCreditRuns        = 4.0 // mean runs per guaranteed slot that a pool may save up
 	maxDebtRuns          = 1.0 // mean runs that it may owe
-	initialWorkShare     = 0.1 // of the target time is taken as the work of a class until it has run
-	maxStretchShare      = 0.5 // of its target time that a run may take while the cores are shared
+	initialWorkShare     = 0.1 // share of the target time taken as the work of a class until it has run
+	maxStretchShare      = 0.5 // share of its target time that a run may take while the cores are shared
 	minStretchRuns       = 5   // runs of a class before that counts
 	maxRetryAfterTargets = 2.0 // retry-after is at most this many times the longest target time of the pool
 )
--- a/policy.go
+++ b/policy.go
@@ -26,9 +26,9 @@
 const (
 	busyTimerUS           = 10_000  // interval of deadline checks while there are requests
 	idleTimerUS           = 100_000 // ... and while there are none; also the interval of advice
-	initialWorkDivisor    = 8.0     // mean work of a class that has not run yet: its target time over this
+	initialWorkDivisor    = 8.0     // mean work of a class before its first run: its target time over this
 	meanWeight            = 0.05    // weight of one run in a mean: about twenty runs count
-	initialWorkWeight     = 3.0     // the initial mean work counts as this many runs
+	initialWorkWeight     = 3.0     // weight of the initial mean work, in runs: one short run must not set it
 	heavyRunMultiple      = 6.0     // a run beyond this many times the mean work is heavy
 	retryTargetShare      = 0.7     // share of the target time that a marked retry is assumed to have left
 	timeoutBins           = 64      // bins of the histogram of the time that callers have left
@@ -36,21 +36,21 @@
 	maxTimeoutSamples     = 400     // above this many samples all counts are halved
 	minRemainingShare     = 0.25    // share of the mean work still expected of a run that took longer
 	runTimeMargin         = 1.3     // a run is planned to take this many times its mean work
-	safeRunsShare         = 0.8     // share of the load known to be survived that is used
-	maxStopMarginUS       = 650_000 // answers are out this long before the stop, or half of the time to it
+	safeRunsShare         = 0.8     // runs stay below this share of those that a worker survives
+	maxStopMarginUS       = 650_000 // all is answered this long before the stop, at most half the time to it
 	admitMarginUS         = 300_000 // admission ends this long before that: a run cut short counts as failed
 	keyMarginUS           = 100_000 // a key entry outlives its window by this
 	decayTimeUS           = 4e6     // time constant of decay, long against the noise of a burst
 	fullDeficit           = 0.1     // a class or tenant served this much worse gets its full goal weight
 	stallMeanRuns         = 20.0    // core time without progress, in mean runs, that counts as a stall
-	sheddingFailureRate   = 0.25    // failure rate above which arrivals are shed
+	sheddingFailureRate   = 0.25    // a failure rate above this is no coincidence: arrivals are shed
 	unhealthyFailureRate  = 0.9     // nearly all fail; half may fail on all servers alike, by a dependency
 	failProbeIntervalUS   = 300_000 // a failing worker still admits one request in this time
 	slowCallMultiple      = 4.0     // calls are slow when their mean exceeds this many baselines
 	callBaselineDrift     = 0.001   // a baseline rises by this part of the gap: overload must not become it
 	maxCallLimitShare     = 0.4     // the limit of calls stays below this part of CallShare: it slows first
 	minCallLimitShare     = 0.2     // ... above this part however slow calls are: others slow them too
-	callBudgetShare       = 0.75    // part of CallShare that one worker may book, see maxCallTime
+	callBudgetShare       = 0.75    // one worker never books more of its CallShare than this, see maxCallTime
 	fractionalCallShare   = 0.6     // a share below one call: one is out for this part of that time share
 	minCallTimeShare      = 0.1     // no call is made with less time than this part of CallShareWindow
 	callTimeoutMultiple   = 5.0     // timeout of a repeatable call, in mean call times
--- a/policy_test.go
+++ b/policy_test.go
@@ -211,7 +211,8 @@
 	h.want(h.step(4_990_000, Event{Kind: Timer}), Halt, 1, false)
 }
 
-// After a drain notice and its grace nothing starts, and everything is answered before the stop.
+// After a drain notice and its grace nothing starts, and everything is answered before the stop. Requests
+// admitted just before the last answers were due started, were cut short, and failed: they are refused.
 func TestDrain(t *testing.T) {
 	h := newHarness(t, nil)
 	h.step(1000, Event{Kind: Drain, Deadline: 4_000_000})
@@ -219,7 +220,7 @@
 	acts := h.step(2_100_000, arrival(2, 0))
 	h.want(acts, Refuse, 2, true)
 	h.want(h.step(3_750_000, Event{Kind: Timer}), Refuse, 1, true)
-	// Requests admitted just before the last answers were due started, were cut short, and failed.
+	// Shortly before the stop: refused within the grace too.
 	h = newHarness(t, nil)
 	h.step(1000, Event{Kind: Drain, Deadline: 2_000_000})
 	h.want(h.step(1_000_000, arrival(1, 0)), Run, 1, true)
--- a/worker.go
+++ b/worker.go
@@ -86,10 +86,10 @@
 	arrivals, failureRate                     float64 // arrivals and share of failed runs, decaying
 	refusalRate                               float64 // recent share of refused arrivals
 	started, healthy, overdue                 bool
-	closeIdleEarly, retryStorm                bool // idle connections are closed early; most is refused, read late
+	closeIdleEarly, retryStorm                bool // idle connections close early; most is refused, read late
 	sharedDownstream, callsLimited            bool // all workers share the dependency; calls wait for the limit
 	heavyRuns                                 int  // runs of many times the mean work
-	requiredCalls, queuedRequiredCalls        int  // requests that wait for a required call; queued ones that will
+	requiredCalls, queuedRequiredCalls        int  // requests that wait for a required call; queued ones to come
 	callLimit, callBaseline, callMean         float64
 	callBudget                                float64       // call time that may be booked in CallShareWindow
 	callBookings                              []callBooking // of CallShareWindow and ahead
