--- a/cmd/kiteslip/calls_test.go
+++ b/cmd/kiteslip/calls_test.go
@@ -17,8 +17,8 @@
 	"kiteslip/internal/testfleet"
 )
 
-// tillSite is a site whose runs call a ledger, whose callers tell no deadline.
-const tillSite = `{"classes": [
+// ledgerSettings is a site whose runs call a ledger, whose callers tell no deadline.
+const ledgerSettings = `{"classes": [
   {"name": "look", "effect": "repeatable", "on_time_us": 1500000, "hard_limit_us": 1500000, "worth": 1},
   {"name": "note", "effect": "by_key", "on_time_us": 1500000, "hard_limit_us": 1500000, "worth": 4, "window_us": 60000000}],
  "tenants": [{"name": "red", "quota_per_s": 500}], "clients": {"marks_retry": true},
@@ -46,13 +46,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(m.link.Close)
-	m.Program = testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{asServer + "=1"}, Name: fmt.Sprint("n", n),
-		Config: map[string]any{"engine": m.engine.Address, "ledger": m.link.Address, "stop_ms": 1500, "settings": json.RawMessage(tillSite)}})
+	m.Program = testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: fmt.Sprint("n", n),
+		Config: map[string]any{"engine": m.engine.Address, "ledger": m.link.Address, "stop_ms": 1500, "settings": json.RawMessage(ledgerSettings)}})
 	return m
 }
 
-// ask sends requests that tell no deadline, half of them keyed, on one connection.
-func (m *member) ask(t *testing.T, mark string, from, n int) *standin.Caller {
+// sendAll sends requests that tell no deadline, half of them keyed, on one connection.
+func (m *member) sendAll(t *testing.T, mark string, from, n int) *standin.Caller {
 	t.Helper()
 	c := standin.Dial(t, m.Clients)
 	for i := range n {
@@ -71,8 +71,8 @@
 	return c
 }
 
-// answers takes n answers and counts them by code.
-func answers(t *testing.T, c *standin.Caller, n int, latest time.Time) map[byte]int {
+// countAnswers takes n answers and counts them by code.
+func countAnswers(t *testing.T, c *standin.Caller, n int, latest time.Time) map[byte]int {
 	t.Helper()
 	codes, streams := map[byte]int{}, map[uint32]bool{}
 	for range n {
@@ -117,7 +117,7 @@
 	latest := time.Now().Add(1500*time.Millisecond + 200*time.Millisecond)
 	var callers []*standin.Caller
 	for n, m := range fleet {
-		callers = append(callers, m.ask(t, fmt.Sprintf("struck%d", n), 1000*n+1, each))
+		callers = append(callers, m.sendAll(t, fmt.Sprintf("struck%d", n), 1000*n+1, each))
 	}
 	testfleet.Eventually(t, "all calls are out", func() bool { seen, _ := below.Seen(); return seen == 3*each })
 	fleet[2].link.Silence(faultnet.Back)
@@ -125,12 +125,12 @@
 	fleet[0].Kill()
 	close(hold)
 	// The one that hears nothing answers by the time its callers give up.
-	if codes := answers(t, callers[2], each, latest); codes[frame.Served]+codes[frame.Failed] != each || codes[frame.Failed] < each/2 {
+	if codes := countAnswers(t, callers[2], each, latest); codes[frame.Served]+codes[frame.Failed] != each || codes[frame.Failed] < each/2 {
 		t.Errorf("without a word from the ledger: %v", codes)
 	}
 	// The one that stood still answers all once it goes on; what it missed is late.
 	fleet[1].Signal(syscall.SIGCONT)
-	answers(t, callers[1], each, time.Time{})
+	countAnswers(t, callers[1], each, time.Time{})
 	// The one that was killed is known to its callers by the end of their connection.
 	for {
 		if _, ok := callers[0].Next(); !ok {
@@ -145,7 +145,7 @@
 		for i := range each {
 			m.engine.Over(fmt.Sprintf("%016x", 1000*n+1+i)) // as the platform's engine sees for itself
 		}
-		if codes := answers(t, m.ask(t, fmt.Sprintf("after%d", n), 10_000*(n+1), each), each, time.Time{}); codes[frame.Served] != each {
+		if codes := countAnswers(t, m.sendAll(t, fmt.Sprintf("after%d", n), 10_000*(n+1), each), each, time.Time{}); codes[frame.Served] != each {
 			t.Errorf("server %d afterwards: %v", n, codes)
 		}
 		for body, runs := range m.engine.Log().Begun {
@@ -177,19 +177,19 @@
 	t.Cleanup(next.Down)
 	m := newMember(t, 0, below)
 	m.link.EndAfter(250) // the call is some 200 bytes, its reply as many
-	if codes := answers(t, m.ask(t, "cut", 1, 1), 1, time.Time{}); codes[frame.Failed] != 1 {
+	if codes := countAnswers(t, m.sendAll(t, "cut", 1, 1), 1, time.Time{}); codes[frame.Failed] != 1 {
 		t.Errorf("a reply that was cut: %v", codes)
 	}
 	if err := m.link.Heal(); err != nil {
 		t.Fatal(err)
 	}
 	m.engine.Over(fmt.Sprintf("%016x", 1))
-	config := map[string]any{"engine": m.engine.Address, "ledger": next.Address, "stop_ms": 1500, "settings": json.RawMessage(tillSite)}
+	config := map[string]any{"engine": m.engine.Address, "ledger": next.Address, "stop_ms": 1500, "settings": json.RawMessage(ledgerSettings)}
 	m.Reload(config)
 	testfleet.Eventually(t, "the new file is taken", func() bool {
 		return strings.Contains(standin.Ask(t, m.Ops, "show-stat"), "app.config_applied:1|c")
 	})
-	if codes := answers(t, m.ask(t, "moved", 100, 8), 8, time.Time{}); codes[frame.Served] != 8 {
+	if codes := countAnswers(t, m.sendAll(t, "moved", 100, 8), 8, time.Time{}); codes[frame.Served] != 8 {
 		t.Errorf("at the new address: %v", codes)
 	}
 	if seen, _ := next.Seen(); seen != 8 {
--- a/cmd/kiteslip/check.go
+++ b/cmd/kiteslip/check.go
@@ -10,13 +10,13 @@
 	"kiteslip/internal/server"
 )
 
-// listed is how many teams, and classes, are listed one by one; more are summed up.
-const listed = 50
+// maxListed is how many teams, and classes, are listed one by one; more are summed up.
+const maxListed = 50
 
 // describe says what a configuration amounts to, a line for each thing.
 func describe(w io.Writer, cfg *config.Config) {
-	fmt.Fprintf(w, "%s: frames on %s, uwsgi on %s, ops on %s, engine %s, registry %s\n", cfg.Name, or(cfg.Listen, "(off)"),
-		or(cfg.UWSGI.Listen, "(off)"), or(cfg.Ops, "(off)"), or(cfg.Engine, "(none)"), or(cfg.Registry, "(none)"))
+	fmt.Fprintf(w, "%s: frames on %s, uwsgi on %s, ops on %s, engine %s, registry %s\n", cfg.Name, orDefault(cfg.Listen, "(off)"),
+		orDefault(cfg.UWSGI.Listen, "(off)"), orDefault(cfg.Ops, "(off)"), orDefault(cfg.Engine, "(none)"), orDefault(cfg.Registry, "(none)"))
 	fmt.Fprintf(w, "limits: %g cores, %d MB, %d sockets; %d ms from SIGTERM to the kill\n",
 		cfg.Limits.Cores, cfg.Limits.MemoryMB, cfg.Limits.Sockets, cfg.StopTimeoutUS/1000)
 	describeTeams(w, cfg)
@@ -39,11 +39,11 @@
 	}
 	if k := &cfg.Control; k.Enabled() {
 		fmt.Fprintf(w, "versions from %d publishers, region %s, kept in %s; a start waits %d ms; until a version is in force the teams, services and pools above are\n",
-			len(k.Publishers), k.Region, or(k.Folder, "(nowhere)"), k.InitialWaitUS/1000)
+			len(k.Publishers), k.Region, orDefault(k.Folder, "(nowhere)"), k.InitialWaitUS/1000)
 	}
 }
 
-func or(text, otherwise string) string {
+func orDefault(text, otherwise string) string {
 	if text == "" {
 		return otherwise
 	}
@@ -54,14 +54,14 @@
 	sum, rest := 0.0, 0.0
 	for i, name := range cfg.Tenants {
 		quota := cfg.Policy.Tenants[i].Quota
-		if sum += quota; i < listed {
+		if sum += quota; i < maxListed {
 			fmt.Fprintf(w, "team %s: %g requests/s\n", name, quota)
 		} else {
 			rest += quota
 		}
 	}
-	if n := len(cfg.Tenants); n > listed {
-		fmt.Fprintf(w, "and %d more teams with %g requests/s; %d teams with %g requests/s in all\n", n-listed, rest, n, sum)
+	if n := len(cfg.Tenants); n > maxListed {
+		fmt.Fprintf(w, "and %d more teams with %g requests/s; %d teams with %g requests/s in all\n", n-maxListed, rest, n, sum)
 	}
 }
 
@@ -70,17 +70,17 @@
 	counts, longest, backends := map[kiteslip.Effect]int{}, int64(0), map[string]bool{}
 	for i, name := range cfg.Classes {
 		class := &cfg.Policy.Classes[i]
-		if i < listed {
+		if i < maxListed {
 			fmt.Fprintf(w, "class %s: %s, aim %d ms, deadline %d ms, window %d ms, worth %g, body %d bytes, served by %s\n", name,
 				effects[class.Effect], class.TargetTime/1000, class.Timeout/1000, class.Window/1000, class.Worth,
-				cfg.UWSGI.Contracts[i].MaxBody, or(cfg.Backends[i], "the engine"))
+				cfg.UWSGI.Contracts[i].MaxBody, orDefault(cfg.Backends[i], "the engine"))
 			continue
 		}
 		counts[class.Effect]++
 		longest = max(longest, class.Timeout)
 		backends[cfg.Backends[i]] = true
 	}
-	if n := len(cfg.Classes) - listed; n > 0 {
+	if n := len(cfg.Classes) - maxListed; n > 0 {
 		fmt.Fprintf(w, "and %d more classes (%d repeatable, %d keyed, %d once), deadline %d ms at most, served in %d places; %d classes in all\n", n,
 			counts[kiteslip.Repeatable], counts[kiteslip.Keyed], counts[kiteslip.Once], longest/1000, len(backends), len(cfg.Classes))
 	}
@@ -94,8 +94,8 @@
 	}
 	for i, p := range cfg.Pools {
 		names := p.Classes
-		if len(names) > listed {
-			names = append(names[:listed:listed], fmt.Sprintf("and %d more", len(p.Classes)-listed))
+		if len(names) > maxListed {
+			names = append(names[:maxListed:maxListed], fmt.Sprintf("and %d more", len(p.Classes)-maxListed))
 		}
 		spec := &s.Pools[i]
 		waiting := "what can be served in time"
--- a/cmd/kiteslip/check_test.go
+++ b/cmd/kiteslip/check_test.go
@@ -10,7 +10,7 @@
 
 // A file of thousands of teams and classes is summed up: what is left out is
 // counted, and its figures are in the sums.
-func TestCheckSumsUp(t *testing.T) {
+func TestCheckSummarizesLongLists(t *testing.T) {
 	text := func(n int) string {
 		b := "[uwsgi]\nlisten = \"127.0.0.1:1\"\n[machine]\n[control]\nregion = \"south\"\n[[control.publisher]]\naddress = \"10.0.0.1:1\"\nregion = \"south\"\n" +
 			"[[service]]\nname = \"s\"\nbackend = \"127.0.0.1:2\"\n"
@@ -23,8 +23,8 @@
 		return b
 	}
 	for n, want := range map[int][]string{
-		listed:        {"team t49: 2", "class c49: once", "versions from 1 publishers, region south, kept in (nowhere); a start waits 1000 ms"},
-		listed + 2950: {"team t49: 2", "and 2950 more teams with 5900 requests/s; 3000 teams with 6000 requests/s in all", "and 2950 more classes (0 repeatable, 0 keyed, 2950 once), deadline 3099 ms at most, served in 1 places; 3000 classes in all"},
+		maxListed:        {"team t49: 2", "class c49: once", "versions from 1 publishers, region south, kept in (nowhere); a start waits 1000 ms"},
+		maxListed + 2950: {"team t49: 2", "and 2950 more teams with 5900 requests/s; 3000 teams with 6000 requests/s in all", "and 2950 more classes (0 repeatable, 0 keyed, 2950 once), deadline 3099 ms at most, served in 1 places; 3000 classes in all"},
 	} {
 		cfg, err := config.ParseOperator(text(n), nil)
 		if err != nil {
@@ -37,7 +37,7 @@
 				t.Errorf("%d teams and classes: no %q in\n%s", n, line, &out)
 			}
 		}
-		if lines := strings.Count(out.String(), "\n"); lines > 2*listed+10 || strings.Contains(out.String(), "more") != (n > listed) {
+		if lines := strings.Count(out.String(), "\n"); lines > 2*maxListed+10 || strings.Contains(out.String(), "more") != (n > maxListed) {
 			t.Errorf("%d teams and classes: %d lines", n, lines)
 		}
 	}
--- a/cmd/kiteslip/control.go
+++ b/cmd/kiteslip/control.go
@@ -35,8 +35,8 @@
 	LogLevel string `enum:"debug,info,warn,error" default:"info" env:"KITESLIP_LOG" help:"The least level that is logged: ${enum}."`
 }
 
-// controlMemory is what the heap of a control machine keeps below where it can.
-const controlMemory = 512 << 20
+// controlHeapBytes is what the heap of a control machine keeps below where it can.
+const controlHeapBytes = 512 << 20
 
 func (c *controlServe) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt) // first of all
@@ -50,7 +50,7 @@
 		return err
 	}
 	defer log.Sync() //nolint:errcheck // standard error cannot always be synced
-	debug.SetMemoryLimit(controlMemory)
+	debug.SetMemoryLimit(controlHeapBytes)
 	set := publish.Settings{Name: cfg.Name, Region: cfg.Region, Listen: cfg.Listen, Folder: cfg.Folder, MaxDeltas: cfg.MaxDeltas, Log: log}
 	for _, f := range cfg.Upstreams {
 		set.Upstreams = append(set.Upstreams, follow.Endpoint(f))
@@ -65,8 +65,8 @@
 	return errors.Join(p.Serve(ctx), p.Close())
 }
 
-// askWithin is how long a control machine has to answer a command.
-const askWithin = 30 * time.Second
+// requestTimeout is how long a control machine has to answer a command.
+const requestTimeout = 30 * time.Second
 
 type controlPublish struct {
 	File   string `arg:"" type:"existingfile" help:"An operator's file: its teams, services and pools count, all else is passed over."`
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	client := publish.Client{Address: c.To}
 	var base document.Digest
@@ -117,10 +117,10 @@
 
 func (c *controlStatus) run(w io.Writer) error {
 	var errs []error
-	answers := make([]answer, len(c.At))
+	answers := make([]machineStatus, len(c.At))
 	here := map[string]bool{} // connected to any of the machines asked
 	for i, address := range c.At {
-		if answers[i] = askMachine(address); answers[i].err != nil {
+		if answers[i] = queryMachine(address); answers[i].err != nil {
 			errs = append(errs, fmt.Errorf("%s does not answer", address))
 		}
 		for _, f := range answers[i].followers {
@@ -145,15 +145,15 @@
 	return errors.Join(errs...)
 }
 
-// answer is what one machine says.
-type answer struct {
+// machineStatus is what one machine says.
+type machineStatus struct {
 	version   *protocol.Version
 	followers []protocol.Follower
 	err       error
 }
 
-func askMachine(address string) (a answer) {
-	ctx, cancel := context.WithTimeout(context.Background(), askWithin)
+func queryMachine(address string) (a machineStatus) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	client := publish.Client{Address: address}
 	if a.version, a.err = client.Version(ctx); a.err == nil {
@@ -162,7 +162,7 @@
 	return a
 }
 
-func (a *answer) print(w io.Writer, address string) error {
+func (a *machineStatus) print(w io.Writer, address string) error {
 	if a.err != nil {
 		_, err := fmt.Fprintf(w, "%s: %v\n", address, a.err)
 		return err
--- a/cmd/kiteslip/control_broken_test.go
+++ b/cmd/kiteslip/control_broken_test.go
@@ -13,30 +13,30 @@
 
 // A stream that ends halfway through a delta, or through a whole version, leaves
 // the version before whole in force; after that it is taken over whole.
-func TestFollowHalfDelta(t *testing.T) {
-	origin := machine(t, "c1", "north", 16)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
-	link := linkTo(t, origin.Address)
-	p := followerProgram(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: link.Address, Region: "north"}))
-	load := ask(t, p.Clients, "sum", "teal")
+func TestFollowTruncatedDelta(t *testing.T) {
+	origin := startControl(t, "c1", "north", 16)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
+	link := newLink(t, origin.Address)
+	p := startFollower(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: link.Address, Region: "north"}))
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
 	team := 0
 	large := func(teams int) {
 		var changes []document.Change
 		for range teams {
-			changes = append(changes, budget(fmt.Sprintf("team-%x-%d", team*2654435761%4294967291, team), float64(1+team%97)))
+			changes = append(changes, teamChange(fmt.Sprintf("team-%x-%d", team*2654435761%4294967291, team), float64(1+team%97)))
 			team++
 		}
 		l.publish(changes...)
 	}
 	for _, after := range []int{1, 300, 4_000, 8_000} {
-		before := number(t, p.Ops)
+		before := versionNumber(t, p.Ops)
 		carried := link.Carried(faultnet.Back)
 		link.EndAfter(after)
 		large(1000)
-		testfleet.Eventually(t, "the stream ends", func() bool { return shown(t, p.Ops)["publisher"] == "-" })
-		if n := number(t, p.Ops); n != before {
+		testfleet.Eventually(t, "the stream ends", func() bool { return showVersion(t, p.Ops)["publisher"] == "-" })
+		if n := versionNumber(t, p.Ops); n != before {
 			t.Errorf("version %d of a stream that ended after %d bytes", n, after)
 		}
 		if got := link.Carried(faultnet.Back) - carried; got > after {
@@ -45,7 +45,7 @@
 		if err := link.Heal(); err != nil {
 			t.Fatal(err)
 		}
-		inForce(t, fmt.Sprintf("cut after %d bytes", after), p.Ops, l.last, healWithin)
+		awaitVersion(t, fmt.Sprintf("cut after %d bytes", after), p.Ops, l.last, healTimeout)
 	}
 	// The same through a whole version, for a server that lacks more than the log has.
 	link.EndAfter(0)
@@ -53,24 +53,24 @@
 	for range 18 {
 		large(200)
 	}
-	before, carried := number(t, p.Ops), link.Carried(faultnet.Back)+link.Carried(faultnet.There)
+	before, carried := versionNumber(t, p.Ops), link.Carried(faultnet.Back)+link.Carried(faultnet.There)
 	const after = 5_000
 	link.EndAfter(after)
 	testfleet.Eventually(t, "it is cut halfway", func() bool { return link.Carried(faultnet.Back)+link.Carried(faultnet.There) >= carried+after })
-	if n := number(t, p.Ops); n != before {
+	if n := versionNumber(t, p.Ops); n != before {
 		t.Errorf("version %d of a stream that ended halfway through the whole", n)
 	}
 	if err := link.Heal(); err != nil {
 		t.Fatal(err)
 	}
-	inForce(t, "whole", p.Ops, l.last, healWithin)
+	awaitVersion(t, "whole", p.Ops, l.last, healTimeout)
 	if before >= l.last {
 		t.Errorf("version %d came through the cut", before)
 	}
-	if m := shown(t, p.Ops); m["snapshots"] != "2" || m["digest"] != l.digests[l.last] {
+	if m := showVersion(t, p.Ops); m["snapshots"] != "2" || m["digest"] != l.digests[l.last] {
 		t.Errorf("%v", m)
 	}
-	load.goesOn(20)
+	load.awaitServed(20)
 	load.stop()
 	stop()
 	p.Leave()
@@ -80,42 +80,42 @@
 // own, shouts, tells the machine, and serves on. A start with an empty folder
 // ends it.
 func TestFollowFork(t *testing.T) {
-	first := machine(t, "c1", "north", 0)
-	l := newLine(t, first)
-	l.publish(budget("teal", 50), offered("sum"))
-	last := l.more(2)
+	first := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, first)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
+	last := l.publishMore(2)
 	folder := filepath.Join(t.TempDir(), "versions")
-	p := followerProgram(t, controlText("north", folder, 20_000, testfleet.ControlTarget{Address: first.Address, Region: "north"}))
-	load := ask(t, p.Clients, "sum", "teal")
+	p := startFollower(t, controlText("north", folder, 20_000, testfleet.ControlTarget{Address: first.Address, Region: "north"}))
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	first.Kill()
 	second := testfleet.StartControl(t, testfleet.ControlSpec{Path: first.Spec.Path, Env: first.Spec.Env, Name: "c9", Region: "north", Listen: first.Address})
-	other := newLine(t, second)
-	other.publish(budget("teal", 51), offered("sum"))
-	other.more(2)
-	testfleet.Eventually(t, "the fork is seen", func() bool { return shown(t, p.Ops)["fork"] == "true" })
-	other.more(2)
+	other := newVersionPublisher(t, second)
+	other.publish(teamChange("teal", 51), serviceChange("sum"))
+	other.publishMore(2)
+	testfleet.Eventually(t, "the fork is seen", func() bool { return showVersion(t, p.Ops)["fork"] == "true" })
+	other.publishMore(2)
 	testfleet.Eventually(t, "the machine knows", func() bool {
 		lines, err := other.client.Followers(t.Context(), true)
 		return err == nil && len(lines) == 1 && lines[0].Fork && lines[0].Number == last
 	})
-	load.goesOn(50)
+	load.awaitServed(50)
 	load.stop()
-	if m := shown(t, p.Ops); m["version"] != fmt.Sprint(last) || m["digest"] != l.digests[last] || m["digest"] == other.digests[last] {
+	if m := showVersion(t, p.Ops); m["version"] != fmt.Sprint(last) || m["digest"] != l.digests[last] || m["digest"] == other.digests[last] {
 		t.Errorf("%v", m)
 	}
 	if !second.Logged("fork") {
 		t.Error("the machine does not shout")
 	}
 	p.Leave()
-	if m := startedBy(t, folder, first.Address); !strings.HasPrefix(m["digest"], other.digests[other.last]) {
+	if m := initialState(t, folder, first.Address); !strings.HasPrefix(m["digest"], other.digests[other.last]) {
 		t.Errorf("after a start with an empty folder: %v", m)
 	}
 }
 
-// startedBy is what a server with an empty folder starts by.
-func startedBy(t *testing.T, folder, address string) map[string]string {
+// initialState is what a server with an empty folder starts by.
+func initialState(t *testing.T, folder, address string) map[string]string {
 	t.Helper()
-	p := followerProgram(t, controlText("north", filepath.Join(folder, "empty"), 20_000, testfleet.ControlTarget{Address: address, Region: "north"}))
+	p := startFollower(t, controlText("north", filepath.Join(folder, "empty"), 20_000, testfleet.ControlTarget{Address: address, Region: "north"}))
 	defer p.Leave()
-	return shown(t, p.Ops)
+	return showVersion(t, p.Ops)
 }
--- a/cmd/kiteslip/control_fleet_test.go
+++ b/cmd/kiteslip/control_fleet_test.go
@@ -24,18 +24,18 @@
 	"kiteslip/internal/testfleet"
 )
 
-// healWithin is how soon a version is in force after a fault has healed.
-const healWithin = 6 * time.Second
+// healTimeout is how soon a version is in force after a fault has healed.
+const healTimeout = 6 * time.Second
 
-// machine starts a control machine; with others it follows them, the first of which originates.
-func machine(t *testing.T, name, region string, deltas int, follow ...testfleet.ControlTarget) *testfleet.Control {
+// startControl starts a control machine; with others it follows them, the first of which originates.
+func startControl(t *testing.T, name, region string, deltas int, follow ...testfleet.ControlTarget) *testfleet.Control {
 	t.Helper()
-	return testfleet.StartControl(t, testfleet.ControlSpec{Path: os.Args[0], Env: []string{asServer + "=1"}, Name: name, Region: region,
+	return testfleet.StartControl(t, testfleet.ControlSpec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: name, Region: region,
 		Deltas: deltas, Follow: follow})
 }
 
-// linkTo is a link to an address that can be struck.
-func linkTo(t *testing.T, address string) *faultnet.Link {
+// newLink is a link to an address that can be struck.
+func newLink(t *testing.T, address string) *faultnet.Link {
 	t.Helper()
 	l, err := faultnet.New(address)
 	if err != nil {
@@ -57,25 +57,25 @@
 	return text
 }
 
-// followerProgram starts a server that follows, with an engine of its own.
-func followerProgram(t *testing.T, operator string) *testfleet.Program {
+// startFollower starts a server that follows, with an engine of its own.
+func startFollower(t *testing.T, operator string) *testfleet.Program {
 	t.Helper()
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.Close)
-	return testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{asServer + "=1"}, Name: "n0", Operator: operator,
+	return testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: "n0", Operator: operator,
 		Config: followerConfig(engine.Address)})
 }
 
 func followerConfig(engine string) map[string]any {
-	return map[string]any{"engine": engine, "stop_ms": 3000, "settings": json.RawMessage(lookSite),
+	return map[string]any{"engine": engine, "stop_ms": 3000, "settings": json.RawMessage(roomySettings),
 		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": 256}}
 }
 
-// door makes one call at the operators' door; "" = nobody is there, or leaves.
-func door(t testing.TB, ops, call string) string {
+// adminCommand makes one call at the operators' door; "" = nobody is there, or leaves.
+func adminCommand(t testing.TB, ops, call string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", ops)
 	if err != nil {
@@ -91,11 +91,11 @@
 	return string(answer)
 }
 
-// shown is what show-version tells, by its first words.
-func shown(t testing.TB, ops string) map[string]string {
+// showVersion is what show-version tells, by its first words.
+func showVersion(t testing.TB, ops string) map[string]string {
 	t.Helper()
 	m := map[string]string{}
-	for _, line := range strings.Split(door(t, ops, "show-version"), "\n") {
+	for _, line := range strings.Split(adminCommand(t, ops, "show-version"), "\n") {
 		if key, value, ok := strings.Cut(line, " "); ok {
 			m[key] = value
 		}
@@ -103,17 +103,17 @@
 	return m
 }
 
-func number(t testing.TB, ops string) uint64 {
+func versionNumber(t testing.TB, ops string) uint64 {
 	t.Helper()
-	n, err := strconv.ParseUint(shown(t, ops)["version"], 10, 64)
+	n, err := strconv.ParseUint(showVersion(t, ops)["version"], 10, 64)
 	if err != nil {
 		t.Errorf("show-version: %v", err)
 	}
 	return n
 }
 
-// line publishes versions and knows them all.
-type line struct {
+// versionPublisher publishes versions and knows them all.
+type versionPublisher struct {
 	t       *testing.T
 	client  publish.Client
 	mu      sync.Mutex
@@ -121,12 +121,12 @@
 	last    uint64
 }
 
-func newLine(t *testing.T, originator *testfleet.Control) *line {
-	return &line{t: t, client: publish.Client{Address: originator.Address}, digests: map[uint64]string{}}
+func newVersionPublisher(t *testing.T, originator *testfleet.Control) *versionPublisher {
+	return &versionPublisher{t: t, client: publish.Client{Address: originator.Address}, digests: map[uint64]string{}}
 }
 
 // publish makes one version.
-func (l *line) publish(changes ...document.Change) uint64 {
+func (l *versionPublisher) publish(changes ...document.Change) uint64 {
 	l.t.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
 	defer end()
@@ -141,18 +141,18 @@
 	return h.Number
 }
 
-// more makes n versions, each of which changes a team's budget.
-func (l *line) more(n int) uint64 {
+// publishMore makes n versions, each of which changes a team's budget.
+func (l *versionPublisher) publishMore(n int) uint64 {
 	l.t.Helper()
 	for range n {
-		l.publish(budget("teal", float64(10+l.last)))
+		l.publish(teamChange("teal", float64(10+l.last)))
 	}
 	return l.last
 }
 
 // watch looks at a server's version all the time: it is one of the line and
 // never goes back. stop ends it.
-func (l *line) watch(ops string) (stop func()) {
+func (l *versionPublisher) watch(ops string) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -162,7 +162,7 @@
 				return
 			default:
 			}
-			m := shown(l.t, ops)
+			m := showVersion(l.t, ops)
 			n, err := strconv.ParseUint(m["version"], 10, 64)
 			if err != nil {
 				continue // it is between two lives
@@ -182,11 +182,11 @@
 	return stop
 }
 
-func budget(name string, quota float64) document.Change {
+func teamChange(name string, quota float64) document.Change {
 	return document.Change{Team: &document.Team{Name: name, Quota: quota}}
 }
 
-func offered(name string) document.Change {
+func serviceChange(name string) document.Change {
 	aim, deadline := 4000.0, 5000.0
 	return document.Change{Service: &document.Service{Name: name, Contracts: []document.Contract{
 		{Class: name, Effect: "repeatable", TargetTimeMS: &aim, DeadlineMS: &deadline}}}}
@@ -201,7 +201,7 @@
 	once   sync.Once
 }
 
-func ask(t *testing.T, clients, class, tenant string) *traffic {
+func startTraffic(t *testing.T, clients, class, tenant string) *traffic {
 	l := &traffic{t: t, done: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
 		defer close(l.ended)
@@ -259,18 +259,18 @@
 
 func (l *traffic) stop() { l.once.Do(func() { close(l.done); <-l.ended }) }
 
-// goesOn waits until so many more are served.
-func (l *traffic) goesOn(n int64) {
+// awaitServed waits until so many more are served.
+func (l *traffic) awaitServed(n int64) {
 	l.t.Helper()
 	until := l.served.Load() + n
 	testfleet.Eventually(l.t, "requests are served", func() bool { return l.served.Load() >= until || l.t.Failed() })
 }
 
-// inForce waits until a version is in force, and fails the test where that takes too long.
-func inForce(t *testing.T, what, ops string, want uint64, within time.Duration) {
+// awaitVersion waits until a version is in force, and fails the test where that takes too long.
+func awaitVersion(t *testing.T, what, ops string, want uint64, within time.Duration) {
 	t.Helper()
 	began := time.Now()
-	testfleet.Eventually(t, what, func() bool { return number(t, ops) >= want })
+	testfleet.Eventually(t, what, func() bool { return versionNumber(t, ops) >= want })
 	took := time.Since(began)
 	t.Logf("%s: version %d in force after %v", what, want, took.Round(time.Millisecond))
 	if took > within {
@@ -278,8 +278,8 @@
 	}
 }
 
-// busy publishes all the time until it is stopped.
-func (l *line) busy() (stop func() uint64) {
+// publishContinuously publishes all the time until it is stopped.
+func (l *versionPublisher) publishContinuously() (stop func() uint64) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -288,7 +288,7 @@
 			case <-done:
 				return
 			default:
-				l.more(1)
+				l.publishMore(1)
 			}
 		}
 	}()
@@ -298,8 +298,8 @@
 	return stop
 }
 
-// leaving says whether the originator knows that a server leaves.
-func leaving(t *testing.T, l *line, name string) bool {
+// isLeaving says whether the originator knows that a server leaves.
+func isLeaving(t *testing.T, l *versionPublisher, name string) bool {
 	t.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
 	defer end()
--- a/cmd/kiteslip/control_follow_test.go
+++ b/cmd/kiteslip/control_follow_test.go
@@ -28,31 +28,31 @@
 		"over a thousand versions": {0, 1000, 0}, "over the end of the log": {20, 60, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			origin := machine(t, "c1", "north", c.deltas)
-			l := newLine(t, origin)
-			l.publish(budget("teal", 50), offered("sum"))
-			link := linkTo(t, origin.Address)
-			p := followerProgram(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: link.Address, Region: "north"}))
-			if m := shown(t, p.Ops); m["version"] != "1" || m["origin"] != "publisher" || m["digest"] != l.digests[1] {
+			origin := startControl(t, "c1", "north", c.deltas)
+			l := newVersionPublisher(t, origin)
+			l.publish(teamChange("teal", 50), serviceChange("sum"))
+			link := newLink(t, origin.Address)
+			p := startFollower(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: link.Address, Region: "north"}))
+			if m := showVersion(t, p.Ops); m["version"] != "1" || m["origin"] != "publisher" || m["digest"] != l.digests[1] {
 				t.Fatalf("%v", m)
 			}
-			before := shown(t, p.Ops)
-			load := ask(t, p.Clients, "sum", "teal")
+			before := showVersion(t, p.Ops)
+			load := startTraffic(t, p.Clients, "sum", "teal")
 			stop := l.watch(p.Ops)
 			link.Cut()
-			last := l.more(c.versions)
-			load.goesOn(20)
-			if n := number(t, p.Ops); n != 1 {
+			last := l.publishMore(c.versions)
+			load.awaitServed(20)
+			if n := versionNumber(t, p.Ops); n != 1 {
 				t.Errorf("version %d came through the cut", n)
 			}
 			if err := link.Heal(); err != nil {
 				t.Fatal(err)
 			}
-			inForce(t, name, p.Ops, last, healWithin)
-			load.goesOn(20)
+			awaitVersion(t, name, p.Ops, last, healTimeout)
+			load.awaitServed(20)
 			load.stop()
 			stop()
-			m := shown(t, p.Ops)
+			m := showVersion(t, p.Ops)
 			if want := strconv.Itoa(c.snapshots); m["snapshots"] != addTo(t, before["snapshots"], c.snapshots) || m["refused"] != "-" || m["fork"] != "false" {
 				t.Errorf("%v, want %s more snapshots than %v", m, want, before)
 			}
@@ -83,33 +83,33 @@
 		},
 		"refusal": (*faultnet.Link).Cut,
 	} {
-		t.Run(name, func(t *testing.T) { regionCutOff(t, cut) })
+		t.Run(name, func(t *testing.T) { testRegionCutOff(t, cut) })
 	}
 }
 
-func regionCutOff(t *testing.T, cut func(*faultnet.Link)) {
+func testRegionCutOff(t *testing.T, cut func(*faultnet.Link)) {
 	t.Helper()
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
-	up, across := linkTo(t, origin.Address), linkTo(t, origin.Address)
-	relay := machine(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
-	p := followerProgram(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
+	up, across := newLink(t, origin.Address), newLink(t, origin.Address)
+	relay := startControl(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
+	p := startFollower(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
 		testfleet.ControlTarget{Address: across.Address, Region: "north"}))
-	if m := shown(t, p.Ops); m["publisher"] != relay.Address || m["version"] != "1" {
+	if m := showVersion(t, p.Ops); m["publisher"] != relay.Address || m["version"] != "1" {
 		t.Fatalf("%v", m)
 	}
-	load := ask(t, p.Clients, "sum", "teal")
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
 	cut(up)
 	cut(across)
-	last := l.more(20)
+	last := l.publishMore(20)
 	testfleet.Eventually(t, "the age grows", func() bool {
-		age, _ := strconv.Atoi(shown(t, p.Ops)["age_ms"])
+		age, _ := strconv.Atoi(showVersion(t, p.Ops)["age_ms"])
 		return age > 3_000
 	})
-	load.goesOn(20)
-	if n := number(t, p.Ops); n != 1 {
+	load.awaitServed(20)
+	if n := versionNumber(t, p.Ops); n != 1 {
 		t.Errorf("version %d came through the cut", n)
 	}
 	for _, link := range []*faultnet.Link{up, across} {
@@ -117,8 +117,8 @@
 			t.Fatal(err)
 		}
 	}
-	inForce(t, "the region is back", p.Ops, last, healWithin)
-	load.goesOn(20)
+	awaitVersion(t, "the region is back", p.Ops, last, healTimeout)
+	load.awaitServed(20)
 	load.stop()
 	stop()
 	p.Leave()
@@ -126,24 +126,24 @@
 
 // A publisher that has lost the originator is left for one that has not, while the
 // stream to it stands: versions are in force in time.
-func TestFollowOrphan(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
-	up := linkTo(t, origin.Address)
-	relay := machine(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
-	p := followerProgram(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
+func TestFollowOriginatorLost(t *testing.T) {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
+	up := newLink(t, origin.Address)
+	relay := startControl(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
+	p := startFollower(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
 		testfleet.ControlTarget{Address: origin.Address, Region: "north"}))
-	load := ask(t, p.Clients, "sum", "teal")
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
-	if m := shown(t, p.Ops); m["publisher"] != relay.Address {
+	if m := showVersion(t, p.Ops); m["publisher"] != relay.Address {
 		t.Fatalf("%v", m)
 	}
 	up.Silence(faultnet.There)
 	up.Silence(faultnet.Back)
-	last := l.more(3)
-	inForce(t, "the publisher has lost the originator", p.Ops, last, healWithin)
-	if m := shown(t, p.Ops); m["publisher"] != origin.Address || m["snapshots"] != "1" {
+	last := l.publishMore(3)
+	awaitVersion(t, "the publisher has lost the originator", p.Ops, last, healTimeout)
+	if m := showVersion(t, p.Ops); m["publisher"] != origin.Address || m["snapshots"] != "1" {
 		t.Errorf("%v", m)
 	}
 	load.stop()
@@ -152,22 +152,22 @@
 }
 
 // A publisher that answers nothing any more is left for another, and versions go on coming.
-func TestFollowMutePublisher(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
+func TestFollowSilentPublisher(t *testing.T) {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	from := testfleet.ControlTarget{Address: origin.Address, Region: "north"}
 	relays := map[string]*testfleet.Control{}
 	var targets []testfleet.ControlTarget
 	for _, name := range []string{"c2", "c3"} {
-		r := machine(t, name, "north", 0, from)
+		r := startControl(t, name, "north", 0, from)
 		relays[r.Address] = r
 		targets = append(targets, testfleet.ControlTarget{Address: r.Address, Region: "north"})
 	}
-	p := followerProgram(t, controlText("north", "", 20_000, targets...))
-	load := ask(t, p.Clients, "sum", "teal")
+	p := startFollower(t, controlText("north", "", 20_000, targets...))
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
-	was := shown(t, p.Ops)["publisher"]
+	was := showVersion(t, p.Ops)["publisher"]
 	mute := relays[was]
 	if mute == nil {
 		t.Fatalf("%q is followed", was)
@@ -175,9 +175,9 @@
 	if err := syscall.Kill(mute.PID(), syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	last := l.more(3)
-	inForce(t, "a publisher is mute", p.Ops, last, healWithin)
-	if m := shown(t, p.Ops); m["publisher"] == was || m["snapshots"] != "1" {
+	last := l.publishMore(3)
+	awaitVersion(t, "a publisher is mute", p.Ops, last, healTimeout)
+	if m := showVersion(t, p.Ops); m["publisher"] == was || m["snapshots"] != "1" {
 		t.Errorf("%v", m)
 	}
 	syscall.Kill(mute.PID(), syscall.SIGCONT) //nolint:errcheck // it is ended next
@@ -188,33 +188,33 @@
 
 // Without any publisher the server serves on by the version it has, and one that
 // starts anew does by the version in its folder, or without one by its file.
-func TestFollowNobody(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
+func TestFollowNoPublisher(t *testing.T) {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	to := testfleet.ControlTarget{Address: origin.Address, Region: "north"}
-	kept := followerProgram(t, controlText("north", filepath.Join(t.TempDir(), "versions"), 1_000, to))
-	bare := followerProgram(t, controlText("north", "", 1_000, to))
-	last := l.more(5)
+	kept := startFollower(t, controlText("north", filepath.Join(t.TempDir(), "versions"), 1_000, to))
+	bare := startFollower(t, controlText("north", "", 1_000, to))
+	last := l.publishMore(5)
 	for _, p := range []*testfleet.Program{kept, bare} {
-		inForce(t, "before", p.Ops, last, healWithin)
+		awaitVersion(t, "before", p.Ops, last, healTimeout)
 	}
-	load := ask(t, kept.Clients, "sum", "teal")
+	load := startTraffic(t, kept.Clients, "sum", "teal")
 	origin.Kill()
-	testfleet.Eventually(t, "it is seen", func() bool { return shown(t, kept.Ops)["publisher"] == "-" })
-	load.goesOn(50)
+	testfleet.Eventually(t, "it is seen", func() bool { return showVersion(t, kept.Ops)["publisher"] == "-" })
+	load.awaitServed(50)
 	load.stop()
-	if m := shown(t, kept.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "publisher" {
+	if m := showVersion(t, kept.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "publisher" {
 		t.Errorf("%v", m)
 	}
 	kept.Kill() // what is kept outlives a crash of the process
 	bare.Leave()
 	kept.Again()
 	bare.Again()
-	if m := shown(t, kept.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "folder" || m["publisher"] != "-" {
+	if m := showVersion(t, kept.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "folder" || m["publisher"] != "-" {
 		t.Errorf("%v", m)
 	}
-	if m := shown(t, bare.Ops); m["version"] != "0" || m["origin"] != "none" {
+	if m := showVersion(t, bare.Ops); m["version"] != "0" || m["origin"] != "none" {
 		t.Errorf("%v", m)
 	}
 	code := func(p *testfleet.Program, class, tenant string) byte {
@@ -237,9 +237,9 @@
 	if err := origin.Again(); err != nil {
 		t.Fatal(err)
 	}
-	last = l.more(1)
+	last = l.publishMore(1)
 	for _, p := range []*testfleet.Program{kept, bare} {
-		inForce(t, "the publisher is back", p.Ops, last, healWithin)
+		awaitVersion(t, "the publisher is back", p.Ops, last, healTimeout)
 		if got := code(p, "sum", "teal"); got != frame.Served {
 			t.Errorf("code %d", got)
 		}
@@ -248,21 +248,21 @@
 }
 
 // A team that a version drops: what it has open ends as usual, what comes after is refused.
-func TestFollowDroppedTeam(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), budget("lime", 50), offered("sum"))
-	p := followerProgram(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: origin.Address, Region: "north"}))
+func TestFollowRetiredTeam(t *testing.T) {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), teamChange("lime", 50), serviceChange("sum"))
+	p := startFollower(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: origin.Address, Region: "north"}))
 	c := standin.Dial(t, p.Clients)
 	const open = 8
 	for i := range uint32(open) {
 		c.Send(i+1, standin.Fields("sum", "teal", "", uint64(i+1), 4*time.Second), "1000000")
 	}
 	testfleet.Eventually(t, "they run", func() bool {
-		return strings.Contains(door(t, p.Ops, "show-stat"), fmt.Sprintf("app.active:%d|g", open))
+		return strings.Contains(adminCommand(t, p.Ops, "show-stat"), fmt.Sprintf("app.active:%d|g", open))
 	})
 	last := l.publish(document.Change{Drop: true, Team: &document.Team{Name: "teal"}})
-	inForce(t, "the team is dropped", p.Ops, last, healWithin)
+	awaitVersion(t, "the team is dropped", p.Ops, last, healTimeout)
 	late := standin.Dial(t, p.Clients)
 	late.Send(1, standin.Fields("sum", "teal", "", 100, 4*time.Second), "1000")
 	if got, _ := late.Next(); got.Type != frame.Answer || got.Code == frame.Served {
@@ -283,37 +283,37 @@
 // Versions come in the moment of SIGHUP and of SIGTERM: no request is lost, the
 // file's machine part is taken over, and after the notice to leave nothing is.
 func TestFollowSignals(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.Close)
-	p := testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{asServer + "=1"}, Name: "n0",
+	p := testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: "n0",
 		Operator: controlText("north", t.TempDir(), 20_000, testfleet.ControlTarget{Address: origin.Address, Region: "north"}),
 		Config:   followerConfig(engine.Address)})
-	load := ask(t, p.Clients, "sum", "teal")
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	watch := l.watch(p.Ops)
-	stop := l.busy()
+	stop := l.publishContinuously()
 	for i := range 10 {
 		next := followerConfig(engine.Address)
 		next["stop_ms"] = 2000 + 10*i
 		p.Reload(next)
 		testfleet.Eventually(t, "the file is taken over", func() bool {
-			return strings.Contains(door(t, p.Ops, "show-stat"), fmt.Sprintf("app.config_applied:%d|c", i+1))
+			return strings.Contains(adminCommand(t, p.Ops, "show-stat"), fmt.Sprintf("app.config_applied:%d|c", i+1))
 		})
 	}
-	at := number(t, p.Ops)
-	testfleet.Eventually(t, "versions go on", func() bool { return number(t, p.Ops) > at+5 })
-	load.goesOn(20)
-	if m := shown(t, p.Ops); m["refused"] != "-" || m["origin"] != "publisher" {
+	at := versionNumber(t, p.Ops)
+	testfleet.Eventually(t, "versions go on", func() bool { return versionNumber(t, p.Ops) > at+5 })
+	load.awaitServed(20)
+	if m := showVersion(t, p.Ops); m["refused"] != "-" || m["origin"] != "publisher" {
 		t.Errorf("%v", m)
 	}
 	watch()
 	p.Signal(syscall.SIGTERM)
-	testfleet.Eventually(t, "it says that it leaves", func() bool { return leaving(t, l, "n0") })
+	testfleet.Eventually(t, "it says that it leaves", func() bool { return isLeaving(t, l, "n0") })
 	load.stop()
 	p.Leave()
 	if last := stop(); last < 10 {
@@ -324,9 +324,9 @@
 // Versions come while one process takes the place of another: both follow, no
 // request is lost, and the one that stays is on the newest.
 func TestFollowUpgrade(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -339,28 +339,28 @@
 		t.Fatal(err)
 	}
 	t.Setenv("KITESLIP_OPERATOR", operator)
-	stop := l.busy()
-	first := launch(t, clients, dir)
-	load := ask(t, first.clients, "sum", "teal")
-	load.goesOn(20)
-	second := launch(t, clients, dir)
-	at := number(t, second.ops)
+	stop := l.publishContinuously()
+	first := startProcess(t, clients, dir)
+	load := startTraffic(t, first.clients, "sum", "teal")
+	load.awaitServed(20)
+	second := startProcess(t, clients, dir)
+	at := versionNumber(t, second.ops)
 	if at == 0 {
 		t.Error("the second process starts by no version")
 	}
-	testfleet.Eventually(t, "both follow", func() bool { return number(t, first.ops) > at && number(t, second.ops) > at })
+	testfleet.Eventually(t, "both follow", func() bool { return versionNumber(t, first.ops) > at && versionNumber(t, second.ops) > at })
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	load.goesOn(50)
+	load.awaitServed(50)
 	if err := first.Wait(); err != nil {
 		t.Errorf("the first process ends with %v", err)
 	}
-	load.goesOn(50)
+	load.awaitServed(50)
 	load.stop()
 	last := stop()
-	inForce(t, "the second process", second.ops, last, healWithin)
-	if m := shown(t, second.ops); m["digest"] != l.digests[last] || m["refused"] != "-" {
+	awaitVersion(t, "the second process", second.ops, last, healTimeout)
+	if m := showVersion(t, second.ops); m["digest"] != l.digests[last] || m["refused"] != "-" {
 		t.Errorf("%v", m)
 	}
 	// The folder is the second process's by now, and has the version after it.
@@ -371,14 +371,14 @@
 		t.Errorf("the second process ends with %v", err)
 	}
 	origin.Kill()
-	third := launch(t, clients, dir)
-	if m := shown(t, third.ops); m["digest"] != l.digests[last] || m["origin"] != "folder" {
+	third := startProcess(t, clients, dir)
+	if m := showVersion(t, third.ops); m["digest"] != l.digests[last] || m["origin"] != "folder" {
 		t.Errorf("%v, want version %d", m, last)
 	}
 }
 
 // A notice to leave that comes while a start waits for a publisher ends the wait.
-func TestFollowNoticeAtTheStart(t *testing.T) {
+func TestFollowShutdownNoticeDuringStart(t *testing.T) {
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -418,11 +418,11 @@
 
 // Without [control] the door says so, and nothing follows.
 func TestFollowOff(t *testing.T) {
-	p := followerProgram(t, "")
-	if got := door(t, p.Ops, "show-version"); !strings.HasPrefix(got, "error no [control]") {
+	p := startFollower(t, "")
+	if got := adminCommand(t, p.Ops, "show-version"); !strings.HasPrefix(got, "error no [control]") {
 		t.Errorf("%q", got)
 	}
-	if got := door(t, p.Ops, "show-stat"); strings.Contains(got, "control.") {
+	if got := adminCommand(t, p.Ops, "show-stat"); strings.Contains(got, "control.") {
 		t.Errorf("%s", got)
 	}
 	p.Leave()
--- a/cmd/kiteslip/control_publish_test.go
+++ b/cmd/kiteslip/control_publish_test.go
@@ -19,22 +19,22 @@
 	"kiteslip/internal/testfleet"
 )
 
-// applied is a real follower in the test's process that notes what it applies.
-type applied struct {
-	mu   sync.Mutex
-	list []document.Header
-	last document.Digest
-	bad  error
+// testFollower is a real follower in the test's process that notes what it applies.
+type testFollower struct {
+	mu       sync.Mutex
+	headers  []document.Header
+	last     document.Digest
+	orderErr error
 }
 
-// following starts a follower until the test ends.
-func following(t *testing.T, name string, publishers ...follow.Endpoint) *applied {
+// startTestFollower starts a follower until the test ends.
+func startTestFollower(t *testing.T, name string, publishers ...follow.Endpoint) *testFollower {
 	t.Helper()
 	f, err := follow.New(follow.Settings{Name: name, Region: "north", Publishers: publishers, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &applied{}
+	a := &testFollower{}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -46,61 +46,61 @@
 }
 
 // apply takes a version over; what comes out of order is the test's fault to show.
-func (a *applied) apply(_ context.Context, doc *document.Document, delta *document.Delta) error {
+func (a *testFollower) apply(_ context.Context, doc *document.Document, delta *document.Delta) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h := doc.Header()
-	if n := len(a.list); n > 0 && (h.Number <= a.list[n-1].Number || delta != nil && (h.Number != a.list[n-1].Number+1 || h.Parent != a.last)) {
-		a.bad = errors.Join(a.bad, fmt.Errorf("version %d came after %d", h.Number, a.list[n-1].Number))
+	if n := len(a.headers); n > 0 && (h.Number <= a.headers[n-1].Number || delta != nil && (h.Number != a.headers[n-1].Number+1 || h.Parent != a.last)) {
+		a.orderErr = errors.Join(a.orderErr, fmt.Errorf("version %d came after %d", h.Number, a.headers[n-1].Number))
 	}
-	a.list, a.last = append(a.list, h), doc.Digest()
+	a.headers, a.last = append(a.headers, h), doc.Digest()
 	return nil
 }
 
-func (a *applied) on() (uint64, document.Digest) {
+func (a *testFollower) current() (uint64, document.Digest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.list) == 0 {
+	if len(a.headers) == 0 {
 		return 0, document.Digest{}
 	}
-	return a.list[len(a.list)-1].Number, a.last
+	return a.headers[len(a.headers)-1].Number, a.last
 }
 
 // check judges what was applied: in order, and each the version that was accepted.
-func (a *applied) check(t *testing.T, name string, accepted map[uint64]document.Digest) {
+func (a *testFollower) check(t *testing.T, name string, accepted map[uint64]document.Digest) {
 	t.Helper()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.bad != nil {
-		t.Errorf("%s: %v", name, a.bad)
+	if a.orderErr != nil {
+		t.Errorf("%s: %v", name, a.orderErr)
 	}
-	for _, h := range a.list {
+	for _, h := range a.headers {
 		if want, known := accepted[h.Number]; known && want != h.Digest() {
 			t.Errorf("%s: version %d is %v, accepted was %v", name, h.Number, h.Digest(), want)
 		}
 	}
 }
 
-func oneTeam(name string, quota float64) []document.Change {
+func teamChanges(name string, quota float64) []document.Change {
 	return []document.Change{{Team: &document.Team{Name: name, Quota: quota}}}
 }
 
-func soon(t *testing.T) context.Context {
+func requestContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-var byTest = document.Meta{Author: "test", Reason: "a crossing"}
+var testMeta = document.Meta{Author: "test", Reason: "a crossing"}
 
 // The originator is killed thirty times at any moment while versions are
 // published: what was accepted is there after the start, with the same digest, a
 // relay and two followers get it in order, and nobody ever has a version in part.
 func TestOriginatorKilledWhilePublishing(t *testing.T) {
-	a := machine(t, "c0", "north", 0)
-	b := machine(t, "c1", "north", 0, testfleet.ControlTarget{Address: a.Address, Region: "north"})
-	one := following(t, "s1", follow.Endpoint{Address: a.Address, Region: "north"}, follow.Endpoint{Address: b.Address, Region: "north"})
-	two := following(t, "s2", follow.Endpoint{Address: b.Address, Region: "north"})
+	a := startControl(t, "c0", "north", 0)
+	b := startControl(t, "c1", "north", 0, testfleet.ControlTarget{Address: a.Address, Region: "north"})
+	one := startTestFollower(t, "s1", follow.Endpoint{Address: a.Address, Region: "north"}, follow.Endpoint{Address: b.Address, Region: "north"})
+	two := startTestFollower(t, "s2", follow.Endpoint{Address: b.Address, Region: "north"})
 	rng := rand.New(rand.NewPCG(7, 7))
 	client := &publish.Client{Address: a.Address}
 	accepted := map[uint64]document.Digest{} // by the answer alone
@@ -110,11 +110,11 @@
 		var writer sync.WaitGroup
 		writer.Go(func() {
 			for n := 0; ; n++ {
-				changes := oneTeam(fmt.Sprint("t", n%20), float64(1+kill*1000+n))
+				changes := teamChanges(fmt.Sprint("t", n%20), float64(1+kill*1000+n))
 				for i := range 1 + n%3*100 { // some versions are large
-					changes = append(changes, oneTeam(fmt.Sprintf("bulk-%03d", i), float64(2+kill*1000+n))...)
+					changes = append(changes, teamChanges(fmt.Sprintf("bulk-%03d", i), float64(2+kill*1000+n))...)
 				}
-				h, err := client.PublishChanges(soon(t), changes, byTest, document.Digest{})
+				h, err := client.PublishChanges(requestContext(t), changes, testMeta, document.Digest{})
 				if err != nil {
 					unsure++
 					return // it was killed: this one may be there or not
@@ -134,7 +134,7 @@
 		if err := a.Again(); err != nil {
 			t.Fatal(err)
 		}
-		v, err := client.Version(soon(t))
+		v, err := client.Version(requestContext(t))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -153,17 +153,17 @@
 			accepted[v.Number] = digest // it was on disk, and is in force now
 		}
 	}
-	h, err := client.PublishChanges(soon(t), oneTeam("end", 1), byTest, document.Digest{})
+	h, err := client.PublishChanges(requestContext(t), teamChanges("end", 1), testMeta, document.Digest{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	accepted[h.Number] = h.Digest()
-	for name, f := range map[string]*applied{"s1": one, "s2": two} {
-		testfleet.Eventually(t, name+" is on the last version", func() bool { n, d := f.on(); return n == h.Number && d == h.Digest() })
+	for name, f := range map[string]*testFollower{"s1": one, "s2": two} {
+		testfleet.Eventually(t, name+" is on the last version", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
 		f.check(t, name, accepted)
 	}
 	// The log from its beginning, as one who was never there gets it.
-	v, err := (&publish.Client{Address: b.Address}).Version(soon(t))
+	v, err := (&publish.Client{Address: b.Address}).Version(requestContext(t))
 	if err != nil || v.Number != h.Number {
 		t.Errorf("the relay: %+v, %v", v, err)
 	}
@@ -176,32 +176,32 @@
 // A link ends halfway through what is sent, at many places: the follower has the
 // version before, then the whole one, never a part.
 func TestCutHalfwayThroughADelta(t *testing.T) {
-	a := machine(t, "c0", "north", 0)
-	link := linkTo(t, a.Address)
-	f := following(t, "s1", follow.Endpoint{Address: link.Address, Region: "north"})
+	a := startControl(t, "c0", "north", 0)
+	link := newLink(t, a.Address)
+	f := startTestFollower(t, "s1", follow.Endpoint{Address: link.Address, Region: "north"})
 	client := &publish.Client{Address: a.Address}
 	accepted := map[uint64]document.Digest{}
 	rng := rand.New(rand.NewPCG(3, 3))
 	for round := range 12 {
-		changes := oneTeam(fmt.Sprint("round-", round), 1)
+		changes := teamChanges(fmt.Sprint("round-", round), 1)
 		for i := range 2000 {
-			changes = append(changes, oneTeam(fmt.Sprintf("%016x", rng.Uint64()), float64(i+1))...)
+			changes = append(changes, teamChanges(fmt.Sprintf("%016x", rng.Uint64()), float64(i+1))...)
 		}
 		link.EndAfter(1 + rng.IntN(40_000)) // the version is larger
 		carried := link.Carried(faultnet.Back)
-		h, err := client.PublishChanges(soon(t), changes, byTest, document.Digest{})
+		h, err := client.PublishChanges(requestContext(t), changes, testMeta, document.Digest{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		accepted[h.Number] = h.Digest()
 		testfleet.Eventually(t, "something of it has come", func() bool { return link.Carried(faultnet.Back) > carried })
-		if n, _ := f.on(); n > h.Number {
+		if n, _ := f.current(); n > h.Number {
 			t.Errorf("on version %d of %d", n, h.Number)
 		}
 		if err := link.Heal(); err != nil {
 			t.Fatal(err)
 		}
-		testfleet.Eventually(t, "the whole version", func() bool { n, d := f.on(); return n == h.Number && d == h.Digest() })
+		testfleet.Eventually(t, "the whole version", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
 	}
 	f.check(t, "s1", accepted)
 }
@@ -209,19 +209,19 @@
 // The originator is killed in the moment in which it has accepted a version, before
 // anybody else has it: after the start all have it.
 func TestKilledBetweenAcceptAndSpread(t *testing.T) {
-	a := machine(t, "c0", "north", 0)
-	link := linkTo(t, a.Address)
-	b := machine(t, "c1", "south", 0, testfleet.ControlTarget{Address: link.Address, Region: "north"})
-	f := following(t, "s1", follow.Endpoint{Address: b.Address, Region: "south"})
+	a := startControl(t, "c0", "north", 0)
+	link := newLink(t, a.Address)
+	b := startControl(t, "c1", "south", 0, testfleet.ControlTarget{Address: link.Address, Region: "north"})
+	f := startTestFollower(t, "s1", follow.Endpoint{Address: b.Address, Region: "south"})
 	client := &publish.Client{Address: a.Address}
 	for round := range 5 {
 		link.Silence(faultnet.Back) // nothing spreads
-		h, err := client.PublishChanges(soon(t), oneTeam("a", float64(round+1)), byTest, document.Digest{})
+		h, err := client.PublishChanges(requestContext(t), teamChanges("a", float64(round+1)), testMeta, document.Digest{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		a.Kill()
-		if n, _ := f.on(); n >= h.Number {
+		if n, _ := f.current(); n >= h.Number {
 			t.Errorf("it spread: %d", n)
 		}
 		link.Break()
@@ -231,7 +231,7 @@
 		if err := a.Again(); err != nil {
 			t.Fatal(err)
 		}
-		testfleet.Eventually(t, "the version that was accepted", func() bool { n, d := f.on(); return n == h.Number && d == h.Digest() })
+		testfleet.Eventually(t, "the version that was accepted", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
 	}
 }
 
@@ -239,15 +239,15 @@
 // same number: its followers are refused nothing by it, those of the first stay
 // on theirs, and both sides shout.
 func TestTwoOriginatorsAreAFork(t *testing.T) {
-	a := machine(t, "c0", "north", 0)
-	link := linkTo(t, a.Address)
+	a := startControl(t, "c0", "north", 0)
+	link := newLink(t, a.Address)
 	first := &publish.Client{Address: a.Address}
-	h1, err := first.PublishChanges(soon(t), oneTeam("a", 1), byTest, document.Digest{})
+	h1, err := first.PublishChanges(requestContext(t), teamChanges("a", 1), testMeta, document.Digest{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := following(t, "s1", follow.Endpoint{Address: link.Address, Region: "north"})
-	testfleet.Eventually(t, "the first version", func() bool { n, d := f.on(); return n == 1 && d == h1.Digest() })
+	f := startTestFollower(t, "s1", follow.Endpoint{Address: link.Address, Region: "north"})
+	testfleet.Eventually(t, "the first version", func() bool { n, d := f.current(); return n == 1 && d == h1.Digest() })
 	// Its folder is lost, it starts empty at its own address, and publishes.
 	a.Kill()
 	a.Folder = filepath.Join(t.TempDir(), "empty")
@@ -255,16 +255,16 @@
 		t.Fatal(err)
 	}
 	for n := range 3 {
-		if _, err := first.PublishChanges(soon(t), oneTeam("b", float64(n+1)), byTest, document.Digest{}); err != nil {
+		if _, err := first.PublishChanges(requestContext(t), teamChanges("b", float64(n+1)), testMeta, document.Digest{}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	testfleet.Eventually(t, "the publisher shouts", func() bool { return a.Logged("fork: a follower") })
 	testfleet.Eventually(t, "the page lists it", func() bool {
-		lines, err := first.Followers(soon(t), true)
+		lines, err := first.Followers(requestContext(t), true)
 		return err == nil && len(lines) == 1 && lines[0].Fork && lines[0].Name == "s1" && lines[0].Number == 1
 	})
-	if n, d := f.on(); n != 1 || d != h1.Digest() {
+	if n, d := f.current(); n != 1 || d != h1.Digest() {
 		t.Errorf("the follower went over to version %d", n)
 	}
 	var out strings.Builder
@@ -275,8 +275,8 @@
 
 // The commands: what an operator does, and what each refusal reads like.
 func TestControlCommands(t *testing.T) {
-	a := machine(t, "c0", "north", 16)
-	b := machine(t, "c1", "south", 16, testfleet.ControlTarget{Address: a.Address, Region: "north"})
+	a := startControl(t, "c0", "north", 16)
+	b := startControl(t, "c1", "south", 16, testfleet.ControlTarget{Address: a.Address, Region: "north"})
 	file := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) {
 		t.Helper()
@@ -314,14 +314,14 @@
 	want("at a relay", out, err, a.Address)
 	out, err = run(a.Address, "0123456789ab")
 	want("another base", out, err, "--base", "in force is version 1")
-	v, err := (&publish.Client{Address: a.Address}).Version(soon(t))
+	v, err := (&publish.Client{Address: a.Address}).Version(requestContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	out, err = run(a.Address, v.Digest[:12])
 	want("on its base", out, err, "version 2 ", v.Digest[:12])
 	testfleet.Eventually(t, "the relay has it", func() bool {
-		v, err := (&publish.Client{Address: b.Address}).Version(soon(t))
+		v, err := (&publish.Client{Address: b.Address}).Version(requestContext(t))
 		return err == nil && v.Number == 2
 	})
 	var text strings.Builder
--- a/cmd/kiteslip/control_same_test.go
+++ b/cmd/kiteslip/control_same_test.go
@@ -13,9 +13,9 @@
 	"kiteslip/internal/core"
 )
 
-// smallSite is a machine with less room than it is asked for, and settings of its
+// smallSettings is a machine with less room than it is asked for, and settings of its
 // own that hold beside a version's.
-const smallSite = `{"name": "n", "listen": "127.0.0.1:0", "engine": "127.0.0.1:1", "settings": {"classes": [
+const smallSettings = `{"name": "n", "listen": "127.0.0.1:0", "engine": "127.0.0.1:1", "settings": {"classes": [
   {"name": "look", "effect": "repeatable", "on_time_us": 300000, "hard_limit_us": 900000, "worth": 1}],
  "tenants": [{"name": "red", "quota_per_s": 20}],
  "ceilings": {"max_retry_after_us": 1000000, "retry_after": true},
@@ -23,15 +23,15 @@
  "rules": {"answer_slack_us": 60000, "drain_grace_us": 2000000, "fall_multiple": 8, "fall_us": 1500000},
  "goal": {"whole": 1}, "tick_us": 4000, "group_size": 1}}`
 
-// deal is one class of a service, or one team.
-type deal struct {
-	name            string
-	aim, limit, won float64 // of a class; a team has none
-	quota           float64
+// contentEntry is one class of a service, or one team.
+type contentEntry struct {
+	name                       string
+	targetMS, timeoutMS, worth float64 // of a class; a team has none
+	quota                      float64
 }
 
-// fileOf words deals as an operator's file.
-func fileOf(deals []deal) string {
+// operatorText words deals as an operator's file.
+func operatorText(deals []contentEntry) string {
 	var b strings.Builder
 	for _, d := range deals {
 		if d.quota > 0 {
@@ -39,13 +39,13 @@
 			continue
 		}
 		fmt.Fprintf(&b, "[[service]]\nname = %q\n[[service.contract]]\nclass = %q\neffect = \"repeatable\"\naim_ms = %v\ndeadline_ms = %v\nworth = %v\n",
-			d.name, d.name, d.aim, d.limit, d.won)
+			d.name, d.name, d.targetMS, d.timeoutMS, d.worth)
 	}
 	return b.String()
 }
 
-// contentOf is the same as a version holds it.
-func contentOf(deals []deal) *document.Content {
+// versionContent is the same as a version holds it.
+func versionContent(deals []contentEntry) *document.Content {
 	c := &document.Content{}
 	for i := range deals {
 		d := &deals[i]
@@ -54,13 +54,13 @@
 			continue
 		}
 		c.Services = append(c.Services, document.Service{Name: d.name, Contracts: []document.Contract{
-			{Class: d.name, Effect: "repeatable", TargetTimeMS: &d.aim, DeadlineMS: &d.limit, Worth: &d.won}}})
+			{Class: d.name, Effect: "repeatable", TargetTimeMS: &d.targetMS, DeadlineMS: &d.timeoutMS, Worth: &d.worth}}})
 	}
 	return c
 }
 
-// day plays requests on a core and notes all that it decides, by name.
-type day struct {
+// simulation plays requests on a core and notes all that it decides, by name.
+type simulation struct {
 	t    *testing.T
 	core *core.Core
 	now  int64
@@ -69,28 +69,28 @@
 }
 
 type run struct {
-	r   *core.Request
-	end int64
+	request *core.Request
+	end     int64
 }
 
-func (d *day) Run(r *core.Request) {
+func (d *simulation) Run(r *core.Request) {
 	d.log = append(d.log, fmt.Sprintf("%d run %s", d.now, r.TryID))
 	d.runs = append(d.runs, run{r, d.now + int64(len(r.Body))*1000})
 }
 
-// noting notes what becomes of one request.
-type noting struct {
-	d *day
+// answerLog notes what becomes of one request.
+type answerLog struct {
+	d *simulation
 	r *core.Request
 }
 
-func (a noting) Answer(_ uint32, b core.Answer) {
+func (a answerLog) Answer(_ uint32, b core.Answer) {
 	a.d.log = append(a.d.log, fmt.Sprintf("%d %s: Code:%d %d bytes, hold off %d, no more %t, cause %v", a.d.now, a.r.TryID, b.Code,
 		len(b.Result), b.RetryAfter, b.NoFailover, b.Cause))
 }
 
-// until lets time go by, with the ends of runs and the core's own times.
-func (d *day) until(t int64) {
+// advance lets time go by, with the ends of runs and the core's own times.
+func (d *simulation) advance(t int64) {
 	for {
 		next := t
 		for _, r := range d.runs {
@@ -109,7 +109,7 @@
 			return false
 		})
 		for _, r := range ended {
-			d.core.Done(r.r, kiteslip.OK, int64(len(r.r.Body))*1000, r.r.Body)
+			d.core.Done(r.request, kiteslip.OK, int64(len(r.request.Body))*1000, r.request.Body)
 		}
 		d.core.Step(d.now)
 		if d.now >= t {
@@ -119,7 +119,7 @@
 }
 
 // play sends the same requests, by the names of their classes and teams, as any other day.
-func (d *day) play(cfg *config.Config, deals []deal) []string {
+func (d *simulation) play(cfg *config.Config, deals []contentEntry) []string {
 	d.t.Helper()
 	var classes, teams []int
 	for _, x := range deals {
@@ -134,22 +134,22 @@
 	}
 	draw := rand.New(rand.NewPCG(3, 4))
 	for i := range 3000 {
-		d.until(d.now + 50 + draw.Int64N(900))
+		d.advance(d.now + 50 + draw.Int64N(900))
 		class, team := classes[draw.IntN(len(classes))], teams[draw.IntN(len(teams))]
 		r := &core.Request{TryID: fmt.Sprintf("%016x", i+1), Class: class, Tenant: team, Arrived: d.now, SizeKB: 16 + float64(draw.IntN(64)),
 			Deadline: d.now + cfg.Policy.Classes[class].Timeout, Body: make([]byte, 1+draw.IntN(40))}
-		r.ReplyTo = noting{d, r}
+		r.ReplyTo = answerLog{d, r}
 		if err := d.core.Submit(d.now, r); err != nil {
 			d.t.Fatal(err)
 		}
 	}
-	d.until(d.now + 5_000_000)
+	d.advance(d.now + 5_000_000)
 	return d.log
 }
 
-func newDay(t *testing.T, cfg *config.Config) *day {
+func newSimulation(t *testing.T, cfg *config.Config) *simulation {
 	t.Helper()
-	d := &day{t: t, now: 1_000_000_000_000}
+	d := &simulation{t: t, now: 1_000_000_000_000}
 	var err error
 	if d.core, err = core.New(core.Settings{Policy: cfg.Policy, Seed: 9, Pools: cfg.PoolSettings()}, d); err != nil {
 		t.Fatal(err)
@@ -161,10 +161,10 @@
 // The decisions that a server makes by a version are those that it makes by a file
 // with the same content: the same requests through both, from the start and
 // after a change while it runs.
-func TestDecisionsAsByFile(t *testing.T) {
+func TestVersionDecisionsMatchFile(t *testing.T) {
 	read := func(text string) *config.Config {
 		t.Helper()
-		cfg, err := config.Parse([]byte(smallSite), func(string) string { return "" })
+		cfg, err := config.Parse([]byte(smallSettings), func(string) string { return "" })
 		if err == nil && text != "" {
 			cfg, err = config.ParseOperator(text, cfg)
 		}
@@ -173,9 +173,9 @@
 		}
 		return cfg
 	}
-	version := func(on *document.Document, deals []deal) (*document.Document, *document.Delta) {
+	version := func(on *document.Document, deals []contentEntry) (*document.Document, *document.Delta) {
 		t.Helper()
-		delta, err := on.Draft(on.Diff(contentOf(deals)), document.Meta{Author: "anna", Reason: "the same", Time: 1})
+		delta, err := on.Draft(on.Diff(versionContent(deals)), document.Meta{Author: "anna", Reason: "the same", Time: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,8 +185,8 @@
 		}
 		return doc, delta
 	}
-	before := []deal{{name: "draw", aim: 200, limit: 700, won: 3}, {name: "sum", aim: 300, limit: 900, won: 1}, {name: "lime", quota: 10}, {name: "teal", quota: 30}}
-	after := []deal{{name: "count", aim: 100, limit: 300, won: 9}, {name: "draw", aim: 250, limit: 500, won: 2}, {name: "sum", aim: 300, limit: 900, won: 1},
+	before := []contentEntry{{name: "draw", targetMS: 200, timeoutMS: 700, worth: 3}, {name: "sum", targetMS: 300, timeoutMS: 900, worth: 1}, {name: "lime", quota: 10}, {name: "teal", quota: 30}}
+	after := []contentEntry{{name: "count", targetMS: 100, timeoutMS: 300, worth: 9}, {name: "draw", targetMS: 250, timeoutMS: 500, worth: 2}, {name: "sum", targetMS: 300, timeoutMS: 900, worth: 1},
 		{name: "lime", quota: 40}, {name: "plum", quota: 5}, {name: "teal", quota: 12}}
 	first, _ := version(document.Empty(), before)
 	second, delta := version(first, after)
@@ -212,11 +212,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := read(fileOf(after))
-	same("from the start", newDay(t, file).play(file, after), newDay(t, byFile).play(byFile, after))
+	file := read(operatorText(after))
+	same("from the start", newSimulation(t, file).play(file, after), newSimulation(t, byFile).play(byFile, after))
 
 	// A change while it runs: SIGHUP with a file, and a delta.
-	reload, step := config.NewUpdater(read(fileOf(before))), (*config.Updater)(nil)
+	reload, step := config.NewUpdater(read(operatorText(before))), (*config.Updater)(nil)
 	started, err := read("").WithDocument(first)
 	if err != nil {
 		t.Fatal(err)
@@ -224,7 +224,7 @@
 	step = config.NewUpdater(started)
 	hot := func(cfg *config.Config, change func() (*config.Change, error)) []string {
 		t.Helper()
-		d := newDay(t, cfg)
+		d := newSimulation(t, cfg)
 		ch, err := change()
 		if err == nil {
 			err = d.core.Reconfigure(ch.Config.Policy, ch.Config.RetiredClasses, ch.Pools)
@@ -234,6 +234,6 @@
 		}
 		return d.play(ch.Config, after)
 	}
-	a := hot(read(fileOf(before)), func() (*config.Change, error) { return reload.PrepareFile(read(fileOf(after))) })
+	a := hot(read(operatorText(before)), func() (*config.Change, error) { return reload.PrepareFile(read(operatorText(after))) })
 	same("after a change", a, hot(started, func() (*config.Change, error) { return step.PrepareVersion(second, delta) }))
 }
--- a/cmd/kiteslip/crossings_test.go
+++ b/cmd/kiteslip/crossings_test.go
@@ -18,17 +18,17 @@
 	"kiteslip/internal/testfleet"
 )
 
-// lookSite is a site with a read and a keyed class, and room for all.
-const lookSite = `{"classes": [
+// roomySettings is a site with a read and a keyed class, and room for all.
+const roomySettings = `{"classes": [
   {"name": "look", "effect": "repeatable", "on_time_us": 3000000, "hard_limit_us": 6000000, "worth": 1},
   {"name": "note", "effect": "by_key", "on_time_us": 3000000, "hard_limit_us": 6000000, "worth": 4, "window_us": 9000000}],
  "tenants": [{"name": "red", "quota_per_s": 5000}],
  "family_info": {"cores": 64, "memory_kb": 4000000, "blowup": 4, "key_kb": 8, "idle_us": 60000000, "callers": 4, "gauges": ["cpu_busy", "runnable"]},
  "rules": {"answer_slack_us": 60000, "drain_grace_us": 2000000}, "goal": {"whole": 1}, "tick_us": 4000, "group_size": 1}`
 
-// lookProgram starts a server that is granted so many sockets, with a link to
+// startServer starts a server that is granted so many sockets, with a link to
 // its engine that can be struck.
-func lookProgram(t *testing.T, sockets int) (*testfleet.Program, *box.Engine, *faultnet.Link) {
+func startServer(t *testing.T, sockets int) (*testfleet.Program, *box.Engine, *faultnet.Link) {
 	t.Helper()
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
@@ -40,8 +40,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(link.Close)
-	p := testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{asServer + "=1"}, Name: "n0", Config: map[string]any{
-		"engine": link.Address, "registry": testfleet.Address(t), "stop_ms": 3000, "settings": json.RawMessage(lookSite),
+	p := testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: "n0", Config: map[string]any{
+		"engine": link.Address, "registry": testfleet.Address(t), "stop_ms": 3000, "settings": json.RawMessage(roomySettings),
 		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": sockets}}})
 	p.Grant(uint64(sockets))
 	return p, engine, link
@@ -50,7 +50,7 @@
 // Connections that come in one burst, each with a request, are all let in and
 // answered within the descriptors that are granted.
 func TestBurstWithinDescriptors(t *testing.T) {
-	p, _, _ := lookProgram(t, 256)
+	p, _, _ := startServer(t, 256)
 	warm := standin.Dial(t, p.Clients)
 	warm.Send(1, standin.Fields("look", "red", "", 1, 5*time.Second), "1")
 	if got, _ := warm.Next(); got.Code != frame.Served {
@@ -84,7 +84,7 @@
 func TestIdleClientsLeaveRoom(t *testing.T) {
 	for _, sockets := range []int{48, 64, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
-			p, _, link := lookProgram(t, sockets)
+			p, _, link := startServer(t, sockets)
 			stop := make(chan struct{})
 			var idlers sync.WaitGroup
 			for range sockets {
--- a/cmd/kiteslip/follow.go
+++ b/cmd/kiteslip/follow.go
@@ -11,12 +11,12 @@
 	"kiteslip/internal/server"
 )
 
-// startBy waits for the version that the fleet serves by, lays it over the file's
+// awaitInitialVersion waits for the version that the fleet serves by, lays it over the file's
 // configuration, and says what the server starts by. A version that cannot be
 // used here leaves the one kept, and else the file. A notice to leave ends the
 // wait, and comes again on the signals that are returned. The follower's stream
 // ends with ctx.
-func startBy(ctx context.Context, cfg *config.Config, signals server.Signals, log *zap.Logger) (*config.Config, *follow.Follower, server.Signals, error) {
+func awaitInitialVersion(ctx context.Context, cfg *config.Config, signals server.Signals, log *zap.Logger) (*config.Config, *follow.Follower, server.Signals, error) {
 	set := follow.Settings{Name: cfg.Name, Region: cfg.Control.Region, Folder: cfg.Control.Folder,
 		InitialWait: time.Duration(cfg.Control.InitialWaitUS) * time.Microsecond, Seed: cfg.Seed, Log: log}
 	for _, p := range cfg.Control.Publishers {
--- a/cmd/kiteslip/keys_test.go
+++ b/cmd/kiteslip/keys_test.go
@@ -18,8 +18,8 @@
 	"kiteslip/internal/standin"
 )
 
-// alone starts a process with a store of keys, which no other takes the place of.
-func alone(t *testing.T, dir, engine string) *process {
+// startWithKeyStore starts a process with a store of keys, which no other takes the place of.
+func startWithKeyStore(t *testing.T, dir, engine string) *process {
 	t.Helper()
 	p := &process{t: t}
 	for _, address := range []*string{&p.clients, &p.ops} {
@@ -39,13 +39,13 @@
 		}
 	}
 	p.Cmd = exec.Command(os.Args[0])
-	p.Env = append(os.Environ(), asServer+"=1", "TMPDIR="+dir, config.EnvConfig+"="+file, "KITESLIP_OPERATOR="+over, "KITESLIP_LOG=warn")
+	p.Env = append(os.Environ(), serverEnv+"=1", "TMPDIR="+dir, config.EnvConfig+"="+file, "KITESLIP_OPERATOR="+over, "KITESLIP_LOG=warn")
 	p.Stderr = os.Stderr
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.Process.Kill(); p.Wait() }) //nolint:errcheck // it may have ended
-	p.await()
+	p.awaitReady()
 	return p
 }
 
@@ -68,7 +68,7 @@
 		return standin.Work{Result: "did " + body}
 	})
 	dir := t.TempDir()
-	p := alone(t, dir, engine.Address)
+	p := startWithKeyStore(t, dir, engine.Address)
 	c := standin.Dial(t, p.clients)
 	ask := func(c *standin.Caller, stream uint32, key string, name uint64) {
 		c.Send(stream, standin.Fields("note", "red", key, name, 2*time.Second), key)
@@ -85,7 +85,7 @@
 		}
 	}
 	p.kill()
-	p = alone(t, dir, engine.Address)
+	p = startWithKeyStore(t, dir, engine.Address)
 	if got := standin.Ask(t, p.ops, "show-stat"); !strings.Contains(got, "app.keys.restored:3|g") || !strings.Contains(got, "app.keys.unknown:2|g") {
 		t.Errorf("it shows %s", got)
 	}
@@ -174,7 +174,7 @@
 // A process that owns a store is killed where another could take its place, and
 // once while that one waits for it: the next opens the store as soon as the dead
 // one's lock is free, gives its results, and runs none of its keys again.
-func TestOwnerOfAStoreDies(t *testing.T) {
+func TestKeyStoreOwnerKilled(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -186,19 +186,19 @@
 		t.Fatal(err)
 	}
 	t.Setenv("KITESLIP_OPERATOR", over)
-	old := launch(t, clients, dir)
+	old := startProcess(t, clients, dir)
 	if code := old.ask("note", "first", "b", 1); code != frame.Served {
 		t.Fatalf("code %d", code)
 	}
 	old.kill()
-	next := launch(t, clients, dir)
+	next := startProcess(t, clients, dir)
 	if code := next.ask("note", "first", "b", 2); code != frame.Served {
 		t.Errorf("after the owner died: code %d", code)
 	}
 	if code := next.ask("note", "second", "b", 3); code != frame.Served { // no window of doubt: the store knows all
 		t.Errorf("a new key after the owner died: code %d", code)
 	}
-	third := launch(t, clients, dir)
+	third := startProcess(t, clients, dir)
 	next.kill()
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
 		if strings.Contains(standin.Ask(t, third.ops, "show-stat"), "app.keys.restored:") {
--- a/cmd/kiteslip/main.go
+++ b/cmd/kiteslip/main.go
@@ -77,7 +77,7 @@
 	if cfg.Control.Enabled() {
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
-		if cfg, follower, signals, err = startBy(ctx, cfg, signals, log); err != nil {
+		if cfg, follower, signals, err = awaitInitialVersion(ctx, cfg, signals, log); err != nil {
 			return err
 		}
 	}
--- a/cmd/kiteslip/main_test.go
+++ b/cmd/kiteslip/main_test.go
@@ -53,7 +53,7 @@
 
 // SIGHUP reads the configuration again instead of ending the process, and
 // SIGTERM after it still drains: a program that does not take the signal dies here.
-func TestHangUpIsNoEnd(t *testing.T) {
+func TestHangupDoesNotStopServer(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestForeignCapture(t *testing.T) {
+func TestNotACapture(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.pcap")
 	if err := os.WriteFile(path, []byte("no capture"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/kiteslip/upgrade_test.go
+++ b/cmd/kiteslip/upgrade_test.go
@@ -16,12 +16,12 @@
 	"kiteslip/internal/standin"
 )
 
-// asServer makes the test's own binary the program, so that processes can be
+// serverEnv makes the test's own binary the program, so that processes can be
 // started, told to leave and killed without a build.
-const asServer = "KITESLIP_TEST_SERVES"
+const serverEnv = "KITESLIP_TEST_SERVES"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asServer) != "" {
+	if os.Getenv(serverEnv) != "" {
 		main()
 		return
 	}
@@ -42,8 +42,8 @@
 	clients string
 }
 
-// launch starts a process beside whatever runs, on the clients' socket.
-func launch(t *testing.T, clients *net.TCPListener, dir string) *process {
+// startProcess starts a process beside whatever runs, on the clients' socket.
+func startProcess(t *testing.T, clients *net.TCPListener, dir string) *process {
 	t.Helper()
 	engine := standin.NewEngine(t, standin.Echo(5*time.Millisecond))
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,18 +64,18 @@
 	defer socket.Close()
 	p.Cmd = exec.Command(os.Args[0])
 	p.ExtraFiles = []*os.File{socket}
-	p.Env = append(os.Environ(), asServer+"=1", "TMPDIR="+dir, config.EnvConfig+"="+file, config.EnvInheritedFD+"=3", "KITESLIP_LOG=warn")
+	p.Env = append(os.Environ(), serverEnv+"=1", "TMPDIR="+dir, config.EnvConfig+"="+file, config.EnvInheritedFD+"=3", "KITESLIP_LOG=warn")
 	p.Stderr = os.Stderr
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.Process.Kill(); p.Wait() }) //nolint:errcheck // it may have ended
-	p.await()
+	p.awaitReady()
 	return p
 }
 
-// await waits until the process takes clients.
-func (p *process) await() {
+// awaitReady waits until the process takes clients.
+func (p *process) awaitReady() {
 	p.t.Helper()
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		if c, err := net.Dial("tcp", p.ops); err == nil {
@@ -106,14 +106,14 @@
 // Real processes: one takes the place of another, which ends by itself; one
 // that is killed leaves files behind, and the next starts all the same, but
 // runs no key that the dead one may have run.
-func TestProcessesFollowEachOther(t *testing.T) {
+func TestSuccessiveUpgrades(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	clients, dir := l.(*net.TCPListener), t.TempDir()
-	first := launch(t, clients, dir)
+	first := startProcess(t, clients, dir)
 	expect := func(p *process, class, key, body string, name uint64, want byte) {
 		t.Helper()
 		if got := p.ask(class, key, body, name); got != want {
@@ -121,7 +121,7 @@
 		}
 	}
 	expect(first, "note", "key", "once", 1, frame.Served)
-	second := launch(t, clients, dir)
+	second := startProcess(t, clients, dir)
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	if left, _ := filepath.Glob(filepath.Join(dir, "kiteslip-*")); len(left) == 0 {
 		t.Error("nothing is left behind; the test shows nothing")
 	}
-	third := launch(t, clients, dir)
+	third := startProcess(t, clients, dir)
 	expect(third, "note", "key", "once", 3, frame.Failed)
 	expect(third, "look", "", "read", 4, frame.Served)
 	if err := third.Process.Signal(syscall.SIGTERM); err != nil {
--- a/internal/config/calls.go
+++ b/internal/config/calls.go
@@ -10,18 +10,18 @@
 // Calls below in the operator's file: machine.ledger and machine.stop_runs, and
 // in a contract calls and skip_worth. All are off by default.
 
-var stops = map[string]kiteslip.Stop{"": kiteslip.StopNever, "never": kiteslip.StopNever,
+var stopModes = map[string]kiteslip.Stop{"": kiteslip.StopNever, "never": kiteslip.StopNever,
 	"discard": kiteslip.StopDiscard, "freeze": kiteslip.StopFreeze}
 
 // The bounds of calls where no platform states them.
 const (
-	callsOver = 5_000_000 // calls in hand are averaged over this
-	lingers   = 200_000   // a call given up is this long in the ledger's hands at most
+	callShareWindowUS = 5_000_000 // calls in hand are averaged over this
+	maxCallLingerUS   = 200_000   // a call given up is this long in the ledger's hands at most
 )
 
-// calls enters what the machine has below it.
-func (m *Machine) calls(c *Config, errs *problems) {
-	stop, known := stops[m.StopRuns]
+// applyLedger enters what the machine has below it.
+func (m *Machine) applyLedger(c *Config, errs *validationErrors) {
+	stop, known := stopModes[m.StopRuns]
 	if !known {
 		errs.add("machine.stop_runs", "is %q, want never, discard or freeze", m.StopRuns)
 	}
@@ -32,11 +32,11 @@
 	if err := ledger.CheckAddress(m.Ledger); err != nil {
 		errs.add("machine.ledger", "%v", err)
 	}
-	c.Policy.Downstream, c.Policy.CallShareWindow, c.Policy.MaxCallLinger = kiteslip.DownstreamTier, callsOver, lingers
+	c.Policy.Downstream, c.Policy.CallShareWindow, c.Policy.MaxCallLinger = kiteslip.DownstreamTier, callShareWindowUS, maxCallLingerUS
 }
 
-// calls enters what one contract says of calls; ledger is where they would go.
-func calls(t *Contract, ledger string, m *kiteslip.Class, add func(name, format string, args ...any)) {
+// applyContractCalls enters what one contract says of calls; ledger is where they would go.
+func applyContractCalls(t *Contract, ledger string, m *kiteslip.Class, add func(name, format string, args ...any)) {
 	if t.CallsDownstream != nil {
 		m.CallsDownstream = *t.CallsDownstream
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -74,8 +74,8 @@
 	Backends       []string // by class: the uwsgi server that does the work; "" = the engine
 	MaxResultBytes []int    // by class, bytes
 
-	shape any   // the platform's text, decoded: which keys it has
-	base  *base // classes and teams of the platform
+	keyTree  any       // the platform's text, decoded: which keys it has
+	baseline *baseline // classes and teams of the platform
 
 	version *document.Document // that is in force; nil = the file's own teams, services and pools
 }
@@ -91,8 +91,8 @@
 	Contracts     []uwsgi.Contract
 }
 
-// raw mirrors the file that EDGE_CONFIG names.
-type raw struct {
+// platformFile mirrors the file that EDGE_CONFIG names.
+type platformFile struct {
 	Name     string          `json:"name"`
 	Listen   string          `json:"listen"`
 	Ops      string          `json:"ops"`
@@ -105,8 +105,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// names are the parts of the settings that only a server needs.
-type names struct {
+// platformNames are the parts of the settings that only a server needs.
+type platformNames struct {
 	Classes []struct {
 		Name string `json:"name"`
 	} `json:"classes"`
@@ -124,11 +124,11 @@
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	defaultStopMS   = 3000
-	leastMemoryMB   = 16
-	leastSockets    = 32
-	leastFD         = 3 // after those for input, output and errors
-	mostFD          = 1 << 20
-	mostName        = 128 // bytes of a class's name, as it goes in messages and figures
+	minMemoryMB     = 16
+	minSockets      = 32
+	minInheritedFD  = 3 // after those for input, output and errors
+	maxInheritedFD  = 1 << 20
+	maxNameBytes    = 128 // bytes of a class's name, as it goes in messages and figures
 )
 
 // Load reads the platform's configuration through getenv.
@@ -150,7 +150,7 @@
 
 // Parse reads the platform's JSON. What the environment gives stands over the text.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
-	var r raw
+	var r platformFile
 	if err := json.Unmarshal(text, &r); err != nil {
 		return nil, jsonError(err)
 	}
@@ -158,7 +158,7 @@
 	r.Listen = cmp.Or(getenv(EnvListen), r.Listen)
 	r.Ops = cmp.Or(getenv(EnvOps), r.Ops)
 	c := &Config{Name: r.Name, Listen: r.Listen, Ops: r.Ops, Engine: r.Engine, Ledger: r.Ledger, Registry: r.Registry, Limits: r.Limits}
-	if err := json.Unmarshal(text, &c.shape); err != nil {
+	if err := json.Unmarshal(text, &c.keyTree); err != nil {
 		return nil, err
 	}
 	var errs []error
@@ -188,8 +188,8 @@
 	}
 	if text := getenv(EnvInheritedFD); text != "" {
 		fd, err := strconv.Atoi(text)
-		if err != nil || fd < leastFD || fd > mostFD {
-			fail(EnvInheritedFD, "is %q, want the number of a descriptor from %d", text, leastFD)
+		if err != nil || fd < minInheritedFD || fd > maxInheritedFD {
+			fail(EnvInheritedFD, "is %q, want the number of a descriptor from %d", text, minInheritedFD)
 		}
 		c.InheritedFD = fd
 	}
@@ -208,19 +208,19 @@
 		fail("stop_ms", "is %v, want above 0 and at most an hour", stop)
 	}
 	c.StopTimeoutUS = int64(stop * 1000)
-	c.Limits.defaults(fail)
+	c.Limits.applyDefaults(fail)
 	if len(r.Settings) == 0 {
 		fail("settings", "are absent")
 		return nil, errors.Join(errs...)
 	}
-	if err := c.settings(r.Settings); err != nil {
+	if err := c.parseSettings(r.Settings); err != nil {
 		errs = append(errs, err)
 	}
 	return c, errors.Join(errs...)
 }
 
-// defaults fills in absent limits and checks the others.
-func (l *Limits) defaults(fail func(key, format string, args ...any)) {
+// applyDefaults fills in absent limits and checks the others.
+func (l *Limits) applyDefaults(fail func(key, format string, args ...any)) {
 	if l.Cores == 0 {
 		l.Cores = defaultCores
 	}
@@ -233,16 +233,16 @@
 	if !(l.Cores > 0) {
 		fail("limits.cores", "is %v, want above 0", l.Cores)
 	}
-	if l.MemoryMB < leastMemoryMB {
-		fail("limits.memory_mb", "is %d, want %d at least", l.MemoryMB, leastMemoryMB)
+	if l.MemoryMB < minMemoryMB {
+		fail("limits.memory_mb", "is %d, want %d at least", l.MemoryMB, minMemoryMB)
 	}
-	if l.Sockets < leastSockets {
-		fail("limits.sockets", "is %d, want %d at least", l.Sockets, leastSockets)
+	if l.Sockets < minSockets {
+		fail("limits.sockets", "is %d, want %d at least", l.Sockets, minSockets)
 	}
 }
 
-// settings reads the object that the simulator gives to an instance.
-func (c *Config) settings(text []byte) error {
+// parseSettings reads the object that the simulator gives to an instance.
+func (c *Config) parseSettings(text []byte) error {
 	var err error
 	if c.Policy, c.Gauges, err = wire.ParseSettings(text); err != nil {
 		return err
@@ -250,15 +250,15 @@
 	if _, err := kiteslip.New(c.Policy, 0); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	var n names
+	var n platformNames
 	if err := json.Unmarshal(text, &n); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.ListFollowsHealth = n.Family.Readiness
 	seen := map[string]bool{}
 	for i, class := range n.Classes {
-		if class.Name == "" || seen[class.Name] || len(class.Name) > mostName {
-			return fmt.Errorf("settings.classes[%d].name is %q, want a name of its own of at most %d bytes", i, class.Name, mostName)
+		if class.Name == "" || seen[class.Name] || len(class.Name) > maxNameBytes {
+			return fmt.Errorf("settings.classes[%d].name is %q, want a name of its own of at most %d bytes", i, class.Name, maxNameBytes)
 		}
 		seen[class.Name] = true
 		c.Classes = append(c.Classes, class.Name)
@@ -271,8 +271,8 @@
 		seen[tenant.Name] = true
 		c.Tenants = append(c.Tenants, tenant.Name)
 	}
-	c.fronts()
-	c.base = c.bare()
+	c.growFrontend()
+	c.baseline = c.newBaseline()
 	return nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -145,7 +145,7 @@
 
 // The ledger's address is no name, in either file, and what a contract says of
 // calls is checked with it.
-func TestCallsBelow(t *testing.T) {
+func TestDownstreamCalls(t *testing.T) {
 	const service = "[uwsgi]\nlisten = \"127.0.0.1:1\"\n[machine]\nengine = \"127.0.0.1:2\"\n%s\n[[team]]\nname = \"red\"\nrequests_per_s = 1\n" +
 		"[[service]]\nname = \"s\"\nowner = \"red\"\n[[service.contract]]\nclass = \"c\"\neffect = \"repeatable\"\ndeadline_ms = 1000\n%s\n"
 	for _, c := range []struct{ machine, contract, want string }{
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -30,15 +30,15 @@
 
 // The default and the bounds of [control].
 const (
-	defaultWaitMS  = 1_000
-	mostWaitMS     = 60_000
-	mostPublishers = 64
+	defaultWaitMS = 1_000
+	maxWaitMS     = 60_000
+	maxPublishers = 64
 )
 
 // Enabled says whether versions are followed.
 func (c *Control) Enabled() bool { return len(c.Publishers) > 0 }
 
-func (f *ControlFile) apply(c *Config, errs *problems) {
+func (f *ControlFile) apply(c *Config, errs *validationErrors) {
 	if f == nil {
 		return
 	}
@@ -46,20 +46,20 @@
 	if f.WaitMS != nil {
 		wait = *f.WaitMS
 	}
-	if wait < 0 || wait > mostWaitMS {
-		errs.add("control.wait_ms", "is %d, want 0 to %d", wait, mostWaitMS)
+	if wait < 0 || wait > maxWaitMS {
+		errs.add("control.wait_ms", "is %d, want 0 to %d", wait, maxWaitMS)
 	}
 	if f.Folder != "" && !filepath.IsAbs(f.Folder) {
 		errs.add("control.folder", "is %q, want an absolute path", f.Folder)
 	}
 	region := func(key, value string, needed bool) {
-		if needed && value == "" || len(value) > mostName {
-			errs.add(key, "is %q, want 1 to %d bytes", value, mostName)
+		if needed && value == "" || len(value) > maxNameBytes {
+			errs.add(key, "is %q, want 1 to %d bytes", value, maxNameBytes)
 		}
 	}
 	region("control.region", f.Region, len(f.Publishers) > 0)
-	if len(f.Publishers) > mostPublishers {
-		errs.add("control.publisher", "is there %d times, want %d at most", len(f.Publishers), mostPublishers)
+	if len(f.Publishers) > maxPublishers {
+		errs.add("control.publisher", "is there %d times, want %d at most", len(f.Publishers), maxPublishers)
 	}
 	seen := map[string]bool{}
 	for i, p := range f.Publishers {
--- a/internal/config/draft.go
+++ b/internal/config/draft.go
@@ -10,142 +10,142 @@
 	"kiteslip/internal/pool"
 )
 
-// draft is a Change in the making: the configuration in force, whose lists are
+// changeBuilder is a Change in the making: the configuration in force, whose lists are
 // copied before they are changed.
-type draft struct {
-	p       *Updater
-	m       *Config
-	classes map[promise]int // places that this change gives out
-	teams   map[string]int
-	taken   map[int]bool // places of dropped teams that others get
-	next    int          // of p.dropped: what may be taken yet
+type changeBuilder struct {
+	updater      *Updater
+	result       *Config
+	newClasses   map[classID]int // places that this change gives out
+	newTeams     map[string]int
+	reusedSlots  map[int]bool // places of dropped teams that others get
+	nextReleased int          // of p.dropped: what may be taken yet
 
-	touchedClasses, touchedTeams map[int]bool
+	changedClasses, changedTeams map[int]bool
 
-	same *pool.Settings // the pools, where nothing of them differs; nil = to be made
+	unchangedPools *pool.Settings // the pools, where nothing of them differs; nil = to be made
 }
 
-// draft starts one in which m is the outcome.
-func (p *Updater) draft(m *Config) *draft {
-	return &draft{p: p, m: m, classes: map[promise]int{}, teams: map[string]int{}, taken: map[int]bool{},
-		touchedClasses: map[int]bool{}, touchedTeams: map[int]bool{}}
+// newChangeBuilder starts one in which m is the outcome.
+func (p *Updater) newChangeBuilder(m *Config) *changeBuilder {
+	return &changeBuilder{updater: p, result: m, newClasses: map[classID]int{}, newTeams: map[string]int{}, reusedSlots: map[int]bool{},
+		changedClasses: map[int]bool{}, changedTeams: map[int]bool{}}
 }
 
-func (d *draft) copyClasses() {
-	c, m := d.p.cfg, d.m
+func (d *changeBuilder) copyClasses() {
+	c, m := d.updater.cfg, d.result
 	m.Classes, m.Policy.Classes = slices.Clone(c.Classes), slices.Clone(c.Policy.Classes)
 	m.UWSGI.Contracts, m.Backends, m.MaxResultBytes = slices.Clone(c.UWSGI.Contracts), slices.Clone(c.Backends), slices.Clone(c.MaxResultBytes)
 	m.RetiredClasses = make([]bool, len(c.Classes))
 	copy(m.RetiredClasses, c.RetiredClasses)
 }
 
-func (d *draft) copyTeams() {
-	c, m := d.p.cfg, d.m
+func (d *changeBuilder) copyTeams() {
+	c, m := d.updater.cfg, d.result
 	m.Tenants, m.Policy.Tenants = slices.Clone(c.Tenants), slices.Clone(c.Policy.Tenants)
 	m.RetiredTenants = make([]bool, len(c.Tenants))
 	copy(m.RetiredTenants, c.RetiredTenants)
 }
 
 // setClass enters a class at its place, and returns that.
-func (d *draft) setClass(name string, r *route) int {
-	m, id := d.m, promise{name, r.class.Effect}
-	at, known := d.p.classes[id]
+func (d *changeBuilder) setClass(name string, r *classConfig) int {
+	m, id := d.result, classID{name, r.class.Effect}
+	at, known := d.updater.classes[id]
 	if !known {
-		at, known = d.classes[id]
+		at, known = d.newClasses[id]
 	}
 	if !known {
-		at, d.classes[id] = len(m.Classes), len(m.Classes)
+		at, d.newClasses[id] = len(m.Classes), len(m.Classes)
 		m.RetiredClasses = append(m.RetiredClasses, false)
-	} else if m.route(at) == *r && !m.RetiredClasses[at] {
+	} else if m.classConfig(at) == *r && !m.RetiredClasses[at] {
 		return at
 	}
-	m.set(at, name, r)
+	m.setClass(at, name, r)
 	m.RetiredClasses[at] = false
-	d.touchedClasses[at] = true
+	d.changedClasses[at] = true
 	return at
 }
 
-// dropClass notes that a class is no longer in force. It keeps its promise for what is open.
-func (d *draft) dropClass(at int) {
-	if !d.m.RetiredClasses[at] {
-		d.m.RetiredClasses[at], d.m.UWSGI.Contracts[at].Path = true, "" // leads here no longer
-		d.touchedClasses[at] = true
+// retireClass notes that a class is no longer in force. It keeps its promise for what is open.
+func (d *changeBuilder) retireClass(at int) {
+	if !d.result.RetiredClasses[at] {
+		d.result.RetiredClasses[at], d.result.UWSGI.Contracts[at].Path = true, "" // leads here no longer
+		d.changedClasses[at] = true
 	}
 }
 
 // setTeam enters a team at its place, and returns that.
-func (d *draft) setTeam(name string, quota float64) int {
-	m := d.m
-	at, known := d.p.teams[name]
-	if known && d.taken[at] { // its place went to another one just now
+func (d *changeBuilder) setTeam(name string, quota float64) int {
+	m := d.result
+	at, known := d.updater.teams[name]
+	if known && d.reusedSlots[at] { // its place went to another one just now
 		known = false
 	}
 	if !known {
-		at, known = d.teams[name]
+		at, known = d.newTeams[name]
 	}
 	switch {
 	case !known:
-		if at, known = d.takeDropped(); known {
+		if at, known = d.reuseSlot(); known {
 			m.Tenants[at] = name
 		} else {
 			at = len(m.Tenants)
 			m.Tenants, m.Policy.Tenants = append(m.Tenants, name), append(m.Policy.Tenants, kiteslip.Tenant{})
 			m.RetiredTenants = append(m.RetiredTenants, false)
 		}
-		d.teams[name] = at
+		d.newTeams[name] = at
 	case m.Policy.Tenants[at].Quota == quota && !m.RetiredTenants[at]:
 		return at
 	}
 	m.Policy.Tenants[at].Quota, m.RetiredTenants[at] = quota, false
-	d.touchedTeams[at] = true
+	d.changedTeams[at] = true
 	return at
 }
 
-// takeDropped finds a place of a dropped team of which nothing can be open any more.
-func (d *draft) takeDropped() (at int, found bool) {
-	p := d.p
-	for ; d.next < len(p.dropped); d.next++ {
-		next := p.dropped[d.next]
+// reuseSlot finds a place of a dropped team of which nothing can be open any more.
+func (d *changeBuilder) reuseSlot() (at int, found bool) {
+	p := d.updater
+	for ; d.nextReleased < len(p.released); d.nextReleased++ {
+		next := p.released[d.nextReleased]
 		switch {
-		case p.stale(next) || !d.m.RetiredTenants[next.at] || d.taken[next.at]:
-		case next.due == 0 || next.due > p.now:
+		case p.isStale(next) || !d.result.RetiredTenants[next.slot] || d.reusedSlots[next.slot]:
+		case next.reusableAt == 0 || next.reusableAt > p.now:
 			return 0, false
 		default:
-			d.next++
-			d.taken[next.at] = true
-			return next.at, true
+			d.nextReleased++
+			d.reusedSlots[next.slot] = true
+			return next.slot, true
 		}
 	}
 	return 0, false
 }
 
-// dropTeam notes that a team is no longer in force. It keeps its budget for what is open.
-func (d *draft) dropTeam(at int) {
-	if !d.m.RetiredTenants[at] {
-		d.m.RetiredTenants[at] = true
-		d.touchedTeams[at] = true
+// retireTeam notes that a team is no longer in force. It keeps its budget for what is open.
+func (d *changeBuilder) retireTeam(at int) {
+	if !d.result.RetiredTenants[at] {
+		d.result.RetiredTenants[at] = true
+		d.changedTeams[at] = true
 	}
 }
 
-// bounds names what there is too much of.
-func (d *draft) bounds(errs *problems) {
-	if n := len(d.m.Classes); n > mostClassPlaces {
-		errs.add("settings", "bring the classes since the start to %d, over %d, and a class's place is never used again: restart", n, mostClassPlaces)
+// checkSlotLimits names what there is too much of.
+func (d *changeBuilder) checkSlotLimits(errs *validationErrors) {
+	if n := len(d.result.Classes); n > maxClassSlots {
+		errs.add("settings", "bring the classes since the start to %d, over %d, and a class's place is never used again: restart", n, maxClassSlots)
 	}
-	if n := len(d.m.Tenants); n > mostTeamPlaces {
-		errs.add("settings", "bring the teams, those dropped a short time ago included, to %d, over %d: restart, or drop them and wait", n, mostTeamPlaces)
+	if n := len(d.result.Tenants); n > maxTeamSlots {
+		errs.add("settings", "bring the teams, those dropped a short time ago included, to %d, over %d: restart, or drop them and wait", n, maxTeamSlots)
 	}
 }
 
-func (d *draft) change() *Change {
-	ch := &Change{Config: d.m, Pools: d.same}
+func (d *changeBuilder) build() *Change {
+	ch := &Change{Config: d.result, Pools: d.unchangedPools}
 	if ch.Pools == nil {
-		ch.Pools = d.m.PoolSettings()
+		ch.Pools = d.result.PoolSettings()
 	}
-	for at := range d.touchedClasses {
+	for at := range d.changedClasses {
 		ch.Classes = append(ch.Classes, at)
 	}
-	for at := range d.touchedTeams {
+	for at := range d.changedTeams {
 		ch.Tenants = append(ch.Tenants, at)
 	}
 	slices.Sort(ch.Classes)
@@ -153,14 +153,14 @@
 	return ch
 }
 
-// routes is which service each class, path and owner belongs to in the version in force.
-type routes struct {
+// serviceIndex is which service each class, path and owner belongs to in the version in force.
+type serviceIndex struct {
 	classes map[string]bool // that a contract speaks of
 	paths   map[string]bool
 	owners  map[string]int // services of each
 }
 
-func (x *routes) add(s *Service, n int) {
+func (x *serviceIndex) add(s *Service, n int) {
 	for i := range s.Contracts {
 		t := &s.Contracts[i]
 		if n > 0 {
@@ -175,91 +175,91 @@
 	}
 }
 
-// inForce finds the routes of the version in force: it costs by all, once.
-func (p *Updater) inForce() *routes {
-	if p.routes == nil {
-		p.routes = &routes{classes: map[string]bool{}, paths: map[string]bool{}, owners: map[string]int{}}
+// servicesInForce finds the routes of the version in force: it costs by all, once.
+func (p *Updater) servicesInForce() *serviceIndex {
+	if p.services == nil {
+		p.services = &serviceIndex{classes: map[string]bool{}, paths: map[string]bool{}, owners: map[string]int{}}
 		content := p.cfg.version.Content()
 		for i := range content.Services {
-			p.routes.add(&content.Services[i], 1)
+			p.services.add(&content.Services[i], 1)
 		}
 	}
-	return p.routes
+	return p.services
 }
 
-// step lays a version over its parent, which is in force, at the cost of the
+// changeFromDelta lays a version over its parent, which is in force, at the cost of the
 // delta. nil = that cannot be done, or something is wrong: the whole way says what.
-func (p *Updater) step(doc *document.Document, delta *document.Delta) *Change {
+func (p *Updater) changeFromDelta(doc *document.Document, delta *document.Delta) *Change {
 	was := p.cfg.version
 	if delta == nil || was == nil || delta.Header.Parent != was.Digest() || delta.Header.Digest() != doc.Digest() {
 		return nil
 	}
 	m := *p.cfg
 	m.version = doc
-	s := &stepping{draft: p.draft(&m), was: was, doc: doc, x: p.inForce()}
+	s := &deltaBuilder{changeBuilder: p.newChangeBuilder(&m), parent: was, doc: doc, services: p.servicesInForce()}
 	for i := range delta.Changes {
-		s.sort(&delta.Changes[i])
+		s.classify(&delta.Changes[i])
 	}
-	if !s.stepTeams() || !s.stepServices() || !s.stepPools() || !s.sound() {
+	if !s.applyTeams() || !s.applyServices() || !s.applyPools() || !s.validate() {
 		return nil
 	}
-	if p.pools != nil && len(s.touchedClasses) == 0 && len(s.pools) == 0 && s.reserve == nil {
-		s.same = p.pools
+	if p.pools != nil && len(s.changedClasses) == 0 && len(s.pools) == 0 && s.cheapReserve == nil {
+		s.unchangedPools = p.pools
 	}
-	ch := s.change()
-	ch.index = func() {
-		for _, old := range s.gone {
-			s.x.add(old, -1)
+	ch := s.build()
+	ch.updateIndex = func() {
+		for _, old := range s.removed {
+			s.services.add(old, -1)
 		}
-		for _, new := range s.came {
-			s.x.add(new, 1)
+		for _, new := range s.added {
+			s.services.add(new, 1)
 		}
 	}
 	return ch
 }
 
-// stepping is a draft by a delta.
-type stepping struct {
-	*draft
-	was, doc *document.Document
-	x        *routes
+// deltaBuilder is a draft by a delta.
+type deltaBuilder struct {
+	*changeBuilder
+	parent, doc *document.Document
+	services    *serviceIndex
 
-	teams      []string // that are set or dropped
-	gone, came []*Service
-	pools      []document.Change
-	reserve    *float64
+	teamNames      []string // that are set or dropped
+	removed, added []*Service
+	pools          []document.Change
+	cheapReserve   *float64
 }
 
-// sort puts a change where it belongs. What is in force by it is read from the document.
-func (s *stepping) sort(c *document.Change) {
+// classify puts a change where it belongs. What is in force by it is read from the document.
+func (s *deltaBuilder) classify(c *document.Change) {
 	switch {
 	case c.Team != nil:
-		s.teams = append(s.teams, c.Team.Name)
+		s.teamNames = append(s.teamNames, c.Team.Name)
 	case c.Service != nil:
-		if old, known := s.was.Service(c.Service.Name); known {
-			s.gone = append(s.gone, old)
+		if old, known := s.parent.Service(c.Service.Name); known {
+			s.removed = append(s.removed, old)
 		}
 		if now, known := s.doc.Service(c.Service.Name); known {
-			s.came = append(s.came, now)
+			s.added = append(s.added, now)
 		}
 	case c.Pool != nil:
 		s.pools = append(s.pools, *c)
 	case c.CheapReserve != nil:
-		s.reserve = new(float64)
+		s.cheapReserve = new(float64)
 		if !c.Drop {
-			*s.reserve = *c.CheapReserve
+			*s.cheapReserve = *c.CheapReserve
 		}
 	}
 }
 
-func (s *stepping) stepTeams() bool {
-	if len(s.teams) == 0 {
+func (s *deltaBuilder) applyTeams() bool {
+	if len(s.teamNames) == 0 {
 		return true
 	}
 	s.copyTeams()
-	base := s.m.base
+	base := s.result.baseline
 	var dropped []string
-	for i, name := range s.teams {
+	for i, name := range s.teamNames {
 		if i%64 == 63 {
 			runtime.Gosched() // the loop goes on meanwhile, also where there is one processor
 		}
@@ -267,7 +267,7 @@
 		known := false
 		if !there {
 			var at int
-			if at, known = base.teamAt[name]; known {
+			if at, known = base.teamIndex[name]; known {
 				team.Quota = base.budgets[at].Quota
 			}
 		}
@@ -282,114 +282,114 @@
 		}
 	}
 	for _, name := range dropped {
-		at, known := s.p.teams[name]
-		if !known || s.taken[at] {
+		at, known := s.updater.teams[name]
+		if !known || s.reusedSlots[at] {
 			return false
 		}
-		s.dropTeam(at)
+		s.retireTeam(at)
 	}
 	owners := map[string]int{}
-	for _, old := range s.gone {
+	for _, old := range s.removed {
 		owners[old.Owner]--
 	}
 	for _, name := range dropped {
-		if s.x.owners[name]+owners[name] > 0 {
+		if s.services.owners[name]+owners[name] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// team says whether there is a team of that name.
-func (s *stepping) team(name string) bool {
-	at, known := s.p.teams[name]
-	if known && !s.taken[at] {
-		return !IsRetired(s.m.RetiredTenants, at)
+// hasTeam says whether there is a team of that name.
+func (s *deltaBuilder) hasTeam(name string) bool {
+	at, known := s.updater.teams[name]
+	if known && !s.reusedSlots[at] {
+		return !IsRetired(s.result.RetiredTenants, at)
 	}
-	_, known = s.draft.teams[name]
+	_, known = s.changeBuilder.newTeams[name]
 	return known
 }
 
-func (s *stepping) stepServices() bool {
-	if len(s.gone)+len(s.came) == 0 {
+func (s *deltaBuilder) applyServices() bool {
+	if len(s.removed)+len(s.added) == 0 {
 		return true
 	}
 	s.copyClasses()
-	var errs problems
-	e := entering{machine: s.m, errs: &errs, owned: map[string]int{}}
+	var errs validationErrors
+	e := serviceValidator{machine: s.result, errs: &errs, teams: map[string]int{}}
 	gone, came := map[string]bool{}, map[string]bool{}
 	gonePaths, camePaths := map[string]bool{}, map[string]bool{}
-	for _, old := range s.gone {
+	for _, old := range s.removed {
 		for i := range old.Contracts {
 			gone[old.Contracts[i].Class], gonePaths[old.Contracts[i].Path] = true, true
 		}
 	}
-	for _, new := range s.came {
-		if new.Owner != "" && s.team(new.Owner) {
-			e.owned[new.Owner] = 0
+	for _, new := range s.added {
+		if new.Owner != "" && s.hasTeam(new.Owner) {
+			e.teams[new.Owner] = 0
 		}
-		e.service(new, indexKey{})
+		e.checkService(new, indexKey{})
 		for i := range new.Contracts {
 			t := &new.Contracts[i]
-			if t.Class == "" || len(t.Class) > mostName || came[t.Class] || s.x.classes[t.Class] && !gone[t.Class] {
+			if t.Class == "" || len(t.Class) > maxNameBytes || came[t.Class] || s.services.classes[t.Class] && !gone[t.Class] {
 				return false
 			}
 			came[t.Class] = true
-			if t.Path != "" && (camePaths[t.Path] || s.x.paths[t.Path] && !gonePaths[t.Path] || !strings.HasPrefix(t.Path, "/")) {
+			if t.Path != "" && (camePaths[t.Path] || s.services.paths[t.Path] && !gonePaths[t.Path] || !strings.HasPrefix(t.Path, "/")) {
 				return false
 			}
 			camePaths[t.Path] = true
-			r := e.contract(t, new.Backend, contractKey{})
-			s.replace(t.Class, &r)
+			r := e.classFromContract(t, new.Backend, contractKey{})
+			s.replaceClass(t.Class, &r)
 		}
 	}
-	for _, old := range s.gone {
+	for _, old := range s.removed {
 		for i := range old.Contracts {
 			if class := old.Contracts[i].Class; came[class] {
 				continue
-			} else if r, known := s.m.base.route(class); known {
-				s.replace(class, &r)
+			} else if r, known := s.result.baseline.classConfig(class); known {
+				s.replaceClass(class, &r)
 			} else {
-				s.replace(class, nil)
+				s.replaceClass(class, nil)
 			}
 		}
 	}
-	return len(errs) == 0 && len(s.x.classes)-len(gone)+len(came)+len(s.m.base.names) > 0
+	return len(errs) == 0 && len(s.services.classes)-len(gone)+len(came)+len(s.result.baseline.names) > 0
 }
 
-// replace enters a class, or drops it, and drops the one of that name with
+// replaceClass enters a class, or drops it, and drops the one of that name with
 // another effect.
-func (s *stepping) replace(name string, r *route) {
+func (s *deltaBuilder) replaceClass(name string, r *classConfig) {
 	at := -1
 	if r != nil {
 		at = s.setClass(name, r)
 	}
 	for _, effect := range effects {
-		if other, known := s.p.classes[promise{name, effect}]; known && other != at {
-			s.dropClass(other)
+		if other, known := s.updater.classes[classID{name, effect}]; known && other != at {
+			s.retireClass(other)
 		}
 	}
 }
 
-// class says whether there is a class of that name.
-func (s *stepping) class(name string) bool {
+// hasClass says whether there is a class of that name.
+func (s *deltaBuilder) hasClass(name string) bool {
 	for _, effect := range effects {
-		id := promise{name, effect}
-		at, known := s.p.classes[id]
+		id := classID{name, effect}
+		at, known := s.updater.classes[id]
 		if !known {
-			at, known = s.draft.classes[id]
+			at, known = s.changeBuilder.newClasses[id]
 		}
-		if known && !IsRetired(s.m.RetiredClasses, at) {
+		if known && !IsRetired(s.result.RetiredClasses, at) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *stepping) stepPools() bool {
-	m := s.m
-	if s.reserve != nil {
-		m.CheapReserve = *s.reserve
+func (s *deltaBuilder) applyPools() bool {
+	m := s.result
+	if s.cheapReserve != nil {
+		m.CheapReserve = *s.cheapReserve
 	}
 	if len(s.pools) > 0 {
 		m.Pools = slices.Clone(m.Pools)
@@ -402,26 +402,26 @@
 		}
 		slices.SortFunc(m.Pools, func(a, b Pool) int { return strings.Compare(a.Name, b.Name) })
 	}
-	if len(s.pools) == 0 && s.reserve == nil && (len(m.Pools) == 0 || len(s.touchedClasses) == 0) {
+	if len(s.pools) == 0 && s.cheapReserve == nil && (len(m.Pools) == 0 || len(s.changedClasses) == 0) {
 		return true
 	}
-	var errs problems
-	m.checkPools(s.class, &errs)
+	var errs validationErrors
+	m.checkPools(s.hasClass, &errs)
 	return len(errs) == 0
 }
 
-// sound says whether the module takes what has changed, and the bounds are kept.
-func (s *stepping) sound() bool {
-	m := s.m
-	if m.Keys.Folder != "" && len(s.gone) > 0 && !m.anyKeyed() {
+// validate says whether the module takes what has changed, and the bounds are kept.
+func (s *deltaBuilder) validate() bool {
+	m := s.result
+	if m.Keys.Folder != "" && len(s.removed) > 0 && !m.anyKeyed() {
 		return false
 	}
 	small := m.Policy
 	small.Classes, small.Tenants = nil, nil
-	for at := range s.touchedClasses {
+	for at := range s.changedClasses {
 		small.Classes = append(small.Classes, m.Policy.Classes[at])
 	}
-	for at := range s.touchedTeams {
+	for at := range s.changedTeams {
 		small.Tenants = append(small.Tenants, m.Policy.Tenants[at])
 	}
 	if len(small.Classes) == 0 {
@@ -430,7 +430,7 @@
 	if _, err := kiteslip.New(small, 0); err != nil {
 		return false
 	}
-	var errs problems
-	s.bounds(&errs)
+	var errs validationErrors
+	s.checkSlotLimits(&errs)
 	return len(errs) == 0
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -21,11 +21,11 @@
 // The defaults and bounds of the store of keys.
 const (
 	defaultKeysMB = 256
-	leastKeysMB   = 16
-	mostKeysMB    = 1 << 20
+	minKeysMB     = 16
+	maxKeysMB     = 1 << 20
 )
 
-func (k *KeysFile) apply(c *Config, errs *problems) {
+func (k *KeysFile) apply(c *Config, errs *validationErrors) {
 	if k == nil {
 		return
 	}
@@ -51,7 +51,7 @@
 	}
 	if k.MaxMB == 0 {
 		c.Keys.MaxBytes = defaultKeysMB << 20
-	} else if k.MaxMB < leastKeysMB || k.MaxMB > mostKeysMB {
-		errs.add("keys.max_mb", "is %d, want %d to %d", k.MaxMB, leastKeysMB, mostKeysMB)
+	} else if k.MaxMB < minKeysMB || k.MaxMB > maxKeysMB {
+		errs.add("keys.max_mb", "is %d, want %d to %d", k.MaxMB, minKeysMB, maxKeysMB)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -62,15 +62,15 @@
 
 // The defaults and bounds of the operator's file.
 const (
-	defaultReadMS    = 5_000
-	defaultBody      = 2 << 10
-	defaultResult    = 4 << 10
-	mostBody         = 1 << 20
-	defaultHeldKB    = 16
-	defaultKeyKB     = 8
-	defaultRunFactor = 4
-	defaultMaxRetry  = 1_000
-	hourMS           = 3_600_000
+	defaultReadMS          = 5_000
+	defaultMaxBodyBytes    = 2 << 10
+	defaultMaxResultBytes  = 4 << 10
+	maxBodyBytes           = 1 << 20
+	defaultRequestMemoryKB = 16
+	defaultKeyKB           = 8
+	defaultRunFactor       = 4
+	defaultMaxRetryMS      = 1_000
+	hourMS                 = 3_600_000
 )
 
 var effects = map[string]kiteslip.Effect{
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var errs problems
+	var errs validationErrors
 	for _, key := range meta.Undecoded() {
 		errs.add(key.String(), "is not known")
 	}
@@ -108,7 +108,7 @@
 			errs.add("machine", "is absent, and there is no %s that describes the machine", EnvConfig)
 			o.Machine = &Machine{}
 		}
-		c = o.Machine.config(&errs)
+		c = o.Machine.newConfig(&errs)
 	} else if o.Machine != nil {
 		errs.add("machine", "is described by %s already", EnvConfig)
 	}
@@ -118,8 +118,8 @@
 	}
 	o.Keys.apply(c, &errs)
 	o.Control.apply(c, &errs)
-	c.base = c.bare()
-	c.serve(&document.Content{Teams: o.Teams, Services: o.Services, Pools: o.Pool, CheapReserve: o.Pools.CheapReserve}, &errs)
+	c.baseline = c.newBaseline()
+	c.applyContent(&document.Content{Teams: o.Teams, Services: o.Services, Pools: o.Pool, CheapReserve: o.Pools.CheapReserve}, &errs)
 	if len(errs) == 0 {
 		if _, err := kiteslip.New(c.Policy, 0); err != nil {
 			errs = append(errs, err)
@@ -128,13 +128,13 @@
 	return c, errs.join()
 }
 
-type problems []error
+type validationErrors []error
 
-func (p *problems) add(key, format string, args ...any) {
+func (p *validationErrors) add(key, format string, args ...any) {
 	*p = append(*p, fmt.Errorf("%s %s", key, fmt.Sprintf(format, args...)))
 }
 
-func (f *UWSGIFile) apply(c *Config, errs *problems) {
+func (f *UWSGIFile) apply(c *Config, errs *validationErrors) {
 	c.UWSGI.Listen = f.Listen
 	if f.Listen != "" {
 		checkAddress(errs.add, "uwsgi.listen", f.Listen)
@@ -148,11 +148,11 @@
 	c.UWSGI.ReadTimeoutUS = f.ReadMS * 1000
 }
 
-// config makes a configuration without the platform's.
-func (m *Machine) config(errs *problems) *Config {
+// newConfig makes a configuration without the platform's.
+func (m *Machine) newConfig(errs *validationErrors) *Config {
 	c := &Config{Name: m.Name, Listen: m.Listen, Ops: m.Ops, Engine: m.Engine,
 		Limits: Limits{m.Limits.Cores, m.Limits.MemoryMB, m.Limits.Sockets}}
-	c.Limits.defaults(func(key, format string, args ...any) { errs.add("machine."+key, format, args...) })
+	c.Limits.applyDefaults(func(key, format string, args ...any) { errs.add("machine."+key, format, args...) })
 	if c.Name == "" {
 		c.Name = "kiteslip"
 	}
@@ -176,19 +176,19 @@
 		MemoryKB:       positive("machine.work_mb", m.WorkMB, 64) * 1024,
 		RunFactor:      positive("machine.run_factor", m.RunFactor, defaultRunFactor),
 		KeyKB:          positive("machine.key_kb", m.KeyKB, defaultKeyKB),
-		MaxRetryAfter:  int64(positive("machine.max_retry_after_ms", float64(m.MaxRetryMS), defaultMaxRetry)) * 1000,
+		MaxRetryAfter:  int64(positive("machine.max_retry_after_ms", float64(m.MaxRetryMS), defaultMaxRetryMS)) * 1000,
 		OverShareWorth: m.OverShareWorth,
 		Goal:           kiteslip.Goal{Whole: 0.5, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.2},
 		Tick:           4_000, DrainGrace: 2_000_000, AnswerSlack: 60_000, WorthByWork: true,
 	}
-	m.calls(c, errs)
+	m.applyLedger(c, errs)
 	if w := c.Policy.OverShareWorth; w < 0 || w > 1 {
 		errs.add("machine.over_share_worth", "is %v, want 0 to 1", w)
 	}
 	return c
 }
 
-func (p problems) join() error { return errors.Join(p...) }
+func (p validationErrors) join() error { return errors.Join(p...) }
 
 func checkAddress(add func(key, format string, args ...any), key, value string) {
 	if !isAddress(value) {
--- a/internal/config/places.go
+++ b/internal/config/places.go
@@ -14,13 +14,13 @@
 // those included that are no longer in force: some kilobytes for each class, some
 // hundred bytes for each team.
 const (
-	mostClassPlaces = document.MaxContracts
-	mostTeamPlaces  = document.MaxTeams
+	maxClassSlots = document.MaxContracts
+	maxTeamSlots  = document.MaxTeams
 )
 
-// lingersMore is how long, in microseconds, the place of a dropped team stays its
+// extraRetentionUS is how long, in microseconds, the place of a dropped team stays its
 // own beyond twice the longest deadline: its last request has long ended then.
-const lingersMore = 60_000_000
+const extraRetentionUS = 60_000_000
 
 // Change is a configuration that is checked and ready to be taken over between
 // two batches of the loop, with what differs from the one in force, so that
@@ -34,7 +34,7 @@
 	FromFile           bool           // more than classes and teams may differ: it comes from a file
 	FileContentIgnored bool           // the file's own teams, services and pools are passed over: a version is in force
 
-	index func() // brings what Places knows of the version in force up to this one; nil = find it anew
+	updateIndex func() // brings what Places knows of the version in force up to this one; nil = find it anew
 }
 
 // Updater makes Changes, beside the loop: which place each class and team has, by
@@ -48,36 +48,36 @@
 	cfg *Config
 	now int64 // microseconds; 0 = not told yet
 
-	classes map[promise]int // dropped ones included
-	teams   map[string]int  // dropped ones included, until their place is taken
-	free    map[int]int64   // by place of a dropped team: when another may have it; 0 = to be set by At
-	dropped []drop          // in the order in which they get free; stale where free says otherwise
+	classes    map[classID]int // dropped ones included
+	teams      map[string]int  // dropped ones included, until their place is taken
+	reusableAt map[int]int64   // by place of a dropped team: when another may have it; 0 = to be set by At
+	released   []releasedSlot  // in the order in which they get free; stale where free says otherwise
 
-	routes *routes        // of the version in force; nil = to be found
-	pools  *pool.Settings // as the change in force had them; nil = none, or not known
+	services *serviceIndex  // of the version in force; nil = to be found
+	pools    *pool.Settings // as the change in force had them; nil = none, or not known
 }
 
-// drop is a place of a dropped team.
-type drop struct {
-	at  int
-	due int64 // when another team may have it; 0 = the time is not told yet
+// releasedSlot is a place of a dropped team.
+type releasedSlot struct {
+	slot       int
+	reusableAt int64 // when another team may have it; 0 = the time is not told yet
 }
 
-// promise is what a class is known by: one whose effect differs is another.
-type promise struct {
+// classID is what a class is known by: one whose effect differs is another.
+type classID struct {
 	name   string
 	effect kiteslip.Effect
 }
 
 // NewUpdater returns the places of the configuration in force.
 func NewUpdater(c *Config) *Updater {
-	p := &Updater{cfg: c, classes: make(map[promise]int, len(c.Classes)), teams: indexOf(c.Tenants), free: map[int]int64{}}
+	p := &Updater{cfg: c, classes: make(map[classID]int, len(c.Classes)), teams: indexOf(c.Tenants), reusableAt: map[int]int64{}}
 	for i, name := range c.Classes {
-		p.classes[promise{name, c.Policy.Classes[i].Effect}] = i
+		p.classes[classID{name, c.Policy.Classes[i].Effect}] = i
 	}
 	for i := range c.Tenants {
 		if IsRetired(c.RetiredTenants, i) {
-			p.free[i], p.dropped = 0, append(p.dropped, drop{at: i})
+			p.reusableAt[i], p.released = 0, append(p.released, releasedSlot{slot: i})
 		}
 	}
 	return p
@@ -90,19 +90,19 @@
 	if p.now = max(p.now, now); !first {
 		return
 	}
-	due := p.now + openFor(p.cfg)
-	for i := range p.dropped {
-		p.dropped[i].due, p.free[p.dropped[i].at] = due, due
+	due := p.now + maxOpenTime(p.cfg)
+	for i := range p.released {
+		p.released[i].reusableAt, p.reusableAt[p.released[i].slot] = due, due
 	}
 }
 
-// openFor is how long after it is dropped a team may have something open, and more.
-func openFor(c *Config) int64 {
+// maxOpenTime is how long after it is dropped a team may have something open, and more.
+func maxOpenTime(c *Config) int64 {
 	longest := int64(0)
 	for i := range c.Policy.Classes {
 		longest = max(longest, c.Policy.Classes[i].Timeout)
 	}
-	return 2*longest + lingersMore
+	return 2*longest + extraRetentionUS
 }
 
 // PrepareFile lays a file that was read anew over the configuration in force. It costs by
@@ -111,13 +111,13 @@
 // services and pools stay. An error says that the file is not to be used.
 func (p *Updater) PrepareFile(next *Config) (*Change, error) {
 	c := p.cfg
-	var errs problems
-	lacks(&errs, "", c.shape, next.shape)
+	var errs validationErrors
+	checkMissingKeys(&errs, "", c.keyTree, next.keyTree)
 	m := *next
 	passed := c.version != nil
 	if passed {
 		content := c.version.Content()
-		served, err := next.served(&content)
+		served, err := next.withContent(&content)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("with version %d, which is in force: %w", c.version.Header().Number, err))
 			return nil, errs.join()
@@ -139,7 +139,7 @@
 	m.Keys, m.Control = c.Keys, c.Control
 	m.Name, m.Listen, m.Ops, m.Limits, m.Seed, m.InheritedFD = c.Name, c.Listen, c.Ops, c.Limits, c.Seed, c.InheritedFD
 	m.UWSGI.Listen = c.UWSGI.Listen
-	ch := p.lay(&m, &errs)
+	ch := p.changeFromConfig(&m, &errs)
 	if len(errs) > 0 {
 		return nil, errs.join()
 	}
@@ -152,31 +152,31 @@
 // flat lists); without one by all. The outcome is that of a file with the same
 // content. An error names all faults, and says that the version cannot be used here.
 func (p *Updater) PrepareVersion(doc *document.Document, delta *document.Delta) (*Change, error) {
-	if ch := p.step(doc, delta); ch != nil {
+	if ch := p.changeFromDelta(doc, delta); ch != nil {
 		return ch, nil
 	}
 	content := doc.Content()
-	m, err := p.cfg.served(&content)
+	m, err := p.cfg.withContent(&content)
 	if err != nil {
 		return nil, err
 	}
 	m.version = doc
-	var errs problems
-	ch := p.lay(m, &errs)
+	var errs validationErrors
+	ch := p.changeFromConfig(m, &errs)
 	if len(errs) > 0 {
 		return nil, errs.join()
 	}
 	return ch, nil
 }
 
-// lay gives what next has the places of what is in force, lists what differs, and
+// changeFromConfig gives what next has the places of what is in force, lists what differs, and
 // enters what was dropped. next is the outcome.
-func (p *Updater) lay(next *Config, errs *problems) *Change {
-	d := p.draft(next)
+func (p *Updater) changeFromConfig(next *Config, errs *validationErrors) *Change {
+	d := p.newChangeBuilder(next)
 	names, tenants := next.Classes, next.Tenants
-	routes := make([]route, len(names))
+	routes := make([]classConfig, len(names))
 	for i := range names {
-		routes[i] = next.route(i)
+		routes[i] = next.classConfig(i)
 	}
 	budgets := next.Policy.Tenants
 	d.copyClasses()
@@ -187,7 +187,7 @@
 	}
 	for i := range p.cfg.Classes {
 		if !on[i] {
-			d.dropClass(i)
+			d.retireClass(i)
 		}
 	}
 	on = make([]bool, len(p.cfg.Tenants)+len(tenants))
@@ -196,18 +196,18 @@
 	}
 	for i := range p.cfg.Tenants {
 		if !on[i] {
-			d.dropTeam(i)
+			d.retireTeam(i)
 		}
 	}
-	d.bounds(errs)
-	return d.change()
+	d.checkSlotLimits(errs)
+	return d.build()
 }
 
 // Commit notes that a Change is in force.
 func (p *Updater) Commit(ch *Change) {
 	was, next := p.cfg, ch.Config
 	for _, i := range ch.Classes {
-		p.classes[promise{next.Classes[i], next.Policy.Classes[i].Effect}] = i
+		p.classes[classID{next.Classes[i], next.Policy.Classes[i].Effect}] = i
 	}
 	due := int64(0)
 	for _, i := range ch.Tenants {
@@ -217,34 +217,34 @@
 		p.teams[next.Tenants[i]] = i
 		switch off, wasOff := IsRetired(next.RetiredTenants, i), i < len(was.Tenants) && IsRetired(was.RetiredTenants, i); {
 		case !off:
-			delete(p.free, i)
+			delete(p.reusableAt, i)
 		case !wasOff:
 			if due == 0 && p.now != 0 {
-				due = p.now + max(openFor(was), openFor(next))
+				due = p.now + max(maxOpenTime(was), maxOpenTime(next))
 			}
-			p.free[i], p.dropped = due, append(p.dropped, drop{i, due})
+			p.reusableAt[i], p.released = due, append(p.released, releasedSlot{i, due})
 		}
 	}
-	p.tidy()
-	if ch.index != nil {
-		ch.index()
+	p.compactReleased()
+	if ch.updateIndex != nil {
+		ch.updateIndex()
 	} else {
-		p.routes = nil
+		p.services = nil
 	}
 	p.cfg, p.pools = next, ch.Pools
 }
 
-// tidy takes stale entries out of the list of dropped places, once they are many:
+// compactReleased takes stale entries out of the list of dropped places, once they are many:
 // a team that comes and goes is in it each time.
-func (p *Updater) tidy() {
-	if len(p.dropped) < 2*len(p.free)+64 {
+func (p *Updater) compactReleased() {
+	if len(p.released) < 2*len(p.reusableAt)+64 {
 		return
 	}
-	p.dropped = slices.DeleteFunc(p.dropped, func(d drop) bool { return p.stale(d) })
+	p.released = slices.DeleteFunc(p.released, func(d releasedSlot) bool { return p.isStale(d) })
 }
 
-// stale says whether a team came back to its place, or another one has it.
-func (p *Updater) stale(d drop) bool {
-	due, still := p.free[d.at]
-	return !still || due != d.due
+// isStale says whether a team came back to its place, or another one has it.
+func (p *Updater) isStale(d releasedSlot) bool {
+	due, still := p.reusableAt[d.slot]
+	return !still || due != d.reusableAt
 }
--- a/internal/config/places_test.go
+++ b/internal/config/places_test.go
@@ -14,9 +14,9 @@
 	"kiteslip/internal/control/document"
 )
 
-// after is the version that comes after d with this content; nil = it holds that
+// nextVersion is the version that comes after d with this content; nil = it holds that
 // already, or no such version is accepted anywhere.
-func after(t interface{ Fatal(...any) }, d *document.Document, c *document.Content) (*document.Document, *document.Delta) {
+func nextVersion(t interface{ Fatal(...any) }, d *document.Document, c *document.Content) (*document.Document, *document.Delta) {
 	changes := d.Diff(c)
 	if len(changes) == 0 {
 		return nil, nil
@@ -32,9 +32,9 @@
 	return next, delta
 }
 
-// anyContent draws what a fleet may serve by; one in three may have faults that
+// drawContent draws what a fleet may serve by; one in three may have faults that
 // only a machine sees.
-func anyContent(t *rapid.T) *document.Content {
+func drawContent(t *rapid.T) *document.Content {
 	faulty := rapid.IntRange(0, 2).Draw(t, "faulty") == 0
 	figure := func(key string, of ...float64) *float64 {
 		if faulty && rapid.IntRange(0, 3).Draw(t, key+" is open") == 0 {
@@ -103,12 +103,12 @@
 	return c
 }
 
-// inForce is what c serves by, by name: places play no part.
-func inForce(c *Config) string {
+// describeInForce is what c serves by, by name: places play no part.
+func describeInForce(c *Config) string {
 	var lines []string
 	for i, name := range c.Classes {
 		if !IsRetired(c.RetiredClasses, i) {
-			lines = append(lines, fmt.Sprintf("class %s %+v", name, c.route(i)))
+			lines = append(lines, fmt.Sprintf("class %s %+v", name, c.classConfig(i)))
 		} else if c.UWSGI.Contracts[i].Path != "" {
 			lines = append(lines, "a path leads to a class that is off")
 		}
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	for i := range c.Classes {
-		differs := i >= len(was.Classes) || c.route(i) != was.route(i) || IsRetired(c.RetiredClasses, i) != IsRetired(was.RetiredClasses, i)
+		differs := i >= len(was.Classes) || c.classConfig(i) != was.classConfig(i) || IsRetired(c.RetiredClasses, i) != IsRetired(was.RetiredClasses, i)
 		if i < len(was.Classes) && (c.Classes[i] != was.Classes[i] || c.Policy.Classes[i].Effect != was.Policy.Classes[i].Effect) {
 			t.Fatalf("class %d is another one", i)
 		}
@@ -167,7 +167,7 @@
 
 // What a version makes of the configuration in force is what a file with the same
 // content makes of it, faults included, whether it comes as a delta or whole.
-func TestVersionIsAsFile(t *testing.T) {
+func TestVersionMatchesFile(t *testing.T) {
 	steps, taken := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		head, alone := "", rapid.Bool().Draw(t, "alone")
@@ -197,8 +197,8 @@
 		asFile, asDelta, asWhole := NewUpdater(cfg), NewUpdater(cfg), NewUpdater(cfg)
 		doc, now := document.Empty(), int64(1)
 		for range rapid.IntRange(1, 5).Draw(t, "versions") {
-			content := anyContent(t)
-			next, delta := after(t, doc, content)
+			content := drawContent(t)
+			next, delta := nextVersion(t, doc, content)
 			if next == nil {
 				continue
 			}
@@ -222,13 +222,13 @@
 				continue // the version before stays, and the next delta is on another one
 			}
 			steps++
-			if byDelta.index != nil {
+			if byDelta.updateIndex != nil {
 				taken++
 			}
 			checkChange(t, asFile.cfg, byFile)
 			checkChange(t, asDelta.cfg, byDelta)
 			checkChange(t, asWhole.cfg, byWhole)
-			if a, b, c := inForce(byFile.Config), inForce(byDelta.Config), inForce(byWhole.Config); a != b || a != c {
+			if a, b, c := describeInForce(byFile.Config), describeInForce(byDelta.Config), describeInForce(byWhole.Config); a != b || a != c {
 				t.Fatalf("as a file\n%s\nas a delta\n%s\nwhole\n%s", a, b, c)
 			}
 			if byDelta.Config.Version() != doc || byWhole.Config.Version() != doc || byFile.Config.Version() != nil {
@@ -247,13 +247,13 @@
 
 // Names of teams may come and go for years: a place is given to another team once
 // nothing of the old one can be open any more, and not before.
-func TestDroppedTeamsMakeRoom(t *testing.T) {
+func TestRetiredTeamSlotsAreReused(t *testing.T) {
 	classes := [][2]string{{"first", "repeatable"}} // its deadline is 4 s
-	const wait = 2*4_000_000 + lingersMore
-	p := NewUpdater(parse(t, file(classes, []string{"stays", "goes"})))
+	const wait = 2*4_000_000 + extraRetentionUS
+	p := NewUpdater(parse(t, platformText(classes, []string{"stays", "goes"})))
 	take := func(teams ...string) *Config {
 		t.Helper()
-		ch, err := p.PrepareFile(parse(t, file(classes, teams)))
+		ch, err := p.PrepareFile(parse(t, platformText(classes, teams)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -287,8 +287,8 @@
 		if i%2 == 0 {
 			teams = append(teams, "flips")
 		}
-		if c := take(teams...); len(c.Tenants) > 20 || len(p.teams) > 20 || len(p.free) > 20 || len(p.dropped) > 110 {
-			t.Fatalf("file %d: %d places, %d names, %d and %d dropped", i, len(c.Tenants), len(p.teams), len(p.free), len(p.dropped))
+		if c := take(teams...); len(c.Tenants) > 20 || len(p.teams) > 20 || len(p.reusableAt) > 20 || len(p.released) > 110 {
+			t.Fatalf("file %d: %d places, %d names, %d and %d dropped", i, len(c.Tenants), len(p.teams), len(p.reusableAt), len(p.released))
 		}
 	}
 }
@@ -301,14 +301,14 @@
 		t.Fatal(err)
 	}
 	p := NewUpdater(cfg)
-	doc, _ := after(t, document.Empty(), &document.Content{Teams: []Team{{Name: "teal", Quota: 7}}, Services: []Service{{Name: "s", Owner: "teal",
+	doc, _ := nextVersion(t, document.Empty(), &document.Content{Teams: []Team{{Name: "teal", Quota: 7}}, Services: []Service{{Name: "s", Owner: "teal",
 		Backend: "127.0.0.1:4000", Contracts: []Contract{{Class: "sum", Path: "/sum", Effect: "once", DeadlineMS: &[]float64{700}[0]}}}}})
 	ch, err := p.PrepareVersion(doc, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Commit(ch)
-	was := inForce(ch.Config)
+	was := describeInForce(ch.Config)
 	if !strings.Contains(was, "class sum") || strings.Contains(was, "class draw") || !strings.Contains(was, "team teal {Quota:7}") {
 		t.Fatalf("in force\n%s", was)
 	}
@@ -323,7 +323,7 @@
 	if !ch.FileContentIgnored || !ch.FromFile || ch.Config.Version() != doc || ch.Config.Policy.Cores != 3 || ch.Config.StopTimeoutUS != 5_000_000 || len(ch.Classes)+len(ch.Tenants) != 0 {
 		t.Errorf("%+v", ch)
 	}
-	if is := inForce(ch.Config); strings.Replace(was, "Cores:2", "Cores:3", 1) != is {
+	if is := describeInForce(ch.Config); strings.Replace(was, "Cores:2", "Cores:3", 1) != is {
 		t.Errorf("was\n%s\nis\n%s", was, is)
 	}
 	p.Commit(ch)
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -15,15 +15,15 @@
 	CheapReserve float64 `toml:"cheap_reserve"` // of the cores: places beyond the limit for the cheapest class
 }
 
-// pools enters the pools, which name classes of the platform or of a service.
-func (c *Config) pools(pools []Pool, reserve float64, errs *problems) {
+// applyPools enters the pools, which name classes of the platform or of a service.
+func (c *Config) applyPools(pools []Pool, reserve float64, errs *validationErrors) {
 	c.Pools, c.CheapReserve = pools, reserve
 	places := indexOf(c.Classes)
 	c.checkPools(func(class string) bool { _, known := places[class]; return known }, errs)
 }
 
 // checkPools names what is wrong with the pools; is says whether there is a class.
-func (c *Config) checkPools(is func(class string) bool, errs *problems) {
+func (c *Config) checkPools(is func(class string) bool, errs *validationErrors) {
 	taken := map[string]string{}
 	for i, p := range c.Pools {
 		for _, class := range p.Classes {
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -25,9 +25,9 @@
 
 // The bounds of a control machine's file.
 const (
-	leastDeltas = 16
-	mostDeltas  = 1 << 20
-	mostFollow  = 64
+	minDeltas    = 16
+	maxDeltas    = 1 << 20
+	maxUpstreams = 64
 )
 
 // LoadControlMachine reads a control machine's file. Its error names all faulty keys.
@@ -50,24 +50,24 @@
 	if err != nil {
 		return nil, err
 	}
-	var errs problems
+	var errs validationErrors
 	for _, key := range meta.Undecoded() {
 		errs.add(key.String(), "is not known")
 	}
 	for key, value := range map[string]string{"name": c.Name, "region": c.Region} {
-		if value == "" || len(value) > mostName {
-			errs.add(key, "is %q, want 1 to %d bytes", value, mostName)
+		if value == "" || len(value) > maxNameBytes {
+			errs.add(key, "is %q, want 1 to %d bytes", value, maxNameBytes)
 		}
 	}
 	checkAddress(errs.add, "listen", c.Listen)
 	if !filepath.IsAbs(c.Folder) {
 		errs.add("folder", "is %q, want an absolute path", c.Folder)
 	}
-	if c.MaxDeltas != 0 && (c.MaxDeltas < leastDeltas || c.MaxDeltas > mostDeltas) {
-		errs.add("deltas", "is %d, want %d to %d", c.MaxDeltas, leastDeltas, mostDeltas)
+	if c.MaxDeltas != 0 && (c.MaxDeltas < minDeltas || c.MaxDeltas > maxDeltas) {
+		errs.add("deltas", "is %d, want %d to %d", c.MaxDeltas, minDeltas, maxDeltas)
 	}
-	if len(c.Upstreams) > mostFollow {
-		errs.add("follow", "has %d entries, want at most %d", len(c.Upstreams), mostFollow)
+	if len(c.Upstreams) > maxUpstreams {
+		errs.add("follow", "has %d entries, want at most %d", len(c.Upstreams), maxUpstreams)
 	}
 	seen := map[string]bool{}
 	for i, f := range c.Upstreams {
@@ -80,16 +80,16 @@
 			errs.add(key+".address", "is %q, which is there twice", f.Address)
 		}
 		seen[f.Address] = true
-		if f.Region == "" || len(f.Region) > mostName {
-			errs.add(key+".region", "is %q, want 1 to %d bytes", f.Region, mostName)
+		if f.Region == "" || len(f.Region) > maxNameBytes {
+			errs.add(key+".region", "is %q, want 1 to %d bytes", f.Region, maxNameBytes)
 		}
 	}
 	slices.SortFunc(errs, func(a, b error) int { return cmp.Compare(a.Error(), b.Error()) })
 	return c, errors.Join(errs...)
 }
 
-// ofMachine are the sections of an operator's file that set up a machine.
-var ofMachine = []string{"uwsgi", "machine", "keys", "control"}
+// machineSections are the sections of an operator's file that set up a machine.
+var machineSections = []string{"uwsgi", "machine", "keys", "control"}
 
 // ParseContent reads what the fleet serves by from an operator's file: its teams,
 // services and pools, in the order of names. The sections that set up a machine
@@ -101,24 +101,24 @@
 	if err != nil {
 		return nil, err
 	}
-	var errs problems
+	var errs validationErrors
 	said := map[string]bool{}
 	for _, key := range meta.Undecoded() {
 		// A section with a misspelt name would drop all that it was meant to hold.
-		if text := key.String(); !slices.Contains(ofMachine, key[0]) && !said[text] {
+		if text := key.String(); !slices.Contains(machineSections, key[0]) && !said[text] {
 			said[text] = true // one in each of a thousand entries is one fault
 			errs.add(text, "is not known")
 		}
 	}
 	c := &document.Content{Teams: o.Teams, Services: o.Services, Pools: o.Pool, CheapReserve: o.Pools.CheapReserve}
-	byName(c.Teams, "team", func(t *Team) string { return t.Name }, &errs)
-	byName(c.Services, "service", func(s *Service) string { return s.Name }, &errs)
-	byName(c.Pools, "pool", func(p *Pool) string { return p.Name }, &errs)
+	sortByName(c.Teams, "team", func(t *Team) string { return t.Name }, &errs)
+	sortByName(c.Services, "service", func(s *Service) string { return s.Name }, &errs)
+	sortByName(c.Pools, "pool", func(p *Pool) string { return p.Name }, &errs)
 	return c, errors.Join(errs...)
 }
 
-// byName reports names that are absent or there twice, and sorts the list.
-func byName[T any](list []T, section string, name func(*T) string, errs *problems) {
+// sortByName reports names that are absent or there twice, and sorts the list.
+func sortByName[T any](list []T, section string, name func(*T) string, errs *validationErrors) {
 	seen := make(map[string]bool, len(list))
 	for i := range list {
 		n := name(&list[i])
--- a/internal/config/publisher_test.go
+++ b/internal/config/publisher_test.go
@@ -59,14 +59,14 @@
 			t.Errorf("%v does not name %s", err, key)
 		}
 	}
-	if _, err := ParseControlMachine(controlMachine + strings.Repeat("[[follow]]\naddress = \"h:1\"\nregion = \"r\"\n", mostFollow)); err == nil || !strings.Contains(err.Error(), "follow has") {
+	if _, err := ParseControlMachine(controlMachine + strings.Repeat("[[follow]]\naddress = \"h:1\"\nregion = \"r\"\n", maxUpstreams)); err == nil || !strings.Contains(err.Error(), "follow has") {
 		t.Errorf("%v", err)
 	}
 }
 
 // A file's teams, services and pools count, in the order of names; what sets up a
 // machine is passed over, whatever it holds.
-func TestContentOf(t *testing.T) {
+func TestParseContent(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "operator.toml"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -13,8 +13,8 @@
 	"kiteslip/internal/control/document"
 )
 
-// fleetFile is an operator's file with this many teams and routes.
-func fleetFile(teams, routes int) string {
+// fleetText is an operator's file with this many teams and routes.
+func fleetText(teams, routes int) string {
 	var b strings.Builder
 	b.WriteString(machine)
 	for i := range teams {
@@ -29,8 +29,8 @@
 	return strings.Replace(b.String(), "[machine]", "[uwsgi]\nlisten = \"127.0.0.1:3031\"\n[machine]", 1)
 }
 
-// fastest is the least of seven: what others do on the machine only adds.
-func fastest(f func()) time.Duration {
+// minDuration is the least of seven: what others do on the machine only adds.
+func minDuration(f func()) time.Duration {
 	var took []time.Duration
 	for range 7 {
 		runtime.GC()
@@ -47,7 +47,7 @@
 // does not, and the machine may be busy.
 func TestCostGrowsAsTheFile(t *testing.T) {
 	cost := func(part int) (read, entered, laid time.Duration) {
-		text := fleetFile(21_000/part, 2_800/part)
+		text := fleetText(21_000/part, 2_800/part)
 		changed := strings.Replace(text, "requests_per_s = 3", "requests_per_s = 4", 1)
 		c, err := ParseOperator(text, nil)
 		if err != nil {
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		read = fastest(func() {
+		read = minDuration(func() {
 			if _, err := ParseOperator(text, nil); err != nil {
 				t.Fatal(err)
 			}
@@ -66,12 +66,12 @@
 		if _, err := toml.Decode(text, &o); err != nil {
 			t.Fatal(err)
 		}
-		entered = fastest(func() { // reading without the decoder, which hides what the rest costs
-			if _, err := c.served(&document.Content{Teams: o.Teams, Services: o.Services}); err != nil {
+		entered = minDuration(func() { // reading without the decoder, which hides what the rest costs
+			if _, err := c.withContent(&document.Content{Teams: o.Teams, Services: o.Services}); err != nil {
 				t.Fatal(err)
 			}
 		})
-		laid = fastest(func() {
+		laid = minDuration(func() {
 			if ch, err := NewUpdater(c).PrepareFile(next); err != nil || len(ch.Tenants) != 1 || len(ch.Classes) != 0 {
 				t.Fatal(ch, err)
 			}
@@ -93,7 +93,7 @@
 }
 
 func BenchmarkReadFleet(b *testing.B) {
-	text := fleetFile(21_000, 2_800)
+	text := fleetText(21_000, 2_800)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := ParseOperator(text, nil); err != nil {
--- a/internal/config/serve.go
+++ b/internal/config/serve.go
@@ -11,22 +11,22 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// base is what the platform says of classes and teams, before anything is laid
+// baseline is what the platform says of classes and teams, before anything is laid
 // over it. It is never changed.
-type base struct {
-	names   []string
-	classes []kiteslip.Class
-	classAt map[string]int
+type baseline struct {
+	names      []string
+	classes    []kiteslip.Class
+	classIndex map[string]int
 
-	teams   []string
-	budgets []kiteslip.Tenant
-	teamAt  map[string]int
+	teams     []string
+	budgets   []kiteslip.Tenant
+	teamIndex map[string]int
 }
 
-// bare returns the classes and teams that c has by now.
-func (c *Config) bare() *base {
-	b := &base{names: slices.Clone(c.Classes), classes: slices.Clone(c.Policy.Classes), classAt: indexOf(c.Classes),
-		teams: slices.Clone(c.Tenants), budgets: slices.Clone(c.Policy.Tenants), teamAt: indexOf(c.Tenants)}
+// newBaseline returns the classes and teams that c has by now.
+func (c *Config) newBaseline() *baseline {
+	b := &baseline{names: slices.Clone(c.Classes), classes: slices.Clone(c.Policy.Classes), classIndex: indexOf(c.Classes),
+		teams: slices.Clone(c.Tenants), budgets: slices.Clone(c.Policy.Tenants), teamIndex: indexOf(c.Tenants)}
 	return b
 }
 
@@ -38,72 +38,72 @@
 	return at
 }
 
-// route is a class as the fronts, the module and a backend serve it.
-type route struct {
-	class   kiteslip.Class
-	front   uwsgi.Contract
-	backend string // "" = the engine
-	result  int    // most bytes of a result
+// classConfig is a class as the fronts, the module and a backend serve it.
+type classConfig struct {
+	class          kiteslip.Class
+	frontend       uwsgi.Contract
+	backend        string // "" = the engine
+	maxResultBytes int    // most bytes of a result
 }
 
-// plain is a class that no contract speaks of.
-func plain(class kiteslip.Class) route {
-	return route{class: class, result: defaultResult, front: uwsgi.Contract{Keyed: class.Effect == kiteslip.Keyed,
-		Timeout: class.Timeout, MaxBody: defaultBody, RequestMemoryKB: defaultHeldKB}}
+// defaultClass is a class that no contract speaks of.
+func defaultClass(class kiteslip.Class) classConfig {
+	return classConfig{class: class, maxResultBytes: defaultMaxResultBytes, frontend: uwsgi.Contract{Keyed: class.Effect == kiteslip.Keyed,
+		Timeout: class.Timeout, MaxBody: defaultMaxBodyBytes, RequestMemoryKB: defaultRequestMemoryKB}}
 }
 
-// route returns the class of that name as the platform has it.
-func (b *base) route(name string) (r route, known bool) {
-	if i, known := b.classAt[name]; known {
-		return plain(b.classes[i]), true
+// classConfig returns the class of that name as the platform has it.
+func (b *baseline) classConfig(name string) (r classConfig, known bool) {
+	if i, known := b.classIndex[name]; known {
+		return defaultClass(b.classes[i]), true
 	}
-	return plain(kiteslip.Class{Worth: 1}), false
+	return defaultClass(kiteslip.Class{Worth: 1}), false
 }
 
-// fronts makes room for what the fronts must know of each class.
-func (c *Config) fronts() {
+// growFrontend makes room for what the fronts must know of each class.
+func (c *Config) growFrontend() {
 	for i := len(c.UWSGI.Contracts); i < len(c.Policy.Classes); i++ {
-		r := plain(c.Policy.Classes[i])
-		c.UWSGI.Contracts, c.Backends, c.MaxResultBytes = append(c.UWSGI.Contracts, r.front), append(c.Backends, ""), append(c.MaxResultBytes, r.result)
+		r := defaultClass(c.Policy.Classes[i])
+		c.UWSGI.Contracts, c.Backends, c.MaxResultBytes = append(c.UWSGI.Contracts, r.frontend), append(c.Backends, ""), append(c.MaxResultBytes, r.maxResultBytes)
 	}
 }
 
-// set enters a class at its place, which is one of those there are or the next.
-func (c *Config) set(at int, name string, r *route) {
+// setClass enters a class at its place, which is one of those there are or the next.
+func (c *Config) setClass(at int, name string, r *classConfig) {
 	if at == len(c.Classes) {
 		c.Classes, c.Policy.Classes = append(c.Classes, name), append(c.Policy.Classes, kiteslip.Class{})
 		c.UWSGI.Contracts, c.Backends, c.MaxResultBytes = append(c.UWSGI.Contracts, uwsgi.Contract{}), append(c.Backends, ""), append(c.MaxResultBytes, 0)
 	}
-	c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at] = r.class, r.front, r.backend, r.result
+	c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at] = r.class, r.frontend, r.backend, r.maxResultBytes
 }
 
-// route returns what is served at a place.
-func (c *Config) route(at int) route {
-	return route{c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at]}
+// classConfig returns what is served at a place.
+func (c *Config) classConfig(at int) classConfig {
+	return classConfig{c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at]}
 }
 
-// serve enters what the fleet serves by over the base, where nothing else is yet.
-func (c *Config) serve(content *document.Content, errs *problems) {
-	c.teams(content.Teams, errs)
-	c.services(content.Services, errs)
-	c.pools(content.Pools, content.CheapReserve, errs)
+// applyContent enters what the fleet serves by over the base, where nothing else is yet.
+func (c *Config) applyContent(content *document.Content, errs *validationErrors) {
+	c.applyTeams(content.Teams, errs)
+	c.applyServices(content.Services, errs)
+	c.applyPools(content.Pools, content.CheapReserve, errs)
 	if c.Keys.Folder != "" && !c.anyKeyed() {
 		errs.add("keys", "is set up, and no class is keyed")
 	}
 }
 
-// served returns c with another content over the base: the machine's part, the
+// withContent returns c with another content over the base: the machine's part, the
 // fronts and the keys are those of c, and nothing else is. It costs by all.
-func (c *Config) served(content *document.Content) (*Config, error) {
-	m, b := *c, c.base
+func (c *Config) withContent(content *document.Content) (*Config, error) {
+	m, b := *c, c.baseline
 	if b == nil {
 		return nil, errors.New("config: it was not read from a file")
 	}
 	m.Classes, m.Policy.Classes, m.RetiredClasses = slices.Clone(b.names), slices.Clone(b.classes), nil
 	m.Tenants, m.Policy.Tenants, m.RetiredTenants = slices.Clone(b.teams), slices.Clone(b.budgets), nil
 	m.UWSGI.Contracts, m.Backends, m.MaxResultBytes = nil, nil, nil
-	var errs problems
-	m.serve(content, &errs)
+	var errs validationErrors
+	m.applyContent(content, &errs)
 	if len(errs) == 0 {
 		if _, err := kiteslip.New(m.Policy, 0); err != nil {
 			errs = append(errs, err)
@@ -121,8 +121,8 @@
 	return false
 }
 
-// teams enters the budgets: a team that the platform knows gets this budget.
-func (c *Config) teams(teams []Team, errs *problems) {
+// applyTeams enters the budgets: a team that the platform knows gets this budget.
+func (c *Config) applyTeams(teams []Team, errs *validationErrors) {
 	seen, places := make(map[string]bool, len(teams)), indexOf(c.Tenants)
 	for i := range teams {
 		t := &teams[i]
@@ -143,10 +143,10 @@
 	}
 }
 
-// services enters the contracts. What a contract leaves open stays as the platform has it.
-func (c *Config) services(services []Service, errs *problems) {
-	c.fronts()
-	e := entering{machine: c, errs: errs, owned: indexOf(c.Tenants)}
+// applyServices enters the contracts. What a contract leaves open stays as the platform has it.
+func (c *Config) applyServices(services []Service, errs *validationErrors) {
+	c.growFrontend()
+	e := serviceValidator{machine: c, errs: errs, teams: indexOf(c.Tenants)}
 	places, classes, paths, names := indexOf(c.Classes), map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for i := range services {
 		s, key := &services[i], indexKey{"service", i}
@@ -154,11 +154,11 @@
 			errs.add(key.String()+".name", "is %q, want a name of its own", s.Name)
 		}
 		names[s.Name] = true
-		e.service(s, key)
+		e.checkService(s, key)
 		for j := range s.Contracts {
 			t, key := &s.Contracts[j], contractKey{key, j}
-			if t.Class == "" || classes[t.Class] || len(t.Class) > mostName {
-				errs.add(key.String()+".class", "is %q, want a name of its own of at most %d bytes", t.Class, mostName)
+			if t.Class == "" || classes[t.Class] || len(t.Class) > maxNameBytes {
+				errs.add(key.String()+".class", "is %q, want a name of its own of at most %d bytes", t.Class, maxNameBytes)
 				continue
 			}
 			classes[t.Class] = true
@@ -166,12 +166,12 @@
 				errs.add(key.String()+".path", "is %q, want one of its own that starts with /", t.Path)
 			}
 			paths[t.Path] = true
-			r := e.contract(t, s.Backend, key)
+			r := e.classFromContract(t, s.Backend, key)
 			at, known := places[t.Class]
 			if !known {
 				at, places[t.Class] = len(c.Classes), len(c.Classes)
 			}
-			c.set(at, t.Class, &r)
+			c.setClass(at, t.Class, &r)
 		}
 	}
 	if len(c.Policy.Classes) == 0 {
@@ -182,37 +182,37 @@
 // indexKey and contractKey name an entry of the file. They are worded where
 // something is wrong alone: a fleet has thousands of them.
 type indexKey struct {
-	list string
-	at   int
+	list  string
+	index int
 }
 
-func (k indexKey) String() string { return fmt.Sprintf("%s[%d]", k.list, k.at) }
+func (k indexKey) String() string { return fmt.Sprintf("%s[%d]", k.list, k.index) }
 
 type contractKey struct {
 	service indexKey
-	at      int
+	index   int
 }
 
-func (k contractKey) String() string { return fmt.Sprintf("%v.contract[%d]", k.service, k.at) }
+func (k contractKey) String() string { return fmt.Sprintf("%v.contract[%d]", k.service, k.index) }
 
-// entering checks services and contracts, each by itself.
-type entering struct {
+// serviceValidator checks services and contracts, each by itself.
+type serviceValidator struct {
 	machine *Config // its engine, ledger and base
-	errs    *problems
-	owned   map[string]int // the teams there are
+	errs    *validationErrors
+	teams   map[string]int // the teams there are
 }
 
-func (e *entering) service(s *Service, key indexKey) {
-	if _, known := e.owned[s.Owner]; s.Owner != "" && !known {
+func (e *serviceValidator) checkService(s *Service, key indexKey) {
+	if _, known := e.teams[s.Owner]; s.Owner != "" && !known {
 		e.errs.add(key.String()+".owner", "is %q, which is no team", s.Owner)
 	}
-	e.backend(s, key)
+	e.checkBackend(s, key)
 	if len(s.Contracts) == 0 {
 		e.errs.add(key.String()+".contract", "is absent")
 	}
 }
 
-func (e *entering) backend(s *Service, key indexKey) {
+func (e *serviceValidator) checkBackend(s *Service, key indexKey) {
 	if s.Backend != "" {
 		if !isAddress(s.Backend) {
 			checkAddress(e.errs.add, key.String()+".backend", s.Backend)
@@ -222,9 +222,9 @@
 	}
 }
 
-// contract returns the class as the contract has it, over what the platform says of it.
-func (e *entering) contract(t *Contract, backend string, key contractKey) route {
-	r, known := e.machine.base.route(t.Class)
+// classFromContract returns the class as the contract has it, over what the platform says of it.
+func (e *serviceValidator) classFromContract(t *Contract, backend string, key contractKey) classConfig {
+	r, known := e.machine.baseline.classConfig(t.Class)
 	m := &r.class
 	add := func(name, format string, args ...any) { e.errs.add(key.String()+"."+name, format, args...) }
 	if effect, ok := effects[t.Effect]; ok {
@@ -246,7 +246,7 @@
 	figure("window_ms", t.WindowMS, hourMS, 1000, func(v float64) { m.Window = int64(v) })
 	figure("worth", t.Worth, 1e6, 1, func(v float64) { m.Worth = v })
 	figure("late_worth", t.LateWorth, 1, 1, func(v float64) { m.LateWorth = v })
-	calls(t, e.machine.Ledger, m, add)
+	applyContractCalls(t, e.machine.Ledger, m, add)
 	if m.Timeout == 0 {
 		add("deadline_ms", "is absent")
 	}
@@ -259,23 +259,23 @@
 	if m.Effect == kiteslip.Keyed && m.Window < m.Timeout {
 		add("window_ms", "is shorter than the deadline: a later try would run again")
 	}
-	r.front = uwsgi.Contract{Keyed: m.Effect == kiteslip.Keyed, Timeout: m.Timeout, MaxBody: t.MaxBody, RequestMemoryKB: t.RequestMemoryKB, Path: t.Path}
-	r.backend, r.result = backend, t.MaxResult
-	f := &r.front
+	r.frontend = uwsgi.Contract{Keyed: m.Effect == kiteslip.Keyed, Timeout: m.Timeout, MaxBody: t.MaxBody, RequestMemoryKB: t.RequestMemoryKB, Path: t.Path}
+	r.backend, r.maxResultBytes = backend, t.MaxResult
+	f := &r.frontend
 	if f.MaxBody == 0 {
-		f.MaxBody = defaultBody
+		f.MaxBody = defaultMaxBodyBytes
 	}
-	if r.result == 0 {
-		r.result = defaultResult
+	if r.maxResultBytes == 0 {
+		r.maxResultBytes = defaultMaxResultBytes
 	}
-	if f.MaxBody < 0 || f.MaxBody > mostBody {
-		add("max_body", "is %d, want 0 to %d bytes", f.MaxBody, mostBody)
+	if f.MaxBody < 0 || f.MaxBody > maxBodyBytes {
+		add("max_body", "is %d, want 0 to %d bytes", f.MaxBody, maxBodyBytes)
 	}
-	if r.result < 0 || r.result > mostBody {
-		add("max_result", "is %d, want 0 to %d bytes", r.result, mostBody)
+	if r.maxResultBytes < 0 || r.maxResultBytes > maxBodyBytes {
+		add("max_result", "is %d, want 0 to %d bytes", r.maxResultBytes, maxBodyBytes)
 	}
 	if f.RequestMemoryKB == 0 {
-		f.RequestMemoryKB = defaultHeldKB
+		f.RequestMemoryKB = defaultRequestMemoryKB
 	}
 	if !(f.RequestMemoryKB > 0) || f.RequestMemoryKB*1024 < float64(f.MaxBody) {
 		add("held_kb", "is %v, want room for max_body at least", f.RequestMemoryKB)
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -8,7 +8,7 @@
 // cannot be used here.
 func (c *Config) WithDocument(doc *document.Document) (*Config, error) {
 	content := doc.Content()
-	m, err := c.served(&content)
+	m, err := c.withContent(&content)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/succeed.go
+++ b/internal/config/succeed.go
@@ -15,8 +15,8 @@
 // IsRetired says whether place i is of a class, or team, that is no longer in the file.
 func IsRetired(off []bool, i int) bool { return i < len(off) && off[i] }
 
-// lacks adds an error for each key that is in the decoded text was and not in is.
-func lacks(errs *problems, path string, was, is any) {
+// checkMissingKeys adds an error for each key that is in the decoded text was and not in is.
+func checkMissingKeys(errs *validationErrors, path string, was, is any) {
 	switch was := was.(type) {
 	case map[string]any:
 		is, ok := is.(map[string]any)
@@ -32,10 +32,10 @@
 				errs.add(at, "is absent, and the file in use has it")
 				continue
 			}
-			lacks(errs, at, value, is[key])
+			checkMissingKeys(errs, at, value, is[key])
 		}
 	case []any:
-		all := common(was)
+		all := commonKeys(was)
 		is, ok := is.([]any)
 		if !ok {
 			errs.add(path, "is no list")
@@ -45,13 +45,13 @@
 			return
 		}
 		for i, entry := range is {
-			lacks(errs, fmt.Sprintf("%s[%d]", path, i), all, entry)
+			checkMissingKeys(errs, fmt.Sprintf("%s[%d]", path, i), all, entry)
 		}
 	}
 }
 
-// common returns the keys that all entries of a list of objects have; nil = it is no such list.
-func common(list []any) any {
+// commonKeys returns the keys that all entries of a list of objects have; nil = it is no such list.
+func commonKeys(list []any) any {
 	var all map[string]any
 	for i, entry := range list {
 		object, ok := entry.(map[string]any)
--- a/internal/config/succeed_test.go
+++ b/internal/config/succeed_test.go
@@ -12,8 +12,8 @@
 	"kiteslip"
 )
 
-// file words a platform file with these classes (name and effect) and teams.
-func file(classes [][2]string, tenants []string) string {
+// platformText words a platform file with these classes (name and effect) and teams.
+func platformText(classes [][2]string, tenants []string) string {
 	var c, q []string
 	for i, k := range classes {
 		c = append(c, fmt.Sprintf(`{"name": %q, "effect": %q, "on_time_us": %d, "hard_limit_us": 4000000, "window_us": 9000000}`, k[0], k[1], 1000+i))
@@ -36,7 +36,7 @@
 
 // However files follow each other, a class and a team keep their places, what
 // the newest file says holds, and what it does not name is off.
-func TestPlacesStay(t *testing.T) {
+func TestSlotsAreStable(t *testing.T) {
 	names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	effects := rapid.SampledFrom([]string{"repeatable", "by_key"})
 	rapid.Check(t, func(t *rapid.T) {
@@ -48,7 +48,7 @@
 				classes = append(classes, [2]string{name, effects.Draw(t, "effect")})
 			}
 			tenants := rapid.SliceOfNDistinct(names, 1, 4, rapid.ID[string]).Draw(t, "teams")
-			next := parse(t, file(classes, tenants))
+			next := parse(t, platformText(classes, tenants))
 			if c == nil {
 				c = next
 			} else {
@@ -93,8 +93,8 @@
 }
 
 // A file that lost a part is turned down, and the error names it.
-func TestLackingKeys(t *testing.T) {
-	was := file([][2]string{{"a", "by_key"}, {"b", "by_key"}}, []string{"red"})
+func TestMissingKeys(t *testing.T) {
+	was := platformText([][2]string{{"a", "by_key"}, {"b", "by_key"}}, []string{"red"})
 	c := parse(t, was)
 	for old, key := range map[string]string{
 		`"registry": "10.2.0.1:1", `:               "registry",
@@ -134,30 +134,30 @@
 }
 
 // Places have a bound.
-func TestPlacesAreBounded(t *testing.T) {
+func TestSlotsAreBounded(t *testing.T) {
 	const many = 1024 // at once, but one by one at the bound
-	c := parse(t, file([][2]string{{"first", "repeatable"}}, []string{"red"}))
-	for n := 1; n <= mostClassPlaces; {
+	c := parse(t, platformText([][2]string{{"first", "repeatable"}}, []string{"red"}))
+	for n := 1; n <= maxClassSlots; {
 		var classes [][2]string
-		for range max(1, min(many, mostClassPlaces-2-n)) {
+		for range max(1, min(many, maxClassSlots-2-n)) {
 			classes = append(classes, [2]string{fmt.Sprint("c", n), "repeatable"})
 			n++
 		}
-		next, _, err := c.Merge(parse(t, file(classes, []string{"red"})))
-		if over := n > mostClassPlaces; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
+		next, _, err := c.Merge(parse(t, platformText(classes, []string{"red"})))
+		if over := n > maxClassSlots; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
 			t.Fatalf("%d classes since the start: %v", n, err)
 		}
 		c = next
 	}
-	c = parse(t, file([][2]string{{"first", "repeatable"}}, []string{"red"}))
-	for n := 1; n <= mostTeamPlaces; {
+	c = parse(t, platformText([][2]string{{"first", "repeatable"}}, []string{"red"}))
+	for n := 1; n <= maxTeamSlots; {
 		var teams []string
-		for range max(1, min(8*many, mostTeamPlaces-2-n)) {
+		for range max(1, min(8*many, maxTeamSlots-2-n)) {
 			teams = append(teams, fmt.Sprint("t", n))
 			n++
 		}
-		next, _, err := c.Merge(parse(t, file([][2]string{{"first", "repeatable"}}, teams)))
-		if over := n > mostTeamPlaces; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
+		next, _, err := c.Merge(parse(t, platformText([][2]string{{"first", "repeatable"}}, teams)))
+		if over := n > maxTeamSlots; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
 			t.Fatalf("%d teams since the start: %v", n, err)
 		}
 		c = next
@@ -173,9 +173,9 @@
 			teams = append(teams, fmt.Sprint("team", i))
 		}
 		classes := [][2]string{{"first", "repeatable"}}
-		c := parse(t, file(classes, teams))
+		c := parse(t, platformText(classes, teams))
 		teams[n/2] = "new"
-		next, kept, err := c.Merge(parse(t, file(classes, teams)))
+		next, kept, err := c.Merge(parse(t, platformText(classes, teams)))
 		if err != nil || len(kept) != 0 {
 			t.Fatalf("%d teams, one changed: %v %v", n, kept, err)
 		}
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -36,7 +36,7 @@
 	MaxBody    = 2 << 10
 	MaxResult  = 4 << 10
 	MaxStreams = 32 // open requests on one connection
-	headSize   = 4 + MinLength
+	headerSize = 4 + MinLength
 )
 
 // ErrLength says that a frame's length lies outside the protocol's bounds.
@@ -63,7 +63,7 @@
 	if len(b) < end {
 		return Frame{}, 0, nil
 	}
-	return Frame{Type: b[4], Stream: binary.BigEndian.Uint32(b[5:]), Payload: b[headSize:end]}, end, nil
+	return Frame{Type: b[4], Stream: binary.BigEndian.Uint32(b[5:]), Payload: b[headerSize:end]}, end, nil
 }
 
 // Fields are the fields of a payload, still in their wire form.
@@ -72,7 +72,7 @@
 	count int
 }
 
-func cutShort(i int) error {
+func errTruncatedField(i int) error {
 	return &reject.Error{Cause: "fields_cut_short", Err: fmt.Errorf("frame: field %d is cut short", i)}
 }
 
@@ -86,12 +86,12 @@
 	rest := p[1:]
 	for i := range f.count {
 		if len(rest) < 1 || len(rest) < 1+int(rest[0])+2 {
-			return Fields{}, nil, cutShort(i)
+			return Fields{}, nil, errTruncatedField(i)
 		}
 		name := int(rest[0])
 		size := int(binary.BigEndian.Uint16(rest[1+name:]))
 		if len(rest) < 3+name+size {
-			return Fields{}, nil, cutShort(i)
+			return Fields{}, nil, errTruncatedField(i)
 		}
 		rest = rest[3+name+size:]
 	}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-func names() *NameIndex {
+func nameIndex() *NameIndex {
 	return &NameIndex{Classes: map[string]int{"look": 0, "note": 1}, Keyed: []bool{false, true}, Tenants: map[string]int{"red": 0, "blue": 1}}
 }
 
-// valid are the fields of a request that can be read.
-func valid() map[string]string {
+// validFields are the fields of a request that can be read.
+func validFields() map[string]string {
 	return map[string]string{"kind": "note", "req": "9b1f03aa5c7e2d41", "ts": "1764576000123", "via": "4", "owner": "blue",
 		"timeout": "480", "ms": "12.50", "need": "24.5", "level": "0.6250", "opkey": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}
 }
@@ -29,7 +29,7 @@
 }
 
 func TestRequest(t *testing.T) {
-	r, err := ParseRequest(payload(valid(), "a\x00b"), names())
+	r, err := ParseRequest(payload(validFields(), "a\x00b"), nameIndex())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,16 +38,16 @@
 		r.Key != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" || string(r.Body) != "a\x00b" {
 		t.Errorf("%+v", r)
 	}
-	f := valid()
+	f := validFields()
 	f["kind"], f["subject"] = "look", "7f3a9c21e0b4d655"
 	delete(f, "opkey")
-	if r, err = ParseRequest(payload(f, ""), names()); err != nil || r.Subject != 0x7f3a9c21e0b4d655 || r.Write || r.Retry {
+	if r, err = ParseRequest(payload(f, ""), nameIndex()); err != nil || r.Subject != 0x7f3a9c21e0b4d655 || r.Write || r.Retry {
 		t.Errorf("%+v, %v", r, err)
 	}
 	// A caller need not say how long it waits, and marks a further try.
 	delete(f, "timeout")
 	f["resent"] = "1"
-	if r, err = ParseRequest(payload(f, ""), names()); err != nil || r.Deadline != 0 || !r.Retry {
+	if r, err = ParseRequest(payload(f, ""), nameIndex()); err != nil || r.Deadline != 0 || !r.Retry {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -59,15 +59,15 @@
 		{"timeout", "99999999999"}, {"ms", "NaN"}, {"ms", "-1"}, {"need", "0"}, {"need", "2001"}, {"need", "+Inf"}, {"level", "2"},
 		{"opkey", "-"}, {"opkey", ""}, {"opkey", strings.Repeat("k", 999)}, {"subject", ""}, {"via", "x"}, {"resent", "yes"},
 	} {
-		f := valid()
+		f := validFields()
 		if f[c.name] = c.value; c.value == "-" {
 			delete(f, c.name)
 		}
-		if _, err := ParseRequest(payload(f, ""), names()); err == nil || !strings.Contains(err.Error(), c.name) {
+		if _, err := ParseRequest(payload(f, ""), nameIndex()); err == nil || !strings.Contains(err.Error(), c.name) {
 			t.Errorf("%s = %q: error %v, want one that names the field", c.name, c.value, err)
 		}
 	}
-	if _, err := ParseRequest(payload(valid(), strings.Repeat("b", MaxBody+1)), names()); err == nil {
+	if _, err := ParseRequest(payload(validFields(), strings.Repeat("b", MaxBody+1)), nameIndex()); err == nil {
 		t.Error("a body that is too large passes")
 	}
 }
@@ -132,13 +132,13 @@
 
 // No bytes make the parsers panic.
 func FuzzParse(f *testing.F) {
-	f.Add(payload(valid(), "body"))
+	f.Add(payload(validFields(), "body"))
 	f.Add([]byte{255, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if fr, n, err := Split(b); err == nil && n > 0 && n != len(fr.Payload)+headSize {
+		if fr, n, err := Split(b); err == nil && n > 0 && n != len(fr.Payload)+headerSize {
 			t.Fatalf("%d bytes are used for a payload of %d", n, len(fr.Payload))
 		}
-		if r, err := ParseRequest(b, names()); err == nil && (r.Deadline != 0 && r.Deadline < r.Arrived || len(r.Body) > MaxBody) {
+		if r, err := ParseRequest(b, nameIndex()); err == nil && (r.Deadline != 0 && r.Deadline < r.Arrived || len(r.Body) > MaxBody) {
 			t.Fatalf("%+v", r)
 		}
 	})
--- a/internal/frame/request.go
+++ b/internal/frame/request.go
@@ -20,11 +20,11 @@
 // The largest figures that are believed: an hour of waiting, and the memory
 // that the protocol allows for one request.
 const (
-	maxTimeout = 3_600_000
-	maxNeedKB  = 2_000
-	maxWorkMS  = 3_600_000
-	maxKey     = 128
-	maxStamp   = 1 << 43 // ms: some centuries; sums of times cannot overflow
+	maxTimeoutMS   = 3_600_000
+	maxNeedKB      = 2_000
+	maxWorkMS      = 3_600_000
+	maxKeyBytes    = 128
+	maxTimestampMS = 1 << 43 // ms: some centuries; sums of times cannot overflow
 )
 
 // ParseRequest reads the payload of a request. What it returns shares no
@@ -47,56 +47,56 @@
 		case "kind":
 			r.Class, ok = names.Classes[string(value)]
 		case "req":
-			r.TryID, ok = string(value), hex16(value)
+			r.TryID, ok = string(value), isHex16(value)
 		case "ts":
-			r.Arrived, ok = whole(value, maxStamp)
+			r.Arrived, ok = parseInt(value, maxTimestampMS)
 			r.Arrived *= 1000
 		case "via":
 			var via int64
-			via, ok = whole(value, math.MaxInt32)
+			via, ok = parseInt(value, math.MaxInt32)
 			r.Caller = int(via)
 		case "owner":
 			r.Tenant, ok = names.Tenants[string(value)]
 			ok = ok || len(names.Tenants) == 0
 		case "timeout":
-			timeout, ok = whole(value, maxTimeout)
+			timeout, ok = parseInt(value, maxTimeoutMS)
 			told = true
 		case "resent":
 			r.Retry, ok = string(value) == "1", string(value) == "0" || string(value) == "1"
 		case "ms":
 			var ms float64
-			ms, ok = decimal(value, 0, maxWorkMS)
+			ms, ok = parseFloat(value, 0, maxWorkMS)
 			r.ExpectedWork = int64(ms * 1000)
 		case "need":
-			r.SizeKB, ok = decimal(value, 0, maxNeedKB)
+			r.SizeKB, ok = parseFloat(value, 0, maxNeedKB)
 			ok = ok && r.SizeKB > 0 && r.SizeKB < maxNeedKB
 		case "level":
-			r.Rank, ok = decimal(value, 0, 1)
+			r.Rank, ok = parseFloat(value, 0, 1)
 			ok = ok && r.Rank < 1
 		case "opkey":
-			r.Key, ok = string(value), len(value) > 0 && len(value) <= maxKey
+			r.Key, ok = string(value), len(value) > 0 && len(value) <= maxKeyBytes
 		case "subject":
-			r.Subject, ok = subject(value)
+			r.Subject, ok = parseSubject(value)
 		default:
 			ok = true // later versions may add fields
 		}
 		if !ok && bad == nil {
-			bad = unusable(string(name))
+			bad = invalidField(string(name))
 		}
 	}
 	switch {
 	case bad != nil:
 		return nil, bad
 	case r.Class < 0:
-		return nil, absent("kind")
+		return nil, missingField("kind")
 	case r.TryID == "":
-		return nil, absent("req")
+		return nil, missingField("req")
 	case r.Arrived < 0:
-		return nil, absent("ts")
+		return nil, missingField("ts")
 	case r.Tenant < 0 && len(names.Tenants) > 0:
-		return nil, absent("owner")
+		return nil, missingField("owner")
 	case names.Keyed[r.Class] && r.Key == "":
-		return nil, absent("opkey")
+		return nil, missingField("opkey")
 	}
 	if !names.Keyed[r.Class] {
 		r.Key = ""
@@ -110,16 +110,16 @@
 	return r, nil
 }
 
-// unusable names a field of the protocol: others are passed over, so the causes are few.
-func unusable(name string) error {
+// invalidField names a field of the protocol: others are passed over, so the causes are few.
+func invalidField(name string) error {
 	return &reject.Error{Cause: "field_unusable_" + name, Err: fmt.Errorf("frame: field %q cannot be used", name)}
 }
 
-func absent(name string) error {
+func missingField(name string) error {
 	return &reject.Error{Cause: "field_absent_" + name, Err: fmt.Errorf("frame: field %q is absent", name)}
 }
 
-func hex16(b []byte) bool {
+func isHex16(b []byte) bool {
 	if len(b) != 16 {
 		return false
 	}
@@ -127,8 +127,8 @@
 	return err == nil
 }
 
-// subject takes 16 hex digits as they are; any other name is hashed (FNV-1a).
-func subject(b []byte) (uint64, bool) {
+// parseSubject takes 16 hex digits as they are; any other name is hashed (FNV-1a).
+func parseSubject(b []byte) (uint64, bool) {
 	if v, err := strconv.ParseUint(string(b), 16, 64); err == nil && len(b) == 16 {
 		return v, true
 	}
@@ -136,15 +136,15 @@
 	for _, c := range b {
 		h = (h ^ uint64(c)) * 1099511628211
 	}
-	return h, len(b) > 0 && len(b) <= maxKey
+	return h, len(b) > 0 && len(b) <= maxKeyBytes
 }
 
-func whole(b []byte, most int64) (int64, bool) {
+func parseInt(b []byte, most int64) (int64, bool) {
 	v, err := strconv.ParseInt(string(b), 10, 64)
 	return v, err == nil && v >= 0 && v <= most
 }
 
-func decimal(b []byte, least, most float64) (float64, bool) {
+func parseFloat(b []byte, least, most float64) (float64, bool) {
 	v, err := strconv.ParseFloat(string(b), 64)
 	return v, err == nil && v >= least && v <= most
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -49,7 +49,7 @@
 	}
 	for i := range f.Classes {
 		c := &f.Classes[i]
-		name := clean.Replace(c.Name)
+		name := nameReplacer.Replace(c.Name)
 		line("ok."+name, c.OK, "c")
 		line("shed."+name, c.Shed, "c")
 		line("errors."+name, c.Errors, "c")
@@ -71,16 +71,16 @@
 		f.Control.append(line)
 	}
 	for _, r := range f.RejectedBy {
-		line("rejected."+clean.Replace(r.Cause), r.Count, "c")
+		line("rejected."+nameReplacer.Replace(r.Cause), r.Count, "c")
 	}
 	return b
 }
 
-// clean takes out of a name what means something in a line of figures.
-var clean = strings.NewReplacer(":", "_", "|", "_", " ", "_", "\n", "_", "\r", "_", "@", "_", "#", "_")
+// nameReplacer takes out of a name what means something in a line of figures.
+var nameReplacer = strings.NewReplacer(":", "_", "|", "_", " ", "_", "\n", "_", "\r", "_", "@", "_", "#", "_")
 
 func (p *Pool) append(line func(name string, value int, kind string)) {
-	name := "pool." + clean.Replace(p.Name) + "."
+	name := "pool." + nameReplacer.Replace(p.Name) + "."
 	line(name+"limit", p.Limit, "g")
 	line(name+"running", p.Running, "g")
 	line(name+"waiting", p.Waiting, "g")
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -20,7 +20,7 @@
 	ShowVersion                    // the version that is served by
 )
 
-var calls = map[string]Command{"ready": Ready, "show-stat": ShowStat, "drain": Drain, "resume": Resume,
+var commands = map[string]Command{"ready": Ready, "show-stat": ShowStat, "drain": Drain, "resume": Resume,
 	"show-version": ShowVersion}
 
 // MaxLine is the longest line that is read, its end included.
@@ -41,7 +41,7 @@
 
 // Parse reads a line.
 func Parse(line []byte) (Command, error) {
-	if call, known := calls[string(bytes.TrimSpace(line))]; known {
+	if call, known := commands[string(bytes.TrimSpace(line))]; known {
 		return call, nil
 	}
 	return 0, fmt.Errorf("unknown call %.40q; known are ready, show-stat, show-version, drain, resume", line)
--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -48,8 +48,8 @@
 
 // The bounds of what is kept in memory.
 const (
-	maxBytes = 256 << 20 // of all streams
-	maxPages = 16 << 10  // of out-of-order segments, 1,900 bytes each
+	maxStreamBytes = 256 << 20 // of all streams
+	maxPages       = 16 << 10  // of out-of-order segments, 1,900 bytes each
 )
 
 // source is what both formats of a capture file offer.
@@ -58,8 +58,8 @@
 	LinkType() layers.LinkType
 }
 
-// open tells the format by its first bytes.
-func open(r io.Reader) (source, error) {
+// openSource tells the format by its first bytes.
+func openSource(r io.Reader) (source, error) {
 	in := bufio.NewReader(r)
 	magic, err := in.Peek(4)
 	if err != nil {
@@ -86,7 +86,7 @@
 // Read returns the TCP streams of a capture file, in the order of their first
 // packets. Packets that are not TCP are passed over.
 func Read(r io.Reader) ([]*Stream, error) {
-	s, err := open(r)
+	s, err := openSource(r)
 	if err != nil {
 		return nil, err
 	}
@@ -110,20 +110,20 @@
 		if network == nil || tcp == nil {
 			continue
 		}
-		context := seen(info)
+		context := captureContext(info)
 		assembler.AssembleWithContext(network.NetworkFlow(), tcp.(*layers.TCP), &context)
-		if c.bytes > maxBytes {
-			return nil, fmt.Errorf("pcap: over %d MB of TCP data", maxBytes>>20)
+		if c.bytes > maxStreamBytes {
+			return nil, fmt.Errorf("pcap: over %d MB of TCP data", maxStreamBytes>>20)
 		}
 	}
 	assembler.FlushAll()
 	return c.streams, nil
 }
 
-// seen gives the assembler the time of a packet.
-type seen gopacket.CaptureInfo
+// captureContext gives the assembler the time of a packet.
+type captureContext gopacket.CaptureInfo
 
-func (s *seen) GetCaptureInfo() gopacket.CaptureInfo { return gopacket.CaptureInfo(*s) }
+func (s *captureContext) GetCaptureInfo() gopacket.CaptureInfo { return gopacket.CaptureInfo(*s) }
 
 // collector keeps what the assembler puts in order.
 type collector struct {
@@ -133,7 +133,7 @@
 
 func (c *collector) New(network, transport gopacket.Flow, tcp *layers.TCP, _ reassembly.AssemblerContext) reassembly.Stream {
 	from, to := endpoint(network.Src(), uint16(tcp.SrcPort)), endpoint(network.Dst(), uint16(tcp.DstPort))
-	return &connection{c: c, sides: [2]*Stream{{From: from, To: to}, {From: to, To: from}}}
+	return &connection{collector: c, sides: [2]*Stream{{From: from, To: to}, {From: to, To: from}}}
 }
 
 func endpoint(e gopacket.Endpoint, port uint16) netip.AddrPort {
@@ -143,9 +143,9 @@
 
 // connection is one TCP connection; sides[0] sent the first packet.
 type connection struct {
-	c     *collector
-	sides [2]*Stream
-	known [2]bool
+	collector *collector
+	sides     [2]*Stream
+	started   [2]bool
 }
 
 // Accept takes every segment; a capture may begin in the middle of a connection.
@@ -161,9 +161,9 @@
 		i = 1
 	}
 	s := k.sides[i]
-	if !k.known[i] {
-		k.known[i] = true
-		k.c.streams = append(k.c.streams, s)
+	if !k.started[i] {
+		k.started[i] = true
+		k.collector.streams = append(k.collector.streams, s)
 	}
 	length, _ := sg.Lengths()
 	if skip > 0 && len(s.Chunks) > 0 {
@@ -172,7 +172,7 @@
 	if s.MissingPackets || length == 0 {
 		return
 	}
-	k.c.bytes += length
+	k.collector.bytes += length
 	s.Chunks = append(s.Chunks, Chunk{sg.CaptureInfo(0).Timestamp, bytes.Clone(sg.Fetch(length))})
 }
 
--- a/internal/pcap/pcap_test.go
+++ b/internal/pcap/pcap_test.go
@@ -11,20 +11,20 @@
 )
 
 var (
-	client = netip.MustParseAddrPort("127.0.0.1:40000")
-	server = netip.MustParseAddrPort("127.0.0.1:8443")
-	origin = time.UnixMicro(1_764_576_000_123_456)
+	client       = netip.MustParseAddrPort("127.0.0.1:40000")
+	server       = netip.MustParseAddrPort("127.0.0.1:8443")
+	captureStart = time.UnixMicro(1_764_576_000_123_456)
 )
 
-// sent is a piece of a conversation.
-type sent struct {
+// message is a piece of a conversation.
+type message struct {
 	conn     int
 	byServer bool
 	data     []byte
 }
 
-// write makes a capture of pieces on so many connections, a millisecond apart.
-func write(t interface{ Fatalf(string, ...any) }, conns int, pieces []sent) []byte {
+// writeCapture makes a capture of pieces on so many connections, a millisecond apart.
+func writeCapture(t interface{ Fatalf(string, ...any) }, conns int, pieces []message) []byte {
 	var file bytes.Buffer
 	w, err := NewWriter(&file)
 	if err != nil {
@@ -32,19 +32,19 @@
 	}
 	var open []*Conn
 	for i := range conns {
-		c, err := w.Open(origin, netip.AddrPortFrom(client.Addr(), client.Port()+uint16(i)), server)
+		c, err := w.Open(captureStart, netip.AddrPortFrom(client.Addr(), client.Port()+uint16(i)), server)
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
 		open = append(open, c)
 	}
 	for i, p := range pieces {
-		if err := open[p.conn].Send(origin.Add(time.Duration(i)*time.Millisecond), p.byServer, p.data); err != nil {
+		if err := open[p.conn].Send(captureStart.Add(time.Duration(i)*time.Millisecond), p.byServer, p.data); err != nil {
 			t.Fatalf("%v", err)
 		}
 	}
 	for _, c := range open {
-		if err := c.Close(origin.Add(time.Minute), true); err != nil {
+		if err := c.Close(captureStart.Add(time.Minute), true); err != nil {
 			t.Fatalf("%v", err)
 		}
 	}
@@ -55,11 +55,11 @@
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conns := rapid.IntRange(1, 3).Draw(t, "connections")
-		pieces := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) sent {
-			return sent{rapid.IntRange(0, conns-1).Draw(t, "conn"), rapid.Bool().Draw(t, "server"),
+		pieces := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) message {
+			return message{rapid.IntRange(0, conns-1).Draw(t, "conn"), rapid.Bool().Draw(t, "server"),
 				bytes.Repeat([]byte{rapid.Byte().Draw(t, "byte")}, rapid.IntRange(1, 4000).Draw(t, "size"))}
 		}), 0, 12).Draw(t, "pieces")
-		streams, err := Read(bytes.NewReader(write(t, conns, pieces)))
+		streams, err := Read(bytes.NewReader(writeCapture(t, conns, pieces)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,7 +71,7 @@
 				ends[0], ends[1] = ends[1], ends[0]
 			}
 			if want[ends] == nil {
-				first[ends] = origin.Add(time.Duration(i) * time.Millisecond)
+				first[ends] = captureStart.Add(time.Duration(i) * time.Millisecond)
 			}
 			want[ends] = append(want[ends], p.data...)
 		}
@@ -99,7 +99,7 @@
 }
 
 func TestBadFiles(t *testing.T) {
-	whole := write(t, 1, []sent{{0, false, []byte("some data")}})
+	whole := writeCapture(t, 1, []message{{0, false, []byte("some data")}})
 	for n := range len(whole) {
 		streams, err := Read(bytes.NewReader(whole[:n]))
 		switch {
@@ -126,7 +126,7 @@
 
 // A lost segment ends what is read of a stream, and says so.
 func TestGap(t *testing.T) {
-	whole := write(t, 1, []sent{{0, false, []byte("one")}, {0, false, []byte("two")}, {0, false, []byte("six")}})
+	whole := writeCapture(t, 1, []message{{0, false, []byte("one")}, {0, false, []byte("two")}, {0, false, []byte("six")}})
 	at := bytes.Index(whole, []byte("two"))
 	start := at - 20 - 20 - 16 // TCP, IP and packet heads
 	streams, err := Read(bytes.NewReader(append(whole[:start:start], whole[at+3:]...)))
@@ -144,7 +144,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(write(f, 1, []sent{{0, false, []byte("data")}}))
+	f.Add(writeCapture(f, 1, []message{{0, false, []byte("data")}}))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		Read(bytes.NewReader(b)) //nolint:errcheck // it must not panic
 	})
--- a/internal/pcap/write.go
+++ b/internal/pcap/write.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	segment  = 1460
-	snapshot = 65_535
-	window   = 65_535
+	maxSegmentBytes = 1460
+	snapshotBytes   = 65_535
+	windowBytes     = 65_535
 )
 
 // Writer writes TCP connections as a capture file of raw IP packets.
@@ -26,7 +26,7 @@
 // NewWriter writes the file's head to w.
 func NewWriter(w io.Writer) (*Writer, error) {
 	out := pcapgo.NewWriterNanos(w)
-	if err := out.WriteFileHeader(snapshot, layers.LinkTypeRaw); err != nil {
+	if err := out.WriteFileHeader(snapshotBytes, layers.LinkTypeRaw); err != nil {
 		return nil, fmt.Errorf("pcap: %w", err)
 	}
 	return &Writer{out: out, buf: gopacket.NewSerializeBuffer()}, nil
@@ -34,9 +34,9 @@
 
 // Conn is a connection that is being written.
 type Conn struct {
-	w    *Writer
-	ends [2]netip.AddrPort // client, server
-	next [2]uint32         // the sequence number that each sends next
+	w         *Writer
+	endpoints [2]netip.AddrPort // client, server
+	nextSeq   [2]uint32         // the sequence number that each sends next
 }
 
 // Open writes the handshake of a connection from client to server.
@@ -44,26 +44,26 @@
 	if client.Addr().Is4() != server.Addr().Is4() {
 		return nil, fmt.Errorf("pcap: %v and %v are of two families", client, server)
 	}
-	c := &Conn{w: w, ends: [2]netip.AddrPort{client, server}, next: [2]uint32{1000, 2000}}
+	c := &Conn{w: w, endpoints: [2]netip.AddrPort{client, server}, nextSeq: [2]uint32{1000, 2000}}
 	if err := c.packet(at, 0, &layers.TCP{SYN: true}, nil); err != nil {
 		return nil, err
 	}
-	c.next[0]++
+	c.nextSeq[0]++
 	if err := c.packet(at, 1, &layers.TCP{SYN: true, ACK: true}, nil); err != nil {
 		return nil, err
 	}
-	c.next[1]++
+	c.nextSeq[1]++
 	return c, c.packet(at, 0, &layers.TCP{ACK: true}, nil)
 }
 
 // Send writes what the client sends, or the server.
 func (c *Conn) Send(at time.Time, byServer bool, data []byte) error {
 	for len(data) > 0 {
-		n := min(len(data), segment)
-		if err := c.packet(at, side(byServer), &layers.TCP{ACK: true, PSH: n == len(data)}, data[:n]); err != nil {
+		n := min(len(data), maxSegmentBytes)
+		if err := c.packet(at, sideIndex(byServer), &layers.TCP{ACK: true, PSH: n == len(data)}, data[:n]); err != nil {
 			return err
 		}
-		c.next[side(byServer)] += uint32(n)
+		c.nextSeq[sideIndex(byServer)] += uint32(n)
 		data = data[n:]
 	}
 	return nil
@@ -71,16 +71,16 @@
 
 // Close writes the end of the connection, which the server begins or the client.
 func (c *Conn) Close(at time.Time, byServer bool) error {
-	for _, i := range []int{side(byServer), 1 - side(byServer)} {
+	for _, i := range []int{sideIndex(byServer), 1 - sideIndex(byServer)} {
 		if err := c.packet(at, i, &layers.TCP{FIN: true, ACK: true}, nil); err != nil {
 			return err
 		}
-		c.next[i]++
+		c.nextSeq[i]++
 	}
-	return c.packet(at, side(byServer), &layers.TCP{ACK: true}, nil)
+	return c.packet(at, sideIndex(byServer), &layers.TCP{ACK: true}, nil)
 }
 
-func side(byServer bool) int {
+func sideIndex(byServer bool) int {
 	if byServer {
 		return 1
 	}
@@ -89,11 +89,11 @@
 
 // packet writes one segment from ends[i].
 func (c *Conn) packet(at time.Time, i int, tcp *layers.TCP, payload []byte) error {
-	from, to := c.ends[i], c.ends[1-i]
+	from, to := c.endpoints[i], c.endpoints[1-i]
 	tcp.SrcPort, tcp.DstPort = layers.TCPPort(from.Port()), layers.TCPPort(to.Port())
-	tcp.Seq, tcp.Window = c.next[i], window
+	tcp.Seq, tcp.Window = c.nextSeq[i], windowBytes
 	if tcp.ACK {
-		tcp.Ack = c.next[1-i]
+		tcp.Ack = c.nextSeq[1-i]
 	}
 	var network interface {
 		gopacket.SerializableLayer
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -21,8 +21,8 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// unstated is the length of a run whose request states none, in microseconds.
-const unstated = 1_000
+// defaultRunUS is the length of a run whose request states none, in microseconds.
+const defaultRunUS = 1_000
 
 // Options say how a capture is to be read.
 type Options struct {
@@ -40,55 +40,55 @@
 	MissingPackets int // connections of which packets are missing
 }
 
-// line is one connection of the capture.
-type line struct {
-	*player
-	buf  []byte
-	dead bool // nothing more of it can be read
-	conn *pcap.Conn
+// connection is one connection of the capture.
+type connection struct {
+	*replayer
+	buf    []byte
+	closed bool // nothing more of it can be read
+	conn   *pcap.Conn
 }
 
 // run is the end of a run that is due.
 type run struct {
-	at int64
-	r  *core.Request
+	end     int64
+	request *core.Request
 }
 
-// player is a replay under way.
-type player struct {
-	cfg    *config.Config
-	opt    Options
-	core   *core.Core
-	names  frame.NameIndex
-	book   uwsgi.ContractTable
-	now    int64
-	runs   []run
-	out    *pcap.Writer
-	report Report
-	webID  int
-	err    error // of writing
+// replayer is a replay under way.
+type replayer struct {
+	cfg         *config.Config
+	opt         Options
+	core        *core.Core
+	names       frame.NameIndex
+	contracts   uwsgi.ContractTable
+	now         int64
+	runs        []run
+	writer      *pcap.Writer
+	report      Report
+	lastUWSGIID int
+	err         error // of writing
 }
 
 // Run replays the streams that lead to the port.
 func Run(streams []*pcap.Stream, cfg *config.Config, opt Options) (Report, error) {
-	p := &player{cfg: cfg, opt: opt}
-	p.names = frame.NameIndex{Classes: places(cfg.Classes), Tenants: places(cfg.Tenants)}
+	p := &replayer{cfg: cfg, opt: opt}
+	p.names = frame.NameIndex{Classes: indexOf(cfg.Classes), Tenants: indexOf(cfg.Tenants)}
 	for i := range cfg.Policy.Classes {
 		p.names.Keyed = append(p.names.Keyed, cfg.Policy.Classes[i].Effect == kiteslip.Keyed)
 	}
-	p.book = uwsgi.ContractTable{Classes: p.names.Classes, Tenants: p.names.Tenants, Contracts: cfg.UWSGI.Contracts}
+	p.contracts = uwsgi.ContractTable{Classes: p.names.Classes, Tenants: p.names.Tenants, Contracts: cfg.UWSGI.Contracts}
 	var err error
 	if p.core, err = core.New(core.Settings{Policy: cfg.Policy, Seed: cfg.Seed}, p); err != nil {
 		return Report{}, err
 	}
 	if opt.Output != nil {
-		if p.out, err = pcap.NewWriter(opt.Output); err != nil {
+		if p.writer, err = pcap.NewWriter(opt.Output); err != nil {
 			return Report{}, err
 		}
 	}
 	type piece struct {
 		at   int64
-		l    *line
+		l    *connection
 		data []byte
 	}
 	var pieces []piece
@@ -96,15 +96,15 @@
 		if s.To.Port() != opt.Port {
 			continue
 		}
-		l := &line{player: p}
+		l := &connection{replayer: p}
 		p.report.Connections++
 		if s.MissingPackets {
 			p.report.MissingPackets++
 		}
 		for i, c := range s.Chunks {
 			at := c.At.UnixMicro()
-			if i == 0 && p.out != nil {
-				if l.conn, err = p.out.Open(c.At, ends(s.From), ends(s.To)); err != nil {
+			if i == 0 && p.writer != nil {
+				if l.conn, err = p.writer.Open(c.At, unmap(s.From), unmap(s.To)); err != nil {
 					return Report{}, err
 				}
 			}
@@ -115,13 +115,13 @@
 		return Report{}, fmt.Errorf("replay: no connection leads to port %d", opt.Port)
 	}
 	slices.SortStableFunc(pieces, func(a, b piece) int { return cmp.Compare(a.at, b.at) })
-	lines := map[*line]bool{}
+	lines := map[*connection]bool{}
 	for i, piece := range pieces {
 		if i == 0 {
 			p.now = piece.at
 			p.core.Step(p.now)
 		}
-		p.pass(piece.at)
+		p.advance(piece.at)
 		piece.l.feed(piece.data)
 		lines[piece.l] = true
 		if i+1 == len(pieces) || pieces[i+1].at > piece.at {
@@ -129,10 +129,10 @@
 		}
 	}
 	for p.core.Outstanding() > 0 || len(p.runs) > 0 {
-		p.pass(p.now + 100_000)
+		p.advance(p.now + 100_000)
 	}
 	for l := range lines {
-		if len(l.buf) > 0 && !l.dead {
+		if len(l.buf) > 0 && !l.closed {
 			p.report.Unfinished++
 		}
 	}
@@ -140,7 +140,7 @@
 	return p.report, p.err
 }
 
-func places(names []string) map[string]int {
+func indexOf(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
 		m[name] = i
@@ -148,22 +148,22 @@
 	return m
 }
 
-func ends(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+func unmap(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
 // Run starts a run: all that is done is to note when it would end.
-func (p *player) Run(r *core.Request) {
-	p.runs = append(p.runs, run{p.now + max(r.ExpectedWork, unstated), r})
+func (p *replayer) Run(r *core.Request) {
+	p.runs = append(p.runs, run{p.now + max(r.ExpectedWork, defaultRunUS), r})
 }
 
-// pass lets the time go on to the end, with all that falls due on the way.
-func (p *player) pass(end int64) {
+// advance lets the time go on to the end, with all that falls due on the way.
+func (p *replayer) advance(end int64) {
 	for {
 		next := end
 		if at := p.core.NextStep(); at != 0 {
 			next = min(next, max(at, p.now))
 		}
 		for _, run := range p.runs {
-			next = min(next, run.at)
+			next = min(next, run.end)
 		}
 		if next >= end {
 			p.now = max(p.now, end)
@@ -173,7 +173,7 @@
 		kept := p.runs[:0]
 		var over []run
 		for _, run := range p.runs {
-			if run.at <= p.now {
+			if run.end <= p.now {
 				over = append(over, run)
 			} else {
 				kept = append(kept, run)
@@ -181,36 +181,36 @@
 		}
 		p.runs = kept
 		for _, run := range over {
-			p.core.Done(run.r, kiteslip.OK, max(run.r.ExpectedWork, unstated), nil)
+			p.core.Done(run.request, kiteslip.OK, max(run.request.ExpectedWork, defaultRunUS), nil)
 		}
 		p.core.Step(p.now)
 	}
 }
 
-func (l *line) feed(data []byte) {
+func (l *connection) feed(data []byte) {
 	l.write(false, data)
-	if l.dead {
+	if l.closed {
 		return
 	}
 	l.buf = append(l.buf, data...)
 	if l.opt.UWSGI {
-		l.web()
+		l.handleUWSGI()
 	} else {
-		l.frames()
+		l.handleFrames()
 	}
 }
 
-func (l *line) malformed() {
+func (l *connection) countMalformed() {
 	l.report.Malformed++
 }
 
-// frames takes in the whole frames that have come.
-func (l *line) frames() {
+// handleFrames takes in the whole frames that have come.
+func (l *connection) handleFrames() {
 	for {
 		f, n, err := frame.Split(l.buf)
 		if err != nil {
-			l.malformed()
-			l.dead = true
+			l.countMalformed()
+			l.closed = true
 			return
 		}
 		if n == 0 {
@@ -223,15 +223,15 @@
 				err = l.core.Submit(l.now, r)
 			}
 			if err != nil {
-				l.malformed()
+				l.countMalformed()
 			}
 		}
 		l.buf = l.buf[n:]
 	}
 }
 
-// web takes in the request of a uwsgi connection once it is whole.
-func (l *line) web() {
+// handleUWSGI takes in the request of a uwsgi connection once it is whole.
+func (l *connection) handleUWSGI() {
 	vars, n, err := uwsgi.Split(l.buf)
 	if err == nil && n == 0 {
 		return
@@ -240,7 +240,7 @@
 	length := 0
 	if err == nil {
 		var problem *uwsgi.RequestError
-		if r, length, problem = uwsgi.ParseRequest(vars, &l.book, l.now); problem != nil {
+		if r, length, problem = uwsgi.ParseRequest(vars, &l.contracts, l.now); problem != nil {
 			err = problem
 		}
 	}
@@ -248,20 +248,20 @@
 		return
 	}
 	if err == nil {
-		l.webID++
-		r.TryID = fmt.Sprintf("w%015x", l.webID)
+		l.lastUWSGIID++
+		r.TryID = fmt.Sprintf("w%015x", l.lastUWSGIID)
 		r.Body, r.Stream, r.ReplyTo = slices.Clone(l.buf[n:n+length]), 1, l
 		err = l.core.Submit(l.now, r)
 	}
-	l.dead = true
+	l.closed = true
 	if err != nil {
-		l.malformed()
+		l.countMalformed()
 	}
 }
 
 // Answer takes an answer of the core and writes it as the front would.
-func (l *line) Answer(stream uint32, a core.Answer) {
-	if l.out == nil {
+func (l *connection) Answer(stream uint32, a core.Answer) {
+	if l.writer == nil {
 		return
 	}
 	if l.opt.UWSGI {
@@ -273,7 +273,7 @@
 	l.write(true, append(frame.AppendAnswer(nil, frame.Answer, stream, code, fields, len(body)), body...))
 }
 
-func (l *line) write(byServer bool, data []byte) {
+func (l *connection) write(byServer bool, data []byte) {
 	if l.conn != nil {
 		l.err = errors.Join(l.err, l.conn.Send(time.UnixMicro(l.now), byServer, data))
 	}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -36,12 +36,12 @@
 `
 
 var (
-	origin = time.UnixMilli(1_764_576_000_000)
-	server = netip.MustParseAddrPort("127.0.0.1:8443")
+	captureStart = time.UnixMilli(1_764_576_000_000)
+	server       = netip.MustParseAddrPort("127.0.0.1:8443")
 )
 
-// capture writes a connection for each list of pieces, ten milliseconds apart.
-func capture(t *testing.T, conns ...[][]byte) []*pcap.Stream {
+// writeAndRead writes a connection for each list of pieces, ten milliseconds apart.
+func writeAndRead(t *testing.T, conns ...[][]byte) []*pcap.Stream {
 	t.Helper()
 	var file bytes.Buffer
 	w, err := pcap.NewWriter(&file)
@@ -49,12 +49,12 @@
 		t.Fatal(err)
 	}
 	for i, pieces := range conns {
-		c, err := w.Open(origin, netip.AddrPortFrom(server.Addr(), uint16(40000+i)), server)
+		c, err := w.Open(captureStart, netip.AddrPortFrom(server.Addr(), uint16(40000+i)), server)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for j, piece := range pieces {
-			if err := c.Send(origin.Add(time.Duration(j)*10*time.Millisecond), false, piece); err != nil {
+			if err := c.Send(captureStart.Add(time.Duration(j)*10*time.Millisecond), false, piece); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -74,7 +74,7 @@
 // request is one frame, sent so many milliseconds after the origin.
 func request(stream uint32, class, key string, ms, timeout, work int) []byte {
 	fields := []frame.Field{{Name: "kind", Value: class}, {Name: "owner", Value: "red"}, {Name: "req", Value: fmt.Sprintf("%016x", stream)},
-		{Name: "ts", Value: fmt.Sprint(origin.UnixMilli() + int64(ms))}, {Name: "timeout", Value: fmt.Sprint(timeout)},
+		{Name: "ts", Value: fmt.Sprint(captureStart.UnixMilli() + int64(ms))}, {Name: "timeout", Value: fmt.Sprint(timeout)},
 		{Name: "ms", Value: fmt.Sprint(work)}, {Name: "need", Value: "16"}}
 	if key != "" {
 		fields = append(fields, frame.Field{Name: "opkey", Value: key})
@@ -82,7 +82,7 @@
 	return frame.AppendRequest(nil, stream, fields, []byte("body"))
 }
 
-func settings(t *testing.T) *config.Config {
+func loadSettings(t *testing.T) *config.Config {
 	t.Helper()
 	cfg, err := config.ParseOperator(operator, nil)
 	if err != nil {
@@ -93,14 +93,14 @@
 
 func TestFrames(t *testing.T) {
 	first := request(1, "look", "", 0, 900, 50)
-	streams := capture(t, [][]byte{
+	streams := writeAndRead(t, [][]byte{
 		first[:9], append(first[9:], request(2, "look", "", 10, 0, 50)...), // cut within a frame; the second is due already
 		request(3, "note", "k", 20, 900, 50), request(4, "note", "k", 30, 900, 50), // served once, and its repeat
 		request(5, "nil", "", 40, 900, 50), request(6, "look", "", 50, 200, 5000), // malformed; longer than its caller waits
 		first[:20], // unfinished
 	})
 	var out bytes.Buffer
-	r, err := Run(streams, settings(t), Options{Port: 8443, Output: &out})
+	r, err := Run(streams, loadSettings(t), Options{Port: 8443, Output: &out})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,13 +123,13 @@
 	if fmt.Sprint(codes) != fmt.Sprint(want) {
 		t.Errorf("answers %v, want %v", codes, want)
 	}
-	again, err := Run(read(t, out.Bytes()), settings(t), Options{Port: 8443})
+	again, err := Run(read(t, out.Bytes()), loadSettings(t), Options{Port: 8443})
 	if err != nil || again != r {
 		t.Errorf("the written capture gives %+v, %v, want %+v", again, err, r)
 	}
 }
 
-func TestWeb(t *testing.T) {
+func TestUWSGI(t *testing.T) {
 	packet := func(class, key, body string) []byte {
 		vars := []uwsgi.Var{{Name: uwsgi.VarClass, Value: class}, {Name: uwsgi.VarLength, Value: fmt.Sprint(len(body))}}
 		if key != "" {
@@ -142,10 +142,10 @@
 		return append(b, body...)
 	}
 	p := packet("note", "k", strings.Repeat("x", 2000))
-	streams := capture(t, [][]byte{p[:30], p[30:1900], p[1900:]}, [][]byte{p}, [][]byte{p[:50]},
+	streams := writeAndRead(t, [][]byte{p[:30], p[30:1900], p[1900:]}, [][]byte{p}, [][]byte{p[:50]},
 		[][]byte{packet("nil", "", "")}, [][]byte{packet("look", "", strings.Repeat("x", 2049))}, [][]byte{packet("look", "", "")})
 	var out bytes.Buffer
-	r, err := Run(streams, settings(t), Options{Port: 8443, UWSGI: true, Output: &out})
+	r, err := Run(streams, loadSettings(t), Options{Port: 8443, UWSGI: true, Output: &out})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 }
 
 func TestOtherPort(t *testing.T) {
-	if _, err := Run(capture(t, [][]byte{[]byte("x")}), settings(t), Options{Port: 1}); err == nil || !strings.Contains(err.Error(), "port 1") {
+	if _, err := Run(writeAndRead(t, [][]byte{[]byte("x")}), loadSettings(t), Options{Port: 1}); err == nil || !strings.Contains(err.Error(), "port 1") {
 		t.Errorf("%v", err)
 	}
 }
