--- a/internal/storage/worker.go
+++ b/internal/storage/worker.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	queueMost  = 1 << 14 // operations that wait, and as many that are under way
-	bytesMost  = 8 << 20 // ... and their results
-	tick       = time.Second
-	ageMargin  = 5_000_000 // microseconds after its window's end that a record stays
-	resultCost = 128       // bytes that an operation counts beside its result
+	maxQueuedOps    = 1 << 14 // operations that wait, and as many that are under way
+	maxQueuedBytes  = 8 << 20 // ... and their results
+	expiryInterval  = time.Second
+	expiryMarginUS  = 5_000_000 // microseconds after its window's end that a record stays
+	opOverheadBytes = 128       // bytes that an operation counts beside its result
 )
 
 // ErrQueueFull says that more waits for the disk than there is room for.
@@ -49,17 +49,17 @@
 	now     func() keystore.ClockReading
 	deliver func([]Outcome)
 
-	mu      sync.Mutex
-	queue   []op
-	bytes   int
-	closing bool
-	wake    chan struct{}
-	done    chan struct{}
+	mu          sync.Mutex
+	queue       []op
+	queuedBytes int
+	closing     bool
+	wake        chan struct{}
+	done        chan struct{}
 
 	commits, operations, errs atomic.Int64
-	longest                   atomic.Int64
-	disk                      atomic.Int64
-	last                      atomic.Pointer[error]
+	maxCommitUS               atomic.Int64
+	diskBytes                 atomic.Int64
+	lastError                 atomic.Pointer[error]
 }
 
 // Start lets a worker own the store. deliver is given the outcomes of each commit.
@@ -79,20 +79,20 @@
 func (w *Worker) add(o op) {
 	w.mu.Lock()
 	err := error(nil)
-	size := resultCost + len(o.Record.Result)
+	size := opOverheadBytes + len(o.Record.Result)
 	switch {
 	case w.closing:
 		err = ErrClosed
-	case len(w.queue) >= queueMost || w.bytes+size > bytesMost:
+	case len(w.queue) >= maxQueuedOps || w.queuedBytes+size > maxQueuedBytes:
 		err = ErrQueueFull
 	default:
 		w.queue = append(w.queue, o)
-		w.bytes += size
+		w.queuedBytes += size
 	}
 	w.mu.Unlock()
 	if err != nil {
 		w.errs.Add(1)
-		w.last.Store(&err)
+		w.lastError.Store(&err)
 		if o.token != 0 {
 			go w.deliver([]Outcome{{o.token, err}}) // never from inside the caller
 		}
@@ -106,7 +106,7 @@
 
 func (w *Worker) run() {
 	defer close(w.done)
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
 		late := false
@@ -117,17 +117,17 @@
 		}
 		w.mu.Lock()
 		ops, closing := w.queue, w.closing
-		w.queue, w.bytes = nil, 0
+		w.queue, w.queuedBytes = nil, 0
 		w.mu.Unlock()
 		if len(ops) > 0 || late || closing {
 			w.commit(ops)
 		}
 		if late {
-			w.tidy()
+			w.expire()
 		}
 		if closing {
 			if err := w.store.Close(); err != nil {
-				w.last.Store(&err)
+				w.lastError.Store(&err)
 			}
 			return
 		}
@@ -143,12 +143,12 @@
 	}
 	began := time.Now()
 	err := w.store.Commit(w.now(), list)
-	w.longest.Store(max(w.longest.Load(), time.Since(began).Microseconds()))
+	w.maxCommitUS.Store(max(w.maxCommitUS.Load(), time.Since(began).Microseconds()))
 	w.commits.Add(1)
 	w.operations.Add(int64(len(ops)))
 	if err != nil {
 		w.errs.Add(1)
-		w.last.Store(&err)
+		w.lastError.Store(&err)
 	}
 	outcomes := make([]Outcome, 0, len(ops))
 	for i := range ops {
@@ -165,13 +165,13 @@
 	}
 }
 
-// tidy gives the space of aged keys back.
-func (w *Worker) tidy() {
-	if err := w.store.DeleteExpired(w.now().Wall - ageMargin); err != nil {
+// expire gives the space of aged keys back.
+func (w *Worker) expire() {
+	if err := w.store.DeleteExpired(w.now().Wall - expiryMarginUS); err != nil {
 		w.errs.Add(1)
-		w.last.Store(&err)
+		w.lastError.Store(&err)
 	}
-	w.disk.Store(int64(w.store.DiskBytes()))
+	w.diskBytes.Store(int64(w.store.DiskBytes()))
 }
 
 // Close takes nothing new, makes what waits durable and closes the store. The
@@ -202,8 +202,8 @@
 	waiting := len(w.queue)
 	w.mu.Unlock()
 	f := Stats{Commits: w.commits.Load(), Operations: w.operations.Load(), Errors: w.errs.Load(),
-		MaxCommitUS: w.longest.Load(), Waiting: waiting, DiskBytes: w.disk.Load()}
-	if err := w.last.Load(); err != nil {
+		MaxCommitUS: w.maxCommitUS.Load(), Waiting: waiting, DiskBytes: w.diskBytes.Load()}
+	if err := w.lastError.Load(); err != nil {
 		f.LastError = *err
 	}
 	return f
@@ -216,14 +216,14 @@
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &up); err != nil {
 		return m
 	}
-	if m.BootID = boot(); m.BootID != 0 {
+	if m.BootID = bootID(); m.BootID != 0 {
 		m.Uptime = up.Nano() / 1000
 	}
 	return m
 }
 
-// boot names the machine's start; 0 = not known.
-var boot = sync.OnceValue(func() uint64 {
+// bootID names the machine's start; 0 = not known.
+var bootID = sync.OnceValue(func() uint64 {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return 0
--- a/internal/storage/worker_test.go
+++ b/internal/storage/worker_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func begin(t *testing.T, fs vfs.FS, max int64) (*Worker, *outcomes) {
+func startWorker(t *testing.T, fs vfs.FS, max int64) (*Worker, *outcomes) {
 	t.Helper()
 	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: fs, Now: ReadClocks(), MaxBytes: max})
 	if err != nil {
@@ -42,13 +42,13 @@
 	return Start(s, ReadClocks, o.deliver), o
 }
 
-// gate lets a sync go on only when it is opened.
-type gate struct {
+// writeGate lets a sync go on only when it is opened.
+type writeGate struct {
 	shut atomic.Bool
 	open chan struct{}
 }
 
-func (g *gate) inject(op errorfs.Op) error {
+func (g *writeGate) inject(op errorfs.Op) error {
 	if g.shut.Load() && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
 		<-g.open
 	}
@@ -59,21 +59,21 @@
 // waits is taken in few commits once the disk is back. Closing writes all.
 func TestStalledDisk(t *testing.T) {
 	t.Parallel()
-	g := &gate{open: make(chan struct{})}
+	g := &writeGate{open: make(chan struct{})}
 	mem := vfs.NewMem()
-	w, o := begin(t, errorfs.Wrap(mem, errorfs.InjectorFunc(g.inject)), 0)
+	w, o := startWorker(t, errorfs.Wrap(mem, errorfs.InjectorFunc(g.inject)), 0)
 	w.Put(1, record(1))
 	g.shut.Store(true)
 	began := time.Now()
-	const asked = queueMost + 1000
+	const asked = maxQueuedOps + 1000
 	for i := 2; i <= asked; i++ {
 		w.Put(uint32(i), record(i))
 	}
 	if took := time.Since(began); took > 5*time.Second {
 		t.Errorf("asking took %v while the disk stalls", took)
 	}
-	if n := w.Stats().Waiting; n > queueMost {
-		t.Errorf("%d operations wait, %d may", n, queueMost)
+	if n := w.Stats().Waiting; n > maxQueuedOps {
+		t.Errorf("%d operations wait, %d may", n, maxQueuedOps)
 	}
 	g.shut.Store(false)
 	close(g.open)
@@ -102,7 +102,7 @@
 			t.Errorf("%d: %v", token, err)
 		}
 	}
-	if f := w.Stats(); good < queueMost || busy == 0 || f.Commits > 20 {
+	if f := w.Stats(); good < maxQueuedOps || busy == 0 || f.Commits > 20 {
 		t.Errorf("%d durable, %d had no room, %d commits", good, busy, f.Commits)
 	}
 	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: mem, ReadOnly: true})
@@ -117,9 +117,9 @@
 
 // A full store refuses new keys and still takes ends; what does not fit the
 // format fails alone.
-func TestErrorsAreTold(t *testing.T) {
+func TestErrorsAreReported(t *testing.T) {
 	t.Parallel()
-	w, o := begin(t, vfs.NewMem(), 1)
+	w, o := startWorker(t, vfs.NewMem(), 1)
 	end, long := record(2), record(3)
 	end.Finished = true
 	long.Finished, long.Result = true, make([]byte, 2<<20)
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestClockIsRead(t *testing.T) {
+func TestReadClocks(t *testing.T) {
 	t.Parallel()
 	a := ReadClocks()
 	time.Sleep(2 * time.Millisecond)
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -46,12 +46,12 @@
 
 func (p *RequestError) Error() string { return p.Reason }
 
-func malformed(reason string) *RequestError { return &RequestError{http.StatusBadRequest, reason} }
+func badRequest(reason string) *RequestError { return &RequestError{http.StatusBadRequest, reason} }
 
 const (
-	maxKey     = 128
-	maxTimeout = 3_600_000
-	maxStamp   = 1 << 43 // ms: some centuries; sums of times cannot overflow
+	maxKeyBytes    = 128
+	maxTimeoutMS   = 3_600_000
+	maxTimestampMS = 1 << 43 // ms: some centuries; sums of times cannot overflow
 )
 
 // ParseRequest reads the variables of a request that was read at now. It
@@ -64,43 +64,43 @@
 		ok, text := true, string(value)
 		switch string(name) {
 		case VarClass:
-			r.Class, ok = lookUp(book.Classes, text)
+			r.Class, ok = lookupIndex(book.Classes, text)
 		case VarTenant:
-			r.Tenant, ok = lookUp(book.Tenants, text)
+			r.Tenant, ok = lookupIndex(book.Tenants, text)
 			ok = ok || len(book.Tenants) == 0
 		case VarTimeout:
-			timeout, ok = whole(text, maxTimeout)
+			timeout, ok = parseInt(text, maxTimeoutMS)
 		case VarTimestamp:
 			var ms int64
-			ms, ok = whole(text, maxStamp)
+			ms, ok = parseInt(text, maxTimestampMS)
 			r.Arrived = ms * 1000
 		case VarKey:
-			r.Key, ok = text, len(text) > 0 && len(text) <= maxKey
+			r.Key, ok = text, len(text) > 0 && len(text) <= maxKeyBytes
 		case VarSubject:
 			var err error
 			r.Subject, err = strconv.ParseUint(text, 16, 64)
 			ok = err == nil
 		case VarWork:
 			var ms float64
-			ms, ok = decimal(text, maxTimeout)
+			ms, ok = parseFloat(text, maxTimeoutMS)
 			r.ExpectedWork = int64(ms * 1000)
 		case VarRank:
-			r.Rank, ok = decimal(text, 1)
+			r.Rank, ok = parseFloat(text, 1)
 		case VarLength:
 			if text != "" { // web servers send it empty where there is no body
 				var n int64
-				n, ok = whole(text, math.MaxInt32)
+				n, ok = parseInt(text, math.MaxInt32)
 				length = int(n)
 			}
 		case VarPath:
 			path = text
 		}
 		if !ok {
-			return nil, 0, malformed("variable " + string(name) + " cannot be used")
+			return nil, 0, badRequest("variable " + string(name) + " cannot be used")
 		}
 	}
 	if r.Class < 0 {
-		r.Class = book.byPath(path)
+		r.Class = book.classByPath(path)
 	}
 	if r.Tenant < 0 && len(book.Tenants) <= 1 {
 		r.Tenant = 0
@@ -110,14 +110,14 @@
 	}
 	switch {
 	case r.Class < 0:
-		return nil, 0, malformed("variable " + VarClass + " is absent, and no contract has this path")
+		return nil, 0, badRequest("variable " + VarClass + " is absent, and no contract has this path")
 	case r.Tenant < 0:
-		return nil, 0, malformed("variable " + VarTenant + " is absent")
+		return nil, 0, badRequest("variable " + VarTenant + " is absent")
 	}
 	contract := &book.Contracts[r.Class]
 	switch {
 	case contract.Keyed && r.Key == "":
-		return nil, 0, malformed("variable " + VarKey + " is absent")
+		return nil, 0, badRequest("variable " + VarKey + " is absent")
 	case length > contract.MaxBody:
 		return nil, 0, &RequestError{http.StatusRequestEntityTooLarge,
 			"the body is over the " + strconv.Itoa(contract.MaxBody) + " bytes of its contract"}
@@ -133,9 +133,9 @@
 	return r, length, nil
 }
 
-// byPath returns the class whose contract has the longest path that leads to
+// classByPath returns the class whose contract has the longest path that leads to
 // this one, or -1.
-func (b *ContractTable) byPath(path string) int {
+func (b *ContractTable) classByPath(path string) int {
 	best, size := -1, 0
 	for i := range b.Contracts {
 		p := b.Contracts[i].Path
@@ -147,19 +147,19 @@
 	return best
 }
 
-func lookUp(places map[string]int, name string) (int, bool) {
+func lookupIndex(places map[string]int, name string) (int, bool) {
 	if i, ok := places[name]; ok {
 		return i, true
 	}
 	return -1, false
 }
 
-func whole(s string, most int64) (int64, bool) {
+func parseInt(s string, most int64) (int64, bool) {
 	v, err := strconv.ParseInt(s, 10, 64)
 	return v, err == nil && v >= 0 && v <= most
 }
 
-func decimal(s string, most float64) (float64, bool) {
+func parseFloat(s string, most float64) (float64, bool) {
 	v, err := strconv.ParseFloat(s, 64)
 	return v, err == nil && v >= 0 && v <= most
 }
--- a/internal/uwsgi/response.go
+++ b/internal/uwsgi/response.go
@@ -43,12 +43,12 @@
 	Body   []byte // points into the input
 }
 
-const maxHead = 16 << 10
+const maxHeaderBytes = 16 << 10
 
 var (
-	errResponse = errors.New("uwsgi: not a response")
-	errBroken   = errors.New("uwsgi: the response breaks off")
-	errLarge    = errors.New("uwsgi: the response is too large")
+	errNotResponse       = errors.New("uwsgi: not a response")
+	errTruncatedResponse = errors.New("uwsgi: the response breaks off")
+	errTooLarge          = errors.New("uwsgi: the response is too large")
 )
 
 // ParseResponse reads the response in b, whose body may have up to maxBody
@@ -57,10 +57,10 @@
 	at := bytes.Index(b, []byte("\r\n\r\n"))
 	if at < 0 {
 		switch {
-		case len(b) > maxHead:
-			return Response{}, false, errResponse
+		case len(b) > maxHeaderBytes:
+			return Response{}, false, errNotResponse
 		case end:
-			return Response{}, false, errBroken
+			return Response{}, false, errTruncatedResponse
 		}
 		return Response{}, false, nil
 	}
@@ -70,17 +70,17 @@
 		if i == 0 && bytes.HasPrefix(line, []byte("HTTP/1.")) {
 			words := bytes.Fields(line)
 			if len(words) < 2 {
-				return Response{}, false, errResponse
+				return Response{}, false, errNotResponse
 			}
 			var err error
 			if r.Status, err = strconv.Atoi(string(words[1])); err != nil {
-				return Response{}, false, errResponse
+				return Response{}, false, errNotResponse
 			}
 			continue
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok {
-			return Response{}, false, errResponse
+			return Response{}, false, errNotResponse
 		}
 		words := bytes.Fields(value)
 		var err error
@@ -90,21 +90,21 @@
 			r.Status, err = strconv.Atoi(string(words[0]))
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			if length, err = strconv.Atoi(string(words[0])); length < 0 {
-				err = errResponse
+				err = errNotResponse
 			}
 		}
 		if err != nil {
-			return Response{}, false, errResponse
+			return Response{}, false, errNotResponse
 		}
 	}
 	switch {
 	case length > maxBody || length < 0 && len(r.Body) > maxBody:
-		return Response{}, false, errLarge
+		return Response{}, false, errTooLarge
 	case length >= 0 && len(r.Body) >= length:
 		r.Body = r.Body[:length]
 		return r, true, nil
 	case length >= 0 && end:
-		return Response{}, false, errBroken
+		return Response{}, false, errTruncatedResponse
 	case length < 0 && end:
 		return r, true, nil
 	}
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	headSize = 4
+	headerSize = 4
 	// ModifierRequest is modifier 1 of a packet that carries the variables of a request.
 	ModifierRequest = 0
 )
@@ -19,7 +19,7 @@
 // ErrModifier says that a packet is of a kind other than a request.
 var ErrModifier = errors.New("uwsgi: not a request packet")
 
-var errCut = errors.New("uwsgi: a variable is cut short")
+var errTruncated = errors.New("uwsgi: a variable is cut short")
 
 // Vars are the variables of a request, still in their wire form.
 type Vars struct{ raw []byte }
@@ -30,18 +30,18 @@
 	if len(b) >= 1 && b[0] != ModifierRequest {
 		return Vars{}, 0, fmt.Errorf("%w: modifier %d", ErrModifier, b[0])
 	}
-	if len(b) < headSize {
+	if len(b) < headerSize {
 		return Vars{}, 0, nil
 	}
-	end := headSize + int(binary.LittleEndian.Uint16(b[1:]))
+	end := headerSize + int(binary.LittleEndian.Uint16(b[1:]))
 	if len(b) < end {
 		return Vars{}, 0, nil
 	}
-	raw := b[headSize:end]
+	raw := b[headerSize:end]
 	for rest := raw; len(rest) > 0; {
 		var err error
-		if _, rest, err = cut(rest); err == nil {
-			_, rest, err = cut(rest)
+		if _, rest, err = takeString(rest); err == nil {
+			_, rest, err = takeString(rest)
 		}
 		if err != nil {
 			return Vars{}, 0, err
@@ -50,14 +50,14 @@
 	return Vars{raw}, end, nil
 }
 
-// cut takes one string with its size off the front of b.
-func cut(b []byte) (s, rest []byte, err error) {
+// takeString takes one string with its size off the front of b.
+func takeString(b []byte) (s, rest []byte, err error) {
 	if len(b) < 2 {
-		return nil, nil, errCut
+		return nil, nil, errTruncated
 	}
 	end := 2 + int(binary.LittleEndian.Uint16(b))
 	if len(b) < end {
-		return nil, nil, errCut
+		return nil, nil, errTruncated
 	}
 	return b[2:end], b[end:], nil
 }
@@ -67,8 +67,8 @@
 	return func(yield func(name, value []byte) bool) {
 		for rest := v.raw; len(rest) > 0; {
 			var name, value []byte
-			name, rest, _ = cut(rest) // Split has checked them
-			value, rest, _ = cut(rest)
+			name, rest, _ = takeString(rest) // Split has checked them
+			value, rest, _ = takeString(rest)
 			if !yield(name, value) {
 				return
 			}
--- a/internal/uwsgi/uwsgi_test.go
+++ b/internal/uwsgi/uwsgi_test.go
@@ -54,7 +54,7 @@
 	})
 }
 
-func book() *ContractTable {
+func contractTable() *ContractTable {
 	return &ContractTable{Classes: map[string]int{"look": 0, "note": 1}, Tenants: map[string]int{"red": 0, "blue": 1},
 		Contracts: []Contract{{Timeout: 4_000_000, MaxBody: 10, RequestMemoryKB: 16, Path: "/a"}, {Keyed: true, Timeout: 2_000_000, MaxBody: 20, RequestMemoryKB: 8, Path: "/a/note"}}}
 }
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ParseRequest(v, book(), 5_000_000)
+	return ParseRequest(v, contractTable(), 5_000_000)
 }
 
 func TestParseRequest(t *testing.T) {
@@ -102,19 +102,19 @@
 		err    error
 	}{
 		{"", false, 0, "", nil},
-		{"", true, 0, "", errBroken},
+		{"", true, 0, "", errTruncatedResponse},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", false, 200, "ok", nil},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", false, 0, "", nil},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", true, 0, "", errBroken},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\no", true, 0, "", errTruncatedResponse},
 		{"Status: 404 Not Found\r\nX: y\r\n\r\nno", true, 404, "no", nil},
 		{"HTTP/1.0 201\r\n\r\nlong", false, 0, "", nil},
 		{"HTTP/1.0 201\r\n\r\nlong", true, 201, "long", nil},
-		{"HTTP/1.1\r\n\r\n", false, 0, "", errResponse},
-		{"HTTP/1.1 x\r\n\r\n", false, 0, "", errResponse},
-		{"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n", false, 0, "", errResponse},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", false, 0, "", errLarge},
-		{"no header\r\n\r\n", false, 0, "", errResponse},
-		{strings.Repeat("x", maxHead+1), false, 0, "", errResponse},
+		{"HTTP/1.1\r\n\r\n", false, 0, "", errNotResponse},
+		{"HTTP/1.1 x\r\n\r\n", false, 0, "", errNotResponse},
+		{"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n", false, 0, "", errNotResponse},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n", false, 0, "", errTooLarge},
+		{"no header\r\n\r\n", false, 0, "", errNotResponse},
+		{strings.Repeat("x", maxHeaderBytes+1), false, 0, "", errNotResponse},
 	} {
 		r, whole, err := ParseResponse([]byte(c.in), c.end, 100)
 		if !errors.Is(err, c.err) || whole != (c.status != 0) || whole && (r.Status != c.status || string(r.Body) != c.body) {
@@ -145,7 +145,7 @@
 	f.Add([]byte("\x00\x07\x00\x00\x01\x00A\x02\x00xy"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if v, n, err := Split(b); err == nil && n > 0 {
-			ParseRequest(v, book(), 1)
+			ParseRequest(v, contractTable(), 1)
 		}
 		if r, whole, err := ParseResponse(b, true, 100); err == nil && whole && len(r.Body) > 100 {
 			t.Fatalf("a body of %d bytes", len(r.Body))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -79,9 +79,9 @@
 	effects = map[string]kiteslip.Effect{
 		"repeatable": kiteslip.Repeatable, "by_key": kiteslip.Keyed, "once": kiteslip.Once,
 	}
-	belows = map[string]kiteslip.Downstream{"one_for_all": kiteslip.DownstreamShared, "tier": kiteslip.DownstreamTier}
-	stops  = map[string]kiteslip.Stop{"discard": kiteslip.StopDiscard, "freeze": kiteslip.StopFreeze}
-	frees  = map[string]kiteslip.LoadSignal{
+	downstreams = map[string]kiteslip.Downstream{"one_for_all": kiteslip.DownstreamShared, "tier": kiteslip.DownstreamTier}
+	stopModes   = map[string]kiteslip.Stop{"discard": kiteslip.StopDiscard, "freeze": kiteslip.StopFreeze}
+	loadSignals = map[string]kiteslip.LoadSignal{
 		"floor": kiteslip.LoadSignalMinRank, "allowance": kiteslip.LoadSignalAllowance, "weight": kiteslip.LoadSignalWeight,
 	}
 )
@@ -100,9 +100,9 @@
 		Goal: kiteslip.Goal{Whole: raw.Goal.Whole, WorstClass: raw.Goal.WorstClass,
 			WorstTenant: raw.Goal.WorstTenant, WorstWindow: raw.Goal.WorstWindow},
 		Workers: raw.GroupSize, Callers: f.Callers, Stage: raw.Stage, Tick: raw.Tick,
-		Stop: pick(stops, f.Preemption), LoadSignal: pick(frees, f.Say), LoadSignalTTL: f.HeededFor,
+		Stop: pick(stopModes, f.Preemption), LoadSignal: pick(loadSignals, f.Say), LoadSignalTTL: f.HeededFor,
 		ReuseFor: f.ShareFor, IdleAfter: f.IdleAfter, MarksRetries: raw.Clients.MarksRetry,
-		Downstream: pick(belows, f.Below), CallShare: f.DepShare, CallShareWindow: f.CallsOver, MaxCallLinger: f.Lingers,
+		Downstream: pick(downstreams, f.Below), CallShare: f.DepShare, CallShareWindow: f.CallsOver, MaxCallLinger: f.Lingers,
 		JustStarted: f.JustStarted, ColdSpeed: raw.Rules.ColdFrom, WarmupTime: raw.Rules.WarmWithin,
 		MaxRunsPerCore: raw.Rules.FallMultiple, MaxRunsWindow: raw.Rules.FallOver,
 		DrainGrace: raw.Rules.DrainGrace, AnswerSlack: raw.Rules.AnswerSlack,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -25,8 +25,8 @@
 	codeNeeds    = 9
 )
 
-// maxFrame bounds the size of a frame that is believed.
-const maxFrame = 1 << 30
+// maxFrameBytes bounds the size of a frame that is believed.
+const maxFrameBytes = 1 << 30
 
 // Kind tells a record about a process from one about its work.
 type Kind uint8
@@ -51,11 +51,11 @@
 
 // Reader reads batches.
 type Reader struct {
-	r    io.Reader
-	pos  int64
-	body []byte
-	head [16]byte
-	recs []Record
+	r       io.Reader
+	offset  int64
+	body    []byte
+	header  [16]byte
+	records []Record
 }
 
 // NewReader returns a Reader of r.
@@ -64,64 +64,64 @@
 // Next returns the clock and records of the next batch; both are valid until
 // the following call. It returns io.EOF at the end of input between frames.
 func (d *Reader) Next() (int64, []Record, error) {
-	n, err := io.ReadFull(d.r, d.head[:])
+	n, err := io.ReadFull(d.r, d.header[:])
 	if errors.Is(err, io.EOF) {
 		return 0, nil, io.EOF
 	}
 	if err != nil {
-		return 0, nil, fmt.Errorf("byte %d: header cut short, expected 16 bytes, got %d: %w", d.pos, n, err)
+		return 0, nil, fmt.Errorf("byte %d: header cut short, expected 16 bytes, got %d: %w", d.offset, n, err)
 	}
-	now := int64(binary.LittleEndian.Uint64(d.head[:]))
-	size := binary.LittleEndian.Uint32(d.head[8:])
-	count := binary.LittleEndian.Uint32(d.head[12:])
-	if size > maxFrame {
-		return 0, nil, fmt.Errorf("byte %d: frame of %d bytes, expected at most %d", d.pos+8, size, maxFrame)
+	now := int64(binary.LittleEndian.Uint64(d.header[:]))
+	size := binary.LittleEndian.Uint32(d.header[8:])
+	count := binary.LittleEndian.Uint32(d.header[12:])
+	if size > maxFrameBytes {
+		return 0, nil, fmt.Errorf("byte %d: frame of %d bytes, expected at most %d", d.offset+8, size, maxFrameBytes)
 	}
 	if count > size {
 		return 0, nil, fmt.Errorf("byte %d: %d records in %d bytes, expected one byte each at least",
-			d.pos+12, count, size)
+			d.offset+12, count, size)
 	}
-	d.pos += int64(len(d.head))
+	d.offset += int64(len(d.header))
 	if cap(d.body) < int(size) {
 		d.body = make([]byte, size)
 	}
 	d.body = d.body[:size]
 	if n, err = io.ReadFull(d.r, d.body); err != nil {
 		return 0, nil, fmt.Errorf("byte %d: frame cut short, expected %d bytes, got %d: %w",
-			d.pos, size, n, io.ErrUnexpectedEOF)
+			d.offset, size, n, io.ErrUnexpectedEOF)
 	}
-	d.recs = d.recs[:0]
-	c := cursor{b: d.body, base: d.pos}
+	d.records = d.records[:0]
+	c := cursor{b: d.body, base: d.offset}
 	for range count {
 		rec, err := c.record()
 		if err != nil {
 			return 0, nil, err
 		}
-		d.recs = append(d.recs, rec)
+		d.records = append(d.records, rec)
 	}
-	if c.at != len(c.b) {
+	if c.offset != len(c.b) {
 		return 0, nil, fmt.Errorf("byte %d: %d bytes after the last record, expected none",
-			c.base+int64(c.at), len(c.b)-c.at)
+			c.base+int64(c.offset), len(c.b)-c.offset)
 	}
-	d.pos += int64(size)
-	return now, d.recs, nil
+	d.offset += int64(size)
+	return now, d.records, nil
 }
 
 // cursor walks over one body; after an overrun it is short and yields zeros.
 type cursor struct {
-	b     []byte
-	at    int
-	base  int64
-	short bool
+	b       []byte
+	offset  int
+	base    int64
+	overrun bool
 }
 
 func (c *cursor) take(n int) []byte {
-	if c.short || n > len(c.b)-c.at {
-		c.short = true
+	if c.overrun || n > len(c.b)-c.offset {
+		c.overrun = true
 		return make([]byte, min(n, 8))
 	}
-	c.at += n
-	return c.b[c.at-n : c.at]
+	c.offset += n
+	return c.b[c.offset-n : c.offset]
 }
 
 func (c *cursor) u8() uint8   { return c.take(1)[0] }
@@ -135,7 +135,7 @@
 func (c *cursor) id() kiteslip.RequestID { return kiteslip.RequestID(c.u32()) }
 
 func (c *cursor) record() (Record, error) {
-	start := c.base + int64(c.at)
+	start := c.base + int64(c.offset)
 	code := c.u8()
 	rec := Record{Instance: c.u16(), Offset: start}
 	e := &rec.Event
@@ -173,11 +173,11 @@
 	case codeNeeds:
 		e.Kind, e.ID = kiteslip.NeedsCall, c.id()
 	default:
-		if !c.short {
+		if !c.overrun {
 			return rec, fmt.Errorf("byte %d: record code %d, expected 1 to 9", start, code)
 		}
 	}
-	if c.short {
+	if c.overrun {
 		return rec, fmt.Errorf("byte %d: record of code %d runs past its batch, expected it to end by byte %d",
 			start, code, c.base+int64(len(c.b)))
 	}
@@ -228,15 +228,15 @@
 	return r.b
 }
 
-func flag(on bool) byte {
+func boolByte(on bool) byte {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// clip fits a duration into the u32 of the wire.
-func clip(v int64) uint32 { return uint32(max(0, min(v, math.MaxUint32))) }
+// clampU32 fits a duration into the u32 of the wire.
+func clampU32(v int64) uint32 { return uint32(max(0, min(v, math.MaxUint32))) }
 
 // Add writes one action of an instance.
 func (r *Reply) Add(instance uint16, a *kiteslip.Action) error {
@@ -246,22 +246,22 @@
 	switch a.Kind {
 	case kiteslip.SetTimer:
 		open(65)
-		r.b = le.AppendUint64(le.AppendUint32(r.b, clip(a.After)), a.Token)
+		r.b = le.AppendUint64(le.AppendUint32(r.b, clampU32(a.After)), a.Token)
 	case kiteslip.Run:
 		named(66)
 	case kiteslip.Call:
 		named(67)
-		r.b = le.AppendUint32(r.b, clip(a.After))
+		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Log:
 		open(68)
 		text := a.Text[:min(len(a.Text), math.MaxUint16)]
 		r.b = append(le.AppendUint16(r.b, uint16(len(text))), text...)
 	case kiteslip.Health:
 		open(69)
-		r.b = append(r.b, flag(a.On), flag(a.Cached))
+		r.b = append(r.b, boolByte(a.On), boolByte(a.Cached))
 	case kiteslip.SetIdleTimeout:
 		open(70)
-		r.b = le.AppendUint32(r.b, clip(a.After))
+		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Halt:
 		named(71)
 	case kiteslip.SetLoadSignal:
@@ -273,14 +273,14 @@
 		named(74)
 	case kiteslip.Retain:
 		named(75)
-		r.b = le.AppendUint32(r.b, clip(a.After))
+		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Fail:
 		named(76)
 	case kiteslip.Skip:
 		named(77)
 	case kiteslip.Refuse:
 		named(79)
-		r.b = append(le.AppendUint32(r.b, clip(a.After)), flag(a.On))
+		r.b = append(le.AppendUint32(r.b, clampU32(a.After)), boolByte(a.On))
 	default:
 		return fmt.Errorf("action kind %d has no code on the wire", a.Kind)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"kiteslip"
 )
 
-func frame(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
@@ -26,7 +26,7 @@
 	"08 0700 01000000 0100 88130000"
 
 func TestNext(t *testing.T) {
-	r := NewReader(bytes.NewReader(frame(t, good)))
+	r := NewReader(bytes.NewReader(decodeHex(t, good)))
 	now, recs, err := r.Next()
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 		"impossible counts": {"e803000000000000 01000000 05000000 06", "byte 12: 5 records in 1 bytes"},
 		"oversized":         {"e803000000000000 ffffffff 05000000 06", "byte 8: frame of"},
 	} {
-		_, _, err := NewReader(bytes.NewReader(frame(t, c.input))).Next()
+		_, _, err := NewReader(bytes.NewReader(decodeHex(t, c.input))).Next()
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 	}
-	want := frame(t, "29000000 42 0700 01000000 4f 0700 02000000 90d00300 01"+
+	want := decodeHex(t, "29000000 42 0700 01000000 4f 0700 02000000 90d00300 01"+
 		"41 0700 00000000 0300000000000000 44 0700 0200 6869")
 	if got := r.Bytes(); !bytes.Equal(got, want) {
 		t.Errorf("got %x, want %x", got, want)
@@ -107,17 +107,17 @@
 	}
 }
 
-func TestReadGauges(t *testing.T) {
-	g := ParseGauges(frame(t, "0000003f 00004040"), []string{"mem_used", "runnable", "sockets"})
+func TestParseGauges(t *testing.T) {
+	g := ParseGauges(decodeHex(t, "0000003f 00004040"), []string{"mem_used", "runnable", "sockets"})
 	if !g.Valid || g.MemoryUsed != 0.5 || g.Runnable != 3 || g.Connections != 0 {
 		t.Errorf("got %+v", g)
 	}
 }
 
 func FuzzNext(f *testing.F) {
-	f.Add(frame(f, good))
-	f.Add(frame(f, "e803000000000000 00000000 00000000"))
-	f.Add(frame(f, "e803000000000000 05000000 01000000 0707000100"))
+	f.Add(decodeHex(f, good))
+	f.Add(decodeHex(f, "e803000000000000 00000000 00000000"))
+	f.Add(decodeHex(f, "e803000000000000 05000000 01000000 0707000100"))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		r := NewReader(bytes.NewReader(input))
 		for {
