--- a/internal/config/calls.go
+++ b/internal/config/calls.go
@@ -7,19 +7,18 @@
 	"kiteslip/internal/ledger"
 )
 
-// Calls below in the operator's file: machine.ledger and machine.stop_runs, and
-// in a contract calls and skip_worth. All are off by default.
-
+// Downstream calls are set by machine.ledger and machine.stop_runs, and in a contract
+// by calls and skip_worth. All are off by default.
 var stopModes = map[string]kiteslip.Stop{"": kiteslip.StopNever, "never": kiteslip.StopNever,
 	"discard": kiteslip.StopDiscard, "freeze": kiteslip.StopFreeze}
 
-// The bounds of calls where no platform states them.
+// The settings of downstream calls where no platform configuration has them.
 const (
-	callShareWindowUS = 5_000_000 // calls in hand are averaged over this
-	maxCallLingerUS   = 200_000   // a call given up is this long in the ledger's hands at most
+	callShareWindowUS = 5_000_000 // averaging window of the calls in flight
+	maxCallLingerUS   = 200_000   // the longest time that the ledger works on an abandoned call
 )
 
-// applyLedger enters what the machine has below it.
+// applyLedger sets the ledger's address and what becomes of runs that are stopped.
 func (m *Machine) applyLedger(c *Config, errs *validationErrors) {
 	stop, known := stopModes[m.StopRuns]
 	if !known {
@@ -35,7 +34,8 @@
 	c.Policy.Downstream, c.Policy.CallShareWindow, c.Policy.MaxCallLinger = kiteslip.DownstreamTier, callShareWindowUS, maxCallLingerUS
 }
 
-// applyContractCalls enters what one contract says of calls; ledger is where they would go.
+// applyContractCalls sets what a contract says of downstream calls; ledger is the
+// ledger's address, "" if there is none.
 func applyContractCalls(t *Contract, ledger string, m *kiteslip.Class, add func(name, format string, args ...any)) {
 	if t.CallsDownstream != nil {
 		m.CallsDownstream = *t.CallsDownstream
@@ -54,7 +54,7 @@
 	m.SkipWorth = *t.SkipWorth
 }
 
-// CallsDownstream says whether any class calls below.
+// CallsDownstream reports whether any class makes downstream calls.
 func (c *Config) CallsDownstream() bool {
 	return slices.ContainsFunc(c.Policy.Classes, func(class kiteslip.Class) bool { return class.CallsDownstream })
 }
--- a/internal/config/change_builder.go
+++ b/internal/config/change_builder.go
@@ -10,22 +10,22 @@
 	"kiteslip/internal/pool"
 )
 
-// changeBuilder is a Change in the making: the configuration in force, whose lists are
-// copied before they are changed.
+// changeBuilder builds a Change. Its result begins as the configuration in force,
+// whose lists are copied before they are changed.
 type changeBuilder struct {
 	updater      *Updater
 	result       *Config
-	newClasses   map[classID]int // places that this change gives out
+	newClasses   map[classID]int // slots that this change assigns
 	newTeams     map[string]int
-	reusedSlots  map[int]bool // places of dropped teams that others get
-	nextReleased int          // of p.dropped: what may be taken yet
+	reusedSlots  map[int]bool // slots of retired teams that this change gives to other teams
+	nextReleased int          // index in updater.released of the next slot to consider
 
 	changedClasses, changedTeams map[int]bool
 
-	unchangedPools *pool.Settings // the pools, where nothing of them differs; nil = to be made
+	unchangedPools *pool.Settings // the pools, if nothing in them differs; nil = to be computed
 }
 
-// newChangeBuilder starts one in which m is the outcome.
+// newChangeBuilder returns a builder whose result is m.
 func (p *Updater) newChangeBuilder(m *Config) *changeBuilder {
 	return &changeBuilder{updater: p, result: m, newClasses: map[classID]int{}, newTeams: map[string]int{}, reusedSlots: map[int]bool{},
 		changedClasses: map[int]bool{}, changedTeams: map[int]bool{}}
@@ -46,63 +46,64 @@
 	copy(m.RetiredTenants, c.RetiredTenants)
 }
 
-// setClass enters a class at its place, and returns that.
+// setClass sets the configuration of a class in its slot and returns the slot.
 func (d *changeBuilder) setClass(name string, r *classConfig) int {
 	m, id := d.result, classID{name, r.class.Effect}
-	at, known := d.updater.classes[id]
+	slot, known := d.updater.classes[id]
 	if !known {
-		at, known = d.newClasses[id]
+		slot, known = d.newClasses[id]
 	}
 	if !known {
-		at, d.newClasses[id] = len(m.Classes), len(m.Classes)
+		slot, d.newClasses[id] = len(m.Classes), len(m.Classes)
 		m.RetiredClasses = append(m.RetiredClasses, false)
-	} else if m.classConfig(at) == *r && !m.RetiredClasses[at] {
-		return at
+	} else if m.classConfig(slot) == *r && !m.RetiredClasses[slot] {
+		return slot
 	}
-	m.setClass(at, name, r)
-	m.RetiredClasses[at] = false
-	d.changedClasses[at] = true
-	return at
+	m.setClass(slot, name, r)
+	m.RetiredClasses[slot] = false
+	d.changedClasses[slot] = true
+	return slot
 }
 
-// retireClass notes that a class is no longer in force. It keeps its promise for what is open.
-func (d *changeBuilder) retireClass(at int) {
-	if !d.result.RetiredClasses[at] {
-		d.result.RetiredClasses[at], d.result.UWSGI.Contracts[at].Path = true, "" // leads here no longer
-		d.changedClasses[at] = true
+// retireClass marks a class as no longer in force. Its effect and times stay valid
+// for requests that are still open.
+func (d *changeBuilder) retireClass(slot int) {
+	if !d.result.RetiredClasses[slot] {
+		d.result.RetiredClasses[slot], d.result.UWSGI.Contracts[slot].Path = true, "" // no path selects a retired class
+		d.changedClasses[slot] = true
 	}
 }
 
-// setTeam enters a team at its place, and returns that.
+// setTeam sets the budget of a team in its slot and returns the slot.
 func (d *changeBuilder) setTeam(name string, quota float64) int {
 	m := d.result
-	at, known := d.updater.teams[name]
-	if known && d.reusedSlots[at] { // its place went to another one just now
+	slot, known := d.updater.teams[name]
+	if known && d.reusedSlots[slot] { // this change has given the slot to another team
 		known = false
 	}
 	if !known {
-		at, known = d.newTeams[name]
+		slot, known = d.newTeams[name]
 	}
 	switch {
 	case !known:
-		if at, known = d.reuseSlot(); known {
-			m.Tenants[at] = name
+		if slot, known = d.reuseSlot(); known {
+			m.Tenants[slot] = name
 		} else {
-			at = len(m.Tenants)
+			slot = len(m.Tenants)
 			m.Tenants, m.Policy.Tenants = append(m.Tenants, name), append(m.Policy.Tenants, kiteslip.Tenant{})
 			m.RetiredTenants = append(m.RetiredTenants, false)
 		}
-		d.newTeams[name] = at
-	case m.Policy.Tenants[at].Quota == quota && !m.RetiredTenants[at]:
-		return at
+		d.newTeams[name] = slot
+	case m.Policy.Tenants[slot].Quota == quota && !m.RetiredTenants[slot]:
+		return slot
 	}
-	m.Policy.Tenants[at].Quota, m.RetiredTenants[at] = quota, false
-	d.changedTeams[at] = true
-	return at
+	m.Policy.Tenants[slot].Quota, m.RetiredTenants[slot] = quota, false
+	d.changedTeams[slot] = true
+	return slot
 }
 
-// reuseSlot finds a place of a dropped team of which nothing can be open any more.
-func (d *changeBuilder) reuseSlot() (at int, found bool) {
+// reuseSlot returns the slot of a retired team that can have no open requests any more.
+func (d *changeBuilder) reuseSlot() (slot int, found bool) {
 	p := d.updater
 	for ; d.nextReleased < len(p.released); d.nextReleased++ {
 		next := p.released[d.nextReleased]
@@ -119,47 +120,51 @@
 	return 0, false
 }
 
-// retireTeam notes that a team is no longer in force. It keeps its budget for what is open.
-func (d *changeBuilder) retireTeam(at int) {
-	if !d.result.RetiredTenants[at] {
-		d.result.RetiredTenants[at] = true
-		d.changedTeams[at] = true
+// retireTeam marks a team as no longer in force. Its budget stays valid for requests
+// that are still open.
+func (d *changeBuilder) retireTeam(slot int) {
+	if !d.result.RetiredTenants[slot] {
+		d.result.RetiredTenants[slot] = true
+		d.changedTeams[slot] = true
 	}
 }
 
-// checkSlotLimits names what there is too much of.
+// checkSlotLimits reports lists of classes or teams that exceed their limits.
 func (d *changeBuilder) checkSlotLimits(errs *validationErrors) {
 	if n := len(d.result.Classes); n > maxClassSlots {
-		errs.add("settings", "bring the classes since the start to %d, over %d, and a class's place is never used again: restart", n, maxClassSlots)
+		errs.add("settings", "raise the classes seen since the start to %d, over %d, and the slot of a class is never reused: restart", n, maxClassSlots)
 	}
 	if n := len(d.result.Tenants); n > maxTeamSlots {
-		errs.add("settings", "bring the teams, those dropped a short time ago included, to %d, over %d: restart, or drop them and wait", n, maxTeamSlots)
+		errs.add("settings", "raise the teams, recently dropped ones included, to %d, over %d: restart, or drop some and wait", n, maxTeamSlots)
 	}
 }
 
+// build returns the Change with the slots that differ, in ascending order.
 func (d *changeBuilder) build() *Change {
 	ch := &Change{Config: d.result, Pools: d.unchangedPools}
 	if ch.Pools == nil {
 		ch.Pools = d.result.PoolSettings()
 	}
-	for at := range d.changedClasses {
-		ch.Classes = append(ch.Classes, at)
+	for slot := range d.changedClasses {
+		ch.Classes = append(ch.Classes, slot)
 	}
-	for at := range d.changedTeams {
-		ch.Tenants = append(ch.Tenants, at)
+	for slot := range d.changedTeams {
+		ch.Tenants = append(ch.Tenants, slot)
 	}
 	slices.Sort(ch.Classes)
 	slices.Sort(ch.Tenants)
 	return ch
 }
 
-// serviceIndex is which service each class, path and owner belongs to in the version in force.
+// serviceIndex has the classes, paths and owners that the services of the version in
+// force use.
 type serviceIndex struct {
-	classes map[string]bool // that a contract speaks of
+	classes map[string]bool // classes that have a contract
 	paths   map[string]bool
-	owners  map[string]int // services of each
+	owners  map[string]int // number of services by owner
 }
 
+// add adds a service where n is 1, and removes it where n is -1.
 func (x *serviceIndex) add(s *Service, n int) {
 	for i := range s.Contracts {
 		t := &s.Contracts[i]
@@ -175,7 +180,8 @@
 	}
 }
 
-// servicesInForce finds the routes of the version in force: it costs by all, once.
+// servicesInForce returns the index of the version in force. The first call after a
+// full change builds it, which takes time in proportion to all services.
 func (p *Updater) servicesInForce() *serviceIndex {
 	if p.services == nil {
 		p.services = &serviceIndex{classes: map[string]bool{}, paths: map[string]bool{}, owners: map[string]int{}}
@@ -187,8 +193,9 @@
 	return p.services
 }
 
-// changeFromDelta lays a version over its parent, which is in force, at the cost of the
-// delta. nil = that cannot be done, or something is wrong: the whole way says what.
+// changeFromDelta computes the change from the version in force to its successor, in
+// time proportional to the delta. It returns nil if the delta does not apply to the
+// version in force or if anything is invalid; changeFromConfig then reports the errors.
 func (p *Updater) changeFromDelta(doc *document.Document, delta *document.Delta) *Change {
 	was := p.cfg.version
 	if delta == nil || was == nil || delta.Header.Parent != was.Digest() || delta.Header.Digest() != doc.Digest() {
@@ -218,19 +225,20 @@
 	return ch
 }
 
-// deltaBuilder is a draft by a delta.
+// deltaBuilder builds a Change from a delta.
 type deltaBuilder struct {
 	*changeBuilder
 	parent, doc *document.Document
 	services    *serviceIndex
 
-	teamNames      []string // that are set or dropped
+	teamNames      []string // teams that are set or dropped
 	removed, added []*Service
 	pools          []document.Change
 	cheapReserve   *float64
 }
 
-// classify puts a change where it belongs. What is in force by it is read from the document.
+// classify sorts one entry of the delta by its kind. The new content of a service is
+// taken from the document.
 func (s *deltaBuilder) classify(c *document.Change) {
 	switch {
 	case c.Team != nil:
@@ -252,6 +260,7 @@
 	}
 }
 
+// applyTeams sets and retires the teams of the delta. It reports false if one is invalid.
 func (s *deltaBuilder) applyTeams() bool {
 	if len(s.teamNames) == 0 {
 		return true
@@ -261,14 +270,14 @@
 	var dropped []string
 	for i, name := range s.teamNames {
 		if i%64 == 63 {
-			runtime.Gosched() // the loop goes on meanwhile, also where there is one processor
+			runtime.Gosched() // lets the event loop run meanwhile, also with GOMAXPROCS 1
 		}
 		team, there := s.doc.Team(name)
 		known := false
 		if !there {
-			var at int
-			if at, known = base.teamIndex[name]; known {
-				team.Quota = base.budgets[at].Quota
+			var index int
+			if index, known = base.teamIndex[name]; known {
+				team.Quota = base.budgets[index].Quota
 			}
 		}
 		switch {
@@ -282,11 +291,11 @@
 		}
 	}
 	for _, name := range dropped {
-		at, known := s.updater.teams[name]
-		if !known || s.reusedSlots[at] {
+		slot, known := s.updater.teams[name]
+		if !known || s.reusedSlots[slot] {
 			return false
 		}
-		s.retireTeam(at)
+		s.retireTeam(slot)
 	}
 	owners := map[string]int{}
 	for _, old := range s.removed {
@@ -300,16 +309,18 @@
 	return true
 }
 
-// hasTeam says whether there is a team of that name.
+// hasTeam reports whether a team of that name is in force after the change.
 func (s *deltaBuilder) hasTeam(name string) bool {
-	at, known := s.updater.teams[name]
-	if known && !s.reusedSlots[at] {
-		return !IsRetired(s.result.RetiredTenants, at)
+	slot, known := s.updater.teams[name]
+	if known && !s.reusedSlots[slot] {
+		return !IsRetired(s.result.RetiredTenants, slot)
 	}
 	_, known = s.changeBuilder.newTeams[name]
 	return known
 }
 
+// applyServices sets and retires the classes of the services in the delta. It reports
+// false if one is invalid.
 func (s *deltaBuilder) applyServices() bool {
 	if len(s.removed)+len(s.added) == 0 {
 		return true
@@ -317,11 +328,11 @@
 	s.copyClasses()
 	var errs validationErrors
 	e := serviceValidator{machine: s.result, errs: &errs, teams: map[string]int{}}
-	gone, came := map[string]bool{}, map[string]bool{}
-	gonePaths, camePaths := map[string]bool{}, map[string]bool{}
+	removedClasses, addedClasses := map[string]bool{}, map[string]bool{}
+	removedPaths, addedPaths := map[string]bool{}, map[string]bool{}
 	for _, old := range s.removed {
 		for i := range old.Contracts {
-			gone[old.Contracts[i].Class], gonePaths[old.Contracts[i].Path] = true, true
+			removedClasses[old.Contracts[i].Class], removedPaths[old.Contracts[i].Path] = true, true
 		}
 	}
 	for _, new := range s.added {
@@ -331,21 +342,21 @@
 		e.checkService(new, indexKey{})
 		for i := range new.Contracts {
 			t := &new.Contracts[i]
-			if t.Class == "" || len(t.Class) > maxNameBytes || came[t.Class] || s.services.classes[t.Class] && !gone[t.Class] {
+			if t.Class == "" || len(t.Class) > maxNameBytes || addedClasses[t.Class] || s.services.classes[t.Class] && !removedClasses[t.Class] {
 				return false
 			}
-			came[t.Class] = true
-			if t.Path != "" && (camePaths[t.Path] || s.services.paths[t.Path] && !gonePaths[t.Path] || !strings.HasPrefix(t.Path, "/")) {
+			addedClasses[t.Class] = true
+			if t.Path != "" && (addedPaths[t.Path] || s.services.paths[t.Path] && !removedPaths[t.Path] || !strings.HasPrefix(t.Path, "/")) {
 				return false
 			}
-			camePaths[t.Path] = true
+			addedPaths[t.Path] = true
 			r := e.classFromContract(t, new.Backend, contractKey{})
 			s.replaceClass(t.Class, &r)
 		}
 	}
 	for _, old := range s.removed {
 		for i := range old.Contracts {
-			if class := old.Contracts[i].Class; came[class] {
+			if class := old.Contracts[i].Class; addedClasses[class] {
 				continue
 			} else if r, known := s.result.baseline.classConfig(class); known {
 				s.replaceClass(class, &r)
@@ -354,38 +365,40 @@
 			}
 		}
 	}
-	return len(errs) == 0 && len(s.services.classes)-len(gone)+len(came)+len(s.result.baseline.names) > 0
+	return len(errs) == 0 && len(s.services.classes)-len(removedClasses)+len(addedClasses)+len(s.result.baseline.names) > 0
 }
 
-// replaceClass enters a class, or drops it, and drops the one of that name with
-// another effect.
+// replaceClass sets a class, or retires it where r is nil, and retires a class of the
+// same name with another effect.
 func (s *deltaBuilder) replaceClass(name string, r *classConfig) {
-	at := -1
+	slot := -1
 	if r != nil {
-		at = s.setClass(name, r)
+		slot = s.setClass(name, r)
 	}
 	for _, effect := range effects {
-		if other, known := s.updater.classes[classID{name, effect}]; known && other != at {
+		if other, known := s.updater.classes[classID{name, effect}]; known && other != slot {
 			s.retireClass(other)
 		}
 	}
 }
 
-// hasClass says whether there is a class of that name.
+// hasClass reports whether a class of that name is in force after the change.
 func (s *deltaBuilder) hasClass(name string) bool {
 	for _, effect := range effects {
 		id := classID{name, effect}
-		at, known := s.updater.classes[id]
+		slot, known := s.updater.classes[id]
 		if !known {
-			at, known = s.changeBuilder.newClasses[id]
+			slot, known = s.changeBuilder.newClasses[id]
 		}
-		if known && !IsRetired(s.result.RetiredClasses, at) {
+		if known && !IsRetired(s.result.RetiredClasses, slot) {
 			return true
 		}
 	}
 	return false
 }
 
+// applyPools applies the delta's changes of pools. It reports false if the outcome is
+// invalid.
 func (s *deltaBuilder) applyPools() bool {
 	m := s.result
 	if s.cheapReserve != nil {
@@ -410,7 +423,8 @@
 	return len(errs) == 0
 }
 
-// validate says whether the module takes what has changed, and the bounds are kept.
+// validate reports whether the policy accepts the changed classes and teams, and the
+// slot limits hold.
 func (s *deltaBuilder) validate() bool {
 	m := s.result
 	if m.Keys.Folder != "" && len(s.removed) > 0 && !m.anyKeyed() {
@@ -418,11 +432,11 @@
 	}
 	small := m.Policy
 	small.Classes, small.Tenants = nil, nil
-	for at := range s.changedClasses {
-		small.Classes = append(small.Classes, m.Policy.Classes[at])
+	for slot := range s.changedClasses {
+		small.Classes = append(small.Classes, m.Policy.Classes[slot])
 	}
-	for at := range s.changedTeams {
-		small.Tenants = append(small.Tenants, m.Policy.Tenants[at])
+	for slot := range s.changedTeams {
+		small.Tenants = append(small.Tenants, m.Policy.Tenants[slot])
 	}
 	if len(small.Classes) == 0 {
 		small.Classes = m.Policy.Classes[:1]
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config is the one place that reads the configuration, checks it and
-// puts defaults where something is absent. Its errors name the faulty key.
+// Package config reads, validates and updates the configuration: the platform's JSON
+// file and environment, the operator's TOML file, and the content of a fleet version.
+// It sets the defaults, and its errors name the invalid key.
 package config
 
 import (
@@ -17,7 +18,7 @@
 	"kiteslip/internal/wire"
 )
 
-// The environment that the platform sets.
+// The environment variables that the platform sets.
 const (
 	EnvName        = "EDGE_NAME"
 	EnvListen      = "EDGE_LISTEN"
@@ -26,43 +27,45 @@
 	EnvInheritedFD = "EDGE_INHERITED_FD"
 )
 
-// Limits are what the platform grants to the program.
+// Limits are the resources that the platform grants to the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// heapShare is the part of the memory limit that the Go heap may fill before
-// the collector works harder; the rest is for stacks and the system.
+// heapShare is the fraction of the memory limit that the Go heap may use before the
+// garbage collector works harder; the rest is for stacks and the system.
 const heapShare = 0.8
 
-// MaxHeapBytes is what the Go heap may fill, in bytes.
+// MaxHeapBytes returns the soft limit of the Go heap.
 func (l *Limits) MaxHeapBytes() int64 { return int64(heapShare * float64(l.MemoryMB) * (1 << 20)) }
 
-// Config is a checked configuration.
+// Config is a validated configuration. Classes and Tenants are lists of slots: the
+// other lists that are by class or by team have the same indexes.
 type Config struct {
 	Name   string
 	Listen string
-	Ops    string // the operators' door; "" = none
+	Ops    string // address of the admin endpoint; "" = none
 	Engine string
-	Ledger string // where calls below go; "" = nowhere
+	Ledger string // address for downstream calls; "" = none
 
-	InheritedFD   int    // of the clients' listening socket, which the platform holds; 0 = none
-	HandoverDir   string // the folder where two processes of an upgrade meet; "" = the system's for passing files
-	Registry      string // "" = report nowhere
+	InheritedFD   int    // descriptor of the callers' listening socket, inherited from the platform; 0 = none
+	HandoverDir   string // directory of the socket by which an upgrade's two processes meet; "" = the system's temporary directory
+	Registry      string // address; "" = none
 	Seed          uint64
-	StopTimeoutUS int64 // from the notice to leave to the kill, microseconds
+	StopTimeoutUS int64 // from the shutdown notice to the kill
 	Limits        Limits
 	Policy        kiteslip.Settings
 	Gauges        []string
 
-	ListFollowsHealth bool // callers' list drops a server whose health is not good
+	ListFollowsHealth bool // the callers' list leaves out a server that is not healthy
 
 	Classes []string
 	Tenants []string
 
-	// What a file that came before had and this one has not, see Succeed.
+	// Slots of classes and teams that are no longer configured, see Updater. May be
+	// shorter than the lists of slots.
 	RetiredClasses, RetiredTenants []bool
 
 	Control      Control
@@ -71,27 +74,27 @@
 	CheapReserve float64
 
 	UWSGI          UWSGI
-	Backends       []string // by class: the uwsgi server that does the work; "" = the engine
+	Backends       []string // by class: address of the uwsgi server that does the work; "" = the engine
 	MaxResultBytes []int    // by class, bytes
 
-	keyTree  any       // the platform's text, decoded: which keys it has
-	baseline *baseline // classes and teams of the platform
+	keyTree  any       // the platform's file, decoded, to compare its keys with those of the next one
+	baseline *baseline // classes and teams of the platform's file
 
-	version *document.Document // that is in force; nil = the file's own teams, services and pools
+	version *document.Document // the version in force; nil = the file's own teams, services and pools
 }
 
-// Version is the version of the fleet's document that is in force; nil = none,
-// the file's own teams, services and pools are.
+// Version returns the fleet version in force, or nil if the file's own teams, services
+// and pools are in force.
 func (c *Config) Version() *document.Document { return c.version }
 
-// UWSGI is the set-up of the second front.
+// UWSGI configures the uwsgi front end.
 type UWSGI struct {
-	Listen        string // "" = off
-	ReadTimeoutUS int64  // microseconds
-	Contracts     []uwsgi.Contract
+	Listen        string           // "" = off
+	ReadTimeoutUS int64            // longest time for a caller to send its request
+	Contracts     []uwsgi.Contract // by class
 }
 
-// platformFile mirrors the file that EDGE_CONFIG names.
+// platformFile mirrors the platform's file, which EDGE_CONFIG names.
 type platformFile struct {
 	Name     string          `json:"name"`
 	Listen   string          `json:"listen"`
@@ -105,7 +108,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// platformNames are the parts of the settings that only a server needs.
+// platformNames mirrors the parts of the platform's settings that wire.ParseSettings
+// does not read.
 type platformNames struct {
 	Classes []struct {
 		Name string `json:"name"`
@@ -118,7 +122,7 @@
 	} `json:"family_info"`
 }
 
-// The defaults: the limits of the platform's scored days.
+// The defaults and limits of the platform's file.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
@@ -126,12 +130,12 @@
 	defaultStopMS   = 3000
 	minMemoryMB     = 16
 	minSockets      = 32
-	minInheritedFD  = 3 // after those for input, output and errors
+	minInheritedFD  = 3 // after standard input, output and error
 	maxInheritedFD  = 1 << 20
-	maxNameBytes    = 128 // bytes of a class's name, as it goes in messages and figures
+	maxNameBytes    = 128 // of the name of a class, which appears in messages and metrics
 )
 
-// Load reads the platform's configuration through getenv.
+// Load reads the platform's file; getenv gives the environment.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(EnvConfig)
 	if path == "" {
@@ -148,7 +152,7 @@
 	return c, nil
 }
 
-// Parse reads the platform's JSON. What the environment gives stands over the text.
+// Parse parses the platform's JSON. The environment overrides the text.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	var r platformFile
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -168,9 +172,9 @@
 	if c.Name == "" {
 		fail("name", "is absent (or set %s)", EnvName)
 	}
-	address := func(key, value string, needed bool) {
+	address := func(key, value string, required bool) {
 		if value == "" {
-			if needed {
+			if required {
 				fail(key, "is absent")
 			}
 			return
@@ -219,7 +223,7 @@
 	return c, errors.Join(errs...)
 }
 
-// applyDefaults fills in absent limits and checks the others.
+// applyDefaults sets absent limits to their defaults and validates the others.
 func (l *Limits) applyDefaults(fail func(key, format string, args ...any)) {
 	if l.Cores == 0 {
 		l.Cores = defaultCores
@@ -241,7 +245,8 @@
 	}
 }
 
-// parseSettings reads the object that the simulator gives to an instance.
+// parseSettings parses the platform's settings, which have the form of the settings in
+// the simulator's enlist record.
 func (c *Config) parseSettings(text []byte) error {
 	var err error
 	if c.Policy, c.Gauges, err = wire.ParseSettings(text); err != nil {
@@ -276,7 +281,7 @@
 	return nil
 }
 
-// jsonError names the key at which a value has the wrong type.
+// jsonError rewrites a type mismatch so that it names the key.
 func jsonError(err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("%+v", c)
 	}
 	if c.UWSGI.Listen != "" {
-		t.Error("the second front is on without the operator's file")
+		t.Error("the uwsgi front end is on without the operator's file")
 	}
 }
 
@@ -143,8 +143,8 @@
 	}
 }
 
-// The ledger's address is no name, in either file, and what a contract says of
-// calls is checked with it.
+// Guards against a ledger address with a host name, which would not be resolved, in
+// either file, and against contracts whose calls and skip_worth contradict each other.
 func TestDownstreamCalls(t *testing.T) {
 	const service = "[uwsgi]\nlisten = \"127.0.0.1:1\"\n[machine]\nengine = \"127.0.0.1:2\"\n%s\n[[team]]\nname = \"red\"\nrequests_per_s = 1\n" +
 		"[[service]]\nname = \"s\"\nowner = \"red\"\n[[service.contract]]\nclass = \"c\"\neffect = \"repeatable\"\ndeadline_ms = 1000\n%s\n"
@@ -166,6 +166,6 @@
 	}
 	const named = `{"name": "t", "listen": "127.0.0.1:1", "engine": "127.0.0.1:2", "ledger": "ledger:1", "settings": {}}`
 	if _, err := Parse([]byte(named), unset); err == nil || !strings.Contains(err.Error(), `ledger is "ledger:1"`) {
-		t.Errorf("a name is taken as the ledger's address: %v", err)
+		t.Errorf("a host name is accepted as the ledger's address: %v", err)
 	}
 }
--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -11,8 +11,8 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// baseline is what the platform says of classes and teams, before anything is laid
-// over it. It is never changed.
+// baseline has the classes and teams of the platform's file, before fleet content is
+// applied. It is never changed.
 type baseline struct {
 	names      []string
 	classes    []kiteslip.Class
@@ -23,13 +23,14 @@
 	teamIndex map[string]int
 }
 
-// newBaseline returns the classes and teams that c has by now.
+// newBaseline returns the classes and teams that c has so far.
 func (c *Config) newBaseline() *baseline {
 	b := &baseline{names: slices.Clone(c.Classes), classes: slices.Clone(c.Policy.Classes), classIndex: indexOf(c.Classes),
 		teams: slices.Clone(c.Tenants), budgets: slices.Clone(c.Policy.Tenants), teamIndex: indexOf(c.Tenants)}
 	return b
 }
 
+// indexOf maps each name to its index.
 func indexOf(names []string) map[string]int {
 	at := make(map[string]int, len(names))
 	for i, name := range names {
@@ -38,21 +39,22 @@
 	return at
 }
 
-// classConfig is a class as the fronts, the module and a backend serve it.
+// classConfig is everything configured for one class: for the policy, the uwsgi front
+// end and its backend.
 type classConfig struct {
 	class          kiteslip.Class
 	frontend       uwsgi.Contract
 	backend        string // "" = the engine
-	maxResultBytes int    // most bytes of a result
+	maxResultBytes int    // limit of a result, bytes
 }
 
-// defaultClass is a class that no contract speaks of.
+// defaultClass returns the configuration of a class without a contract.
 func defaultClass(class kiteslip.Class) classConfig {
 	return classConfig{class: class, maxResultBytes: defaultMaxResultBytes, frontend: uwsgi.Contract{Keyed: class.Effect == kiteslip.Keyed,
 		Timeout: class.Timeout, MaxBody: defaultMaxBodyBytes, RequestMemoryKB: defaultRequestMemoryKB}}
 }
 
-// classConfig returns the class of that name as the platform has it.
+// classConfig returns the class of that name as the platform's file has it.
 func (b *baseline) classConfig(name string) (r classConfig, known bool) {
 	if i, known := b.classIndex[name]; known {
 		return defaultClass(b.classes[i]), true
@@ -60,7 +62,7 @@
 	return defaultClass(kiteslip.Class{Worth: 1}), false
 }
 
-// growFrontend makes room for what the fronts must know of each class.
+// growFrontend gives the default front-end configuration to classes that have none yet.
 func (c *Config) growFrontend() {
 	for i := len(c.UWSGI.Contracts); i < len(c.Policy.Classes); i++ {
 		r := defaultClass(c.Policy.Classes[i])
@@ -68,7 +70,7 @@
 	}
 }
 
-// setClass enters a class at its place, which is one of those there are or the next.
+// setClass sets the configuration of a class in its slot, an existing one or the next.
 func (c *Config) setClass(at int, name string, r *classConfig) {
 	if at == len(c.Classes) {
 		c.Classes, c.Policy.Classes = append(c.Classes, name), append(c.Policy.Classes, kiteslip.Class{})
@@ -77,12 +79,12 @@
 	c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at] = r.class, r.frontend, r.backend, r.maxResultBytes
 }
 
-// classConfig returns what is served at a place.
+// classConfig returns the configuration of the class in a slot.
 func (c *Config) classConfig(at int) classConfig {
 	return classConfig{c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at]}
 }
 
-// applyContent enters what the fleet serves by over the base, where nothing else is yet.
+// applyContent applies fleet content to c, which must have the baseline alone.
 func (c *Config) applyContent(content *document.Content, errs *validationErrors) {
 	c.applyTeams(content.Teams, errs)
 	c.applyServices(content.Services, errs)
@@ -92,8 +94,9 @@
 	}
 }
 
-// withContent returns c with another content over the base: the machine's part, the
-// fronts and the keys are those of c, and nothing else is. It costs by all.
+// withContent returns a copy of c with other fleet content over the baseline; the
+// machine settings, the front ends and the keys stay. It takes time in proportion to
+// the whole content.
 func (c *Config) withContent(content *document.Content) (*Config, error) {
 	m, b := *c, c.baseline
 	if b == nil {
@@ -112,6 +115,7 @@
 	return &m, errs.join()
 }
 
+// anyKeyed reports whether a class in force is keyed.
 func (c *Config) anyKeyed() bool {
 	for i := range c.Policy.Classes {
 		if c.Policy.Classes[i].Effect == kiteslip.Keyed && !IsRetired(c.RetiredClasses, i) {
@@ -121,9 +125,9 @@
 	return false
 }
 
-// applyTeams enters the budgets: a team that the platform knows gets this budget.
+// applyTeams sets the budgets; they override those of the platform's file.
 func (c *Config) applyTeams(teams []Team, errs *validationErrors) {
-	seen, places := make(map[string]bool, len(teams)), indexOf(c.Tenants)
+	seen, slots := make(map[string]bool, len(teams)), indexOf(c.Tenants)
 	for i := range teams {
 		t := &teams[i]
 		if t.Name == "" || seen[t.Name] {
@@ -134,20 +138,21 @@
 		if !(t.Quota > 0) {
 			errs.add(fmt.Sprintf("team[%d].requests_per_s", i), "is %v, want above 0", t.Quota)
 		}
-		at, known := places[t.Name]
+		at, known := slots[t.Name]
 		if !known {
-			at, places[t.Name] = len(c.Tenants), len(c.Tenants)
+			at, slots[t.Name] = len(c.Tenants), len(c.Tenants)
 			c.Tenants, c.Policy.Tenants = append(c.Tenants, t.Name), append(c.Policy.Tenants, kiteslip.Tenant{})
 		}
 		c.Policy.Tenants[at].Quota = t.Quota
 	}
 }
 
-// applyServices enters the contracts. What a contract leaves open stays as the platform has it.
+// applyServices sets the classes that the contracts describe. What a contract does not
+// state stays as the platform's file has it.
 func (c *Config) applyServices(services []Service, errs *validationErrors) {
 	c.growFrontend()
 	e := serviceValidator{machine: c, errs: errs, teams: indexOf(c.Tenants)}
-	places, classes, paths, names := indexOf(c.Classes), map[string]bool{}, map[string]bool{}, map[string]bool{}
+	slots, classes, paths, names := indexOf(c.Classes), map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for i := range services {
 		s, key := &services[i], indexKey{"service", i}
 		if s.Name == "" || names[s.Name] {
@@ -167,9 +172,9 @@
 			}
 			paths[t.Path] = true
 			r := e.classFromContract(t, s.Backend, key)
-			at, known := places[t.Class]
+			at, known := slots[t.Class]
 			if !known {
-				at, places[t.Class] = len(c.Classes), len(c.Classes)
+				at, slots[t.Class] = len(c.Classes), len(c.Classes)
 			}
 			c.setClass(at, t.Class, &r)
 		}
@@ -179,8 +184,8 @@
 	}
 }
 
-// indexKey and contractKey name an entry of the file. They are worded where
-// something is wrong alone: a fleet has thousands of them.
+// indexKey names an entry of a list in the file. Its text is only formatted for an
+// error, since a fleet has thousands of entries.
 type indexKey struct {
 	list  string
 	index int
@@ -188,6 +193,7 @@
 
 func (k indexKey) String() string { return fmt.Sprintf("%s[%d]", k.list, k.index) }
 
+// contractKey names a contract of a service, as indexKey does.
 type contractKey struct {
 	service indexKey
 	index   int
@@ -195,13 +201,14 @@
 
 func (k contractKey) String() string { return fmt.Sprintf("%v.contract[%d]", k.service, k.index) }
 
-// serviceValidator checks services and contracts, each by itself.
+// serviceValidator validates services and contracts, each by itself.
 type serviceValidator struct {
-	machine *Config // its engine, ledger and base
+	machine *Config // for its engine, ledger and baseline
 	errs    *validationErrors
-	teams   map[string]int // the teams there are
+	teams   map[string]int // all teams, by name
 }
 
+// checkService reports what is wrong with a service apart from its contracts.
 func (e *serviceValidator) checkService(s *Service, key indexKey) {
 	if _, known := e.teams[s.Owner]; s.Owner != "" && !known {
 		e.errs.add(key.String()+".owner", "is %q, which is no team", s.Owner)
@@ -212,6 +219,7 @@
 	}
 }
 
+// checkBackend reports a backend that is invalid, or absent where there is no engine.
 func (e *serviceValidator) checkBackend(s *Service, key indexKey) {
 	if s.Backend != "" {
 		if !isAddress(s.Backend) {
@@ -222,7 +230,8 @@
 	}
 }
 
-// classFromContract returns the class as the contract has it, over what the platform says of it.
+// classFromContract returns the class that a contract describes; what it does not
+// state is taken from the platform's file. Errors are added to errs.
 func (e *serviceValidator) classFromContract(t *Contract, backend string, key contractKey) classConfig {
 	r, known := e.machine.baseline.classConfig(t.Class)
 	m := &r.class
@@ -232,20 +241,20 @@
 	} else if t.Effect != "" || !known {
 		add("effect", "is %q, want repeatable, keyed or once", t.Effect)
 	}
-	figure := func(name string, value *float64, most, unit float64, set func(float64)) {
+	number := func(name string, value *float64, maximum, unit float64, set func(float64)) {
 		switch {
 		case value == nil:
-		case !(*value >= 0) || *value > most:
-			add(name, "is %v, want 0 to %v", *value, most)
+		case !(*value >= 0) || *value > maximum:
+			add(name, "is %v, want 0 to %v", *value, maximum)
 		default:
 			set(*value * unit)
 		}
 	}
-	figure("aim_ms", t.TargetTimeMS, hourMS, 1000, func(v float64) { m.TargetTime = int64(v) })
-	figure("deadline_ms", t.DeadlineMS, hourMS, 1000, func(v float64) { m.Timeout = int64(v) })
-	figure("window_ms", t.WindowMS, hourMS, 1000, func(v float64) { m.Window = int64(v) })
-	figure("worth", t.Worth, 1e6, 1, func(v float64) { m.Worth = v })
-	figure("late_worth", t.LateWorth, 1, 1, func(v float64) { m.LateWorth = v })
+	number("aim_ms", t.TargetTimeMS, hourMS, 1000, func(v float64) { m.TargetTime = int64(v) })
+	number("deadline_ms", t.DeadlineMS, hourMS, 1000, func(v float64) { m.Timeout = int64(v) })
+	number("window_ms", t.WindowMS, hourMS, 1000, func(v float64) { m.Window = int64(v) })
+	number("worth", t.Worth, 1e6, 1, func(v float64) { m.Worth = v })
+	number("late_worth", t.LateWorth, 1, 1, func(v float64) { m.LateWorth = v })
 	applyContractCalls(t, e.machine.Ledger, m, add)
 	if m.Timeout == 0 {
 		add("deadline_ms", "is absent")
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -9,33 +9,33 @@
 type ControlFile struct {
 	Region     string             `toml:"region"`
 	Folder     string             `toml:"folder"`  // an absolute path
-	WaitMS     *int64             `toml:"wait_ms"` // how long a start waits for a publisher
+	WaitMS     *int64             `toml:"wait_ms"` // longest wait for an initial version at the start
 	Publishers []ControlPublisher `toml:"publisher"`
 }
 
-// Control is [control], checked: whose versions the server serves by. Without a
-// publisher it is off, and the file's own teams and services hold.
+// Control is the validated [control] section: the publishers whose versions the server
+// follows. Without a publisher it is off, and the file's own teams and services apply.
 type Control struct {
 	Region        string
-	Folder        string // where the version in force is kept; "" = nowhere
-	InitialWaitUS int64  // how long a start waits for a publisher, microseconds
+	Folder        string // where the version in force is stored; "" = not stored
+	InitialWaitUS int64  // longest wait for an initial version at the start
 	Publishers    []ControlPublisher
 }
 
-// ControlPublisher is one control machine.
+// ControlPublisher is a control machine that versions are received from.
 type ControlPublisher struct {
 	Address string `toml:"address"`
 	Region  string `toml:"region"`
 }
 
-// The default and the bounds of [control].
+// The default and the limits of [control].
 const (
 	defaultWaitMS = 1_000
 	maxWaitMS     = 60_000
 	maxPublishers = 64
 )
 
-// Enabled says whether versions are followed.
+// Enabled reports whether the server follows versions.
 func (c *Control) Enabled() bool { return len(c.Publishers) > 0 }
 
 func (f *ControlFile) apply(c *Config, errs *validationErrors) {
--- a/internal/config/control_machine.go
+++ b/internal/config/control_machine.go
@@ -13,24 +13,24 @@
 	"kiteslip/internal/control/document"
 )
 
-// ControlMachine is a control machine's own file, checked: see deploy/control.toml.
+// ControlMachine is the validated file of a control machine, see deploy/control.toml.
 type ControlMachine struct {
 	Name      string             `toml:"name"`
 	Region    string             `toml:"region"`
 	Listen    string             `toml:"listen"`
-	Folder    string             `toml:"folder"` // of the log, an absolute path
-	MaxDeltas int                `toml:"deltas"` // most that the log holds; 0 = the publisher's default
-	Upstreams []ControlPublisher `toml:"follow"` // the originator first; none = this machine originates
+	Folder    string             `toml:"folder"` // of the version log, an absolute path
+	MaxDeltas int                `toml:"deltas"` // limit of deltas in the log; 0 = the publisher's default
+	Upstreams []ControlPublisher `toml:"follow"` // the originator first; empty = this machine is the originator
 }
 
-// The bounds of a control machine's file.
+// The limits of a control machine's file.
 const (
 	minDeltas    = 16
 	maxDeltas    = 1 << 20
 	maxUpstreams = 64
 )
 
-// LoadControlMachine reads a control machine's file. Its error names all faulty keys.
+// LoadControlMachine reads a control machine's file. Its error names all invalid keys.
 func LoadControlMachine(path string) (*ControlMachine, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return c, nil
 }
 
-// ParseControlMachine is LoadControlMachine on a text.
+// ParseControlMachine parses the text of a control machine's file.
 func ParseControlMachine(text string) (*ControlMachine, error) {
 	c := &ControlMachine{}
 	meta, err := toml.Decode(text, c)
@@ -88,13 +88,12 @@
 	return c, errors.Join(errs...)
 }
 
-// machineSections are the sections of an operator's file that set up a machine.
+// machineSections are the sections of an operator's file that are per machine.
 var machineSections = []string{"uwsgi", "machine", "keys", "control"}
 
-// ParseContent reads what the fleet serves by from an operator's file: its teams,
-// services and pools, in the order of names. The sections that set up a machine
-// are passed over. Its error names all keys that are not known, and names that
-// are there twice; what the entries hold is checked by the document.
+// ParseContent reads the fleet content of an operator's file: its teams, services and
+// pools, sorted by name. Sections that are per machine are ignored. The error names all
+// unknown keys and duplicate names; the values of entries are checked by the document.
 func ParseContent(text string) (*document.Content, error) {
 	var o OperatorFile
 	meta, err := toml.Decode(text, &o)
@@ -102,11 +101,11 @@
 		return nil, err
 	}
 	var errs validationErrors
-	said := map[string]bool{}
+	reported := map[string]bool{}
 	for _, key := range meta.Undecoded() {
-		// A section with a misspelt name would drop all that it was meant to hold.
-		if text := key.String(); !slices.Contains(machineSections, key[0]) && !said[text] {
-			said[text] = true // one in each of a thousand entries is one fault
+		// An ignored section with a misspelt name would drop all of its content.
+		if text := key.String(); !slices.Contains(machineSections, key[0]) && !reported[text] {
+			reported[text] = true // the same key in a thousand entries is reported once
 			errs.add(text, "is not known")
 		}
 	}
@@ -117,7 +116,7 @@
 	return c, errors.Join(errs...)
 }
 
-// sortByName reports names that are absent or there twice, and sorts the list.
+// sortByName sorts the list by name and reports names that are absent or duplicate.
 func sortByName[T any](list []T, section string, name func(*T) string, errs *validationErrors) {
 	seen := make(map[string]bool, len(list))
 	for i := range list {
--- a/internal/config/control_machine_test.go
+++ b/internal/config/control_machine_test.go
@@ -30,11 +30,11 @@
 		t.Error(err)
 	}
 	if _, err := LoadControlMachine(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that is not there is read")
+		t.Error("a missing file gives no error")
 	}
 }
 
-// Each fault is named by its key, and all of them at once.
+// Each invalid value is reported by its key, and all of them in one error.
 func TestControlMachineFaults(t *testing.T) {
 	all := controlMachine
 	var keys []string
@@ -64,8 +64,9 @@
 	}
 }
 
-// A file's teams, services and pools count, in the order of names; what sets up a
-// machine is passed over, whatever it holds.
+// A file's teams, services and pools are read and sorted by name; sections that are per
+// machine are ignored, whatever they hold. Unknown keys elsewhere are errors: a misspelt
+// section would drop its content from the fleet.
 func TestParseContent(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "operator.toml"))
 	if err != nil {
@@ -88,6 +89,6 @@
 		}
 	}
 	if _, err = ParseContent("team = 3"); err == nil {
-		t.Error("no table, and no error")
+		t.Error("a team that is not a table gives no error")
 	}
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -2,7 +2,8 @@
 
 import "path/filepath"
 
-// KeysFile is [keys] of the operator's file: keyed results that outlive the process.
+// KeysFile is [keys] of the operator's file: the store of keyed results that outlive
+// the process.
 type KeysFile struct {
 	Folder     string `toml:"folder"`     // an absolute path
 	Durability string `toml:"durability"` // process or power
@@ -10,15 +11,15 @@
 	OnError    string `toml:"on_error"`   // refuse or memory
 }
 
-// Keys is the checked form.
+// Keys is the validated [keys] section.
 type Keys struct {
 	Folder            string // "" = off
-	ProcessDurability bool   // records outlive the process alone, not the power
+	ProcessDurability bool   // records survive a crash of the process, but not a power failure
 	MaxBytes          int64
-	AllowUnrecorded   bool // where nothing can be recorded, keyed requests run all the same
+	AllowUnrecorded   bool // keyed requests run without a record while the store fails
 }
 
-// The defaults and bounds of the store of keys.
+// The default and the limits of the key store's size.
 const (
 	defaultKeysMB = 256
 	minKeysMB     = 16
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// Merge lays next, which was read later, over c, which is in use, and returns
-// the outcome; c stays as it is. See Places, which does the same again and again.
-func (c *Config) Merge(next *Config) (merged *Config, kept []string, err error) {
+// Merge returns the configuration that results when c is in use and next is read
+// later, and the keys whose change needs a restart. c is not changed. Updater does the
+// same for a sequence of configurations.
+func (c *Config) Merge(next *Config) (merged *Config, restartRequired []string, err error) {
 	ch, err := NewUpdater(c).PrepareFile(next)
 	if err != nil {
 		return nil, nil, err
@@ -12,10 +13,13 @@
 	return ch.Config, ch.RestartRequired, nil
 }
 
-// IsRetired says whether place i is of a class, or team, that is no longer in the file.
-func IsRetired(off []bool, i int) bool { return i < len(off) && off[i] }
+// IsRetired reports whether slot i is that of a class or team that is no longer
+// configured; retired is RetiredClasses or RetiredTenants, which may be shorter than
+// the list of slots.
+func IsRetired(retired []bool, i int) bool { return i < len(retired) && retired[i] }
 
-// checkMissingKeys adds an error for each key that is in the decoded text was and not in is.
+// checkMissingKeys adds an error for each key of the decoded file was that the decoded
+// file is does not have.
 func checkMissingKeys(errs *validationErrors, path string, was, is any) {
 	switch was := was.(type) {
 	case map[string]any:
@@ -38,7 +42,7 @@
 		all := commonKeys(was)
 		is, ok := is.([]any)
 		if !ok {
-			errs.add(path, "is no list")
+			errs.add(path, "is not a list")
 			return
 		}
 		if all == nil {
@@ -50,7 +54,8 @@
 	}
 }
 
-// commonKeys returns the keys that all entries of a list of objects have; nil = it is no such list.
+// commonKeys returns the keys that all entries of a list of objects have; nil means
+// that it is not a list of objects.
 func commonKeys(list []any) any {
 	var all map[string]any
 	for i, entry := range list {
--- a/internal/config/merge_test.go
+++ b/internal/config/merge_test.go
@@ -12,7 +12,7 @@
 	"kiteslip"
 )
 
-// platformText words a platform file with these classes (name and effect) and teams.
+// platformText returns a platform's file with these classes (name and effect) and teams.
 func platformText(classes [][2]string, tenants []string) string {
 	var c, q []string
 	for i, k := range classes {
@@ -34,14 +34,15 @@
 	return c
 }
 
-// However files follow each other, a class and a team keep their places, what
-// the newest file says holds, and what it does not name is off.
+// Over any sequence of files, classes and teams keep their slots, the newest file's
+// values apply, and classes and teams that it does not name are retired. A slot that
+// moves would give the keys and runs of one class to another.
 func TestSlotsAreStable(t *testing.T) {
 	names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	effects := rapid.SampledFrom([]string{"repeatable", "by_key"})
 	rapid.Check(t, func(t *rapid.T) {
 		var c *Config
-		places, teams := map[string]int{}, map[string]int{}
+		slots, teams := map[string]int{}, map[string]int{}
 		for range rapid.IntRange(2, 6).Draw(t, "files") {
 			var classes [][2]string
 			for _, name := range rapid.SliceOfNDistinct(names, 1, 4, rapid.ID[string]).Draw(t, "classes") {
@@ -60,23 +61,23 @@
 			if _, err := kiteslip.New(c.Policy, 0); err != nil {
 				t.Fatal(err)
 			}
-			on := map[string]bool{}
+			inForce := map[string]bool{}
 			for i, name := range c.Classes {
 				id := fmt.Sprint(name, c.Policy.Classes[i].Effect)
-				if at, seen := places[id]; seen && at != i {
+				if at, seen := slots[id]; seen && at != i {
 					t.Fatalf("class %s moved from %d to %d", id, at, i)
 				}
-				if places[id] = i; !IsRetired(c.RetiredClasses, i) {
-					on[name] = true
+				if slots[id] = i; !IsRetired(c.RetiredClasses, i) {
+					inForce[name] = true
 					if at := slices.Index(next.Classes, name); c.Policy.Classes[i] != next.Policy.Classes[at] {
 						t.Fatalf("class %s: %+v", id, c.Policy.Classes[i])
 					}
 				}
 			}
-			if got := slices.Sorted(maps.Keys(on)); !slices.Equal(got, slices.Sorted(slices.Values(next.Classes))) {
-				t.Fatalf("classes %v of %v are on", got, next.Classes)
+			if got := slices.Sorted(maps.Keys(inForce)); !slices.Equal(got, slices.Sorted(slices.Values(next.Classes))) {
+				t.Fatalf("classes %v are in force, want %v", got, next.Classes)
 			}
-			if n := len(c.Classes); n != len(places) || len(c.Backends) != n || len(c.UWSGI.Contracts) != n || len(c.MaxResultBytes) != n || len(c.RetiredClasses) > n {
+			if n := len(c.Classes); n != len(slots) || len(c.Backends) != n || len(c.UWSGI.Contracts) != n || len(c.MaxResultBytes) != n || len(c.RetiredClasses) > n {
 				t.Fatalf("%d classes in %+v", n, c)
 			}
 			for i, name := range c.Tenants {
@@ -92,7 +93,8 @@
 	})
 }
 
-// A file that lost a part is turned down, and the error names it.
+// A file that lacks a key of the file in use is rejected, and the error names the key:
+// the rest of a truncated or mangled file must not reset settings to their defaults.
 func TestMissingKeys(t *testing.T) {
 	was := platformText([][2]string{{"a", "by_key"}, {"b", "by_key"}}, []string{"red"})
 	c := parse(t, was)
@@ -123,23 +125,24 @@
 	}
 	for n := range len(was) {
 		if _, err := Parse([]byte(was[:n]), unset); err == nil {
-			t.Fatalf("a file cut short after %d bytes is taken", n)
+			t.Fatalf("a file truncated after %d bytes is accepted", n)
 		}
 	}
 	for _, deadline := range []string{"0", "-5", `"x"`, "null", "[]", "1e400"} {
 		if _, err := Parse([]byte(strings.Replace(was, "4000000", deadline, 1)), unset); err == nil {
-			t.Errorf("a deadline of %s is taken", deadline)
+			t.Errorf("a deadline of %s is accepted", deadline)
 		}
 	}
 }
 
-// Places have a bound.
+// The number of slots is limited: a process whose files name new classes or teams over
+// and over must not grow without end.
 func TestSlotsAreBounded(t *testing.T) {
-	const many = 1024 // at once, but one by one at the bound
+	const batch = 1024 // added at once, but one by one near the limit
 	c := parse(t, platformText([][2]string{{"first", "repeatable"}}, []string{"red"}))
 	for n := 1; n <= maxClassSlots; {
 		var classes [][2]string
-		for range max(1, min(many, maxClassSlots-2-n)) {
+		for range max(1, min(batch, maxClassSlots-2-n)) {
 			classes = append(classes, [2]string{fmt.Sprint("c", n), "repeatable"})
 			n++
 		}
@@ -152,7 +155,7 @@
 	c = parse(t, platformText([][2]string{{"first", "repeatable"}}, []string{"red"}))
 	for n := 1; n <= maxTeamSlots; {
 		var teams []string
-		for range max(1, min(8*many, maxTeamSlots-2-n)) {
+		for range max(1, min(8*batch, maxTeamSlots-2-n)) {
 			teams = append(teams, fmt.Sprint("t", n))
 			n++
 		}
@@ -164,8 +167,8 @@
 	}
 }
 
-// A fleet with many teams can be changed: guards against a bound on places that
-// is below what a fleet has.
+// A fleet with many teams can be changed: guards against a limit of slots that is
+// below the number of teams in a fleet.
 func TestManyTeamsChange(t *testing.T) {
 	for _, n := range []int{260, 21_000} {
 		var teams []string
@@ -175,9 +178,9 @@
 		classes := [][2]string{{"first", "repeatable"}}
 		c := parse(t, platformText(classes, teams))
 		teams[n/2] = "new"
-		next, kept, err := c.Merge(parse(t, platformText(classes, teams)))
-		if err != nil || len(kept) != 0 {
-			t.Fatalf("%d teams, one changed: %v %v", n, kept, err)
+		next, restart, err := c.Merge(parse(t, platformText(classes, teams)))
+		if err != nil || len(restart) != 0 {
+			t.Fatalf("%d teams, one changed: %v %v", n, restart, err)
 		}
 		if next.Tenants[n] != "new" || !IsRetired(next.RetiredTenants, n/2) || IsRetired(next.RetiredTenants, n) || next.Policy.Tenants[n].Quota != float64(n/2+1) {
 			t.Errorf("%d teams: the new one is %q, %+v", n, next.Tenants[n], next.Policy.Tenants[n])
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,8 +12,8 @@
 	"kiteslip/internal/control/document"
 )
 
-// OperatorFile is the operator's file: the second front, and the contracts and
-// budgets of the teams whose services are brokered.
+// OperatorFile is the operator's file: the uwsgi front end, the budgets of teams and
+// the contracts of their services, pools, keys and control machines.
 type OperatorFile struct {
 	UWSGI    UWSGIFile    `toml:"uwsgi"`
 	Machine  *Machine     `toml:"machine"`
@@ -25,21 +25,22 @@
 	Control  *ControlFile `toml:"control"`
 }
 
-// UWSGIFile sets up the uwsgi front. Without an address it is off.
+// UWSGIFile is [uwsgi] of the operator's file. Without an address the front end is off.
 type UWSGIFile struct {
 	Listen string `toml:"listen"`
-	ReadMS int64  `toml:"read_ms"` // a caller has this long to send its request
+	ReadMS int64  `toml:"read_ms"` // longest time for a caller to send its request
 }
 
-// Machine describes the machine where the platform does not.
+// Machine is [machine] of the operator's file. It describes the machine where there is
+// no platform's file.
 type Machine struct {
 	Name      string  `toml:"name"`
-	Listen    string  `toml:"listen"` // of the platform's protocol; "" = no such front
-	Ops       string  `toml:"ops"`    // the operators' door; "" = none
+	Listen    string  `toml:"listen"` // of the platform's frame protocol; "" = off
+	Ops       string  `toml:"ops"`    // admin endpoint; "" = none
 	Engine    string  `toml:"engine"` // "" = all services have backends
-	Ledger    string  `toml:"ledger"` // where calls below go; "" = nowhere
+	Ledger    string  `toml:"ledger"` // for downstream calls; "" = none
 	StopRuns  string  `toml:"stop_runs"`
-	Cores     int     `toml:"cores"` // that do the work
+	Cores     int     `toml:"cores"` // of the engine
 	WorkMB    float64 `toml:"work_mb"`
 	RunFactor float64 `toml:"run_factor"`
 	KeyKB     float64 `toml:"key_kb"`
@@ -53,14 +54,14 @@
 	OverShareWorth float64 `toml:"over_share_worth"`
 }
 
-// What the fleet serves by, whether it comes with the file or as a version.
+// Fleet content, which is in the operator's file or in a version.
 type (
 	Team     = document.Team
 	Service  = document.Service
 	Contract = document.Contract
 )
 
-// The defaults and bounds of the operator's file.
+// The defaults and limits of the operator's file.
 const (
 	defaultReadMS          = 5_000
 	defaultMaxBodyBytes    = 2 << 10
@@ -73,12 +74,14 @@
 	hourMS                 = 3_600_000
 )
 
+// effects are the effects of a class by their names in the file.
 var effects = map[string]kiteslip.Effect{
 	"repeatable": kiteslip.Repeatable, "keyed": kiteslip.Keyed, "once": kiteslip.Once,
 }
 
-// LoadOperator reads the operator's file and puts it over platform, the
-// configuration that the platform gave; nil means that the file must say all.
+// LoadOperator reads the operator's file and applies it to platform, the configuration
+// from the platform's file; nil means that there is none and the file must describe
+// the machine.
 func LoadOperator(path string, platform *Config) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -91,7 +94,7 @@
 	return c, nil
 }
 
-// ParseOperator is LoadOperator on a text.
+// ParseOperator parses the text of an operator's file, as LoadOperator does.
 func ParseOperator(text string, platform *Config) (*Config, error) {
 	var o OperatorFile
 	meta, err := toml.Decode(text, &o)
@@ -128,6 +131,7 @@
 	return c, errs.join()
 }
 
+// validationErrors collects the errors of a file or version, each of which names its key.
 type validationErrors []error
 
 func (p *validationErrors) add(key, format string, args ...any) {
@@ -148,7 +152,7 @@
 	c.UWSGI.ReadTimeoutUS = f.ReadMS * 1000
 }
 
-// newConfig makes a configuration without the platform's.
+// newConfig returns a configuration for a machine without a platform's file.
 func (m *Machine) newConfig(errs *validationErrors) *Config {
 	c := &Config{Name: m.Name, Listen: m.Listen, Ops: m.Ops, Engine: m.Engine,
 		Limits: Limits{m.Limits.Cores, m.Limits.MemoryMB, m.Limits.Sockets}}
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -10,24 +10,25 @@
 // Pool is one [[pool]] of the operator's file.
 type Pool = document.Pool
 
-// PoolsSection is [pools]: what concerns all of them.
+// PoolsSection is [pools] of the operator's file: settings for all pools.
 type PoolsSection struct {
-	CheapReserve float64 `toml:"cheap_reserve"` // of the cores: places beyond the limit for the cheapest class
+	CheapReserve float64 `toml:"cheap_reserve"` // share of the cores: running slots beyond the limit for the cheapest class
 }
 
-// applyPools enters the pools, which name classes of the platform or of a service.
+// applyPools sets the pools, which name classes of the platform or of a service.
 func (c *Config) applyPools(pools []Pool, reserve float64, errs *validationErrors) {
 	c.Pools, c.CheapReserve = pools, reserve
-	places := indexOf(c.Classes)
-	c.checkPools(func(class string) bool { _, known := places[class]; return known }, errs)
+	slots := indexOf(c.Classes)
+	c.checkPools(func(class string) bool { _, known := slots[class]; return known }, errs)
 }
 
-// checkPools names what is wrong with the pools; is says whether there is a class.
-func (c *Config) checkPools(is func(class string) bool, errs *validationErrors) {
+// checkPools reports what is wrong with the pools; exists reports whether there is a
+// class of a name.
+func (c *Config) checkPools(exists func(class string) bool, errs *validationErrors) {
 	taken := map[string]string{}
 	for i, p := range c.Pools {
 		for _, class := range p.Classes {
-			if !is(class) {
+			if !exists(class) {
 				errs.add(fmt.Sprintf("pool[%d].classes", i), "has %q, which is no class", class)
 			}
 			if other, twice := taken[class]; twice {
@@ -46,15 +47,15 @@
 	}
 }
 
-// PoolSettings are the pools as the core wants them; nil = there are none. A
-// class that is no longer in the file has no pool but the rest.
+// PoolSettings returns the pools by class slots, as the core needs them; nil if there
+// are none. A retired class belongs to the default pool.
 func (c *Config) PoolSettings() *pool.Settings {
 	if len(c.Pools) == 0 {
 		return nil
 	}
 	s := pool.SettingsFor(&c.Policy)
 	s.CheapReserve = c.CheapReserve
-	pools := map[string][]int{} // by class: those that name it, one where all is well
+	pools := map[string][]int{} // by class: the pools that name it, one in a valid configuration
 	for i, p := range c.Pools {
 		for _, class := range p.Classes {
 			pools[class] = append(pools[class], i)
@@ -67,8 +68,8 @@
 		if IsRetired(c.RetiredClasses, i) {
 			continue
 		}
-		for _, at := range pools[class] {
-			s.Pools[at].Classes = append(s.Pools[at].Classes, i)
+		for _, p := range pools[class] {
+			s.Pools[p].Classes = append(s.Pools[p].Classes, i)
 		}
 	}
 	return s
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -13,14 +13,14 @@
 	"kiteslip/internal/control/document"
 )
 
-// fleetText is an operator's file with this many teams and routes.
-func fleetText(teams, routes int) string {
+// fleetText returns an operator's file with this many teams and contracts.
+func fleetText(teams, contracts int) string {
 	var b strings.Builder
 	b.WriteString(machine)
 	for i := range teams {
 		fmt.Fprintf(&b, "[[team]]\nname = \"team-%d\"\nrequests_per_s = %d\n", i, i%7+1)
 	}
-	for i := range routes {
+	for i := range contracts {
 		if i%20 == 0 {
 			fmt.Fprintf(&b, "[[service]]\nname = \"service-%d\"\nowner = \"team-%d\"\nbackend = \"127.0.0.1:3032\"\n", i/20, i%teams)
 		}
@@ -29,7 +29,7 @@
 	return strings.Replace(b.String(), "[machine]", "[uwsgi]\nlisten = \"127.0.0.1:3031\"\n[machine]", 1)
 }
 
-// minDuration is the least of seven: what others do on the machine only adds.
+// minDuration returns the shortest of seven runs, since other load only adds time.
 func minDuration(f func()) time.Duration {
 	var took []time.Duration
 	for range 7 {
@@ -41,12 +41,12 @@
 	return slices.Min(took)
 }
 
-// Reading, and laying over what is in force, cost by the size of the file, not by
-// its square, by which eight times the file would take sixty-four times as long.
-// Half of that is let pass: a small file fits the processor's caches, a large one
-// does not, and the machine may be busy.
+// Reading a file, and computing the change to it, take time in proportion to its size,
+// not to its square, with which a file of eight times the size would take 64 times as
+// long. Up to 32 times is allowed: a small file fits the processor's caches, a large
+// one does not, and the machine may be busy.
 func TestCostGrowsAsTheFile(t *testing.T) {
-	cost := func(part int) (read, entered, laid time.Duration) {
+	cost := func(part int) (read, applied, prepared time.Duration) {
 		text := fleetText(21_000/part, 2_800/part)
 		changed := strings.Replace(text, "requests_per_s = 3", "requests_per_s = 4", 1)
 		c, err := ParseOperator(text, nil)
@@ -66,29 +66,29 @@
 		if _, err := toml.Decode(text, &o); err != nil {
 			t.Fatal(err)
 		}
-		entered = minDuration(func() { // reading without the decoder, which hides what the rest costs
+		applied = minDuration(func() { // reading without the decoder, which takes most of the time
 			if _, err := c.withContent(&document.Content{Teams: o.Teams, Services: o.Services}); err != nil {
 				t.Fatal(err)
 			}
 		})
-		laid = minDuration(func() {
+		prepared = minDuration(func() {
 			if ch, err := NewUpdater(c).PrepareFile(next); err != nil || len(ch.Tenants) != 1 || len(ch.Classes) != 0 {
 				t.Fatal(ch, err)
 			}
 		})
-		t.Logf("%d bytes, %d teams and %d routes: read in %v, of it entered in %v, laid over in %v", len(text), len(c.Tenants), len(c.Classes), read, entered, laid)
-		return read, entered, laid
+		t.Logf("%d bytes, %d teams and %d contracts: read in %v, of it content applied in %v, change computed in %v", len(text), len(c.Tenants), len(c.Classes), read, applied, prepared)
+		return read, applied, prepared
 	}
-	smallRead, smallEntered, smallLaid := cost(8)
-	read, entered, laid := cost(1)
+	smallRead, smallApplied, smallPrepared := cost(8)
+	read, applied, prepared := cost(1)
 	if read > 32*smallRead {
-		t.Errorf("eight times the file is read in %v, after %v", read, smallRead)
+		t.Errorf("a file of eight times the size is read in %v, the small one in %v", read, smallRead)
 	}
-	if entered > 32*smallEntered {
-		t.Errorf("eight times the file is entered in %v, after %v", entered, smallEntered)
+	if applied > 32*smallApplied {
+		t.Errorf("content of eight times the size is applied in %v, the small one in %v", applied, smallApplied)
 	}
-	if laid > 32*smallLaid {
-		t.Errorf("eight times the file is laid over in %v, after %v", laid, smallLaid)
+	if prepared > 32*smallPrepared {
+		t.Errorf("the change to a file of eight times the size takes %v, that to the small one %v", prepared, smallPrepared)
 	}
 }
 
--- a/internal/config/updater.go
+++ b/internal/config/updater.go
@@ -10,66 +10,65 @@
 	"kiteslip/internal/pool"
 )
 
-// The bounds of the classes, and of the teams, that one process has a place for,
-// those included that are no longer in force: some kilobytes for each class, some
-// hundred bytes for each team.
+// The limits of the slots for classes and teams in one process, retired ones
+// included. A class takes some kilobytes, a team some hundred bytes.
 const (
 	maxClassSlots = document.MaxContracts
 	maxTeamSlots  = document.MaxTeams
 )
 
-// extraRetentionUS is how long, in microseconds, the place of a dropped team stays its
-// own beyond twice the longest deadline: its last request has long ended then.
+// extraRetentionUS is the time beyond twice the longest timeout of a class for which a
+// retired team keeps its slot: its last request has ended long before.
 const extraRetentionUS = 60_000_000
 
-// Change is a configuration that is checked and ready to be taken over between
-// two batches of the loop, with what differs from the one in force, so that
-// taking it over costs by that.
+// Change is a validated configuration, ready to be applied between two batches of the
+// event loop, with the slots that differ from the configuration in force, so that
+// applying it takes time in proportion to the differences.
 type Change struct {
 	Config             *Config
-	Pools              *pool.Settings // as Config has them, the same pointer while nothing of them differs; nil = none
-	Classes            []int          // places whose class is new, changed or dropped
-	Tenants            []int          // places whose team is
+	Pools              *pool.Settings // settings of Config's pools, the same pointer while nothing in them differs; nil = no pools
+	Classes            []int          // slots whose class is new, changed or retired
+	Tenants            []int          // slots whose team is new, changed or retired
 	RestartRequired    []string       // keys whose change needs a restart
-	FromFile           bool           // more than classes and teams may differ: it comes from a file
-	FileContentIgnored bool           // the file's own teams, services and pools are passed over: a version is in force
+	FromFile           bool           // read from a file, so more than classes and teams may differ
+	FileContentIgnored bool           // the file's own teams, services and pools are ignored because a version is in force
 
-	updateIndex func() // brings what Places knows of the version in force up to this one; nil = find it anew
+	updateIndex func() // updates the Updater's service index on Commit; nil = the index is built anew
 }
 
-// Updater makes Changes, beside the loop: which place each class and team has, by
-// name. It belongs to one goroutine. A Change follows the configuration that was
-// handed to NewPlaces or, later, to Adopted.
+// Updater computes Changes outside the event loop and assigns the slots of classes and
+// teams by name. It must be used by one goroutine. A Change is relative to the
+// configuration given to NewUpdater or, later, to Commit.
 //
-// A class keeps its place for as long as the process lives: keys and runs hang on
-// it. The place of a dropped team is free for another one when nothing of the old
-// one can be open any more, by the time that At tells.
+// A class keeps its slot for as long as the process lives, because keys and runs refer
+// to it. The slot of a retired team is given to another team once the retired one can
+// have no open requests any more, by the time given to SetTime.
 type Updater struct {
 	cfg *Config
-	now int64 // microseconds; 0 = not told yet
+	now int64 // microseconds; 0 = SetTime was not called yet
 
-	classes    map[classID]int // dropped ones included
-	teams      map[string]int  // dropped ones included, until their place is taken
-	reusableAt map[int]int64   // by place of a dropped team: when another may have it; 0 = to be set by At
-	released   []releasedSlot  // in the order in which they get free; stale where free says otherwise
+	classes    map[classID]int // slots by class, retired classes included
+	teams      map[string]int  // slots by team; retired teams included until their slot is reused
+	reusableAt map[int]int64   // by slot of a retired team: when it may be reused; 0 = SetTime will set it
+	released   []releasedSlot  // in the order of reusableAt; an entry that differs from the map is stale
 
-	services *serviceIndex  // of the version in force; nil = to be found
-	pools    *pool.Settings // as the change in force had them; nil = none, or not known
+	services *serviceIndex  // of the version in force; nil = not built
+	pools    *pool.Settings // of the change in force; nil = none, or not known
 }
 
-// releasedSlot is a place of a dropped team.
+// releasedSlot is the slot of a retired team.
 type releasedSlot struct {
 	slot       int
-	reusableAt int64 // when another team may have it; 0 = the time is not told yet
+	reusableAt int64 // when another team may have it; 0 = not known before SetTime
 }
 
-// classID is what a class is known by: one whose effect differs is another.
+// classID identifies a class: a class whose effect changes is a new class.
 type classID struct {
 	name   string
 	effect kiteslip.Effect
 }
 
-// NewUpdater returns the places of the configuration in force.
+// NewUpdater returns an Updater with the slots of the configuration in force.
 func NewUpdater(c *Config) *Updater {
 	p := &Updater{cfg: c, classes: make(map[classID]int, len(c.Classes)), teams: indexOf(c.Tenants), reusableAt: map[int]int64{}}
 	for i, name := range c.Classes {
@@ -83,8 +82,8 @@
 	return p
 }
 
-// SetTime tells the time, in microseconds, which only advances. It is told before a
-// change is made and before it is adopted; where it is never told no place gets free.
+// SetTime sets the current time in microseconds, which never goes back. It is called
+// before a change is prepared and before it is committed; without it no slot is reused.
 func (p *Updater) SetTime(now int64) {
 	first := p.now == 0 && now > 0
 	if p.now = max(p.now, now); !first {
@@ -96,7 +95,8 @@
 	}
 }
 
-// maxOpenTime is how long after it is dropped a team may have something open, and more.
+// maxOpenTime returns the time in microseconds after which a retired team has certainly
+// no open requests.
 func maxOpenTime(c *Config) int64 {
 	longest := int64(0)
 	for i := range c.Policy.Classes {
@@ -105,37 +105,38 @@
 	return 2*longest + extraRetentionUS
 }
 
-// PrepareFile lays a file that was read anew over the configuration in force. It costs by
-// all. What only a restart can change stays and is listed in Kept. While a version
-// is in force the machine's part of the file holds, and the version's teams,
-// services and pools stay. An error says that the file is not to be used.
+// PrepareFile returns the change from the configuration in force to a file that was
+// read anew, in time proportional to the whole file. Settings that need a restart keep
+// their values and are listed in RestartRequired. While a version is in force, the
+// file's machine settings apply and the version's teams, services and pools stay. An
+// error means that the file must not be used.
 func (p *Updater) PrepareFile(next *Config) (*Change, error) {
 	c := p.cfg
 	var errs validationErrors
 	checkMissingKeys(&errs, "", c.keyTree, next.keyTree)
 	m := *next
-	passed := c.version != nil
-	if passed {
+	underVersion := c.version != nil
+	if underVersion {
 		content := c.version.Content()
-		served, err := next.withContent(&content)
+		withVersion, err := next.withContent(&content)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("with version %d, which is in force: %w", c.version.Header().Number, err))
 			return nil, errs.join()
 		}
-		m, m.version = *served, c.version
+		m, m.version = *withVersion, c.version
 	}
-	var kept []string
-	keep := func(key string, differs bool) {
+	var restart []string // keys whose change needs one
+	fixed := func(key string, differs bool) {
 		if differs {
-			kept = append(kept, key)
+			restart = append(restart, key)
 		}
 	}
-	keep("name", next.Name != c.Name)
-	keep("listen", next.Listen != c.Listen || next.UWSGI.Listen != c.UWSGI.Listen)
-	keep("ops", next.Ops != c.Ops)
-	keep("limits", next.Limits != c.Limits)
-	keep("keys", next.Keys != c.Keys)
-	keep("control", !reflect.DeepEqual(next.Control, c.Control))
+	fixed("name", next.Name != c.Name)
+	fixed("listen", next.Listen != c.Listen || next.UWSGI.Listen != c.UWSGI.Listen)
+	fixed("ops", next.Ops != c.Ops)
+	fixed("limits", next.Limits != c.Limits)
+	fixed("keys", next.Keys != c.Keys)
+	fixed("control", !reflect.DeepEqual(next.Control, c.Control))
 	m.Keys, m.Control = c.Keys, c.Control
 	m.Name, m.Listen, m.Ops, m.Limits, m.Seed, m.InheritedFD = c.Name, c.Listen, c.Ops, c.Limits, c.Seed, c.InheritedFD
 	m.UWSGI.Listen = c.UWSGI.Listen
@@ -143,14 +144,15 @@
 	if len(errs) > 0 {
 		return nil, errs.join()
 	}
-	ch.RestartRequired, ch.FromFile, ch.FileContentIgnored = kept, true, passed
+	ch.RestartRequired, ch.FromFile, ch.FileContentIgnored = restart, true, underVersion
 	return ch, nil
 }
 
-// PrepareVersion lays a version of the fleet's document over it: the machine's part
-// stays. With a delta on the version in force it costs by that (and by copies of
-// flat lists); without one by all. The outcome is that of a file with the same
-// content. An error names all faults, and says that the version cannot be used here.
+// PrepareVersion returns the change from the configuration in force to a fleet
+// version; machine settings stay. With a delta on the version in force it takes time in
+// proportion to the delta (and to copies of flat lists), without one in proportion to
+// the whole version. The outcome equals that of a file with the same content. An error
+// lists everything invalid and means that this server cannot use the version.
 func (p *Updater) PrepareVersion(doc *document.Document, delta *document.Delta) (*Change, error) {
 	if ch := p.changeFromDelta(doc, delta); ch != nil {
 		return ch, nil
@@ -169,33 +171,33 @@
 	return ch, nil
 }
 
-// changeFromConfig gives what next has the places of what is in force, lists what differs, and
-// enters what was dropped. next is the outcome.
+// changeFromConfig returns the change to next, the result. It moves next's classes and
+// teams to their slots, lists what differs and retires what next does not have.
 func (p *Updater) changeFromConfig(next *Config, errs *validationErrors) *Change {
 	d := p.newChangeBuilder(next)
 	names, tenants := next.Classes, next.Tenants
-	routes := make([]classConfig, len(names))
+	classes := make([]classConfig, len(names))
 	for i := range names {
-		routes[i] = next.classConfig(i)
+		classes[i] = next.classConfig(i)
 	}
 	budgets := next.Policy.Tenants
 	d.copyClasses()
 	d.copyTeams()
-	on := make([]bool, len(p.cfg.Classes)+len(names))
+	configured := make([]bool, len(p.cfg.Classes)+len(names))
 	for i, name := range names {
-		on[d.setClass(name, &routes[i])] = true
+		configured[d.setClass(name, &classes[i])] = true
 	}
 	for i := range p.cfg.Classes {
-		if !on[i] {
+		if !configured[i] {
 			d.retireClass(i)
 		}
 	}
-	on = make([]bool, len(p.cfg.Tenants)+len(tenants))
+	configured = make([]bool, len(p.cfg.Tenants)+len(tenants))
 	for i, name := range tenants {
-		on[d.setTeam(name, budgets[i].Quota)] = true
+		configured[d.setTeam(name, budgets[i].Quota)] = true
 	}
 	for i := range p.cfg.Tenants {
-		if !on[i] {
+		if !configured[i] {
 			d.retireTeam(i)
 		}
 	}
@@ -203,7 +205,7 @@
 	return d.build()
 }
 
-// Commit notes that a Change is in force.
+// Commit records that a Change is in force.
 func (p *Updater) Commit(ch *Change) {
 	was, next := p.cfg, ch.Config
 	for _, i := range ch.Classes {
@@ -215,10 +217,10 @@
 			delete(p.teams, was.Tenants[i])
 		}
 		p.teams[next.Tenants[i]] = i
-		switch off, wasOff := IsRetired(next.RetiredTenants, i), i < len(was.Tenants) && IsRetired(was.RetiredTenants, i); {
-		case !off:
+		switch retired, wasRetired := IsRetired(next.RetiredTenants, i), i < len(was.Tenants) && IsRetired(was.RetiredTenants, i); {
+		case !retired:
 			delete(p.reusableAt, i)
-		case !wasOff:
+		case !wasRetired:
 			if due == 0 && p.now != 0 {
 				due = p.now + max(maxOpenTime(was), maxOpenTime(next))
 			}
@@ -234,8 +236,8 @@
 	p.cfg, p.pools = next, ch.Pools
 }
 
-// compactReleased takes stale entries out of the list of dropped places, once they are many:
-// a team that comes and goes is in it each time.
+// compactReleased removes stale entries of the list of released slots once there are
+// many: a team that is dropped and added again leaves an entry each time.
 func (p *Updater) compactReleased() {
 	if len(p.released) < 2*len(p.reusableAt)+64 {
 		return
@@ -243,7 +245,7 @@
 	p.released = slices.DeleteFunc(p.released, func(d releasedSlot) bool { return p.isStale(d) })
 }
 
-// isStale says whether a team came back to its place, or another one has it.
+// isStale reports whether the team has been added again or its slot has been reused.
 func (p *Updater) isStale(d releasedSlot) bool {
 	due, still := p.reusableAt[d.slot]
 	return !still || due != d.reusableAt
--- a/internal/config/updater_test.go
+++ b/internal/config/updater_test.go
@@ -14,8 +14,8 @@
 	"kiteslip/internal/control/document"
 )
 
-// nextVersion is the version that comes after d with this content; nil = it holds that
-// already, or no such version is accepted anywhere.
+// nextVersion returns the version after d with this content, or nil if d has that
+// content already or the document rejects it.
 func nextVersion(t interface{ Fatal(...any) }, d *document.Document, c *document.Content) (*document.Document, *document.Delta) {
 	changes := d.Diff(c)
 	if len(changes) == 0 {
@@ -32,15 +32,15 @@
 	return next, delta
 }
 
-// drawContent draws what a fleet may serve by; one in three may have faults that
-// only a machine sees.
+// drawContent draws the content of a version; one in three may be invalid in ways that
+// only a server's configuration shows.
 func drawContent(t *rapid.T) *document.Content {
 	faulty := rapid.IntRange(0, 2).Draw(t, "faulty") == 0
-	figure := func(key string, of ...float64) *float64 {
-		if faulty && rapid.IntRange(0, 3).Draw(t, key+" is open") == 0 {
+	number := func(key string, values ...float64) *float64 {
+		if faulty && rapid.IntRange(0, 3).Draw(t, key+" is absent") == 0 {
 			return nil
 		}
-		return &[]float64{rapid.SampledFrom(of).Draw(t, key)}[0]
+		return &[]float64{rapid.SampledFrom(values).Draw(t, key)}[0]
 	}
 	c := &document.Content{}
 	for _, name := range []string{"red", "blue", "green", "teal"} {
@@ -66,8 +66,8 @@
 		}
 		for j := range rapid.IntRange(1, 2).Draw(t, "contracts") {
 			k := Contract{Class: classes[2*i+j], Effect: rapid.SampledFrom([]string{"repeatable", "keyed", "once"}).Draw(t, "effect"),
-				TargetTimeMS: figure("aim", 100, 300), DeadlineMS: figure("deadline", 300, 500, 900), WindowMS: figure("window", 900, 1500),
-				Worth: figure("worth", 1, 2), LateWorth: figure("late", 0, 0.5), MaxBody: rapid.SampledFrom([]int{0, 0, 4096, 20_000}).Draw(t, "body"),
+				TargetTimeMS: number("aim", 100, 300), DeadlineMS: number("deadline", 300, 500, 900), WindowMS: number("window", 900, 1500),
+				Worth: number("worth", 1, 2), LateWorth: number("late", 0, 0.5), MaxBody: rapid.SampledFrom([]int{0, 0, 4096, 20_000}).Draw(t, "body"),
 				RequestMemoryKB: rapid.SampledFrom([]float64{0, 32}).Draw(t, "held"), MaxResult: rapid.SampledFrom([]int{0, 100}).Draw(t, "result")}
 			if rapid.Bool().Draw(t, "path") {
 				k.Path = paths[2*i+j]
@@ -103,14 +103,14 @@
 	return c
 }
 
-// describeInForce is what c serves by, by name: places play no part.
+// describeInForce formats what is in force in c by name, without slots.
 func describeInForce(c *Config) string {
 	var lines []string
 	for i, name := range c.Classes {
 		if !IsRetired(c.RetiredClasses, i) {
 			lines = append(lines, fmt.Sprintf("class %s %+v", name, c.classConfig(i)))
 		} else if c.UWSGI.Contracts[i].Path != "" {
-			lines = append(lines, "a path leads to a class that is off")
+			lines = append(lines, "a path selects a retired class")
 		}
 	}
 	for i, name := range c.Tenants {
@@ -121,8 +121,8 @@
 	if s := c.PoolSettings(); s != nil {
 		for _, p := range s.Pools {
 			names := []string{}
-			for _, at := range p.Classes {
-				names = append(names, c.Classes[at])
+			for _, slot := range p.Classes {
+				names = append(names, c.Classes[slot])
 			}
 			slices.Sort(names)
 			p.Classes = nil
@@ -132,17 +132,17 @@
 	slices.Sort(lines)
 	m := c.Policy
 	m.Classes, m.Tenants = nil, nil
-	return strings.Join(lines, "\n") + fmt.Sprintf("\nmodule %+v, keys %+v, engine %s", m, c.Keys, c.Engine)
+	return strings.Join(lines, "\n") + fmt.Sprintf("\npolicy %+v, keys %+v, engine %s", m, c.Keys, c.Engine)
 }
 
-// checkChange says whether a change lists all that differs from what was in force,
-// and the lists agree.
+// checkChange fails the test unless a change lists exactly the slots that differ from
+// the configuration that was in force, and its lists are consistent.
 func checkChange(t *rapid.T, was *Config, ch *Change) {
 	c := ch.Config
 	n := len(c.Classes)
 	if len(c.Policy.Classes) != n || len(c.UWSGI.Contracts) != n || len(c.Backends) != n || len(c.MaxResultBytes) != n ||
 		len(c.Policy.Tenants) != len(c.Tenants) {
-		t.Fatalf("lists of unlike length: %+v", c)
+		t.Fatalf("lists of different lengths: %+v", c)
 	}
 	if _, err := kiteslip.New(c.Policy, 0); err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 	for i := range c.Classes {
 		differs := i >= len(was.Classes) || c.classConfig(i) != was.classConfig(i) || IsRetired(c.RetiredClasses, i) != IsRetired(was.RetiredClasses, i)
 		if i < len(was.Classes) && (c.Classes[i] != was.Classes[i] || c.Policy.Classes[i].Effect != was.Policy.Classes[i].Effect) {
-			t.Fatalf("class %d is another one", i)
+			t.Fatalf("slot %d has another class", i)
 		}
 		if differs != slices.Contains(ch.Classes, i) {
 			t.Fatalf("class %d differs: %v, and %v are listed", i, differs, ch.Classes)
@@ -165,12 +165,13 @@
 	}
 }
 
-// What a version makes of the configuration in force is what a file with the same
-// content makes of it, faults included, whether it comes as a delta or whole.
+// A version changes the configuration in force in the same way as a file with the same
+// content, errors included, whether it comes as a delta or as a snapshot. Guards
+// against differences between the fast path for deltas and the full one.
 func TestVersionMatchesFile(t *testing.T) {
-	steps, taken := 0, 0
+	versions, byDeltas := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		head, alone := "", rapid.Bool().Draw(t, "alone")
+		head, alone := "", rapid.Bool().Draw(t, "alone") // without a platform's file
 		if alone {
 			head = "[uwsgi]\nlisten = \"127.0.0.1:3031\"\n[machine]\ncores = 2\n"
 		}
@@ -178,11 +179,11 @@
 			head += "[keys]\nfolder = \"/k\"\n"
 		}
 		read := func(c *document.Content) (*Config, error) {
-			var words bytes.Buffer
-			if err := toml.NewEncoder(&words).Encode(OperatorFile{Teams: c.Teams, Services: c.Services, Pool: c.Pools, Pools: PoolsSection{CheapReserve: c.CheapReserve}}); err != nil {
+			var encoded bytes.Buffer
+			if err := toml.NewEncoder(&encoded).Encode(OperatorFile{Teams: c.Teams, Services: c.Services, Pool: c.Pools, Pools: PoolsSection{CheapReserve: c.CheapReserve}}); err != nil {
 				t.Fatal(err)
 			}
-			text := strings.ReplaceAll(strings.ReplaceAll(words.String(), "[uwsgi]\n  listen = \"\"\n  read_ms = 0\n", ""), "  ", "")
+			text := strings.ReplaceAll(strings.ReplaceAll(encoded.String(), "[uwsgi]\n  listen = \"\"\n  read_ms = 0\n", ""), "  ", "")
 			if alone {
 				return ParseOperator(text+head, nil)
 			}
@@ -216,42 +217,43 @@
 			byDelta, deltaErr := asDelta.PrepareVersion(doc, delta)
 			byWhole, wholeErr := asWhole.PrepareVersion(doc, nil)
 			if fmt.Sprint(fileErr) != fmt.Sprint(deltaErr) || fmt.Sprint(fileErr) != fmt.Sprint(wholeErr) {
-				t.Fatalf("as a file %v\nas a delta %v\nwhole %v", fileErr, deltaErr, wholeErr)
+				t.Fatalf("as a file %v\nas a delta %v\nas a snapshot %v", fileErr, deltaErr, wholeErr)
 			}
 			if fileErr != nil {
-				continue // the version before stays, and the next delta is on another one
+				continue // the version before stays in force, and the next delta has another parent
 			}
-			steps++
+			versions++
 			if byDelta.updateIndex != nil {
-				taken++
+				byDeltas++
 			}
 			checkChange(t, asFile.cfg, byFile)
 			checkChange(t, asDelta.cfg, byDelta)
 			checkChange(t, asWhole.cfg, byWhole)
 			if a, b, c := describeInForce(byFile.Config), describeInForce(byDelta.Config), describeInForce(byWhole.Config); a != b || a != c {
-				t.Fatalf("as a file\n%s\nas a delta\n%s\nwhole\n%s", a, b, c)
+				t.Fatalf("as a file\n%s\nas a delta\n%s\nas a snapshot\n%s", a, b, c)
 			}
 			if byDelta.Config.Version() != doc || byWhole.Config.Version() != doc || byFile.Config.Version() != nil {
-				t.Fatal("another version is said to be in force")
+				t.Fatal("Version returns another version than that in force")
 			}
 			asFile.Commit(byFile)
 			asDelta.Commit(byDelta)
 			asWhole.Commit(byWhole)
 		}
 	})
-	if 4*taken < steps {
-		t.Errorf("of %d versions only %d were taken at the cost of their delta", steps, taken)
+	if 4*byDeltas < versions {
+		t.Errorf("of %d versions only %d were computed from their delta", versions, byDeltas)
 	}
-	t.Logf("%d of %d versions at the cost of their delta", taken, steps)
+	t.Logf("%d of %d versions computed from their delta", byDeltas, versions)
 }
 
-// Names of teams may come and go for years: a place is given to another team once
-// nothing of the old one can be open any more, and not before.
+// The slot of a retired team is reused once none of its requests can be open any more,
+// and not before. Guards against growth without end in a process whose teams come and
+// go, and against requests of one team that are accounted to another.
 func TestRetiredTeamSlotsAreReused(t *testing.T) {
 	classes := [][2]string{{"first", "repeatable"}} // its deadline is 4 s
 	const wait = 2*4_000_000 + extraRetentionUS
 	p := NewUpdater(parse(t, platformText(classes, []string{"stays", "goes"})))
-	take := func(teams ...string) *Config {
+	apply := func(teams ...string) *Config {
 		t.Helper()
 		ch, err := p.PrepareFile(parse(t, platformText(classes, teams)))
 		if err != nil {
@@ -261,23 +263,23 @@
 		return ch.Config
 	}
 	p.SetTime(1_000_000)
-	take("stays")
+	apply("stays")
 	p.SetTime(1_000_000 + wait - 1)
-	if c := take("stays", "early"); len(c.Tenants) != 3 || c.Tenants[2] != "early" || !IsRetired(c.RetiredTenants, 1) {
-		t.Fatalf("a place was taken too early: %v", c.Tenants)
+	if c := apply("stays", "early"); len(c.Tenants) != 3 || c.Tenants[2] != "early" || !IsRetired(c.RetiredTenants, 1) {
+		t.Fatalf("a slot was reused too early: %v", c.Tenants)
 	}
 	p.SetTime(1_000_000 + wait)
-	if c := take("stays", "early", "late"); len(c.Tenants) != 3 || c.Tenants[1] != "late" || IsRetired(c.RetiredTenants, 1) || c.Policy.Tenants[1].Quota != 3 {
-		t.Fatalf("the place is not taken: %v", c.Tenants)
+	if c := apply("stays", "early", "late"); len(c.Tenants) != 3 || c.Tenants[1] != "late" || IsRetired(c.RetiredTenants, 1) || c.Policy.Tenants[1].Quota != 3 {
+		t.Fatalf("the slot is not reused: %v", c.Tenants)
 	}
-	if c := take("stays", "early", "late", "goes"); len(c.Tenants) != 4 || c.Tenants[3] != "goes" {
-		t.Fatalf("a team that returns after its place was taken: %v", c.Tenants)
+	if c := apply("stays", "early", "late", "goes"); len(c.Tenants) != 4 || c.Tenants[3] != "goes" {
+		t.Fatalf("a team that returns after its slot was reused: %v", c.Tenants)
 	}
-	if c := take("stays", "late", "goes"); !IsRetired(c.RetiredTenants, 2) {
+	if c := apply("stays", "late", "goes"); !IsRetired(c.RetiredTenants, 2) {
 		t.Fatalf("%v", c.RetiredTenants)
 	}
-	if c := take("stays", "early", "late", "goes"); IsRetired(c.RetiredTenants, 2) || len(c.Tenants) != 4 {
-		t.Fatalf("a team that returns to its place: %v", c.Tenants)
+	if c := apply("stays", "early", "late", "goes"); IsRetired(c.RetiredTenants, 2) || len(c.Tenants) != 4 {
+		t.Fatalf("a team that returns to its slot: %v", c.Tenants)
 	}
 	now := p.now
 	for i := range 5_000 { // one that comes and goes, and one new name each time
@@ -287,14 +289,14 @@
 		if i%2 == 0 {
 			teams = append(teams, "flips")
 		}
-		if c := take(teams...); len(c.Tenants) > 20 || len(p.teams) > 20 || len(p.reusableAt) > 20 || len(p.released) > 110 {
-			t.Fatalf("file %d: %d places, %d names, %d and %d dropped", i, len(c.Tenants), len(p.teams), len(p.reusableAt), len(p.released))
+		if c := apply(teams...); len(c.Tenants) > 20 || len(p.teams) > 20 || len(p.reusableAt) > 20 || len(p.released) > 110 {
+			t.Fatalf("file %d: %d slots, %d names, %d and %d released", i, len(c.Tenants), len(p.teams), len(p.reusableAt), len(p.released))
 		}
 	}
 }
 
-// While a version is in force the machine's part of a file holds, and the
-// version's teams and services stay.
+// While a version is in force, a file's machine settings apply and the version's teams
+// and services stay. A file with which the version would be invalid is rejected.
 func TestFileUnderVersion(t *testing.T) {
 	cfg, err := ParseOperator(machine+operator, nil)
 	if err != nil {
@@ -332,11 +334,11 @@
 		t.Fatal(err)
 	}
 	if _, err := p.PrepareFile(worse); err == nil || !strings.Contains(err.Error(), "version 1") || !strings.Contains(err.Error(), "no class is keyed") {
-		t.Errorf("a file that cannot bear the version in force: %v", err)
+		t.Errorf("a file that is invalid with the version in force: %v", err)
 	}
 }
 
-// [control] is off without a publisher; its faults are named by key, all at once.
+// [control] is off without a publisher; all its invalid keys are reported in one error.
 func TestControl(t *testing.T) {
 	const control = "[control]\nregion = \"south\"\nfolder = \"/var/versions\"\n[[control.publisher]]\naddress = \"10.0.0.1:7000\"\nregion = \"south\"\n" +
 		"[[control.publisher]]\naddress = \"10.0.0.2:7000\"\nregion = \"north\"\n"
--- a/internal/config/with_document.go
+++ b/internal/config/with_document.go
@@ -3,9 +3,9 @@
 import "kiteslip/internal/control/document"
 
 // WithDocument returns c with a version's teams, services and pools in place of the
-// file's own: what a process starts by. No place is kept for the file's, since
-// nothing of them is open. An error names all faults, and says that the version
-// cannot be used here.
+// file's own: the configuration that a process starts with. The file's own get no
+// slots, since none of their requests can be open. An error lists everything invalid
+// and means that this server cannot use the version.
 func (c *Config) WithDocument(doc *document.Document) (*Config, error) {
 	content := doc.Content()
 	m, err := c.withContent(&content)
