--- a/internal/frame/answer.go
+++ b/internal/frame/answer.go
@@ -6,7 +6,7 @@
 	"kiteslip/internal/core"
 )
 
-// EncodeAnswer words a final answer: its code, fields and body.
+// EncodeAnswer returns the code, the fields and the body of a final answer's frame.
 func EncodeAnswer(a *core.Answer) (code byte, fields []Field, body []byte) {
 	switch {
 	case a.Code == core.Refused:
@@ -23,5 +23,5 @@
 	if a.Code == core.Failed && a.Cause == core.OutcomeUnknown {
 		return Failed, nil, []byte(core.OutcomeUnknownText)
 	}
-	return Failed, nil, nil // also a result that no frame may carry
+	return Failed, nil, nil // also a result that is too large for a frame
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,5 +1,5 @@
-// Package frame reads and writes the platform's length-prefixed frames. It
-// parses in place and keeps nothing: what it returns points into its input.
+// Package frame parses and formats the platform's length-prefixed frames. Parsing does
+// not copy: results point into the input, except those of ParseRequest.
 package frame
 
 import (
@@ -10,7 +10,7 @@
 	"kiteslip/internal/reject"
 )
 
-// The types of a frame.
+// The types of frames.
 const (
 	Request      = 65
 	Answer       = 66
@@ -25,7 +25,7 @@
 	Served    = 79
 	Refused   = 66
 	Failed    = 69
-	Healthy   = 79 // of a health check
+	Healthy   = 79 // of a health status
 	Unhealthy = 69
 )
 
@@ -39,7 +39,7 @@
 	headerSize = 4 + MinLength
 )
 
-// ErrLength says that a frame's length lies outside the protocol's bounds.
+// ErrLength is the error of a frame whose length is outside the protocol's limits.
 var ErrLength = errors.New("frame: length out of bounds")
 
 // Frame is one frame. The payload points into the input.
@@ -49,8 +49,8 @@
 	Payload []byte
 }
 
-// Split returns the first frame of b and the number of bytes that it takes;
-// 0 means that more bytes are needed.
+// Split returns the first frame of b and its size in bytes; a size of 0 means that the
+// frame is not complete.
 func Split(b []byte) (Frame, int, error) {
 	if len(b) < 4 {
 		return Frame{}, 0, nil
@@ -66,7 +66,7 @@
 	return Frame{Type: b[4], Stream: binary.BigEndian.Uint32(b[5:]), Payload: b[headerSize:end]}, end, nil
 }
 
-// Fields are the fields of a payload, still in their wire form.
+// Fields are the encoded fields of a payload.
 type Fields struct {
 	raw   []byte
 	count int
@@ -76,8 +76,8 @@
 	return &reject.Error{Cause: "fields_cut_short", Err: fmt.Errorf("frame: field %d is cut short", i)}
 }
 
-// ParseFields checks the fields at the start of a payload and returns them
-// with what follows, the body.
+// ParseFields validates the fields at the start of a payload and returns them and the
+// body, which follows them.
 func ParseFields(p []byte) (Fields, []byte, error) {
 	if len(p) < 1 {
 		return Fields{}, nil, &reject.Error{Cause: "fields_cut_short", Err: errors.New("frame: no field count")}
@@ -112,18 +112,18 @@
 	}
 }
 
-// AppendHeader appends the head of a frame whose payload takes size bytes.
+// AppendHeader appends the header of a frame whose payload has size bytes.
 func AppendHeader(b []byte, kind byte, stream uint32, size int) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(MinLength+size))
 	b = append(b, kind)
 	return binary.BigEndian.AppendUint32(b, stream)
 }
 
-// Field is a field to be written.
+// Field is a field to encode.
 type Field struct{ Name, Value string }
 
-// AppendAnswer appends the head of an answer, its code and fields; a body of
-// size bytes is to follow. Names over 255 and values over 65,535 bytes do not fit a frame.
+// AppendAnswer appends the header of an answer, its code and its fields; the caller
+// appends the body of size bytes. Names are limited to 255 bytes, values to 65,535.
 func AppendAnswer(b []byte, kind byte, stream uint32, code byte, fields []Field, size int) []byte {
 	n := 2 + size
 	for _, f := range fields {
@@ -133,7 +133,7 @@
 	return AppendFields(append(b, code), fields)
 }
 
-// AppendFields appends a count and the fields.
+// AppendFields appends the number of fields and the fields.
 func AppendFields(b []byte, fields []Field) []byte {
 	b = append(b, byte(len(fields)))
 	for _, f := range fields {
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -13,7 +13,7 @@
 	return &NameIndex{Classes: map[string]int{"look": 0, "note": 1}, Keyed: []bool{false, true}, Tenants: map[string]int{"red": 0, "blue": 1}}
 }
 
-// validFields are the fields of a request that can be read.
+// validFields returns the fields of a valid request.
 func validFields() map[string]string {
 	return map[string]string{"kind": "note", "req": "9b1f03aa5c7e2d41", "ts": "1764576000123", "via": "4", "owner": "blue",
 		"timeout": "480", "ms": "12.50", "need": "24.5", "level": "0.6250", "opkey": "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}
@@ -44,7 +44,7 @@
 	if r, err = ParseRequest(payload(f, ""), nameIndex()); err != nil || r.Subject != 0x7f3a9c21e0b4d655 || r.Write || r.Retry {
 		t.Errorf("%+v, %v", r, err)
 	}
-	// A caller need not say how long it waits, and marks a further try.
+	// The timeout is optional, and a caller marks a retry.
 	delete(f, "timeout")
 	f["resent"] = "1"
 	if r, err = ParseRequest(payload(f, ""), nameIndex()); err != nil || r.Deadline != 0 || !r.Retry {
@@ -53,7 +53,7 @@
 }
 
 func TestBadFields(t *testing.T) {
-	for _, c := range []struct{ name, value string }{ // "-" takes the field away
+	for _, c := range []struct{ name, value string }{ // "-" removes the field
 		{"kind", "-"}, {"kind", "other"}, {"req", "-"}, {"req", "xyz"}, {"req", "9b1f03aa5c7e2d4g"}, {"ts", "-"}, {"ts", "-5"},
 		{"ts", "99999999999999999999"}, {"owner", "-"}, {"owner", "green"}, {"timeout", "1e3"}, {"timeout", "-1"},
 		{"timeout", "99999999999"}, {"ms", "NaN"}, {"ms", "-1"}, {"need", "0"}, {"need", "2001"}, {"need", "+Inf"}, {"level", "2"},
@@ -68,7 +68,7 @@
 		}
 	}
 	if _, err := ParseRequest(payload(validFields(), strings.Repeat("b", MaxBody+1)), nameIndex()); err == nil {
-		t.Error("a body that is too large passes")
+		t.Error("a body that is too large is accepted")
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// Bytes as the protocol's page has them.
+// Guards the encoding against a change: bytes as in the protocol's specification.
 func TestAnswerBytes(t *testing.T) {
 	got := AppendAnswer(nil, Answer, 0x01020304, Refused, []Field{{"nomore", "1"}}, 2)
 	want := []byte("\x00\x00\x00\x13\x42\x01\x02\x03\x04\x42\x01\x06nomore\x00\x011")
@@ -89,7 +89,7 @@
 	}
 }
 
-// Frames come out as they went in, however the stream is cut.
+// Frames are parsed correctly wherever the stream is split into reads.
 func TestSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
@@ -125,18 +125,18 @@
 			}
 		}
 		if got != len(bodies) {
-			t.Fatalf("%d frames of %d", got, len(bodies))
+			t.Fatalf("%d frames, want %d", got, len(bodies))
 		}
 	})
 }
 
-// No bytes make the parsers panic.
+// The parsers do not panic on any input.
 func FuzzParse(f *testing.F) {
 	f.Add(payload(validFields(), "body"))
 	f.Add([]byte{255, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if fr, n, err := Split(b); err == nil && n > 0 && n != len(fr.Payload)+headerSize {
-			t.Fatalf("%d bytes are used for a payload of %d", n, len(fr.Payload))
+			t.Fatalf("a frame of %d bytes has a payload of %d", n, len(fr.Payload))
 		}
 		if r, err := ParseRequest(b, nameIndex()); err == nil && (r.Deadline != 0 && r.Deadline < r.Arrived || len(r.Body) > MaxBody) {
 			t.Fatalf("%+v", r)
--- a/internal/frame/request.go
+++ b/internal/frame/request.go
@@ -10,25 +10,25 @@
 	"kiteslip/internal/reject"
 )
 
-// NameIndex maps the names on the wire to places in the settings.
+// NameIndex maps the names of classes and tenants to their slots.
 type NameIndex struct {
 	Classes map[string]int
 	Keyed   []bool         // by class
-	Tenants map[string]int // empty where the site has no tenants
+	Tenants map[string]int // empty = no tenants are configured
 }
 
-// The largest figures that are believed: an hour of waiting, and the memory
-// that the protocol allows for one request.
+// The limits of the fields of a request: times of an hour, and the memory that the
+// protocol allows for one request.
 const (
 	maxTimeoutMS   = 3_600_000
 	maxNeedKB      = 2_000
 	maxWorkMS      = 3_600_000
 	maxKeyBytes    = 128
-	maxTimestampMS = 1 << 43 // ms: some centuries; sums of times cannot overflow
+	maxTimestampMS = 1 << 43 // some centuries, so that sums of times cannot overflow
 )
 
-// ParseRequest reads the payload of a request. What it returns shares no
-// memory with the payload.
+// ParseRequest parses the payload of a request. The result shares no memory with the
+// payload.
 func ParseRequest(payload []byte, names *NameIndex) (*core.Request, error) {
 	fields, body, err := ParseFields(payload)
 	if err != nil {
@@ -39,8 +39,8 @@
 	}
 	r := &core.Request{Class: -1, Tenant: -1, Arrived: -1}
 	var timeout int64
-	told := false // a caller need not say how long it waits
-	var bad error
+	hasTimeout := false // the timeout is optional
+	var fieldErr error
 	for name, value := range fields.All {
 		var ok bool
 		switch string(name) {
@@ -60,7 +60,7 @@
 			ok = ok || len(names.Tenants) == 0
 		case "timeout":
 			timeout, ok = parseInt(value, maxTimeoutMS)
-			told = true
+			hasTimeout = true
 		case "resent":
 			r.Retry, ok = string(value) == "1", string(value) == "0" || string(value) == "1"
 		case "ms":
@@ -80,13 +80,13 @@
 		default:
 			ok = true // later versions may add fields
 		}
-		if !ok && bad == nil {
-			bad = invalidField(string(name))
+		if !ok && fieldErr == nil {
+			fieldErr = invalidField(string(name))
 		}
 	}
 	switch {
-	case bad != nil:
-		return nil, bad
+	case fieldErr != nil:
+		return nil, fieldErr
 	case r.Class < 0:
 		return nil, missingField("kind")
 	case r.TryID == "":
@@ -103,22 +103,25 @@
 	}
 	r.Write = names.Keyed[r.Class]
 	r.Tenant = max(r.Tenant, 0)
-	if told {
+	if hasTimeout {
 		r.Deadline = max(1, r.Arrived+timeout*1000)
 	}
 	r.Body = append([]byte(nil), body...)
 	return r, nil
 }
 
-// invalidField names a field of the protocol: others are passed over, so the causes are few.
+// invalidField returns the error of an invalid field. Unknown fields are ignored, so the
+// number of causes is small.
 func invalidField(name string) error {
 	return &reject.Error{Cause: "field_unusable_" + name, Err: fmt.Errorf("frame: field %q cannot be used", name)}
 }
 
+// missingField returns the error of a required field that is absent.
 func missingField(name string) error {
 	return &reject.Error{Cause: "field_absent_" + name, Err: fmt.Errorf("frame: field %q is absent", name)}
 }
 
+// isHex16 reports whether b consists of 16 hex digits.
 func isHex16(b []byte) bool {
 	if len(b) != 16 {
 		return false
@@ -127,7 +130,7 @@
 	return err == nil
 }
 
-// parseSubject takes 16 hex digits as they are; any other name is hashed (FNV-1a).
+// parseSubject parses 16 hex digits; any other subject is hashed (FNV-1a).
 func parseSubject(b []byte) (uint64, bool) {
 	if v, err := strconv.ParseUint(string(b), 16, 64); err == nil && len(b) == 16 {
 		return v, true
@@ -139,21 +142,23 @@
 	return h, len(b) > 0 && len(b) <= maxKeyBytes
 }
 
-func parseInt(b []byte, most int64) (int64, bool) {
+// parseInt parses an integer from 0 to maximum.
+func parseInt(b []byte, maximum int64) (int64, bool) {
 	v, err := strconv.ParseInt(string(b), 10, 64)
-	return v, err == nil && v >= 0 && v <= most
+	return v, err == nil && v >= 0 && v <= maximum
 }
 
-func parseFloat(b []byte, least, most float64) (float64, bool) {
+// parseFloat parses a number from minimum to maximum; NaN is invalid.
+func parseFloat(b []byte, minimum, maximum float64) (float64, bool) {
 	v, err := strconv.ParseFloat(string(b), 64)
-	return v, err == nil && v >= least && v <= most
+	return v, err == nil && v >= minimum && v <= maximum
 }
 
-// AppendRequest appends a whole request frame, as a caller writes it.
+// AppendRequest appends a complete request frame, as a caller sends it.
 func AppendRequest(b []byte, stream uint32, fields []Field, body []byte) []byte {
-	at := len(b)
+	start := len(b)
 	b = AppendHeader(b, Request, stream, 0)
 	b = append(AppendFields(b, fields), body...)
-	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-4))
+	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-4))
 	return b
 }
--- a/internal/storage/worker.go
+++ b/internal/storage/worker.go
@@ -1,5 +1,6 @@
-// Package storage does the disk's work beside the loop: a goroutine that takes
-// all that waits into one commit of a key store, and hands the outcome back.
+// Package storage writes to a key store outside the event loop: a goroutine commits all
+// queued operations as a group and delivers the outcomes. Instants and durations are
+// int64 microseconds where the key store has them so.
 package storage
 
 import (
@@ -17,33 +18,33 @@
 )
 
 const (
-	maxQueuedOps    = 1 << 14 // operations that wait, and as many that are under way
-	maxQueuedBytes  = 8 << 20 // ... and their results
+	maxQueuedOps    = 1 << 14 // as many more may be in the commit under way
+	maxQueuedBytes  = 8 << 20 // results and overhead of the queued operations
 	expiryInterval  = time.Second
-	expiryMarginUS  = 5_000_000 // microseconds after its window's end that a record stays
-	opOverheadBytes = 128       // bytes that an operation counts beside its result
+	expiryMarginUS  = 5_000_000 // time that a record is kept after its window's end
+	opOverheadBytes = 128       // counted for an operation beside its result
 )
 
-// ErrQueueFull says that more waits for the disk than there is room for.
-var ErrQueueFull = errors.New("storage: too much waits for the disk")
+// ErrQueueFull is the error of an operation that the queue has no room for.
+var ErrQueueFull = errors.New("storage: the write queue is full")
 
-// ErrClosed says that the worker was closed.
+// ErrClosed is the error of an operation that was queued after Close.
 var ErrClosed = errors.New("storage: closed")
 
-// Outcome is what became of one operation.
+// Outcome is the result of one operation.
 type Outcome struct {
 	Token uint32
 	Err   error // nil = durable
 }
 
-// op is an operation and who wants to hear of it; token 0 = nobody.
+// op is a queued operation with the token of its outcome; 0 = the outcome is not delivered.
 type op struct {
 	keystore.Op
 	token uint32
 }
 
-// Worker owns a store. Its methods may be called from any goroutine and never
-// wait for the disk; outcomes are delivered from its own goroutine.
+// Worker owns a key store. Its methods may be called from any goroutine and never wait
+// for the disk; outcomes are delivered from another goroutine.
 type Worker struct {
 	store   *keystore.Store
 	now     func() keystore.ClockReading
@@ -62,18 +63,19 @@
 	lastError                 atomic.Pointer[error]
 }
 
-// Start lets a worker own the store. deliver is given the outcomes of each commit.
+// Start returns a running worker that owns the store. deliver receives the outcomes of
+// each commit.
 func Start(store *keystore.Store, now func() keystore.ClockReading, deliver func([]Outcome)) *Worker {
 	w := &Worker{store: store, now: now, deliver: deliver, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Put asks for a record to be kept; the outcome comes under the token, 0 = to
-// nobody. What has no room in the queue fails at once.
+// Put queues the writing of a record. Its outcome is delivered with the token, or not at
+// all where that is 0. If the queue is full the operation fails at once.
 func (w *Worker) Put(token uint32, r keystore.Record) { w.add(op{keystore.Op{Record: r}, token}) }
 
-// Delete asks for the record of a key that never ran to go.
+// Delete queues the deletion of the record of a key that never ran.
 func (w *Worker) Delete(r keystore.Record) { w.add(op{keystore.Op{Record: r, Delete: true}, 0}) }
 
 func (w *Worker) add(o op) {
@@ -94,7 +96,7 @@
 		w.errs.Add(1)
 		w.lastError.Store(&err)
 		if o.token != 0 {
-			go w.deliver([]Outcome{{o.token, err}}) // never from inside the caller
+			go w.deliver([]Outcome{{o.token, err}}) // not from the caller's goroutine
 		}
 		return
 	}
@@ -109,20 +111,20 @@
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
-		late := false
+		expiryDue := false
 		select {
 		case <-w.wake:
 		case <-ticker.C:
-			late = true
+			expiryDue = true
 		}
 		w.mu.Lock()
 		ops, closing := w.queue, w.closing
 		w.queue, w.queuedBytes = nil, 0
 		w.mu.Unlock()
-		if len(ops) > 0 || late || closing {
+		if len(ops) > 0 || expiryDue || closing {
 			w.commit(ops)
 		}
-		if late {
+		if expiryDue {
 			w.expire()
 		}
 		if closing {
@@ -134,16 +136,17 @@
 	}
 }
 
-// commit makes a group durable and says so. A group that fails is tried again
-// one by one where an operation of its own may be at fault.
+// commit makes a group of operations durable and delivers their outcomes. The
+// operations of a group that fails are committed one by one, unless the store as a
+// whole has failed: one invalid operation must not fail the others.
 func (w *Worker) commit(ops []op) {
 	list := make([]keystore.Op, len(ops))
 	for i := range ops {
 		list[i] = ops[i].Op
 	}
-	began := time.Now()
+	start := time.Now()
 	err := w.store.Commit(w.now(), list)
-	w.maxCommitUS.Store(max(w.maxCommitUS.Load(), time.Since(began).Microseconds()))
+	w.maxCommitUS.Store(max(w.maxCommitUS.Load(), time.Since(start).Microseconds()))
 	w.commits.Add(1)
 	w.operations.Add(int64(len(ops)))
 	if err != nil {
@@ -165,7 +168,7 @@
 	}
 }
 
-// expire gives the space of aged keys back.
+// expire deletes the records whose window ended some time ago.
 func (w *Worker) expire() {
 	if err := w.store.DeleteExpired(w.now().Wall - expiryMarginUS); err != nil {
 		w.errs.Add(1)
@@ -174,8 +177,8 @@
 	w.diskBytes.Store(int64(w.store.DiskBytes()))
 }
 
-// Close takes nothing new, makes what waits durable and closes the store. The
-// channel is closed when that is done.
+// Close commits what is queued, closes the store and rejects new operations. The
+// returned channel is closed when that is done.
 func (w *Worker) Close() <-chan struct{} {
 	w.mu.Lock()
 	w.closing = true
@@ -187,42 +190,43 @@
 	return w.done
 }
 
-// Stats are the worker's counts since the start.
+// Stats are the worker's counters since the start, and its state.
 type Stats struct {
 	Commits, Operations, Errors int64
-	MaxCommitUS                 int64 // the longest commit
-	Waiting                     int
+	MaxCommitUS                 int64 // duration of the longest commit
+	Waiting                     int   // operations in the queue
 	DiskBytes                   int64
-	LastError                   error // the last error; nil = none
+	LastError                   error // nil = none
 }
 
-// Stats returns the counts.
+// Stats returns the current counters.
 func (w *Worker) Stats() Stats {
 	w.mu.Lock()
 	waiting := len(w.queue)
 	w.mu.Unlock()
-	f := Stats{Commits: w.commits.Load(), Operations: w.operations.Load(), Errors: w.errs.Load(),
+	s := Stats{Commits: w.commits.Load(), Operations: w.operations.Load(), Errors: w.errs.Load(),
 		MaxCommitUS: w.maxCommitUS.Load(), Waiting: waiting, DiskBytes: w.diskBytes.Load()}
 	if err := w.lastError.Load(); err != nil {
-		f.LastError = *err
+		s.LastError = *err
 	}
-	return f
+	return s
 }
 
-// ReadClocks reads the machine's two clocks.
+// ReadClocks reads the wall clock, the uptime and the boot ID. The uptime and the boot ID
+// are 0 if one of them cannot be read.
 func ReadClocks() keystore.ClockReading {
-	m := keystore.ClockReading{Wall: time.Now().UnixMicro()}
+	r := keystore.ClockReading{Wall: time.Now().UnixMicro()}
 	var up unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &up); err != nil {
-		return m
+		return r
 	}
-	if m.BootID = bootID(); m.BootID != 0 {
-		m.Uptime = up.Nano() / 1000
+	if r.BootID = bootID(); r.BootID != 0 {
+		r.Uptime = up.Nano() / 1000
 	}
-	return m
+	return r
 }
 
-// bootID names the machine's start; 0 = not known.
+// bootID identifies the boot of the machine; 0 = unknown.
 var bootID = sync.OnceValue(func() uint64 {
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/internal/storage/worker_test.go
+++ b/internal/storage/worker_test.go
@@ -18,7 +18,7 @@
 	return keystore.Record{Class: "note", Key: fmt.Sprint("k", i), TryID: "n", Arrived: 1, WindowEnd: 1 << 60}
 }
 
-// outcomes gathers what a worker delivers.
+// outcomes collects the delivered outcomes by token.
 type outcomes struct {
 	mu  sync.Mutex
 	got map[uint32]error
@@ -42,7 +42,7 @@
 	return Start(s, ReadClocks, o.deliver), o
 }
 
-// writeGate lets a sync go on only when it is opened.
+// writeGate blocks writes to the file system while it is shut, until open is closed.
 type writeGate struct {
 	shut atomic.Bool
 	open chan struct{}
@@ -55,8 +55,9 @@
 	return nil
 }
 
-// While the disk stalls nothing waits in Put, the queue has a bound, and what
-// waits is taken in few commits once the disk is back. Closing writes all.
+// While writes to the disk are blocked, Put does not block and the queue stays within
+// its limit; afterwards the queue is written in few commits, and Close writes the rest.
+// Guards against an event loop that waits for the disk.
 func TestStalledDisk(t *testing.T) {
 	t.Parallel()
 	g := &writeGate{open: make(chan struct{})}
@@ -64,59 +65,59 @@
 	w, o := startWorker(t, errorfs.Wrap(mem, errorfs.InjectorFunc(g.inject)), 0)
 	w.Put(1, record(1))
 	g.shut.Store(true)
-	began := time.Now()
-	const asked = maxQueuedOps + 1000
-	for i := 2; i <= asked; i++ {
+	start := time.Now()
+	const total = maxQueuedOps + 1000
+	for i := 2; i <= total; i++ {
 		w.Put(uint32(i), record(i))
 	}
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("asking took %v while the disk stalls", took)
+	if took := time.Since(start); took > 5*time.Second {
+		t.Errorf("Put took %v in all while the disk was blocked", took)
 	}
 	if n := w.Stats().Waiting; n > maxQueuedOps {
-		t.Errorf("%d operations wait, %d may", n, maxQueuedOps)
+		t.Errorf("%d operations are queued, want at most %d", n, maxQueuedOps)
 	}
 	g.shut.Store(false)
 	close(g.open)
 	<-w.Close()
-	w.Put(asked+1, record(0))
-	for began := time.Now(); ; time.Sleep(time.Millisecond) {
+	w.Put(total+1, record(0))
+	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		o.mu.Lock()
 		n := len(o.got)
 		o.mu.Unlock()
-		if n == asked+1 {
+		if n == total+1 {
 			break
 		}
-		if time.Since(began) > 10*time.Second {
-			t.Fatalf("%d outcomes of %d", n, asked+1)
+		if time.Since(start) > 10*time.Second {
+			t.Fatalf("%d outcomes, want %d", n, total+1)
 		}
 	}
-	good, busy := 0, 0
+	durable, rejected := 0, 0
 	for token, err := range o.got {
 		switch {
 		case err == nil:
-			good++
+			durable++
 		case errors.Is(err, ErrQueueFull):
-			busy++
-		case token == asked+1 && errors.Is(err, ErrClosed):
+			rejected++
+		case token == total+1 && errors.Is(err, ErrClosed):
 		default:
 			t.Errorf("%d: %v", token, err)
 		}
 	}
-	if f := w.Stats(); good < maxQueuedOps || busy == 0 || f.Commits > 20 {
-		t.Errorf("%d durable, %d had no room, %d commits", good, busy, f.Commits)
+	if s := w.Stats(); durable < maxQueuedOps || rejected == 0 || s.Commits > 20 {
+		t.Errorf("%d durable, %d rejected, %d commits", durable, rejected, s.Commits)
 	}
 	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: mem, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if list, err := s.Load(0); err != nil || len(list) != good {
-		t.Errorf("%d records on disk, %v; %d were acknowledged", len(list), err, good)
+	if list, err := s.Load(0); err != nil || len(list) != durable {
+		t.Errorf("%d records on disk, %v; %d were acknowledged", len(list), err, durable)
 	}
 }
 
-// A full store refuses new keys and still takes ends; what does not fit the
-// format fails alone.
+// A full store rejects new keys and still records ends, and a result that is too large
+// fails alone, not the group that it is committed with.
 func TestErrorsAreReported(t *testing.T) {
 	t.Parallel()
 	w, o := startWorker(t, vfs.NewMem(), 1)
@@ -132,8 +133,8 @@
 	if !errors.Is(o.got[1], keystore.ErrFull) || o.got[2] != nil || o.got[3] == nil {
 		t.Errorf("%v", o.got)
 	}
-	if f := w.Stats(); f.Errors == 0 || f.LastError == nil {
-		t.Errorf("%+v", f)
+	if s := w.Stats(); s.Errors == 0 || s.LastError == nil {
+		t.Errorf("%+v", s)
 	}
 }
 
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -8,66 +8,69 @@
 	"kiteslip/internal/core"
 )
 
-// The variables by which a web tier says what a request is.
+// The variables that a web server sets to describe a request.
 const (
 	VarClass     = "KITESLIP_CLASS"      // or PATH_INFO, where a contract names a path
 	VarTenant    = "KITESLIP_TENANT"     // may be absent where there is only one
-	VarTimeout   = "KITESLIP_TIMEOUT_MS" // how long the caller waits; absent = the contract's deadline
-	VarTimestamp = "KITESLIP_TS"         // since when, in Unix milliseconds; absent = since it was read
+	VarTimeout   = "KITESLIP_TIMEOUT_MS" // how long the caller waits; absent = the class's timeout
+	VarTimestamp = "KITESLIP_TS"         // when the caller sent the try, in Unix milliseconds; absent = when it was read
 	VarKey       = "KITESLIP_KEY"        // the same for all tries of one request of a keyed class
-	VarSubject   = "KITESLIP_SUBJECT"    // what a read is about, a number in hex
-	VarWork      = "KITESLIP_WORK_MS"    // the work to expect
-	VarRank      = "KITESLIP_RANK"       // from 0 to under 1
+	VarSubject   = "KITESLIP_SUBJECT"    // identifies what a read is about, a hex number
+	VarWork      = "KITESLIP_WORK_MS"    // expected work
+	VarRank      = "KITESLIP_RANK"       // from 0 to 1
 	VarLength    = "CONTENT_LENGTH"
 	VarPath      = "PATH_INFO"
 )
 
-// Contract is what a front must know of one class.
+// Contract is the front end's configuration of one class.
 type Contract struct {
 	Keyed           bool
 	Timeout         int64   // microseconds
 	MaxBody         int     // bytes
-	RequestMemoryKB float64 // memory booked for one request while it is held
-	Path            string  // requests for it are of this class; "" = by VarClass only
+	RequestMemoryKB float64 // memory booked for one request from its arrival to its answer
+	Path            string  // prefix of the paths whose requests are of this class; "" = by VarClass only
 }
 
-// ContractTable holds the contracts of a front.
+// ContractTable has the contracts of all classes, and the slots of classes and tenants
+// by name.
 type ContractTable struct {
 	Classes   map[string]int
 	Contracts []Contract // by class
 	Tenants   map[string]int
 }
 
-// RequestError is a request that gets an answer without entering the core.
+// RequestError is the error of a request that is answered without being submitted.
 type RequestError struct {
-	Status int // as in HTTP
+	Status int // HTTP status
 	Reason string
 }
 
+// Error returns the reason.
 func (p *RequestError) Error() string { return p.Reason }
 
 func badRequest(reason string) *RequestError { return &RequestError{http.StatusBadRequest, reason} }
 
+// The limits of the variables of a request.
 const (
 	maxKeyBytes    = 128
 	maxTimeoutMS   = 3_600_000
-	maxTimestampMS = 1 << 43 // ms: some centuries; sums of times cannot overflow
+	maxTimestampMS = 1 << 43 // some centuries, so that sums of times cannot overflow
 )
 
-// ParseRequest reads the variables of a request that was read at now. It
-// returns the request, without its body, and the length of the body. What it
-// returns shares no memory with the variables.
-func ParseRequest(vars Vars, book *ContractTable, now int64) (*core.Request, int, *RequestError) {
+// ParseRequest parses the variables of a request that was read at now, in microseconds.
+// It returns the request, without its body, and the length of the body. The result
+// shares no memory with the variables.
+func ParseRequest(vars Vars, table *ContractTable, now int64) (*core.Request, int, *RequestError) {
 	r := &core.Request{Class: -1, Tenant: -1, Arrived: now}
 	length, timeout, path := 0, int64(-1), ""
 	for name, value := range vars.All() {
 		ok, text := true, string(value)
 		switch string(name) {
 		case VarClass:
-			r.Class, ok = lookupIndex(book.Classes, text)
+			r.Class, ok = lookupIndex(table.Classes, text)
 		case VarTenant:
-			r.Tenant, ok = lookupIndex(book.Tenants, text)
-			ok = ok || len(book.Tenants) == 0
+			r.Tenant, ok = lookupIndex(table.Tenants, text)
+			ok = ok || len(table.Tenants) == 0
 		case VarTimeout:
 			timeout, ok = parseInt(text, maxTimeoutMS)
 		case VarTimestamp:
@@ -100,11 +103,11 @@
 		}
 	}
 	if r.Class < 0 {
-		r.Class = book.classByPath(path)
+		r.Class = table.classByPath(path)
 	}
-	if r.Tenant < 0 && len(book.Tenants) <= 1 {
+	if r.Tenant < 0 && len(table.Tenants) <= 1 {
 		r.Tenant = 0
-		for _, only := range book.Tenants { // its place need not be the first: others may have been dropped
+		for _, only := range table.Tenants { // its slot need not be the first: others may have been retired
 			r.Tenant = only
 		}
 	}
@@ -114,7 +117,7 @@
 	case r.Tenant < 0:
 		return nil, 0, badRequest("variable " + VarTenant + " is absent")
 	}
-	contract := &book.Contracts[r.Class]
+	contract := &table.Contracts[r.Class]
 	switch {
 	case contract.Keyed && r.Key == "":
 		return nil, 0, badRequest("variable " + VarKey + " is absent")
@@ -127,14 +130,14 @@
 	}
 	r.Write = contract.Keyed
 	r.SizeKB = contract.RequestMemoryKB
-	if timeout >= 0 { // else it is untold, and the core sets it by the class
+	if timeout >= 0 { // otherwise the core sets the deadline by the class
 		r.Deadline = max(1, r.Arrived+min(contract.Timeout, timeout*1000))
 	}
 	return r, length, nil
 }
 
-// classByPath returns the class whose contract has the longest path that leads to
-// this one, or -1.
+// classByPath returns the class whose contract has the longest path that is a prefix of
+// this one at a segment boundary, or -1.
 func (b *ContractTable) classByPath(path string) int {
 	best, size := -1, 0
 	for i := range b.Contracts {
@@ -147,19 +150,22 @@
 	return best
 }
 
-func lookupIndex(places map[string]int, name string) (int, bool) {
-	if i, ok := places[name]; ok {
+// lookupIndex returns the index of a name, or -1 and false.
+func lookupIndex(indexes map[string]int, name string) (int, bool) {
+	if i, ok := indexes[name]; ok {
 		return i, true
 	}
 	return -1, false
 }
 
-func parseInt(s string, most int64) (int64, bool) {
+// parseInt parses an integer from 0 to maximum.
+func parseInt(s string, maximum int64) (int64, bool) {
 	v, err := strconv.ParseInt(s, 10, 64)
-	return v, err == nil && v >= 0 && v <= most
+	return v, err == nil && v >= 0 && v <= maximum
 }
 
-func parseFloat(s string, most float64) (float64, bool) {
+// parseFloat parses a number from 0 to maximum; NaN is invalid.
+func parseFloat(s string, maximum float64) (float64, bool) {
 	v, err := strconv.ParseFloat(s, 64)
-	return v, err == nil && v >= 0 && v <= most
+	return v, err == nil && v >= 0 && v <= maximum
 }
--- a/internal/uwsgi/response.go
+++ b/internal/uwsgi/response.go
@@ -10,8 +10,8 @@
 	"kiteslip/internal/core"
 )
 
-// AppendResponse appends the head of a response; a body of size bytes is to
-// follow. A retryAfter above 0 is in seconds.
+// AppendResponse appends the header of a response; the caller appends the body of size
+// bytes. retryAfter is in seconds; 0 leaves out the header field.
 func AppendResponse(b []byte, status, retryAfter, size int) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Type: application/octet-stream\r\nContent-Length: %d\r\n",
 		status, http.StatusText(status), size)
@@ -21,8 +21,8 @@
 	return append(b, "\r\n"...)
 }
 
-// Status maps a final answer to a status of HTTP and a time to stay away, in
-// seconds. HTTP counts whole seconds, so a shorter advice becomes one.
+// Status maps a final answer to an HTTP status and a retry-after in seconds. HTTP has
+// whole seconds, so it is rounded up.
 func Status(a *core.Answer) (status, retryAfter int) {
 	switch {
 	case a.Code == core.Served:
@@ -37,7 +37,7 @@
 	return http.StatusInternalServerError, 0
 }
 
-// Response is the answer of a uwsgi server.
+// Response is the HTTP response of a uwsgi server.
 type Response struct {
 	Status int
 	Body   []byte // points into the input
@@ -47,12 +47,12 @@
 
 var (
 	errNotResponse       = errors.New("uwsgi: not a response")
-	errTruncatedResponse = errors.New("uwsgi: the response breaks off")
+	errTruncatedResponse = errors.New("uwsgi: the response is truncated")
 	errTooLarge          = errors.New("uwsgi: the response is too large")
 )
 
-// ParseResponse reads the response in b, whose body may have up to maxBody
-// bytes. It reports false while more bytes are needed; end says that no more will come.
+// ParseResponse parses the response in b, whose body is limited to maxBody bytes. It
+// reports false while the response is not complete; end says that the input has ended.
 func ParseResponse(b []byte, end bool, maxBody int) (Response, bool, error) {
 	at := bytes.Index(b, []byte("\r\n\r\n"))
 	if at < 0 {
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -1,6 +1,5 @@
-// Package uwsgi reads and writes the uwsgi protocol: requests of a web tier,
-// and the answers that go back, which are HTTP responses. It parses in place
-// and does no I/O.
+// Package uwsgi parses and formats the uwsgi protocol: requests of a web server, and
+// their answers, which are HTTP responses. Parsing does not copy, and there is no I/O.
 package uwsgi
 
 import (
@@ -12,20 +11,20 @@
 
 const (
 	headerSize = 4
-	// ModifierRequest is modifier 1 of a packet that carries the variables of a request.
+	// ModifierRequest is the first modifier of a packet with the variables of a request.
 	ModifierRequest = 0
 )
 
-// ErrModifier says that a packet is of a kind other than a request.
+// ErrModifier is the error of a packet that is not a request.
 var ErrModifier = errors.New("uwsgi: not a request packet")
 
-var errTruncated = errors.New("uwsgi: a variable is cut short")
+var errTruncated = errors.New("uwsgi: truncated variable")
 
-// Vars are the variables of a request, still in their wire form.
+// Vars are the encoded variables of a request.
 type Vars struct{ raw []byte }
 
-// Split returns the variables at the start of b and the number of bytes that
-// they take with their head; 0 means that more bytes are needed. A body follows them.
+// Split returns the variables at the start of b and their size in bytes with the
+// header; a size of 0 means that they are not complete. The body follows them.
 func Split(b []byte) (Vars, int, error) {
 	if len(b) >= 1 && b[0] != ModifierRequest {
 		return Vars{}, 0, fmt.Errorf("%w: modifier %d", ErrModifier, b[0])
@@ -50,7 +49,7 @@
 	return Vars{raw}, end, nil
 }
 
-// takeString takes one string with its size off the front of b.
+// takeString splits b after its first string, which is prefixed by its size.
 func takeString(b []byte) (s, rest []byte, err error) {
 	if len(b) < 2 {
 		return nil, nil, errTruncated
@@ -67,7 +66,7 @@
 	return func(yield func(name, value []byte) bool) {
 		for rest := v.raw; len(rest) > 0; {
 			var name, value []byte
-			name, rest, _ = takeString(rest) // Split has checked them
+			name, rest, _ = takeString(rest) // Split has validated them
 			value, rest, _ = takeString(rest)
 			if !yield(name, value) {
 				return
@@ -76,18 +75,18 @@
 	}
 }
 
-// Var is a variable to be written.
+// Var is a variable to encode.
 type Var struct{ Name, Value string }
 
-// AppendRequest appends the head and variables of a request; the body is to
-// follow. It fails if they do not fit a packet.
+// AppendRequest appends the header and the variables of a request; the caller appends
+// the body. It fails if the variables do not fit in a packet.
 func AppendRequest(b []byte, vars []Var) ([]byte, error) {
 	size := 0
 	for _, v := range vars {
 		size += 4 + len(v.Name) + len(v.Value)
 	}
 	if size > 0xffff {
-		return b, fmt.Errorf("uwsgi: variables of %d bytes do not fit a packet", size)
+		return b, fmt.Errorf("uwsgi: variables of %d bytes do not fit in a packet", size)
 	}
 	b = append(b, ModifierRequest)
 	b = binary.LittleEndian.AppendUint16(b, uint16(size))
--- a/internal/uwsgi/uwsgi_test.go
+++ b/internal/uwsgi/uwsgi_test.go
@@ -10,17 +10,18 @@
 	"kiteslip/internal/core"
 )
 
-// Bytes as the protocol's specification has them.
+// Guards the encoding against a change: bytes as in the protocol's specification.
 func TestRequestBytes(t *testing.T) {
 	b, err := AppendRequest(nil, []Var{{"A", "xy"}})
 	if want := "\x00\x07\x00\x00\x01\x00A\x02\x00xy"; err != nil || string(b) != want {
 		t.Errorf("%q, %v, want %q", b, err, want)
 	}
 	if _, err := AppendRequest(nil, []Var{{"A", strings.Repeat("x", 65_536)}}); err == nil {
-		t.Error("variables that do not fit are written")
+		t.Error("variables that do not fit in a packet are encoded")
 	}
 }
 
+// Variables are parsed only when they are complete, wherever the stream is split.
 func TestSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var vars []Var
@@ -31,13 +32,13 @@
 		if err != nil {
 			t.Skip(err)
 		}
-		whole := append(packet, "body"...)
+		input := append(packet, "body"...)
 		for n := range len(packet) {
-			if _, used, err := Split(whole[:n]); used != 0 || err != nil {
+			if _, used, err := Split(input[:n]); used != 0 || err != nil {
 				t.Fatalf("%d bytes of %d: %d used, %v", n, len(packet), used, err)
 			}
 		}
-		got, used, err := Split(whole)
+		got, used, err := Split(input)
 		if err != nil || used != len(packet) {
 			t.Fatalf("%d used of %d, %v", used, len(packet), err)
 		}
@@ -79,7 +80,7 @@
 		r.Deadline != 4_500_000 || r.ExpectedWork != 2500 || r.Rank != 0.5 || r.Subject != 255 || r.SizeKB != 8 {
 		t.Errorf("%+v, %d, %v", r, length, p)
 	}
-	// Nobody can wait longer than the contract says.
+	// The timeout is limited to that of the contract.
 	if r, _, p = parse(t, Var{VarClass, "look"}, Var{VarTenant, "red"}, Var{VarTimeout, "9000"}); p != nil || r.Deadline != 9_000_000 {
 		t.Errorf("%+v, %v", r, p)
 	}
@@ -97,7 +98,7 @@
 	for _, c := range []struct {
 		in     string
 		end    bool
-		status int // 0 = more is needed
+		status int // 0 = not complete
 		body   string
 		err    error
 	}{
@@ -116,9 +117,9 @@
 		{"no header\r\n\r\n", false, 0, "", errNotResponse},
 		{strings.Repeat("x", maxHeaderBytes+1), false, 0, "", errNotResponse},
 	} {
-		r, whole, err := ParseResponse([]byte(c.in), c.end, 100)
-		if !errors.Is(err, c.err) || whole != (c.status != 0) || whole && (r.Status != c.status || string(r.Body) != c.body) {
-			t.Errorf("%.50q, end %v: %+v, %v, %v", c.in, c.end, r, whole, err)
+		r, complete, err := ParseResponse([]byte(c.in), c.end, 100)
+		if !errors.Is(err, c.err) || complete != (c.status != 0) || complete && (r.Status != c.status || string(r.Body) != c.body) {
+			t.Errorf("%.50q, end %v: %+v, %v, %v", c.in, c.end, r, complete, err)
 		}
 	}
 }
@@ -141,21 +142,23 @@
 	}
 }
 
+// The parsers do not panic on any input, and a body stays within its limit.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("\x00\x07\x00\x00\x01\x00A\x02\x00xy"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if v, n, err := Split(b); err == nil && n > 0 {
 			ParseRequest(v, contractTable(), 1)
 		}
-		if r, whole, err := ParseResponse(b, true, 100); err == nil && whole && len(r.Body) > 100 {
+		if r, complete, err := ParseResponse(b, true, 100); err == nil && complete && len(r.Body) > 100 {
 			t.Fatalf("a body of %d bytes", len(r.Body))
 		}
 	})
 }
 
-// The only team left is the one meant, whatever its place.
+// Without a tenant variable the only team is taken, whatever its slot: after others were
+// retired it need not be the first.
 func TestOnlyTeam(t *testing.T) {
-	book := &ContractTable{Classes: map[string]int{"c": 0}, Tenants: map[string]int{"left": 3}, Contracts: []Contract{{Timeout: 1000}}}
+	table := &ContractTable{Classes: map[string]int{"c": 0}, Tenants: map[string]int{"left": 3}, Contracts: []Contract{{Timeout: 1000}}}
 	b, err := AppendRequest(nil, []Var{{VarClass, "c"}})
 	if err != nil {
 		t.Fatal(err)
@@ -164,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, _, problem := ParseRequest(vars, book, 0); problem != nil || r.Tenant != 3 {
+	if r, _, problem := ParseRequest(vars, table, 0); problem != nil || r.Tenant != 3 {
 		t.Errorf("%+v, %v", r, problem)
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -72,9 +72,10 @@
 	WorthBy string `json:"worth_by"`
 }
 
-// pick maps a word of the wire; an absent or unknown word gives the zero value.
+// pick looks up a word of the settings; an absent or unknown word gives the zero value.
 func pick[T any](words map[string]T, word string) T { return words[word] }
 
+// The words of the settings for values of the policy.
 var (
 	effects = map[string]kiteslip.Effect{
 		"repeatable": kiteslip.Repeatable, "by_key": kiteslip.Keyed, "once": kiteslip.Once,
@@ -86,8 +87,8 @@
 	}
 )
 
-// ParseSettings reads the settings text of an enlist record. It also returns
-// the order of the gauges that timer records carry.
+// ParseSettings parses the settings of an enlist record. It also returns the names of
+// the gauges in the order in which timer records have their values.
 func ParseSettings(text []byte) (kiteslip.Settings, []string, error) {
 	var raw rawSettings
 	if err := json.Unmarshal(text, &raw); err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads batches of events and writes replies in the binary
-// dialect of the bench. It holds no decision.
+// Package wire decodes batches of events and encodes replies in the binary protocol of
+// the simulator. Numbers are little-endian, times are in microseconds.
 package wire
 
 import (
@@ -12,7 +12,7 @@
 	"kiteslip"
 )
 
-// Record codes of events.
+// The codes of records in a batch.
 const (
 	codeAccept   = 1
 	codeDrain    = 2
@@ -25,17 +25,17 @@
 	codeNeeds    = 9
 )
 
-// maxFrameBytes bounds the size of a frame that is believed.
+// maxFrameBytes is the limit of a frame's size, above which the input is rejected.
 const maxFrameBytes = 1 << 30
 
-// Kind tells a record about a process from one about its work.
+// Kind says whether a record is an event for an instance or about its life.
 type Kind uint8
 
 // The kinds of record.
 const (
-	Event    Kind = iota // something for a running instance
+	Event    Kind = iota // an event for a running instance
 	Enlist               // an instance starts
-	Shutdown             // an instance died
+	Shutdown             // an instance has died
 )
 
 // Record is one record of a batch.
@@ -43,13 +43,13 @@
 	Kind     Kind
 	Instance uint16
 	Event    kiteslip.Event
-	Gauges   []byte // raw readings of a timer record, in the order of the settings
-	Seed     uint64
-	Settings []byte // valid until the next batch
-	Offset   int64  // where the record starts in the input
+	Gauges   []byte // values of a timer record, float32 in the order of the settings
+	Seed     uint64 // of an enlist record
+	Settings []byte // of an enlist record; valid until the next batch
+	Offset   int64  // of the record's first byte in the input
 }
 
-// Reader reads batches.
+// Reader reads batches from a stream.
 type Reader struct {
 	r       io.Reader
 	offset  int64
@@ -61,8 +61,8 @@
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-// Next returns the clock and records of the next batch; both are valid until
-// the following call. It returns io.EOF at the end of input between frames.
+// Next returns the time and the records of the next batch; the records are valid until
+// the following call. It returns io.EOF where the input ends between frames.
 func (d *Reader) Next() (int64, []Record, error) {
 	n, err := io.ReadFull(d.r, d.header[:])
 	if errors.Is(err, io.EOF) {
@@ -107,7 +107,7 @@
 	return now, d.records, nil
 }
 
-// cursor walks over one body; after an overrun it is short and yields zeros.
+// cursor decodes the body of a frame; after an overrun all values are zero.
 type cursor struct {
 	b       []byte
 	offset  int
@@ -184,7 +184,7 @@
 	return rec, nil
 }
 
-// ParseGauges turns the raw readings of a timer record into Gauges, by their names.
+// ParseGauges decodes the gauges of a timer record; names are those of ParseSettings.
 func ParseGauges(raw []byte, names []string) kiteslip.Gauges {
 	values := make([]float32, 0, 8)
 	for ; len(raw) >= 4; raw = raw[4:] {
@@ -193,7 +193,8 @@
 	return GaugesFromValues(values, names)
 }
 
-// GaugesFromValues sorts readings by the names that the settings give to their places.
+// GaugesFromValues assigns values to gauges; names has the gauge of each index. Unknown
+// names are ignored.
 func GaugesFromValues(values []float32, names []string) kiteslip.Gauges {
 	g := kiteslip.Gauges{}
 	for i, name := range names {
@@ -216,13 +217,13 @@
 	return g
 }
 
-// Reply collects the actions of one batch.
+// Reply is the frame of the actions for one batch. Reset must be called before Add.
 type Reply struct{ b []byte }
 
 // Reset empties the reply.
 func (r *Reply) Reset() { r.b = append(r.b[:0], 0, 0, 0, 0) }
 
-// Bytes returns the finished frame, valid until Reset.
+// Bytes returns the complete frame, valid until Reset.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.b, uint32(len(r.b)-4))
 	return r.b
@@ -235,22 +236,22 @@
 	return 0
 }
 
-// clampU32 fits a duration into the u32 of the wire.
+// clampU32 limits a duration to the range of uint32.
 func clampU32(v int64) uint32 { return uint32(max(0, min(v, math.MaxUint32))) }
 
-// Add writes one action of an instance.
+// Add appends one action of an instance.
 func (r *Reply) Add(instance uint16, a *kiteslip.Action) error {
 	le := binary.LittleEndian
 	open := func(code byte) { r.b = le.AppendUint16(append(r.b, code), instance) }
-	named := func(code byte) { open(code); r.b = le.AppendUint32(r.b, uint32(a.ID)) }
+	withID := func(code byte) { open(code); r.b = le.AppendUint32(r.b, uint32(a.ID)) }
 	switch a.Kind {
 	case kiteslip.SetTimer:
 		open(65)
 		r.b = le.AppendUint64(le.AppendUint32(r.b, clampU32(a.After)), a.Token)
 	case kiteslip.Run:
-		named(66)
+		withID(66)
 	case kiteslip.Call:
-		named(67)
+		withID(67)
 		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Log:
 		open(68)
@@ -263,26 +264,26 @@
 		open(70)
 		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Halt:
-		named(71)
+		withID(71)
 	case kiteslip.SetLoadSignal:
 		open(72)
 		r.b = le.AppendUint32(r.b, math.Float32bits(float32(a.Value)))
 	case kiteslip.Reuse:
-		named(73)
+		withID(73)
 	case kiteslip.Forget:
-		named(74)
+		withID(74)
 	case kiteslip.Retain:
-		named(75)
+		withID(75)
 		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Fail:
-		named(76)
+		withID(76)
 	case kiteslip.Skip:
-		named(77)
+		withID(77)
 	case kiteslip.Refuse:
-		named(79)
+		withID(79)
 		r.b = append(le.AppendUint32(r.b, clampU32(a.After)), boolByte(a.On))
 	default:
-		return fmt.Errorf("action kind %d has no code on the wire", a.Kind)
+		return fmt.Errorf("action kind %d has no code in the protocol", a.Kind)
 	}
 	return nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -82,7 +82,7 @@
 		t.Errorf("got %x, want %x", got, want)
 	}
 	if err := r.Add(7, &kiteslip.Action{Kind: 200}); err == nil {
-		t.Error("an unknown action was written")
+		t.Error("an unknown action was encoded")
 	}
 }
 
