--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics words what a server reports of itself, in the statsd form.
-// It counts nothing: each figure is counted where its event ends.
+// Package metrics formats the metrics of a server in the statsd format. The values are
+// counted elsewhere, where the events occur.
 package metrics
 
 import (
@@ -9,74 +9,74 @@
 	"kiteslip/internal/reject"
 )
 
-// Class is what became of the requests of one class since the start.
+// Class has the counters of one class since the start.
 type Class struct {
 	Name             string
 	OK, Shed, Errors int // served, refused, failed
 }
 
-// Pool is one pool of classes at one moment.
+// Pool is the state of one pool of classes.
 type Pool struct {
 	Name                       string
 	Limit, Running, Waiting    int
-	Guaranteed, Borrowed, Lent int // places of its own; runs beyond them; those left to others
-	SavedRuns                  int // runs saved up
+	Guaranteed, Borrowed, Lent int // running slots of its own; runs beyond them; unused ones given to others
+	SavedRuns                  int // credit
 	MaxQueued                  int
 	Refused                    int // since the start
 	BookedKB                   int
-	HasCheapest                bool // the reserve for the cheapest class is here
+	HasCheapest                bool // the reserve for the cheapest class is in this pool
 }
 
-// Snapshot are those of one moment.
+// Snapshot has the values of all metrics at one time.
 type Snapshot struct {
 	Classes                         []Class
-	Tries                           int // runs handed to an engine or a backend
-	Active                          int // requests taken and not yet ended
+	Tries                           int // runs sent to the engine or a backend
+	Active                          int // requests received and not yet ended
 	ConfigsApplied, ConfigsRejected int // configuration files at SIGHUP
 	Pools                           []Pool
-	Keys                            *Keys // nil = none are kept
-	Ledger                          *Ledger
-	Control                         *Control            // nil = off
-	RejectedBy                      []reject.CauseCount // what was turned away unread, by cause
+	Keys                            *Keys               // nil = no key store
+	Ledger                          *Ledger             // nil = no downstream calls
+	Control                         *Control            // nil = no versions are followed
+	RejectedBy                      []reject.CauseCount // rejected input, by cause
 }
 
 const prefix = "app."
 
-// Append appends the figures, a line for each.
-func (f *Snapshot) Append(b []byte) []byte {
+// Append appends a line for each metric.
+func (s *Snapshot) Append(b []byte) []byte {
 	line := func(name string, value int, kind string) {
 		b = fmt.Appendf(b, "%s%s:%d|%s\n", prefix, name, value, kind)
 	}
-	for i := range f.Classes {
-		c := &f.Classes[i]
+	for i := range s.Classes {
+		c := &s.Classes[i]
 		name := nameReplacer.Replace(c.Name)
 		line("ok."+name, c.OK, "c")
 		line("shed."+name, c.Shed, "c")
 		line("errors."+name, c.Errors, "c")
 	}
-	line("tries", f.Tries, "c")
-	line("active", f.Active, "g")
-	line("config_applied", f.ConfigsApplied, "c")
-	line("config_rejected", f.ConfigsRejected, "c")
-	for i := range f.Pools {
-		f.Pools[i].append(line)
+	line("tries", s.Tries, "c")
+	line("active", s.Active, "g")
+	line("config_applied", s.ConfigsApplied, "c")
+	line("config_rejected", s.ConfigsRejected, "c")
+	for i := range s.Pools {
+		s.Pools[i].append(line)
 	}
-	if f.Keys != nil {
-		f.Keys.append(line)
+	if s.Keys != nil {
+		s.Keys.append(line)
 	}
-	if f.Ledger != nil {
-		f.Ledger.append(line)
+	if s.Ledger != nil {
+		s.Ledger.append(line)
 	}
-	if f.Control != nil {
-		f.Control.append(line)
+	if s.Control != nil {
+		s.Control.append(line)
 	}
-	for _, r := range f.RejectedBy {
+	for _, r := range s.RejectedBy {
 		line("rejected."+nameReplacer.Replace(r.Cause), r.Count, "c")
 	}
 	return b
 }
 
-// nameReplacer takes out of a name what means something in a line of figures.
+// nameReplacer replaces the characters of a name that have a meaning in the format.
 var nameReplacer = strings.NewReplacer(":", "_", "|", "_", " ", "_", "\n", "_", "\r", "_", "@", "_", "#", "_")
 
 func (p *Pool) append(line func(name string, value int, kind string)) {
@@ -98,15 +98,15 @@
 	line(name+"refused", p.Refused, "c")
 }
 
-// Keys are the figures of the store of keyed results.
+// Keys has the metrics of the key store.
 type Keys struct {
-	Restored, UnknownOutcome int // keys read at the start; those of them whose end is not known
+	Restored, UnknownOutcome int // keys read at the start; those of them with an unknown outcome
 	Commits, Records         int
 	Errors                   int
-	MaxCommitMS              int // the longest commit
-	Waiting                  int // records that wait for the disk
+	MaxCommitMS              int // duration of the longest commit
+	Waiting                  int // queued records
 	DiskKB                   int
-	UnrecordedRuns           int // runs that started though nothing could be recorded
+	UnrecordedRuns           int // keyed runs that started without a record
 }
 
 func (k *Keys) append(line func(name string, value int, kind string)) {
@@ -121,11 +121,11 @@
 	line("keys.unrecorded_runs", k.UnrecordedRuns, "c")
 }
 
-// Ledger are the figures of calls below.
+// Ledger has the metrics of downstream calls.
 type Ledger struct {
-	InFlight    int                 // calls that are out
-	LateResults int                 // ends that nobody waited for any more
-	Outcomes    []reject.CauseCount // calls by how they ended
+	InFlight    int                 // calls in flight
+	LateResults int                 // results that came after the call was abandoned
+	Outcomes    []reject.CauseCount // calls by outcome
 }
 
 func (l *Ledger) append(line func(name string, value int, kind string)) {
@@ -136,16 +136,16 @@
 	}
 }
 
-// Control are the figures of the version that the server acts on.
+// Control has the metrics of the version in force.
 type Control struct {
 	Version                  int  // 0 = none
-	AgeMS                    int  // since the originator was last heard
-	LagMS                    int  // since a version that is not in force here was told of; 0 = current
-	Connected                bool // a publisher is
-	Refused, Fork            bool
-	Applied                  int
-	Snapshots, Switches      int
-	SentBytes, ReceivedBytes int // bytes
+	AgeMS                    int  // time since the originator was last heard
+	LagMS                    int  // time since a version was announced that is not in force here; 0 = current
+	Connected                bool // to a publisher
+	Refused, Fork            bool // the last version was refused; another version with this number was received
+	Applied                  int  // versions
+	Snapshots, Switches      int  // snapshots received; changes of the publisher
+	SentBytes, ReceivedBytes int
 }
 
 func (c *Control) append(line func(name string, value int, kind string)) {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// Guards the names and the format of the metrics against a change, and against names of
+// classes that would break a line.
 func TestAppend(t *testing.T) {
 	f := Snapshot{Classes: []Class{{"a-b", 812, 1, 2}, {"x:y|z\n", 0, 0, 3}}, Tries: 815, Active: 14, ConfigsApplied: 2, ConfigsRejected: 1}
 	want := "app.ok.a-b:812|c\napp.shed.a-b:1|c\napp.errors.a-b:2|c\n" +
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -16,31 +16,33 @@
 			t.Errorf("%q: %v, %v", line, got, err)
 		}
 		if err != nil && strings.ContainsAny(err.Error(), "\n\x00") {
-			t.Errorf("%q: the error breaks the line: %q", line, err)
+			t.Errorf("%q: the error is not one line: %q", line, err)
 		}
 	}
 }
 
-// A line comes out as it went in, however it is cut, and no input is held beyond the bound.
+// A line is parsed correctly wherever the stream is split, and input without a line end
+// is rejected at the limit, so that it does not take memory without end.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := rapid.SliceOfN(rapid.SampledFrom([]byte("ab \r\n\x00")), 0, 2*MaxLine).Draw(t, "in")
 		for n := range len(in) + 1 {
-			line, whole, err := Split(in[:n])
+			line, complete, err := Split(in[:n])
 			end := bytes.IndexByte(in[:n], '\n')
 			switch {
 			case end >= 0 && end < MaxLine:
-				if want := bytes.TrimSuffix(in[:end], []byte("\r")); !whole || err != nil || !bytes.Equal(line, want) {
-					t.Fatalf("%q: %q, %v, %v", in[:n], line, whole, err)
+				if want := bytes.TrimSuffix(in[:end], []byte("\r")); !complete || err != nil || !bytes.Equal(line, want) {
+					t.Fatalf("%q: %q, %v, %v", in[:n], line, complete, err)
 				}
-			case whole || (err != nil) != (n >= MaxLine):
-				t.Fatalf("%q: %v, %v", in[:n], whole, err)
+			case complete || (err != nil) != (n >= MaxLine):
+				t.Fatalf("%q: %v, %v", in[:n], complete, err)
 			}
 		}
 	})
 }
 
-// The version is worded a line for each thing, whatever a refusal's text holds.
+// Each value of the version has one line: a line end in the reason of a refusal must not
+// begin another.
 func TestVersion(t *testing.T) {
 	v := VersionState{Number: 12, Digest: [32]byte{0xab, 31: 1}, Source: "publisher", AgeMS: 3, LagMS: 4,
 		RefusalReason: "service a\nhas no backend\r\n", Fork: true, Applied: 5, Snapshots: 6, Switches: 7, SentBytes: 8, ReceivedBytes: 9}
