--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -1,5 +1,5 @@
-// Package pcap reads TCP streams from capture files and writes traffic as
-// such. It captures nothing itself.
+// Package pcap reads TCP streams from capture files (pcap and pcapng) and writes
+// connections as pcap files. It does not capture packets.
 package pcap
 
 import (
@@ -18,20 +18,20 @@
 	"github.com/gopacket/gopacket/reassembly"
 )
 
-// Chunk is a piece of a stream, and when it was seen.
+// Chunk is a part of a stream with the time at which it was captured.
 type Chunk struct {
 	At   time.Time
 	Data []byte
 }
 
-// Stream is what one side of a TCP connection sent, in order.
+// Stream is the data that one side of a TCP connection sent, in order.
 type Stream struct {
 	From, To       netip.AddrPort
 	Chunks         []Chunk
-	MissingPackets bool // packets are missing; the chunks end before the gap
+	MissingPackets bool // packets are missing from the capture; the chunks end before the gap
 }
 
-// Bytes is the whole of a stream.
+// Bytes returns the data of all chunks.
 func (s *Stream) Bytes() []byte {
 	var b []byte
 	for i := range s.Chunks {
@@ -40,25 +40,25 @@
 	return b
 }
 
-// The errors of a file that cannot be read.
+// The errors of files that cannot be read.
 var (
 	ErrNotCapture = errors.New("pcap: not a capture file")
-	ErrTruncated  = errors.New("pcap: the capture file is cut short")
+	ErrTruncated  = errors.New("pcap: the capture file is truncated")
 )
 
-// The bounds of what is kept in memory.
+// The limits of the memory in use.
 const (
 	maxStreamBytes = 256 << 20 // of all streams
 	maxPages       = 16 << 10  // of out-of-order segments, 1,900 bytes each
 )
 
-// source is what both formats of a capture file offer.
+// source is a reader of either format of capture files.
 type source interface {
 	ReadPacketData() ([]byte, gopacket.CaptureInfo, error)
 	LinkType() layers.LinkType
 }
 
-// openSource tells the format by its first bytes.
+// openSource detects the format by the first bytes.
 func openSource(r io.Reader) (source, error) {
 	in := bufio.NewReader(r)
 	magic, err := in.Peek(4)
@@ -83,8 +83,8 @@
 	return s, nil
 }
 
-// Read returns the TCP streams of a capture file, in the order of their first
-// packets. Packets that are not TCP are passed over.
+// Read returns the TCP streams of a capture file, in the order of their first data.
+// Packets that are not TCP are ignored.
 func Read(r io.Reader) ([]*Stream, error) {
 	s, err := openSource(r)
 	if err != nil {
@@ -120,22 +120,25 @@
 	return c.streams, nil
 }
 
-// captureContext gives the assembler the time of a packet.
+// captureContext gives the assembler the timestamp of a packet.
 type captureContext gopacket.CaptureInfo
 
+// GetCaptureInfo implements reassembly.AssemblerContext.
 func (s *captureContext) GetCaptureInfo() gopacket.CaptureInfo { return gopacket.CaptureInfo(*s) }
 
-// collector keeps what the assembler puts in order.
+// collector collects the streams that the assembler puts in order.
 type collector struct {
 	streams []*Stream
 	bytes   int
 }
 
+// New implements reassembly.StreamFactory.
 func (c *collector) New(network, transport gopacket.Flow, tcp *layers.TCP, _ reassembly.AssemblerContext) reassembly.Stream {
 	from, to := endpoint(network.Src(), uint16(tcp.SrcPort)), endpoint(network.Dst(), uint16(tcp.DstPort))
 	return &connection{collector: c, sides: [2]*Stream{{From: from, To: to}, {From: to, To: from}}}
 }
 
+// endpoint returns an address and a port of a packet.
 func endpoint(e gopacket.Endpoint, port uint16) netip.AddrPort {
 	address, _ := netip.AddrFromSlice(e.Raw()) // the zero address for what is not IP
 	return netip.AddrPortFrom(address.Unmap(), port)
@@ -148,12 +151,13 @@
 	started   [2]bool
 }
 
-// Accept takes every segment; a capture may begin in the middle of a connection.
+// Accept accepts every segment, since a capture may begin in the middle of a connection.
 func (k *connection) Accept(_ *layers.TCP, _ gopacket.CaptureInfo, _ reassembly.TCPFlowDirection, _ reassembly.Sequence, start *bool, _ reassembly.AssemblerContext) bool {
 	*start = true
 	return true
 }
 
+// ReassembledSG appends data to a stream, up to the first gap.
 func (k *connection) ReassembledSG(sg reassembly.ScatterGather, _ reassembly.AssemblerContext) {
 	direction, _, _, skip := sg.Info()
 	i := 0
@@ -176,4 +180,5 @@
 	s.Chunks = append(s.Chunks, Chunk{sg.CaptureInfo(0).Timestamp, bytes.Clone(sg.Fetch(length))})
 }
 
+// ReassemblyComplete implements reassembly.Stream.
 func (k *connection) ReassemblyComplete(reassembly.AssemblerContext) bool { return true }
--- a/internal/pcap/pcap_test.go
+++ b/internal/pcap/pcap_test.go
@@ -16,15 +16,15 @@
 	captureStart = time.UnixMicro(1_764_576_000_123_456)
 )
 
-// message is a piece of a conversation.
+// message is data that one side of a connection sends.
 type message struct {
 	conn     int
 	byServer bool
 	data     []byte
 }
 
-// writeCapture makes a capture of pieces on so many connections, a millisecond apart.
-func writeCapture(t interface{ Fatalf(string, ...any) }, conns int, pieces []message) []byte {
+// writeCapture returns a capture of messages, a millisecond apart, on conns connections.
+func writeCapture(t interface{ Fatalf(string, ...any) }, conns int, messages []message) []byte {
 	var file bytes.Buffer
 	w, err := NewWriter(&file)
 	if err != nil {
@@ -38,7 +38,7 @@
 		}
 		open = append(open, c)
 	}
-	for i, p := range pieces {
+	for i, p := range messages {
 		if err := open[p.conn].Send(captureStart.Add(time.Duration(i)*time.Millisecond), p.byServer, p.data); err != nil {
 			t.Fatalf("%v", err)
 		}
@@ -51,48 +51,49 @@
 	return file.Bytes()
 }
 
-// What is written is read back: each side's bytes, and the time of each piece.
+// A capture that is written is read back: the bytes of each side, and the time of the
+// first of them.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conns := rapid.IntRange(1, 3).Draw(t, "connections")
-		pieces := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) message {
+		messages := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) message {
 			return message{rapid.IntRange(0, conns-1).Draw(t, "conn"), rapid.Bool().Draw(t, "server"),
 				bytes.Repeat([]byte{rapid.Byte().Draw(t, "byte")}, rapid.IntRange(1, 4000).Draw(t, "size"))}
-		}), 0, 12).Draw(t, "pieces")
-		streams, err := Read(bytes.NewReader(writeCapture(t, conns, pieces)))
+		}), 0, 12).Draw(t, "messages")
+		streams, err := Read(bytes.NewReader(writeCapture(t, conns, messages)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		want, got := map[[2]netip.AddrPort][]byte{}, map[[2]netip.AddrPort][]byte{}
 		first := map[[2]netip.AddrPort]time.Time{}
-		for i, p := range pieces {
-			ends := [2]netip.AddrPort{netip.AddrPortFrom(client.Addr(), client.Port()+uint16(p.conn)), server}
+		for i, p := range messages {
+			endpoints := [2]netip.AddrPort{netip.AddrPortFrom(client.Addr(), client.Port()+uint16(p.conn)), server}
 			if p.byServer {
-				ends[0], ends[1] = ends[1], ends[0]
+				endpoints[0], endpoints[1] = endpoints[1], endpoints[0]
 			}
-			if want[ends] == nil {
-				first[ends] = captureStart.Add(time.Duration(i) * time.Millisecond)
+			if want[endpoints] == nil {
+				first[endpoints] = captureStart.Add(time.Duration(i) * time.Millisecond)
 			}
-			want[ends] = append(want[ends], p.data...)
+			want[endpoints] = append(want[endpoints], p.data...)
 		}
 		for _, s := range streams {
-			ends := [2]netip.AddrPort{s.From, s.To}
+			endpoints := [2]netip.AddrPort{s.From, s.To}
 			if b := s.Bytes(); len(b) > 0 {
-				got[ends] = b
-				if !s.Chunks[0].At.Equal(first[ends]) {
-					t.Fatalf("%v: first seen at %v, want %v", ends, s.Chunks[0].At, first[ends])
+				got[endpoints] = b
+				if !s.Chunks[0].At.Equal(first[endpoints]) {
+					t.Fatalf("%v: first seen at %v, want %v", endpoints, s.Chunks[0].At, first[endpoints])
 				}
 			}
 			if s.MissingPackets {
-				t.Fatalf("%v is broken", ends)
+				t.Fatalf("%v: packets are missing", endpoints)
 			}
 		}
 		if len(got) != len(want) {
 			t.Fatalf("%d streams with data, want %d", len(got), len(want))
 		}
-		for ends, b := range want {
-			if !bytes.Equal(got[ends], b) {
-				t.Fatalf("%v: %d bytes differ from %d", ends, len(got[ends]), len(b))
+		for endpoints, b := range want {
+			if !bytes.Equal(got[endpoints], b) {
+				t.Fatalf("%v: %d bytes differ from %d", endpoints, len(got[endpoints]), len(b))
 			}
 		}
 	})
@@ -104,7 +105,7 @@
 		streams, err := Read(bytes.NewReader(whole[:n]))
 		switch {
 		case n < 4 && !errors.Is(err, ErrNotCapture), n >= 4 && n < 24 && !errors.Is(err, ErrTruncated):
-			t.Errorf("%d bytes of the head: %v", n, err)
+			t.Errorf("%d bytes of the header: %v", n, err)
 		case n > 24 && err != nil && !errors.Is(err, ErrTruncated):
 			t.Errorf("%d bytes: %v", n, err)
 		case err == nil && len(streams) > 0 && n < 24+16+40:
@@ -120,22 +121,23 @@
 		}
 	}
 	if _, err := Read(bytes.NewReader([]byte("\x0a\x0d\x0d\x0a????????????????????"))); err == nil {
-		t.Error("a pcapng head without sense passes")
+		t.Error("an invalid pcapng header is accepted")
 	}
 }
 
-// A lost segment ends what is read of a stream, and says so.
+// A stream ends at a missing segment and is marked: data after a gap must not be read as
+// if it followed.
 func TestGap(t *testing.T) {
 	whole := writeCapture(t, 1, []message{{0, false, []byte("one")}, {0, false, []byte("two")}, {0, false, []byte("six")}})
 	at := bytes.Index(whole, []byte("two"))
-	start := at - 20 - 20 - 16 // TCP, IP and packet heads
+	start := at - 20 - 20 - 16 // TCP, IP and packet headers
 	streams, err := Read(bytes.NewReader(append(whole[:start:start], whole[at+3:]...)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range streams {
 		if s.To == server && (!s.MissingPackets || string(s.Bytes()) != "one") {
-			t.Errorf("broken %v, %q", s.MissingPackets, s.Bytes())
+			t.Errorf("packets missing %v, %q", s.MissingPackets, s.Bytes())
 		}
 	}
 	if len(streams) == 0 {
@@ -143,6 +145,7 @@
 	}
 }
 
+// Read does not panic on any input.
 func FuzzRead(f *testing.F) {
 	f.Add(writeCapture(f, 1, []message{{0, false, []byte("data")}}))
 	f.Fuzz(func(_ *testing.T, b []byte) {
--- a/internal/pcap/write.go
+++ b/internal/pcap/write.go
@@ -11,6 +11,7 @@
 	"github.com/gopacket/gopacket/pcapgo"
 )
 
+// The sizes in the packets and the file's header.
 const (
 	maxSegmentBytes = 1460
 	snapshotBytes   = 65_535
@@ -23,7 +24,7 @@
 	buf gopacket.SerializeBuffer
 }
 
-// NewWriter writes the file's head to w.
+// NewWriter writes the file's header to w and returns a Writer.
 func NewWriter(w io.Writer) (*Writer, error) {
 	out := pcapgo.NewWriterNanos(w)
 	if err := out.WriteFileHeader(snapshotBytes, layers.LinkTypeRaw); err != nil {
@@ -32,17 +33,17 @@
 	return &Writer{out: out, buf: gopacket.NewSerializeBuffer()}, nil
 }
 
-// Conn is a connection that is being written.
+// Conn is a connection in the file.
 type Conn struct {
 	w         *Writer
 	endpoints [2]netip.AddrPort // client, server
-	nextSeq   [2]uint32         // the sequence number that each sends next
+	nextSeq   [2]uint32         // next sequence number of each
 }
 
 // Open writes the handshake of a connection from client to server.
 func (w *Writer) Open(at time.Time, client, server netip.AddrPort) (*Conn, error) {
 	if client.Addr().Is4() != server.Addr().Is4() {
-		return nil, fmt.Errorf("pcap: %v and %v are of two families", client, server)
+		return nil, fmt.Errorf("pcap: %v and %v are of different address families", client, server)
 	}
 	c := &Conn{w: w, endpoints: [2]netip.AddrPort{client, server}, nextSeq: [2]uint32{1000, 2000}}
 	if err := c.packet(at, 0, &layers.TCP{SYN: true}, nil); err != nil {
@@ -56,7 +57,7 @@
 	return c, c.packet(at, 0, &layers.TCP{ACK: true}, nil)
 }
 
-// Send writes what the client sends, or the server.
+// Send writes data that the server sends, or the client.
 func (c *Conn) Send(at time.Time, byServer bool, data []byte) error {
 	for len(data) > 0 {
 		n := min(len(data), maxSegmentBytes)
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// Close writes the end of the connection, which the server begins or the client.
+// Close writes the end of the connection, which the server closes first, or the client.
 func (c *Conn) Close(at time.Time, byServer bool) error {
 	for _, i := range []int{sideIndex(byServer), 1 - sideIndex(byServer)} {
 		if err := c.packet(at, i, &layers.TCP{FIN: true, ACK: true}, nil); err != nil {
@@ -80,6 +81,7 @@
 	return c.packet(at, sideIndex(byServer), &layers.TCP{ACK: true}, nil)
 }
 
+// sideIndex returns the index of a side in a Conn's arrays.
 func sideIndex(byServer bool) int {
 	if byServer {
 		return 1
@@ -87,7 +89,7 @@
 	return 0
 }
 
-// packet writes one segment from ends[i].
+// packet writes one segment from endpoints[i].
 func (c *Conn) packet(at time.Time, i int, tcp *layers.TCP, payload []byte) error {
 	from, to := c.endpoints[i], c.endpoints[1-i]
 	tcp.SrcPort, tcp.DstPort = layers.TCPPort(from.Port()), layers.TCPPort(to.Port())
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,7 +1,7 @@
-// Package replay feeds the requests of a capture through a front's parser and
-// the core, on the clock of the capture: a look at what the module would do
-// with that traffic. No work is done and nothing is sent. A run takes the time
-// that its request states, as if it had a core to itself.
+// Package replay feeds the requests of a capture through the parser of a front end and
+// the core, on the capture's clock, to show the policy's decisions for that traffic. No
+// work is done and nothing is sent. A run takes the time that its request states, as if
+// it had a processor core to itself. Times are in microseconds.
 package replay
 
 import (
@@ -21,40 +21,40 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// defaultRunUS is the length of a run whose request states none, in microseconds.
+// defaultRunUS is the duration of a run whose request states none.
 const defaultRunUS = 1_000
 
-// Options say how a capture is to be read.
+// Options are the settings of a replay.
 type Options struct {
 	Port   uint16    // of the server in the capture
-	UWSGI  bool      // its connections speak uwsgi, not frames
-	Output io.Writer // takes the traffic, with the answers given here, as a capture; nil = nowhere
+	UWSGI  bool      // its protocol is uwsgi, not frames
+	Output io.Writer // receives the requests and the answers of the replay as a capture; nil = none
 }
 
-// Report says what became of the requests.
+// Report has the results of a replay.
 type Report struct {
 	core.Counts
 	Connections    int
-	Malformed      int // requests or connections that cannot be read
+	Malformed      int // requests or connections that cannot be parsed
 	Unfinished     int // connections that end within a request
-	MissingPackets int // connections of which packets are missing
+	MissingPackets int // connections with packets missing from the capture
 }
 
 // connection is one connection of the capture.
 type connection struct {
 	*replayer
 	buf    []byte
-	closed bool // nothing more of it can be read
-	conn   *pcap.Conn
+	closed bool       // no more input is parsed
+	file   *pcap.Conn // in the output; nil = none
 }
 
-// run is the end of a run that is due.
+// run is a run in progress.
 type run struct {
 	end     int64
 	request *core.Request
 }
 
-// replayer is a replay under way.
+// replayer is a replay in progress.
 type replayer struct {
 	cfg         *config.Config
 	opt         Options
@@ -66,10 +66,10 @@
 	writer      *pcap.Writer
 	report      Report
 	lastUWSGIID int
-	err         error // of writing
+	err         error // errors of writing the output
 }
 
-// Run replays the streams that lead to the port.
+// Run replays the streams whose destination is the port.
 func Run(streams []*pcap.Stream, cfg *config.Config, opt Options) (Report, error) {
 	p := &replayer{cfg: cfg, opt: opt}
 	p.names = frame.NameIndex{Classes: indexOf(cfg.Classes), Tenants: indexOf(cfg.Tenants)}
@@ -86,53 +86,53 @@
 			return Report{}, err
 		}
 	}
-	type piece struct {
+	type segment struct {
 		at   int64
-		l    *connection
+		conn *connection
 		data []byte
 	}
-	var pieces []piece
+	var segments []segment
 	for _, s := range streams {
 		if s.To.Port() != opt.Port {
 			continue
 		}
-		l := &connection{replayer: p}
+		conn := &connection{replayer: p}
 		p.report.Connections++
 		if s.MissingPackets {
 			p.report.MissingPackets++
 		}
-		for i, c := range s.Chunks {
-			at := c.At.UnixMicro()
+		for i, chunk := range s.Chunks {
+			at := chunk.At.UnixMicro()
 			if i == 0 && p.writer != nil {
-				if l.conn, err = p.writer.Open(c.At, unmap(s.From), unmap(s.To)); err != nil {
+				if conn.file, err = p.writer.Open(chunk.At, unmap(s.From), unmap(s.To)); err != nil {
 					return Report{}, err
 				}
 			}
-			pieces = append(pieces, piece{at, l, c.Data})
+			segments = append(segments, segment{at, conn, chunk.Data})
 		}
 	}
 	if p.report.Connections == 0 {
 		return Report{}, fmt.Errorf("replay: no connection leads to port %d", opt.Port)
 	}
-	slices.SortStableFunc(pieces, func(a, b piece) int { return cmp.Compare(a.at, b.at) })
-	lines := map[*connection]bool{}
-	for i, piece := range pieces {
+	slices.SortStableFunc(segments, func(a, b segment) int { return cmp.Compare(a.at, b.at) })
+	connections := map[*connection]bool{}
+	for i, seg := range segments {
 		if i == 0 {
-			p.now = piece.at
+			p.now = seg.at
 			p.core.Step(p.now)
 		}
-		p.advance(piece.at)
-		piece.l.feed(piece.data)
-		lines[piece.l] = true
-		if i+1 == len(pieces) || pieces[i+1].at > piece.at {
+		p.advance(seg.at)
+		seg.conn.feed(seg.data)
+		connections[seg.conn] = true
+		if i+1 == len(segments) || segments[i+1].at > seg.at {
 			p.core.Step(p.now)
 		}
 	}
 	for p.core.Outstanding() > 0 || len(p.runs) > 0 {
 		p.advance(p.now + 100_000)
 	}
-	for l := range lines {
-		if len(l.buf) > 0 && !l.closed {
+	for conn := range connections {
+		if len(conn.buf) > 0 && !conn.closed {
 			p.report.Unfinished++
 		}
 	}
@@ -140,6 +140,7 @@
 	return p.report, p.err
 }
 
+// indexOf maps each name to its index.
 func indexOf(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, name := range names {
@@ -148,14 +149,16 @@
 	return m
 }
 
+// unmap returns an IPv4-mapped IPv6 address as IPv4.
 func unmap(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
-// Run starts a run: all that is done is to note when it would end.
+// Run starts a run for the core; it only notes when the run ends.
 func (p *replayer) Run(r *core.Request) {
 	p.runs = append(p.runs, run{p.now + max(r.ExpectedWork, defaultRunUS), r})
 }
 
-// advance lets the time go on to the end, with all that falls due on the way.
+// advance sets the clock to end, with the ends of runs and the steps of the core that are
+// due until then.
 func (p *replayer) advance(end int64) {
 	for {
 		next := end
@@ -170,111 +173,113 @@
 			return
 		}
 		p.now = max(next, p.now)
-		kept := p.runs[:0]
-		var over []run
+		running := p.runs[:0]
+		var ended []run
 		for _, run := range p.runs {
 			if run.end <= p.now {
-				over = append(over, run)
+				ended = append(ended, run)
 			} else {
-				kept = append(kept, run)
+				running = append(running, run)
 			}
 		}
-		p.runs = kept
-		for _, run := range over {
+		p.runs = running
+		for _, run := range ended {
 			p.core.Done(run.request, kiteslip.OK, max(run.request.ExpectedWork, defaultRunUS), nil)
 		}
 		p.core.Step(p.now)
 	}
 }
 
-func (l *connection) feed(data []byte) {
-	l.write(false, data)
-	if l.closed {
+// feed handles data that the caller sent.
+func (c *connection) feed(data []byte) {
+	c.write(false, data)
+	if c.closed {
 		return
 	}
-	l.buf = append(l.buf, data...)
-	if l.opt.UWSGI {
-		l.handleUWSGI()
+	c.buf = append(c.buf, data...)
+	if c.opt.UWSGI {
+		c.handleUWSGI()
 	} else {
-		l.handleFrames()
+		c.handleFrames()
 	}
 }
 
-func (l *connection) countMalformed() {
-	l.report.Malformed++
+func (c *connection) countMalformed() {
+	c.report.Malformed++
 }
 
-// handleFrames takes in the whole frames that have come.
-func (l *connection) handleFrames() {
+// handleFrames submits the requests of the frames that are complete.
+func (c *connection) handleFrames() {
 	for {
-		f, n, err := frame.Split(l.buf)
+		f, n, err := frame.Split(c.buf)
 		if err != nil {
-			l.countMalformed()
-			l.closed = true
+			c.countMalformed()
+			c.closed = true
 			return
 		}
 		if n == 0 {
 			return
 		}
 		if f.Type == frame.Request {
-			r, err := frame.ParseRequest(f.Payload, &l.names)
+			r, err := frame.ParseRequest(f.Payload, &c.names)
 			if err == nil {
-				r.Stream, r.ReplyTo = f.Stream, l
-				err = l.core.Submit(l.now, r)
+				r.Stream, r.ReplyTo = f.Stream, c
+				err = c.core.Submit(c.now, r)
 			}
 			if err != nil {
-				l.countMalformed()
+				c.countMalformed()
 			}
 		}
-		l.buf = l.buf[n:]
+		c.buf = c.buf[n:]
 	}
 }
 
-// handleUWSGI takes in the request of a uwsgi connection once it is whole.
-func (l *connection) handleUWSGI() {
-	vars, n, err := uwsgi.Split(l.buf)
+// handleUWSGI submits the request of a uwsgi connection once it is complete.
+func (c *connection) handleUWSGI() {
+	vars, n, err := uwsgi.Split(c.buf)
 	if err == nil && n == 0 {
 		return
 	}
 	var r *core.Request
 	length := 0
 	if err == nil {
-		var problem *uwsgi.RequestError
-		if r, length, problem = uwsgi.ParseRequest(vars, &l.contracts, l.now); problem != nil {
-			err = problem
+		var requestErr *uwsgi.RequestError
+		if r, length, requestErr = uwsgi.ParseRequest(vars, &c.contracts, c.now); requestErr != nil {
+			err = requestErr
 		}
 	}
-	if err == nil && len(l.buf) < n+length {
+	if err == nil && len(c.buf) < n+length {
 		return
 	}
 	if err == nil {
-		l.lastUWSGIID++
-		r.TryID = fmt.Sprintf("w%015x", l.lastUWSGIID)
-		r.Body, r.Stream, r.ReplyTo = slices.Clone(l.buf[n:n+length]), 1, l
-		err = l.core.Submit(l.now, r)
+		c.lastUWSGIID++
+		r.TryID = fmt.Sprintf("w%015x", c.lastUWSGIID)
+		r.Body, r.Stream, r.ReplyTo = slices.Clone(c.buf[n:n+length]), 1, c
+		err = c.core.Submit(c.now, r)
 	}
-	l.closed = true
+	c.closed = true
 	if err != nil {
-		l.countMalformed()
+		c.countMalformed()
 	}
 }
 
-// Answer takes an answer of the core and writes it as the front would.
-func (l *connection) Answer(stream uint32, a core.Answer) {
-	if l.writer == nil {
+// Answer receives an answer of the core and writes it as the front end would.
+func (c *connection) Answer(stream uint32, a core.Answer) {
+	if c.writer == nil {
 		return
 	}
-	if l.opt.UWSGI {
+	if c.opt.UWSGI {
 		status, retryAfter := uwsgi.Status(&a)
-		l.write(true, append(uwsgi.AppendResponse(nil, status, retryAfter, len(a.Result)), a.Result...))
+		c.write(true, append(uwsgi.AppendResponse(nil, status, retryAfter, len(a.Result)), a.Result...))
 		return
 	}
 	code, fields, body := frame.EncodeAnswer(&a)
-	l.write(true, append(frame.AppendAnswer(nil, frame.Answer, stream, code, fields, len(body)), body...))
+	c.write(true, append(frame.AppendAnswer(nil, frame.Answer, stream, code, fields, len(body)), body...))
 }
 
-func (l *connection) write(byServer bool, data []byte) {
-	if l.conn != nil {
-		l.err = errors.Join(l.err, l.conn.Send(time.UnixMicro(l.now), byServer, data))
+// write writes data of one side to the output.
+func (c *connection) write(byServer bool, data []byte) {
+	if c.file != nil {
+		c.err = errors.Join(c.err, c.file.Send(time.UnixMicro(c.now), byServer, data))
 	}
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -40,7 +40,8 @@
 	server       = netip.MustParseAddrPort("127.0.0.1:8443")
 )
 
-// writeAndRead writes a connection for each list of pieces, ten milliseconds apart.
+// writeAndRead returns the streams of a capture with a connection for each list of
+// segments, which are ten milliseconds apart.
 func writeAndRead(t *testing.T, conns ...[][]byte) []*pcap.Stream {
 	t.Helper()
 	var file bytes.Buffer
@@ -48,13 +49,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, pieces := range conns {
+	for i, segments := range conns {
 		c, err := w.Open(captureStart, netip.AddrPortFrom(server.Addr(), uint16(40000+i)), server)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for j, piece := range pieces {
-			if err := c.Send(captureStart.Add(time.Duration(j)*10*time.Millisecond), false, piece); err != nil {
+		for j, segment := range segments {
+			if err := c.Send(captureStart.Add(time.Duration(j)*10*time.Millisecond), false, segment); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -71,7 +72,7 @@
 	return streams
 }
 
-// request is one frame, sent so many milliseconds after the origin.
+// request returns the frame of a request that is sent ms milliseconds after captureStart.
 func request(stream uint32, class, key string, ms, timeout, work int) []byte {
 	fields := []frame.Field{{Name: "kind", Value: class}, {Name: "owner", Value: "red"}, {Name: "req", Value: fmt.Sprintf("%016x", stream)},
 		{Name: "ts", Value: fmt.Sprint(captureStart.UnixMilli() + int64(ms))}, {Name: "timeout", Value: fmt.Sprint(timeout)},
@@ -94,9 +95,9 @@
 func TestFrames(t *testing.T) {
 	first := request(1, "look", "", 0, 900, 50)
 	streams := writeAndRead(t, [][]byte{
-		first[:9], append(first[9:], request(2, "look", "", 10, 0, 50)...), // cut within a frame; the second is due already
-		request(3, "note", "k", 20, 900, 50), request(4, "note", "k", 30, 900, 50), // served once, and its repeat
-		request(5, "nil", "", 40, 900, 50), request(6, "look", "", 50, 200, 5000), // malformed; longer than its caller waits
+		first[:9], append(first[9:], request(2, "look", "", 10, 0, 50)...), // split within a frame; the second has no time left
+		request(3, "note", "k", 20, 900, 50), request(4, "note", "k", 30, 900, 50), // run once, and its duplicate
+		request(5, "nil", "", 40, 900, 50), request(6, "look", "", 50, 200, 5000), // malformed; longer than its timeout
 		first[:20], // unfinished
 	})
 	var out bytes.Buffer
@@ -107,7 +108,7 @@
 	if r.Received != 5 || r.Served != 3 || r.Refused != 1 || r.Failed != 1 || r.Malformed != 1 || r.Unfinished != 1 || r.Connections != 1 {
 		t.Errorf("%+v", r)
 	}
-	// The capture that is written holds the same requests and one answer for each.
+	// The output has the same requests and one answer for each.
 	codes := map[uint32]byte{}
 	for _, s := range read(t, out.Bytes()) {
 		for b := s.Bytes(); s.From == server; {
@@ -125,10 +126,11 @@
 	}
 	again, err := Run(read(t, out.Bytes()), loadSettings(t), Options{Port: 8443})
 	if err != nil || again != r {
-		t.Errorf("the written capture gives %+v, %v, want %+v", again, err, r)
+		t.Errorf("the replay of the output gives %+v, %v, want %+v", again, err, r)
 	}
 }
 
+// A uwsgi connection has one request, which is counted once however it is split.
 func TestUWSGI(t *testing.T) {
 	packet := func(class, key, body string) []byte {
 		vars := []uwsgi.Var{{Name: uwsgi.VarClass, Value: class}, {Name: uwsgi.VarLength, Value: fmt.Sprint(len(body))}}
@@ -153,10 +155,11 @@
 		t.Errorf("%+v", r)
 	}
 	if n := bytes.Count(out.Bytes(), []byte("HTTP/1.1 200 OK")); n != 3 {
-		t.Errorf("%d answers are written", n)
+		t.Errorf("%d answers in the output, want 3", n)
 	}
 }
 
+// A port that no connection leads to is an error that names it, not an empty report.
 func TestOtherPort(t *testing.T) {
 	if _, err := Run(writeAndRead(t, [][]byte{[]byte("x")}), loadSettings(t), Options{Port: 1}); err == nil || !strings.Contains(err.Error(), "port 1") {
 		t.Errorf("%v", err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -69,7 +69,7 @@
 		return 0, nil, io.EOF
 	}
 	if err != nil {
-		return 0, nil, fmt.Errorf("byte %d: header cut short, expected 16 bytes, got %d: %w", d.offset, n, err)
+		return 0, nil, fmt.Errorf("byte %d: header truncated, expected 16 bytes, got %d: %w", d.offset, n, err)
 	}
 	now := int64(binary.LittleEndian.Uint64(d.header[:]))
 	size := binary.LittleEndian.Uint32(d.header[8:])
@@ -87,7 +87,7 @@
 	}
 	d.body = d.body[:size]
 	if n, err = io.ReadFull(d.r, d.body); err != nil {
-		return 0, nil, fmt.Errorf("byte %d: frame cut short, expected %d bytes, got %d: %w",
+		return 0, nil, fmt.Errorf("byte %d: frame truncated, expected %d bytes, got %d: %w",
 			d.offset, size, n, io.ErrUnexpectedEOF)
 	}
 	d.records = d.records[:0]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,13 +50,13 @@
 
 func TestBadInputNamesTheByte(t *testing.T) {
 	for name, c := range map[string]struct{ input, want string }{
-		"short header":      {"e803", "byte 0: header cut short"},
-		"short body":        {"e803000000000000 05000000 01000000 0607", "byte 16: frame cut short"},
-		"past its batch":    {"e803000000000000 05000000 01000000 0707000100", "byte 16: record of code 7 runs past"},
-		"unknown code":      {"e803000000000000 03000000 01000000 630700", "byte 16: record code 99"},
-		"left over":         {"e803000000000000 04000000 01000000 06070000", "byte 19: 1 bytes after"},
-		"impossible counts": {"e803000000000000 01000000 05000000 06", "byte 12: 5 records in 1 bytes"},
-		"oversized":         {"e803000000000000 ffffffff 05000000 06", "byte 8: frame of"},
+		"short header":     {"e803", "byte 0: header truncated"},
+		"short body":       {"e803000000000000 05000000 01000000 0607", "byte 16: frame truncated"},
+		"record too long":  {"e803000000000000 05000000 01000000 0707000100", "byte 16: record of code 7 runs past"},
+		"unknown code":     {"e803000000000000 03000000 01000000 630700", "byte 16: record code 99"},
+		"trailing bytes":   {"e803000000000000 04000000 01000000 06070000", "byte 19: 1 bytes after"},
+		"too many records": {"e803000000000000 01000000 05000000 06", "byte 12: 5 records in 1 bytes"},
+		"oversized":        {"e803000000000000 ffffffff 05000000 06", "byte 8: frame of"},
 	} {
 		_, _, err := NewReader(bytes.NewReader(decodeHex(t, c.input))).Next()
 		if err == nil || !strings.Contains(err.Error(), c.want) {
