--- a/cmd/kiteslip/check.go
+++ b/cmd/kiteslip/check.go
@@ -10,10 +10,11 @@
 	"kiteslip/internal/server"
 )
 
-// maxListed is how many teams, and classes, are listed one by one; more are summed up.
+// maxListed is the limit of the teams, and of the classes, that are listed one by one;
+// the others are summarized.
 const maxListed = 50
 
-// describe says what a configuration amounts to, a line for each thing.
+// describe prints a summary of a configuration, a line for each part.
 func describe(w io.Writer, cfg *config.Config) {
 	fmt.Fprintf(w, "%s: frames on %s, uwsgi on %s, ops on %s, engine %s, registry %s\n", cfg.Name, orDefault(cfg.Listen, "(off)"),
 		orDefault(cfg.UWSGI.Listen, "(off)"), orDefault(cfg.Ops, "(off)"), orDefault(cfg.Engine, "(none)"), orDefault(cfg.Registry, "(none)"))
@@ -43,13 +44,15 @@
 	}
 }
 
-func orDefault(text, otherwise string) string {
+// orDefault returns text, or the default where it is empty.
+func orDefault(text, byDefault string) string {
 	if text == "" {
-		return otherwise
+		return byDefault
 	}
 	return text
 }
 
+// describeTeams prints the budgets of the teams.
 func describeTeams(w io.Writer, cfg *config.Config) {
 	sum, rest := 0.0, 0.0
 	for i, name := range cfg.Tenants {
@@ -65,6 +68,7 @@
 	}
 }
 
+// describeClasses prints the contracts of the classes.
 func describeClasses(w io.Writer, cfg *config.Config) {
 	effects := map[kiteslip.Effect]string{kiteslip.Repeatable: "repeatable", kiteslip.Keyed: "keyed", kiteslip.Once: "once"}
 	counts, longest, backends := map[kiteslip.Effect]int{}, int64(0), map[string]bool{}
@@ -86,7 +90,7 @@
 	}
 }
 
-// describePools says what the pools amount to on this machine.
+// describePools prints what the pools' shares amount to on this machine.
 func describePools(w io.Writer, cfg *config.Config) {
 	s := cfg.PoolSettings()
 	if s == nil {
--- a/cmd/kiteslip/control.go
+++ b/cmd/kiteslip/control.go
@@ -22,24 +22,26 @@
 	"kiteslip/internal/control/publish"
 )
 
-// controlCmd is kiteslip control: the role of the control machines, and what an
-// operator does with them.
+// controlCmd is kiteslip control: to be a control machine, and the commands of an
+// operator to control machines.
 type controlCmd struct {
 	Serve   controlServe   `cmd:"" help:"Be a control machine until SIGTERM."`
 	Publish controlPublish `cmd:"" help:"Publish an operator's file as the next version."`
 	Status  controlStatus  `cmd:"" help:"Say what is in force, who follows, and who lags."`
 }
 
+// controlServe is kiteslip control serve.
 type controlServe struct {
 	Config   string `required:"" type:"path" env:"KITESLIP_CONTROL" help:"The control machine's file, see deploy/control.toml."`
 	LogLevel string `enum:"debug,info,warn,error" default:"info" env:"KITESLIP_LOG" help:"The least level that is logged: ${enum}."`
 }
 
-// controlHeapBytes is what the heap of a control machine keeps below where it can.
+// controlHeapBytes is the soft limit of a control machine's Go heap.
 const controlHeapBytes = 512 << 20
 
+// Run serves until SIGTERM.
 func (c *controlServe) Run() error {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt) // first of all
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt) // first, so that no signal is missed
 	defer stop()
 	cfg, err := config.LoadControlMachine(c.Config)
 	if err != nil {
@@ -56,7 +58,7 @@
 		set.Upstreams = append(set.Upstreams, follow.Endpoint(f))
 	}
 	name := fnv.New64a()
-	name.Write([]byte(cfg.Name)) //nolint:errcheck // it has none
+	name.Write([]byte(cfg.Name)) //nolint:errcheck // a hash returns none
 	set.Seed = name.Sum64()
 	p, err := publish.Open(set)
 	if err != nil {
@@ -65,9 +67,10 @@
 	return errors.Join(p.Serve(ctx), p.Close())
 }
 
-// requestTimeout is how long a control machine has to answer a command.
+// requestTimeout is the limit for all requests of a command to one control machine.
 const requestTimeout = 30 * time.Second
 
+// controlPublish is kiteslip control publish.
 type controlPublish struct {
 	File   string `arg:"" type:"existingfile" help:"An operator's file: its teams, services and pools count, all else is passed over."`
 	To     string `required:"" help:"Address of the machine that originates versions."`
@@ -76,6 +79,7 @@
 	Base   string `help:"Digest of the version that must be in force, 12 hex digits at least; without it any."`
 }
 
+// Run publishes the file and prints the version.
 func (c *controlPublish) Run() error { return c.run(os.Stdout) }
 
 func (c *controlPublish) run(w io.Writer) error {
@@ -95,7 +99,7 @@
 		if len(c.Base) < 2*6 || !strings.HasPrefix(v.Digest, strings.ToLower(c.Base)) {
 			return fmt.Errorf("--base is %q, in force is version %d, %s", c.Base, v.Number, v.Digest)
 		}
-		// It is compared once more, whole, when the version is made.
+		// The originator compares the whole digest again when it makes the version.
 		if base, err = v.ParseDigest(); err != nil {
 			return err
 		}
@@ -108,31 +112,33 @@
 	return nil
 }
 
+// controlStatus is kiteslip control status.
 type controlStatus struct {
 	At      []string `required:"" help:"Addresses of control machines, with commas between."`
 	Lagging bool     `help:"Only followers that lag, refused a version or are on a fork; ends with 1 if there are any."`
 }
 
+// Run prints the state of the control machines and their followers.
 func (c *controlStatus) Run() error { return c.run(os.Stdout) }
 
 func (c *controlStatus) run(w io.Writer) error {
 	var errs []error
 	answers := make([]machineStatus, len(c.At))
-	here := map[string]bool{} // connected to any of the machines asked
+	connected := map[string]bool{} // followers with a connection to any of the machines
 	for i, address := range c.At {
 		if answers[i] = queryMachine(address); answers[i].err != nil {
 			errs = append(errs, fmt.Errorf("%s does not answer", address))
 		}
 		for _, f := range answers[i].followers {
-			here[f.Name] = here[f.Name] || f.Connected
+			connected[f.Name] = connected[f.Name] || f.Connected
 		}
 	}
 	lagging := 0
 	for i := range answers {
 		a := &answers[i]
 		a.followers = slices.DeleteFunc(a.followers, func(f protocol.Follower) bool {
-			// One that has gone over to another machine is that one's to tell of.
-			return !f.Connected && here[f.Name] || c.Lagging && f.LagMS == 0 && f.RefusalReason == "" && !f.Fork
+			// A follower that has switched to another machine is listed by that one.
+			return !f.Connected && connected[f.Name] || c.Lagging && f.LagMS == 0 && f.RefusalReason == "" && !f.Fork
 		})
 		lagging += len(a.followers)
 		if err := a.print(w, c.At[i]); err != nil {
@@ -145,13 +151,14 @@
 	return errors.Join(errs...)
 }
 
-// machineStatus is what one machine says.
+// machineStatus is the answer of one control machine.
 type machineStatus struct {
 	version   *protocol.Version
 	followers []protocol.Follower
 	err       error
 }
 
+// queryMachine requests the version and the followers of a control machine.
 func queryMachine(address string) (a machineStatus) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -162,6 +169,7 @@
 	return a
 }
 
+// print prints the status of one machine and a table of its followers.
 func (a *machineStatus) print(w io.Writer, address string) error {
 	if a.err != nil {
 		_, err := fmt.Fprintf(w, "%s: %v\n", address, a.err)
@@ -192,7 +200,7 @@
 	return t.Flush()
 }
 
-// followerState says in a few words what is to know of a follower.
+// followerState describes a follower in a few words.
 func followerState(f *protocol.Follower) string {
 	var words []string
 	switch {
--- a/cmd/kiteslip/initial_version.go
+++ b/cmd/kiteslip/initial_version.go
@@ -11,11 +11,11 @@
 	"kiteslip/internal/server"
 )
 
-// awaitInitialVersion waits for the version that the fleet serves by, lays it over the file's
-// configuration, and says what the server starts by. A version that cannot be
-// used here leaves the one kept, and else the file. A notice to leave ends the
-// wait, and comes again on the signals that are returned. The follower's stream
-// ends with ctx.
+// awaitInitialVersion waits for the fleet's version and returns the configuration that
+// the server starts with: the file's with the version's content. If the version is
+// invalid here, the stored one is used, and otherwise the file's own content. A shutdown
+// notice ends the wait and is delivered again by the returned signals. The follower's
+// stream ends with ctx.
 func awaitInitialVersion(ctx context.Context, cfg *config.Config, signals server.Signals, log *zap.Logger) (*config.Config, *follow.Follower, server.Signals, error) {
 	set := follow.Settings{Name: cfg.Name, Region: cfg.Control.Region, Folder: cfg.Control.Folder,
 		InitialWait: time.Duration(cfg.Control.InitialWaitUS) * time.Microsecond, Seed: cfg.Seed, Log: log}
@@ -26,35 +26,35 @@
 	if err != nil {
 		return nil, nil, signals, err
 	}
-	began := time.Now()
-	ctx, end := context.WithCancel(ctx)
+	start := time.Now()
+	ctx, cancel := context.WithCancel(ctx)
 	notice, done, watched := make(chan server.ShutdownNotice, 1), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(watched)
 		select {
 		case n := <-signals.Stop:
 			notice <- n
-			end()
+			cancel()
 		case <-done:
 		}
 	}()
-	doc, origin := f.InitialVersion(ctx)
+	doc, source := f.InitialVersion(ctx)
 	close(done)
 	<-watched
 	if len(notice) > 0 {
 		signals.Stop = notice
 	}
-	waited := zap.Int64("waited_ms", time.Since(began).Milliseconds())
+	waited := zap.Int64("waited_ms", time.Since(start).Milliseconds())
 	for doc != nil {
-		with, err := cfg.WithDocument(doc)
+		withVersion, err := cfg.WithDocument(doc)
 		if err == nil {
 			h := doc.Header()
-			log.Info("starts by a version", zap.Uint64("version", h.Number), zap.Stringer("digest", doc.Digest()), zap.String("origin", string(origin)),
+			log.Info("starts by a version", zap.Uint64("version", h.Number), zap.Stringer("digest", doc.Digest()), zap.String("origin", string(source)),
 				zap.String("author", h.Author), zap.String("reason", h.Reason), waited)
-			return with, f, signals, nil
+			return withVersion, f, signals, nil
 		}
-		doc, origin = f.Reject(err)
+		doc, source = f.Reject(err)
 	}
-	log.Warn("starts by the file's own teams and services: there is no version", zap.String("origin", string(origin)), waited)
+	log.Warn("starts by the file's own teams and services: no version is available", zap.String("origin", string(source)), waited)
 	return cfg, f, signals, nil
 }
--- a/cmd/kiteslip/keys.go
+++ b/cmd/kiteslip/keys.go
@@ -12,7 +12,8 @@
 	"kiteslip/internal/keystore"
 )
 
-// keysCmd is kiteslip keys. All of it refuses a folder that a server uses.
+// keysCmd is kiteslip keys: commands for the folder of a key store. They fail if a
+// server uses the folder.
 type keysCmd struct {
 	Stat    keysStat    `cmd:"" help:"Say how many keys there are, and when the folder was last in use."`
 	Verify  keysVerify  `cmd:"" help:"Read every record; end with 1 if one is damaged."`
@@ -20,16 +21,17 @@
 	Compact keysCompact `cmd:"" help:"Forget keys whose window has ended, and give their space back."`
 }
 
+// keysFolder is the argument of all commands.
 type keysFolder struct {
 	Folder string `arg:"" type:"existingdir" help:"The folder that keys.folder names."`
 }
 
-// open opens the folder for reading, or to change it.
+// open opens the store.
 func (f *keysFolder) open(readOnly bool) (*keystore.Store, error) {
 	return keystore.Open(keystore.Options{Folder: f.Folder, ReadOnly: readOnly})
 }
 
-// each reads all records, also those whose window has ended.
+// each calls yield for all records, also those whose window has ended.
 func (f *keysFolder) each(yield func(keystore.Record) error) (err error) {
 	store, err := f.open(true)
 	if err != nil {
@@ -39,8 +41,10 @@
 	return store.Each(0, yield)
 }
 
+// keysStat is kiteslip keys stat.
 type keysStat struct{ keysFolder }
 
+// Run prints the numbers of keys.
 func (c *keysStat) Run() error { return c.print(os.Stdout, time.Now()) }
 
 func (c *keysStat) print(w io.Writer, now time.Time) (err error) {
@@ -49,11 +53,11 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
-	over, begun, ended, results := 0, 0, 0, 0
+	expired, begun, ended, results := 0, 0, 0, 0
 	err = store.Each(0, func(r keystore.Record) error {
 		switch {
 		case r.WindowEnd < now.UnixMicro():
-			over++
+			expired++
 		case r.Finished:
 			ended++
 			results += len(r.Result)
@@ -71,12 +75,14 @@
 	}
 	fmt.Fprintf(w, "last written %s; windows are %d ms longer for jumps of the clock\n", last, store.WindowExtension()/1000)
 	fmt.Fprintf(w, "%d keys with a result (%d bytes), %d begun without an end, %d whose window has ended; %d KB on disk\n",
-		ended, results, begun, over, store.DiskBytes()/1024)
+		ended, results, begun, expired, store.DiskBytes()/1024)
 	return nil
 }
 
+// keysVerify is kiteslip keys verify.
 type keysVerify struct{ keysFolder }
 
+// Run reads every record.
 func (c *keysVerify) Run() error {
 	n := 0
 	if err := c.each(func(keystore.Record) error { n++; return nil }); err != nil {
@@ -86,8 +92,10 @@
 	return nil
 }
 
+// keysDump is kiteslip keys dump.
 type keysDump struct{ keysFolder }
 
+// Run prints every record as a line of JSON.
 func (c *keysDump) Run() error { return c.print(os.Stdout) }
 
 func (c *keysDump) print(w io.Writer) error {
@@ -105,8 +113,10 @@
 	})
 }
 
+// keysCompact is kiteslip keys compact.
 type keysCompact struct{ keysFolder }
 
+// Run deletes expired keys and compacts the store.
 func (c *keysCompact) Run() (err error) {
 	store, err := c.open(false)
 	if err != nil {
--- a/cmd/kiteslip/main.go
+++ b/cmd/kiteslip/main.go
@@ -1,5 +1,6 @@
-// Command kiteslip serves requests from callers, with the decisions of the
-// kiteslip module, on real sockets.
+// Command kiteslip is the server: a broker that serves the requests of callers on real
+// sockets by the decisions of the policy in the kiteslip package. It is also a control
+// machine, which publishes fleet versions, and has commands for operators.
 package main
 
 import (
@@ -21,6 +22,8 @@
 // version is set by the linker; see the Makefile.
 var version = "development"
 
+// cli is the command line; kong derives the names of commands, flags and arguments from
+// the names of fields.
 type cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve until SIGTERM (the default)."`
 	Check   checkCmd   `cmd:"" help:"Read and check the configuration, and say what it amounts to."`
@@ -30,16 +33,18 @@
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
+// serveCmd is kiteslip serve.
 type serveCmd struct {
 	operatorFlag
 	LogLevel string `enum:"debug,info,warn,error" default:"info" env:"KITESLIP_LOG" help:"The least level that is logged: ${enum}."`
 }
 
+// operatorFlag is the flag of the commands that read the configuration.
 type operatorFlag struct {
 	Operator string `type:"path" env:"KITESLIP_OPERATOR" help:"The operator's file: the uwsgi front, contracts and budgets."`
 }
 
-// load reads what the platform gives, the operator's file, or one over the other.
+// load reads the platform's file, the operator's file, or the latter applied to the former.
 func load(operator string) (*config.Config, error) {
 	if operator == "" {
 		return config.Load(os.Getenv)
@@ -54,13 +59,14 @@
 	return config.LoadOperator(operator, platform)
 }
 
-// gcPercent is how far the heap may outgrow what lives before it is collected:
-// half of the usual, since memory is shorter than processor time here. What
-// lives is a few MB, and a new process should come to rest soon after its start.
+// gcPercent is the growth of the heap over the live data at which it is collected. It is
+// half of Go's default, since memory is scarcer than processor time here; the live data
+// is a few MB, and the memory of a new process should settle soon after its start.
 const gcPercent = 50
 
+// Run serves until the shutdown notice.
 func (c *serveCmd) Run() error {
-	signals := server.Notify() // first of all
+	signals := server.Notify() // first, so that no signal is missed
 	cfg, err := load(c.Operator)
 	if err != nil {
 		return err
@@ -75,8 +81,8 @@
 	debug.SetGCPercent(gcPercent)
 	var follower *follow.Follower
 	if cfg.Control.Enabled() {
-		ctx, end := context.WithCancel(context.Background())
-		defer end()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		if cfg, follower, signals, err = awaitInitialVersion(ctx, cfg, signals, log); err != nil {
 			return err
 		}
@@ -92,6 +98,7 @@
 	return s.Serve(signals)
 }
 
+// logger returns a logger that writes JSON lines to standard error.
 func logger(level string) (*zap.Logger, error) {
 	at, err := zap.ParseAtomicLevel(level)
 	if err != nil {
@@ -103,8 +110,10 @@
 	return zc.Build()
 }
 
+// checkCmd is kiteslip check.
 type checkCmd struct{ operatorFlag }
 
+// Run validates the configuration and prints a summary.
 func (c *checkCmd) Run() error {
 	cfg, err := load(c.Operator)
 	if err != nil {
@@ -114,8 +123,10 @@
 	return nil
 }
 
+// versionCmd is kiteslip version.
 type versionCmd struct{}
 
+// Run prints the versions of the program and of Go.
 func (c *versionCmd) Run() error {
 	fmt.Println("kiteslip", version, runtime.Version())
 	return nil
--- a/cmd/kiteslip/pcap.go
+++ b/cmd/kiteslip/pcap.go
@@ -10,30 +10,34 @@
 	"kiteslip/internal/replay"
 )
 
+// pcapCmd is kiteslip pcap.
 type pcapCmd struct {
 	Stat   statCmd   `cmd:"" help:"List the TCP streams of a capture file."`
 	Replay replayCmd `cmd:"" help:"Feed the requests of a capture file through a front and the core, without doing the work, and say what became of them."`
 }
 
+// statCmd is kiteslip pcap stat.
 type statCmd struct {
 	File string `arg:"" type:"existingfile" help:"The capture file (pcap or pcapng)."`
 }
 
+// Run prints a line for each TCP stream.
 func (c *statCmd) Run() error {
 	streams, err := readCapture(c.File)
 	if err != nil {
 		return err
 	}
 	for _, s := range streams {
-		broken := ""
+		missing := ""
 		if s.MissingPackets {
-			broken = ", packets are missing"
+			missing = ", packets are missing"
 		}
-		fmt.Printf("%v to %v: %d bytes in %d pieces%s\n", s.From, s.To, len(s.Bytes()), len(s.Chunks), broken)
+		fmt.Printf("%v to %v: %d bytes in %d pieces%s\n", s.From, s.To, len(s.Bytes()), len(s.Chunks), missing)
 	}
 	return nil
 }
 
+// replayCmd is kiteslip pcap replay.
 type replayCmd struct {
 	operatorFlag
 	File  string `arg:"" type:"existingfile" help:"The capture file (pcap or pcapng)."`
@@ -42,6 +46,7 @@
 	Write string `type:"path" help:"Write the traffic, with the answers given here, to this capture file."`
 }
 
+// Run replays the capture and prints the outcomes.
 func (c *replayCmd) Run() (err error) {
 	cfg, err := load(c.Operator)
 	if err != nil {
@@ -70,6 +75,7 @@
 	return nil
 }
 
+// readCapture reads the TCP streams of a capture file.
 func readCapture(path string) ([]*pcap.Stream, error) {
 	file, err := os.Open(path)
 	if err != nil {
