--- a/cmd/kiteslip/calls_test.go
+++ b/cmd/kiteslip/calls_test.go
@@ -17,7 +17,8 @@
 	"kiteslip/internal/testfleet"
 )
 
-// ledgerSettings is a site whose runs call a ledger, whose callers tell no deadline.
+// ledgerSettings are platform settings with downstream calls, and with callers that do
+// not state a deadline.
 const ledgerSettings = `{"classes": [
   {"name": "look", "effect": "repeatable", "on_time_us": 1500000, "hard_limit_us": 1500000, "worth": 1},
   {"name": "note", "effect": "by_key", "on_time_us": 1500000, "hard_limit_us": 1500000, "worth": 4, "window_us": 60000000}],
@@ -26,14 +27,15 @@
   "class_calls": [true, true], "class_skip_worth": [0.5, 0], "calls_over_us": 5000000, "lingers_us": 200000},
  "rules": {"drain_grace_us": 2000000, "answer_slack_us": 60000}, "tick_us": 4000}`
 
-// member is one server of a fleet over one ledger, with a link of its own to it.
+// member is a server of a fleet that shares a ledger, with its own link to the ledger.
 type member struct {
 	*testfleet.Program
 	engine *box.Engine
 	link   *faultnet.Link
 }
 
-func newMember(t *testing.T, n int, below *ledger.Ledger) *member {
+// newMember starts a server with an engine of its own.
+func newMember(t *testing.T, n int, shared *ledger.Ledger) *member {
 	t.Helper()
 	m := &member{}
 	var err error
@@ -42,7 +44,7 @@
 	}
 	t.Cleanup(m.engine.Close)
 	m.engine.Watch()
-	if m.link, err = faultnet.New(below.Address); err != nil {
+	if m.link, err = faultnet.New(shared.Address); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(m.link.Close)
@@ -51,7 +53,7 @@
 	return m
 }
 
-// sendAll sends requests that tell no deadline, half of them keyed, on one connection.
+// sendAll sends n requests without a deadline, half of them keyed, on one connection.
 func (m *member) sendAll(t *testing.T, mark string, from, n int) *standin.Caller {
 	t.Helper()
 	c := standin.Dial(t, m.Clients)
@@ -71,7 +73,7 @@
 	return c
 }
 
-// countAnswers takes n answers and counts them by code.
+// countAnswers reads n answers and counts them by code; none may come after latest.
 func countAnswers(t *testing.T, c *standin.Caller, n int, latest time.Time) map[byte]int {
 	t.Helper()
 	codes, streams := map[byte]int{}, map[uint32]bool{}
@@ -92,14 +94,14 @@
 	return codes
 }
 
-// Three servers over one ledger, each struck in its own way while calls are in
-// hand: one is killed, one is stopped for longer than its requests have, one
-// hears nothing from the ledger. No keyed run and no call with an effect is made
-// twice, all who can be are answered, in time where the server itself is well,
-// and all three serve when it is over.
+// Three servers share a ledger, and each has a failure while its calls are in flight:
+// one is killed, one is stopped for longer than its requests' timeout, one receives
+// nothing from the ledger. No keyed run and no call with an effect happens twice; all
+// requests but those of the killed server are answered, in time where the server itself
+// runs; and all three serve afterwards.
 func TestFleetOverOneLedgerWhilePartsFail(t *testing.T) {
 	hold := make(chan struct{})
-	below, err := ledger.Serve(func(c ledger.Call) ledger.Act {
+	shared, err := ledger.Serve(func(c ledger.Call) ledger.Act {
 		if strings.Contains(c.Body, "struck") {
 			<-hold
 		}
@@ -108,10 +110,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(below.Down)
+	t.Cleanup(shared.Down)
 	var fleet []*member
 	for n := range 3 {
-		fleet = append(fleet, newMember(t, n, below))
+		fleet = append(fleet, newMember(t, n, shared))
 	}
 	const each = 12
 	latest := time.Now().Add(1500*time.Millisecond + 200*time.Millisecond)
@@ -119,19 +121,19 @@
 	for n, m := range fleet {
 		callers = append(callers, m.sendAll(t, fmt.Sprintf("struck%d", n), 1000*n+1, each))
 	}
-	testfleet.Eventually(t, "all calls are out", func() bool { seen, _ := below.Seen(); return seen == 3*each })
+	testfleet.Eventually(t, "all calls are in flight", func() bool { seen, _ := shared.Seen(); return seen == 3*each })
 	fleet[2].link.Silence(faultnet.Back)
 	fleet[1].Signal(syscall.SIGSTOP)
 	fleet[0].Kill()
 	close(hold)
-	// The one that hears nothing answers by the time its callers give up.
+	// The server that receives nothing answers within its callers' timeout.
 	if codes := countAnswers(t, callers[2], each, latest); codes[frame.Served]+codes[frame.Failed] != each || codes[frame.Failed] < each/2 {
-		t.Errorf("without a word from the ledger: %v", codes)
+		t.Errorf("without replies of the ledger: %v", codes)
 	}
-	// The one that stood still answers all once it goes on; what it missed is late.
+	// The stopped server answers all requests once it continues, some of them late.
 	fleet[1].Signal(syscall.SIGCONT)
 	countAnswers(t, callers[1], each, time.Time{})
-	// The one that was killed is known to its callers by the end of their connection.
+	// The connections of the killed server end.
 	for {
 		if _, ok := callers[0].Next(); !ok {
 			break
@@ -143,7 +145,7 @@
 	}
 	for n, m := range fleet {
 		for i := range each {
-			m.engine.Over(fmt.Sprintf("%016x", 1000*n+1+i)) // as the platform's engine sees for itself
+			m.engine.Over(fmt.Sprintf("%016x", 1000*n+1+i)) // the platform's engine notices the end of a run by itself
 		}
 		if codes := countAnswers(t, m.sendAll(t, fmt.Sprintf("after%d", n), 10_000*(n+1), each), each, time.Time{}); codes[frame.Served] != each {
 			t.Errorf("server %d afterwards: %v", n, codes)
@@ -154,31 +156,31 @@
 			}
 		}
 	}
-	for body, n := range below.Effects() {
+	for body, n := range shared.Effects() {
 		if n > 1 {
 			t.Errorf("the call %q had its effect %d times", body, n)
 		}
 	}
 }
 
-// The ledger moves while a server serves and a connection to the old one breaks
-// half-way through a reply: what is in doubt fails, nothing is called twice, and
-// later calls go to the new address.
+// The connection to the ledger ends within a reply, and the ledger's address changes
+// while the server runs: the request whose call has an unknown outcome fails, no call is
+// made twice, and later calls go to the new address.
 func TestLedgerBreaksHalfWayAndMoves(t *testing.T) {
-	below, err := ledger.Serve(nil)
+	old, err := ledger.Serve(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(below.Down)
+	t.Cleanup(old.Down)
 	next, err := ledger.Serve(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Down)
-	m := newMember(t, 0, below)
-	m.link.EndAfter(250) // the call is some 200 bytes, its reply as many
+	m := newMember(t, 0, old)
+	m.link.EndAfter(250) // the call has some 200 bytes, its reply as many
 	if codes := countAnswers(t, m.sendAll(t, "cut", 1, 1), 1, time.Time{}); codes[frame.Failed] != 1 {
-		t.Errorf("a reply that was cut: %v", codes)
+		t.Errorf("a truncated reply: %v", codes)
 	}
 	if err := m.link.Heal(); err != nil {
 		t.Fatal(err)
@@ -186,7 +188,7 @@
 	m.engine.Over(fmt.Sprintf("%016x", 1))
 	config := map[string]any{"engine": m.engine.Address, "ledger": next.Address, "stop_ms": 1500, "settings": json.RawMessage(ledgerSettings)}
 	m.Reload(config)
-	testfleet.Eventually(t, "the new file is taken", func() bool {
+	testfleet.Eventually(t, "the new file is applied", func() bool {
 		return strings.Contains(standin.Ask(t, m.Ops, "show-stat"), "app.config_applied:1|c")
 	})
 	if codes := countAnswers(t, m.sendAll(t, "moved", 100, 8), 8, time.Time{}); codes[frame.Served] != 8 {
@@ -195,8 +197,8 @@
 	if seen, _ := next.Seen(); seen != 8 {
 		t.Errorf("the new ledger saw %d calls, want 8", seen)
 	}
-	if n := below.Effects()["call 0 of 1000*1 cut 0"]; n != 1 {
-		t.Errorf("the call whose reply was cut had its effect %d times", n)
+	if n := old.Effects()["call 0 of 1000*1 cut 0"]; n != 1 {
+		t.Errorf("the call whose reply was truncated had its effect %d times", n)
 	}
 	m.Leave()
 }
--- a/cmd/kiteslip/check_test.go
+++ b/cmd/kiteslip/check_test.go
@@ -8,8 +8,8 @@
 	"kiteslip/internal/config"
 )
 
-// A file of thousands of teams and classes is summed up: what is left out is
-// counted, and its figures are in the sums.
+// Thousands of teams and classes are summarized: entries that are not listed are
+// counted, and the totals include them.
 func TestCheckSummarizesLongLists(t *testing.T) {
 	text := func(n int) string {
 		b := "[uwsgi]\nlisten = \"127.0.0.1:1\"\n[machine]\n[control]\nregion = \"south\"\n[[control.publisher]]\naddress = \"10.0.0.1:1\"\nregion = \"south\"\n" +
--- a/cmd/kiteslip/connection_limits_test.go
+++ b/cmd/kiteslip/connection_limits_test.go
@@ -18,7 +18,8 @@
 	"kiteslip/internal/testfleet"
 )
 
-// roomySettings is a site with a read and a keyed class, and room for all.
+// roomySettings are platform settings with a repeatable and a keyed class, and capacity
+// for all requests.
 const roomySettings = `{"classes": [
   {"name": "look", "effect": "repeatable", "on_time_us": 3000000, "hard_limit_us": 6000000, "worth": 1},
   {"name": "note", "effect": "by_key", "on_time_us": 3000000, "hard_limit_us": 6000000, "worth": 4, "window_us": 9000000}],
@@ -26,8 +27,8 @@
  "family_info": {"cores": 64, "memory_kb": 4000000, "blowup": 4, "key_kb": 8, "idle_us": 60000000, "callers": 4, "gauges": ["cpu_busy", "runnable"]},
  "rules": {"answer_slack_us": 60000, "drain_grace_us": 2000000}, "goal": {"whole": 1}, "tick_us": 4000, "group_size": 1}`
 
-// startServer starts a server that is granted so many sockets, with a link to
-// its engine that can be struck.
+// startServer starts a server with a limit of sockets, and a link to its engine on which
+// failures can be injected.
 func startServer(t *testing.T, sockets int) (*testfleet.Program, *box.Engine, *faultnet.Link) {
 	t.Helper()
 	engine, err := box.Serve(box.Spec{Cores: 64})
@@ -47,8 +48,8 @@
 	return p, engine, link
 }
 
-// Connections that come in one burst, each with a request, are all let in and
-// answered within the descriptors that are granted.
+// Connections that arrive in one burst, each with a request, are all accepted and
+// answered within the descriptor limit.
 func TestBurstWithinDescriptors(t *testing.T) {
 	p, _, _ := startServer(t, 256)
 	warm := standin.Dial(t, p.Clients)
@@ -77,10 +78,10 @@
 	p.Leave()
 }
 
-// While nobody can be found by the registry, idle clients take every place that
-// they can get, and take it again when they lose it: working callers are let
-// in and served, operators are answered, the engine's link comes back after a
-// break, and the descriptors hold, whether few are granted or many.
+// Idle clients take every connection slot and take it again when they are evicted, while
+// the registry is unreachable: callers with requests are accepted and served, the admin
+// endpoint replies, the connection to the engine is restored after a break, and the
+// descriptor limit holds, whether it is small or large.
 func TestIdleClientsLeaveRoom(t *testing.T) {
 	for _, sockets := range []int{48, 64, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
@@ -116,10 +117,10 @@
 				}()
 			}
 			defer func() { close(stop); idlers.Wait() }()
-			most := 0
-			testfleet.Eventually(t, "the places are taken", func() bool {
-				most = max(most, p.Descriptors())
-				return most >= sockets/3
+			maxDescriptors := 0
+			testfleet.Eventually(t, "the connection slots are taken", func() bool {
+				maxDescriptors = max(maxDescriptors, p.Descriptors())
+				return maxDescriptors >= sockets/3
 			})
 			name := uint64(0)
 			ask := func(what string) {
@@ -137,20 +138,20 @@
 						}
 					}
 					c.Conn.Close()
-					most = max(most, p.Descriptors())
+					maxDescriptors = max(maxDescriptors, p.Descriptors())
 				}
 			}
-			ask("under idle clients")
+			ask("with idle clients")
 			if got := standin.Ask(t, p.Ops, "ready"); got != "done ready\n" {
-				t.Errorf("the operators' door says %q", got)
+				t.Errorf("the admin endpoint replies %q", got)
 			}
 			link.Break()
 			ask("after a break of the engine's link")
-			if most > sockets {
-				t.Errorf("%d descriptors of %d", most, sockets)
+			if maxDescriptors > sockets {
+				t.Errorf("%d descriptors of %d", maxDescriptors, sockets)
 			}
 			if got := standin.Ask(t, p.Ops, "show-stat"); !strings.Contains(got, "app.") {
-				t.Errorf("the operators' door says %q", got)
+				t.Errorf("the admin endpoint replies %q", got)
 			}
 		})
 	}
--- a/cmd/kiteslip/control_equivalence_test.go
+++ b/cmd/kiteslip/control_equivalence_test.go
@@ -13,8 +13,8 @@
 	"kiteslip/internal/core"
 )
 
-// smallSettings is a machine with less room than it is asked for, and settings of its
-// own that hold beside a version's.
+// smallSettings is a platform's file of an overloaded machine, with a class and a team of
+// its own beside those of a version.
 const smallSettings = `{"name": "n", "listen": "127.0.0.1:0", "engine": "127.0.0.1:1", "settings": {"classes": [
   {"name": "look", "effect": "repeatable", "on_time_us": 300000, "hard_limit_us": 900000, "worth": 1}],
  "tenants": [{"name": "red", "quota_per_s": 20}],
@@ -23,17 +23,17 @@
  "rules": {"answer_slack_us": 60000, "drain_grace_us": 2000000, "fall_multiple": 8, "fall_us": 1500000},
  "goal": {"whole": 1}, "tick_us": 4000, "group_size": 1}}`
 
-// contentEntry is one class of a service, or one team.
+// contentEntry is a service with one class, or a team.
 type contentEntry struct {
 	name                       string
-	targetMS, timeoutMS, worth float64 // of a class; a team has none
+	targetMS, timeoutMS, worth float64 // of a class; 0 for a team
 	quota                      float64
 }
 
-// operatorText words deals as an operator's file.
-func operatorText(deals []contentEntry) string {
+// operatorText returns the entries as an operator's file.
+func operatorText(entries []contentEntry) string {
 	var b strings.Builder
-	for _, d := range deals {
+	for _, d := range entries {
 		if d.quota > 0 {
 			fmt.Fprintf(&b, "[[team]]\nname = %q\nrequests_per_s = %v\n", d.name, d.quota)
 			continue
@@ -44,11 +44,11 @@
 	return b.String()
 }
 
-// versionContent is the same as a version holds it.
-func versionContent(deals []contentEntry) *document.Content {
+// versionContent returns the entries as the content of a version.
+func versionContent(entries []contentEntry) *document.Content {
 	c := &document.Content{}
-	for i := range deals {
-		d := &deals[i]
+	for i := range entries {
+		d := &entries[i]
 		if d.quota > 0 {
 			c.Teams = append(c.Teams, document.Team{Name: d.name, Quota: d.quota})
 			continue
@@ -59,7 +59,8 @@
 	return c
 }
 
-// simulation plays requests on a core and notes all that it decides, by name.
+// simulation submits requests to a core on a simulated clock and records its decisions
+// by the requests' names.
 type simulation struct {
 	t    *testing.T
 	core *core.Core
@@ -68,17 +69,19 @@
 	log  []string
 }
 
+// run is a run in progress.
 type run struct {
 	request *core.Request
 	end     int64
 }
 
+// Run starts a run whose work is a millisecond for each byte of the body.
 func (d *simulation) Run(r *core.Request) {
 	d.log = append(d.log, fmt.Sprintf("%d run %s", d.now, r.TryID))
 	d.runs = append(d.runs, run{r, d.now + int64(len(r.Body))*1000})
 }
 
-// answerLog notes what becomes of one request.
+// answerLog records the answer of one request.
 type answerLog struct {
 	d *simulation
 	r *core.Request
@@ -89,7 +92,7 @@
 		len(b.Result), b.RetryAfter, b.NoFailover, b.Cause))
 }
 
-// advance lets time go by, with the ends of runs and the core's own times.
+// advance sets the clock to t, with the ends of runs and the steps of the core until then.
 func (d *simulation) advance(t int64) {
 	for {
 		next := t
@@ -118,15 +121,16 @@
 	}
 }
 
-// play sends the same requests, by the names of their classes and teams, as any other day.
-func (d *simulation) play(cfg *config.Config, deals []contentEntry) []string {
+// play submits a fixed sequence of requests, which does not depend on the slots of their
+// classes and teams, and returns the decisions.
+func (d *simulation) play(cfg *config.Config, entries []contentEntry) []string {
 	d.t.Helper()
 	var classes, teams []int
-	for _, x := range deals {
-		if x.quota > 0 {
-			teams = append(teams, slices.Index(cfg.Tenants, x.name))
+	for _, e := range entries {
+		if e.quota > 0 {
+			teams = append(teams, slices.Index(cfg.Tenants, e.name))
 		} else {
-			classes = append(classes, slices.Index(cfg.Classes, x.name))
+			classes = append(classes, slices.Index(cfg.Classes, e.name))
 		}
 	}
 	if slices.Contains(classes, -1) || slices.Contains(teams, -1) {
@@ -147,6 +151,7 @@
 	return d.log
 }
 
+// newSimulation returns a simulation of a server with this configuration.
 func newSimulation(t *testing.T, cfg *config.Config) *simulation {
 	t.Helper()
 	d := &simulation{t: t, now: 1_000_000_000_000}
@@ -158,9 +163,9 @@
 	return d
 }
 
-// The decisions that a server makes by a version are those that it makes by a file
-// with the same content: the same requests through both, from the start and
-// after a change while it runs.
+// A server decides the same with a version as with a file of the same content, from the
+// start and after a change while it runs. Guards against settings that one of the two
+// ways loses or applies differently.
 func TestVersionDecisionsMatchFile(t *testing.T) {
 	read := func(text string) *config.Config {
 		t.Helper()
@@ -173,13 +178,13 @@
 		}
 		return cfg
 	}
-	version := func(on *document.Document, deals []contentEntry) (*document.Document, *document.Delta) {
+	version := func(parent *document.Document, entries []contentEntry) (*document.Document, *document.Delta) {
 		t.Helper()
-		delta, err := on.Draft(on.Diff(versionContent(deals)), document.Meta{Author: "anna", Reason: "the same", Time: 1})
+		delta, err := parent.Draft(parent.Diff(versionContent(entries)), document.Meta{Author: "anna", Reason: "the same", Time: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		doc, err := on.Apply(delta)
+		doc, err := parent.Apply(delta)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -195,7 +200,7 @@
 		refused, served := 0, 0
 		for i := range a {
 			if i >= len(b) || a[i] != b[i] {
-				t.Fatalf("%s: decision %d by the file\n%s\nby the version\n%v", what, i, a[i], b[min(i, len(b)-1)])
+				t.Fatalf("%s: decision %d with the file\n%s\nwith the version\n%v", what, i, a[i], b[min(i, len(b)-1)])
 			}
 			if strings.Contains(a[i], "Code:"+fmt.Sprint(uint8(core.Refused))) {
 				refused++
@@ -208,21 +213,21 @@
 		}
 	}
 
-	byFile, err := read("").WithDocument(second)
+	withVersion, err := read("").WithDocument(second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := read(operatorText(after))
-	same("from the start", newSimulation(t, file).play(file, after), newSimulation(t, byFile).play(byFile, after))
+	same("from the start", newSimulation(t, file).play(file, after), newSimulation(t, withVersion).play(withVersion, after))
 
-	// A change while it runs: SIGHUP with a file, and a delta.
-	reload, step := config.NewUpdater(read(operatorText(before))), (*config.Updater)(nil)
+	// A change while the server runs: SIGHUP with a file, and a delta.
+	fileUpdater, versionUpdater := config.NewUpdater(read(operatorText(before))), (*config.Updater)(nil)
 	started, err := read("").WithDocument(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	step = config.NewUpdater(started)
-	hot := func(cfg *config.Config, change func() (*config.Change, error)) []string {
+	versionUpdater = config.NewUpdater(started)
+	playAfterChange := func(cfg *config.Config, change func() (*config.Change, error)) []string {
 		t.Helper()
 		d := newSimulation(t, cfg)
 		ch, err := change()
@@ -234,6 +239,6 @@
 		}
 		return d.play(ch.Config, after)
 	}
-	a := hot(read(operatorText(before)), func() (*config.Change, error) { return reload.PrepareFile(read(operatorText(after))) })
-	same("after a change", a, hot(started, func() (*config.Change, error) { return step.PrepareVersion(second, delta) }))
+	a := playAfterChange(read(operatorText(before)), func() (*config.Change, error) { return fileUpdater.PrepareFile(read(operatorText(after))) })
+	same("after a change", a, playAfterChange(started, func() (*config.Change, error) { return versionUpdater.PrepareVersion(second, delta) }))
 }
--- a/cmd/kiteslip/control_faults_test.go
+++ b/cmd/kiteslip/control_faults_test.go
@@ -11,8 +11,8 @@
 	"kiteslip/internal/testfleet"
 )
 
-// A stream that ends halfway through a delta, or through a whole version, leaves
-// the version before whole in force; after that it is taken over whole.
+// A stream that ends within a delta or a snapshot leaves the version before in force;
+// once the link heals the new one is applied. Guards against a version in part.
 func TestFollowTruncatedDelta(t *testing.T) {
 	origin := startControl(t, "c1", "north", 16)
 	l := newVersionPublisher(t, origin)
@@ -40,14 +40,14 @@
 			t.Errorf("version %d of a stream that ended after %d bytes", n, after)
 		}
 		if got := link.Carried(faultnet.Back) - carried; got > after {
-			t.Errorf("%d bytes were carried, more than the %d that show something", got, after)
+			t.Errorf("%d bytes were carried, more than %d: the delta was not truncated", got, after)
 		}
 		if err := link.Heal(); err != nil {
 			t.Fatal(err)
 		}
 		awaitVersion(t, fmt.Sprintf("cut after %d bytes", after), p.Ops, l.last, healTimeout)
 	}
-	// The same through a whole version, for a server that lacks more than the log has.
+	// The same with a snapshot, for a server that the log does not reach back to.
 	link.EndAfter(0)
 	link.Break()
 	for range 18 {
@@ -56,16 +56,16 @@
 	before, carried := versionNumber(t, p.Ops), link.Carried(faultnet.Back)+link.Carried(faultnet.There)
 	const after = 5_000
 	link.EndAfter(after)
-	testfleet.Eventually(t, "it is cut halfway", func() bool { return link.Carried(faultnet.Back)+link.Carried(faultnet.There) >= carried+after })
+	testfleet.Eventually(t, "the snapshot is truncated", func() bool { return link.Carried(faultnet.Back)+link.Carried(faultnet.There) >= carried+after })
 	if n := versionNumber(t, p.Ops); n != before {
-		t.Errorf("version %d of a stream that ended halfway through the whole", n)
+		t.Errorf("version %d of a stream that ended within the snapshot", n)
 	}
 	if err := link.Heal(); err != nil {
 		t.Fatal(err)
 	}
 	awaitVersion(t, "whole", p.Ops, l.last, healTimeout)
 	if before >= l.last {
-		t.Errorf("version %d came through the cut", before)
+		t.Errorf("version %d was received through the cut", before)
 	}
 	if m := showVersion(t, p.Ops); m["snapshots"] != "2" || m["digest"] != l.digests[l.last] {
 		t.Errorf("%v", m)
@@ -76,9 +76,9 @@
 	p.Leave()
 }
 
-// Two machines that each made a version with one number: the server stays on its
-// own, shouts, tells the machine, and serves on. A start with an empty folder
-// ends it.
+// Two originators have each made a version with the same number: the server keeps its
+// version, reports the fork to the control machine and in show-version, and goes on
+// serving. A start with an empty folder ends the fork.
 func TestFollowFork(t *testing.T) {
 	first := startControl(t, "c1", "north", 0)
 	l := newVersionPublisher(t, first)
@@ -94,7 +94,7 @@
 	other.publishMore(2)
 	testfleet.Eventually(t, "the fork is seen", func() bool { return showVersion(t, p.Ops)["fork"] == "true" })
 	other.publishMore(2)
-	testfleet.Eventually(t, "the machine knows", func() bool {
+	testfleet.Eventually(t, "the control machine lists the fork", func() bool {
 		lines, err := other.client.Followers(t.Context(), true)
 		return err == nil && len(lines) == 1 && lines[0].Fork && lines[0].Number == last
 	})
@@ -104,7 +104,7 @@
 		t.Errorf("%v", m)
 	}
 	if !second.Logged("fork") {
-		t.Error("the machine does not shout")
+		t.Error("the control machine does not log the fork")
 	}
 	p.Leave()
 	if m := initialState(t, folder, first.Address); !strings.HasPrefix(m["digest"], other.digests[other.last]) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// initialState is what a server with an empty folder starts by.
+// initialState returns the version that a server with an empty folder starts with.
 func initialState(t *testing.T, folder, address string) map[string]string {
 	t.Helper()
 	p := startFollower(t, controlText("north", filepath.Join(folder, "empty"), 20_000, testfleet.ControlTarget{Address: address, Region: "north"}))
--- a/cmd/kiteslip/control_fleet_test.go
+++ b/cmd/kiteslip/control_fleet_test.go
@@ -24,17 +24,18 @@
 	"kiteslip/internal/testfleet"
 )
 
-// healTimeout is how soon a version is in force after a fault has healed.
+// healTimeout is the limit for a version to be in force after a failure has ended.
 const healTimeout = 6 * time.Second
 
-// startControl starts a control machine; with others it follows them, the first of which originates.
+// startControl starts a control machine; given others, it is a relay that follows them,
+// the originator first.
 func startControl(t *testing.T, name, region string, deltas int, follow ...testfleet.ControlTarget) *testfleet.Control {
 	t.Helper()
 	return testfleet.StartControl(t, testfleet.ControlSpec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: name, Region: region,
 		Deltas: deltas, Follow: follow})
 }
 
-// newLink is a link to an address that can be struck.
+// newLink returns a link to an address on which failures can be injected.
 func newLink(t *testing.T, address string) *faultnet.Link {
 	t.Helper()
 	l, err := faultnet.New(address)
@@ -45,7 +46,7 @@
 	return l
 }
 
-// controlText is [control] of a server's file.
+// controlText returns [control] of a server's file.
 func controlText(region, folder string, waitMS int, publishers ...testfleet.ControlTarget) string {
 	text := fmt.Sprintf("[control]\nregion = %q\nwait_ms = %d\n", region, waitMS)
 	if folder != "" {
@@ -57,7 +58,7 @@
 	return text
 }
 
-// startFollower starts a server that follows, with an engine of its own.
+// startFollower starts a server with an operator's file and an engine of its own.
 func startFollower(t *testing.T, operator string) *testfleet.Program {
 	t.Helper()
 	engine, err := box.Serve(box.Spec{Cores: 64})
@@ -69,13 +70,15 @@
 		Config: followerConfig(engine.Address)})
 }
 
+// followerConfig returns the platform's file of a follower.
 func followerConfig(engine string) map[string]any {
 	return map[string]any{"engine": engine, "stop_ms": 3000, "settings": json.RawMessage(roomySettings),
 		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": 256}}
 }
 
-// adminCommand makes one call at the operators' door; "" = nobody is there, or leaves.
-func adminCommand(t testing.TB, ops, call string) string {
+// adminCommand sends one command to the admin endpoint and returns the reply, "" if
+// there is none because the process is starting or ending.
+func adminCommand(t testing.TB, ops, command string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", ops)
 	if err != nil {
@@ -83,15 +86,15 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // a TCP connection takes it
-	fmt.Fprintf(conn, "%s\n", call)
-	answer, err := io.ReadAll(conn)
+	fmt.Fprintf(conn, "%s\n", command)
+	reply, err := io.ReadAll(conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%s: no answer", call)
+		t.Errorf("%s: no reply", command)
 	}
-	return string(answer)
+	return string(reply)
 }
 
-// showVersion is what show-version tells, by its first words.
+// showVersion returns the values of show-version by their names.
 func showVersion(t testing.TB, ops string) map[string]string {
 	t.Helper()
 	m := map[string]string{}
@@ -103,6 +106,7 @@
 	return m
 }
 
+// versionNumber returns the number of the version in force.
 func versionNumber(t testing.TB, ops string) uint64 {
 	t.Helper()
 	n, err := strconv.ParseUint(showVersion(t, ops)["version"], 10, 64)
@@ -112,7 +116,7 @@
 	return n
 }
 
-// versionPublisher publishes versions and knows them all.
+// versionPublisher publishes versions and records their digests by number.
 type versionPublisher struct {
 	t       *testing.T
 	client  publish.Client
@@ -121,11 +125,12 @@
 	last    uint64
 }
 
+// newVersionPublisher returns a publisher to an originator.
 func newVersionPublisher(t *testing.T, originator *testfleet.Control) *versionPublisher {
 	return &versionPublisher{t: t, client: publish.Client{Address: originator.Address}, digests: map[uint64]string{}}
 }
 
-// publish makes one version.
+// publish publishes one version and returns its number.
 func (l *versionPublisher) publish(changes ...document.Change) uint64 {
 	l.t.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
@@ -141,7 +146,8 @@
 	return h.Number
 }
 
-// publishMore makes n versions, each of which changes a team's budget.
+// publishMore publishes n versions, each with another budget of a team, and returns the
+// number of the last.
 func (l *versionPublisher) publishMore(n int) uint64 {
 	l.t.Helper()
 	for range n {
@@ -150,8 +156,8 @@
 	return l.last
 }
 
-// watch looks at a server's version all the time: it is one of the line and
-// never goes back. stop ends it.
+// watch polls a server's version until stop is called: it must be a published one, and
+// its number must not decrease.
 func (l *versionPublisher) watch(ops string) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -165,7 +171,7 @@
 			m := showVersion(l.t, ops)
 			n, err := strconv.ParseUint(m["version"], 10, 64)
 			if err != nil {
-				continue // it is between two lives
+				continue // the process is starting or ending
 			}
 			l.mu.Lock()
 			want, known := l.digests[n]
@@ -182,17 +188,19 @@
 	return stop
 }
 
+// teamChange is the change that sets a team's budget.
 func teamChange(name string, quota float64) document.Change {
 	return document.Change{Team: &document.Team{Name: name, Quota: quota}}
 }
 
+// serviceChange is the change that adds a service with one class of the same name.
 func serviceChange(name string) document.Change {
 	aim, deadline := 4000.0, 5000.0
 	return document.Change{Service: &document.Service{Name: name, Contracts: []document.Contract{
 		{Class: name, Effect: "repeatable", TargetTimeMS: &aim, DeadlineMS: &deadline}}}}
 }
 
-// traffic asks all the time: every request is answered, and served.
+// traffic sends one request after the other; each must be served.
 type traffic struct {
 	t      *testing.T
 	served atomic.Int64
@@ -201,6 +209,7 @@
 	once   sync.Once
 }
 
+// startTraffic sends requests of a class and a tenant until stop is called.
 func startTraffic(t *testing.T, clients, class, tenant string) *traffic {
 	l := &traffic{t: t, done: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
@@ -220,13 +229,13 @@
 				if err != nil {
 					name--
 					time.Sleep(time.Millisecond)
-					continue // between two processes nobody may listen
+					continue // between two processes there may be no listener
 				}
 				conn.Close()
 				c = standin.Dial(t, clients)
 			}
 			c.Send(uint32(name), standin.Fields(class, tenant, "", name, 4*time.Second), "1000")
-			away := false
+			goAway := false
 			for {
 				got, ok := c.Next()
 				if !ok {
@@ -235,19 +244,19 @@
 					break
 				}
 				if got.Type == frame.GoAway {
-					away = true
+					goAway = true
 					continue
 				}
 				if got.Type == frame.Answer {
 					if got.Code == frame.Served {
 						l.served.Add(1)
-					} else if !away {
+					} else if !goAway {
 						t.Errorf("request %d: code %d", name, got.Code)
 					}
 					break
 				}
 			}
-			if away && c != nil {
+			if goAway && c != nil {
 				c.Conn.Close()
 				c = nil
 			}
@@ -257,28 +266,31 @@
 	return l
 }
 
+// stop ends the traffic.
 func (l *traffic) stop() { l.once.Do(func() { close(l.done); <-l.ended }) }
 
-// awaitServed waits until so many more are served.
+// awaitServed waits until n more requests are served.
 func (l *traffic) awaitServed(n int64) {
 	l.t.Helper()
 	until := l.served.Load() + n
 	testfleet.Eventually(l.t, "requests are served", func() bool { return l.served.Load() >= until || l.t.Failed() })
 }
 
-// awaitVersion waits until a version is in force, and fails the test where that takes too long.
-func awaitVersion(t *testing.T, what, ops string, want uint64, within time.Duration) {
+// awaitVersion waits until a version is in force, and fails the test if it takes longer
+// than limit.
+func awaitVersion(t *testing.T, what, ops string, want uint64, limit time.Duration) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	testfleet.Eventually(t, what, func() bool { return versionNumber(t, ops) >= want })
-	took := time.Since(began)
+	took := time.Since(start)
 	t.Logf("%s: version %d in force after %v", what, want, took.Round(time.Millisecond))
-	if took > within {
-		t.Errorf("%s: it took %v, want at most %v", what, took, within)
+	if took > limit {
+		t.Errorf("%s: it took %v, want at most %v", what, took, limit)
 	}
 }
 
-// publishContinuously publishes all the time until it is stopped.
+// publishContinuously publishes versions until stop is called, which returns the last
+// number.
 func (l *versionPublisher) publishContinuously() (stop func() uint64) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -298,7 +310,7 @@
 	return stop
 }
 
-// isLeaving says whether the originator knows that a server leaves.
+// isLeaving reports whether the originator lists a server as leaving.
 func isLeaving(t *testing.T, l *versionPublisher, name string) bool {
 	t.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
--- a/cmd/kiteslip/control_follow_test.go
+++ b/cmd/kiteslip/control_follow_test.go
@@ -20,12 +20,12 @@
 	"kiteslip/internal/testfleet"
 )
 
-// A server that is cut off over 1,000 versions takes them over one after the other
-// as soon as the cut heals; one for whom the log no longer reaches back gets the
-// whole. Requests are served all the time.
+// A server that is cut off while 1,000 versions are published applies their deltas one
+// by one once the link heals; one that is behind the start of the log gets a snapshot.
+// Requests are served all the time.
 func TestFollowCutOff(t *testing.T) {
 	for name, c := range map[string]struct{ deltas, versions, snapshots int }{
-		"over a thousand versions": {0, 1000, 0}, "over the end of the log": {20, 60, 1},
+		"within the log": {0, 1000, 0}, "behind the log": {20, 60, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			origin := startControl(t, "c1", "north", c.deltas)
@@ -43,7 +43,7 @@
 			last := l.publishMore(c.versions)
 			load.awaitServed(20)
 			if n := versionNumber(t, p.Ops); n != 1 {
-				t.Errorf("version %d came through the cut", n)
+				t.Errorf("version %d was received through the cut", n)
 			}
 			if err := link.Heal(); err != nil {
 				t.Fatal(err)
@@ -64,6 +64,7 @@
 	}
 }
 
+// addTo adds a number to one of show-version.
 func addTo(t *testing.T, n string, more int) string {
 	t.Helper()
 	v, err := strconv.Atoi(n)
@@ -73,11 +74,11 @@
 	return strconv.Itoa(v + more)
 }
 
-// A region that is cut off serves on by the version it has; its own publisher and
-// its servers take over what was changed meanwhile as soon as the cut heals.
+// A region that is cut off goes on serving with its version; its publisher and its
+// servers apply the newer versions once the links heal.
 func TestFollowRegionCutOff(t *testing.T) {
 	for name, cut := range map[string]func(*faultnet.Link){
-		"silence": func(l *faultnet.Link) { // as a network that loses everything
+		"silence": func(l *faultnet.Link) { // as a network that drops everything
 			l.Silence(faultnet.There)
 			l.Silence(faultnet.Back)
 		},
@@ -87,45 +88,46 @@
 	}
 }
 
+// testRegionCutOff cuts the region's two links with cut.
 func testRegionCutOff(t *testing.T, cut func(*faultnet.Link)) {
 	t.Helper()
 	origin := startControl(t, "c1", "north", 0)
 	l := newVersionPublisher(t, origin)
 	l.publish(teamChange("teal", 50), serviceChange("sum"))
-	up, across := newLink(t, origin.Address), newLink(t, origin.Address)
-	relay := startControl(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
+	relayLink, serverLink := newLink(t, origin.Address), newLink(t, origin.Address)
+	relay := startControl(t, "c2", "south", 0, testfleet.ControlTarget{Address: relayLink.Address, Region: "north"})
 	p := startFollower(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
-		testfleet.ControlTarget{Address: across.Address, Region: "north"}))
+		testfleet.ControlTarget{Address: serverLink.Address, Region: "north"}))
 	if m := showVersion(t, p.Ops); m["publisher"] != relay.Address || m["version"] != "1" {
 		t.Fatalf("%v", m)
 	}
 	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
-	cut(up)
-	cut(across)
+	cut(relayLink)
+	cut(serverLink)
 	last := l.publishMore(20)
-	testfleet.Eventually(t, "the age grows", func() bool {
+	testfleet.Eventually(t, "age_ms grows", func() bool {
 		age, _ := strconv.Atoi(showVersion(t, p.Ops)["age_ms"])
 		return age > 3_000
 	})
 	load.awaitServed(20)
 	if n := versionNumber(t, p.Ops); n != 1 {
-		t.Errorf("version %d came through the cut", n)
+		t.Errorf("version %d was received through the cut", n)
 	}
-	for _, link := range []*faultnet.Link{up, across} {
+	for _, link := range []*faultnet.Link{relayLink, serverLink} {
 		if err := link.Heal(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	awaitVersion(t, "the region is back", p.Ops, last, healTimeout)
+	awaitVersion(t, "the links have healed", p.Ops, last, healTimeout)
 	load.awaitServed(20)
 	load.stop()
 	stop()
 	p.Leave()
 }
 
-// A publisher that has lost the originator is left for one that has not, while the
-// stream to it stands: versions are in force in time.
+// A follower switches from a publisher that has lost the originator to one that has not,
+// although its stream is established, so that versions are in force in time.
 func TestFollowOriginatorLost(t *testing.T) {
 	origin := startControl(t, "c1", "north", 0)
 	l := newVersionPublisher(t, origin)
@@ -151,7 +153,8 @@
 	p.Leave()
 }
 
-// A publisher that answers nothing any more is left for another, and versions go on coming.
+// A follower switches from a publisher whose process hangs to another one, so that
+// versions are in force in time.
 func TestFollowSilentPublisher(t *testing.T) {
 	origin := startControl(t, "c1", "north", 0)
 	l := newVersionPublisher(t, origin)
@@ -168,53 +171,53 @@
 	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
 	was := showVersion(t, p.Ops)["publisher"]
-	mute := relays[was]
-	if mute == nil {
-		t.Fatalf("%q is followed", was)
+	silent := relays[was]
+	if silent == nil {
+		t.Fatalf("the server follows %q, want one of the relays", was)
 	}
-	if err := syscall.Kill(mute.PID(), syscall.SIGSTOP); err != nil {
+	if err := syscall.Kill(silent.PID(), syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	last := l.publishMore(3)
-	awaitVersion(t, "a publisher is mute", p.Ops, last, healTimeout)
+	awaitVersion(t, "a publisher is silent", p.Ops, last, healTimeout)
 	if m := showVersion(t, p.Ops); m["publisher"] == was || m["snapshots"] != "1" {
 		t.Errorf("%v", m)
 	}
-	syscall.Kill(mute.PID(), syscall.SIGCONT) //nolint:errcheck // it is ended next
+	syscall.Kill(silent.PID(), syscall.SIGCONT) //nolint:errcheck // it is ended next
 	load.stop()
 	stop()
 	p.Leave()
 }
 
-// Without any publisher the server serves on by the version it has, and one that
-// starts anew does by the version in its folder, or without one by its file.
+// Without any publisher a server goes on serving with its version. One that starts uses
+// the version in its folder, or without one its file.
 func TestFollowNoPublisher(t *testing.T) {
 	origin := startControl(t, "c1", "north", 0)
 	l := newVersionPublisher(t, origin)
 	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	to := testfleet.ControlTarget{Address: origin.Address, Region: "north"}
-	kept := startFollower(t, controlText("north", filepath.Join(t.TempDir(), "versions"), 1_000, to))
-	bare := startFollower(t, controlText("north", "", 1_000, to))
+	withFolder := startFollower(t, controlText("north", filepath.Join(t.TempDir(), "versions"), 1_000, to))
+	withoutFolder := startFollower(t, controlText("north", "", 1_000, to))
 	last := l.publishMore(5)
-	for _, p := range []*testfleet.Program{kept, bare} {
+	for _, p := range []*testfleet.Program{withFolder, withoutFolder} {
 		awaitVersion(t, "before", p.Ops, last, healTimeout)
 	}
-	load := startTraffic(t, kept.Clients, "sum", "teal")
+	load := startTraffic(t, withFolder.Clients, "sum", "teal")
 	origin.Kill()
-	testfleet.Eventually(t, "it is seen", func() bool { return showVersion(t, kept.Ops)["publisher"] == "-" })
+	testfleet.Eventually(t, "the publisher is lost", func() bool { return showVersion(t, withFolder.Ops)["publisher"] == "-" })
 	load.awaitServed(50)
 	load.stop()
-	if m := showVersion(t, kept.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "publisher" {
+	if m := showVersion(t, withFolder.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "publisher" {
 		t.Errorf("%v", m)
 	}
-	kept.Kill() // what is kept outlives a crash of the process
-	bare.Leave()
-	kept.Again()
-	bare.Again()
-	if m := showVersion(t, kept.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "folder" || m["publisher"] != "-" {
+	withFolder.Kill() // the stored version survives a crash of the process
+	withoutFolder.Leave()
+	withFolder.Again()
+	withoutFolder.Again()
+	if m := showVersion(t, withFolder.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "folder" || m["publisher"] != "-" {
 		t.Errorf("%v", m)
 	}
-	if m := showVersion(t, bare.Ops); m["version"] != "0" || m["origin"] != "none" {
+	if m := showVersion(t, withoutFolder.Ops); m["version"] != "0" || m["origin"] != "none" {
 		t.Errorf("%v", m)
 	}
 	code := func(p *testfleet.Program, class, tenant string) byte {
@@ -224,21 +227,21 @@
 		got, _ := c.Next()
 		return got.Code
 	}
-	if got := code(kept, "sum", "teal"); got != frame.Served {
-		t.Errorf("by the folder: code %d", got)
+	if got := code(withFolder, "sum", "teal"); got != frame.Served {
+		t.Errorf("with the folder's version: code %d", got)
 	}
-	if got := code(bare, "look", "red"); got != frame.Served {
-		t.Errorf("by the file: code %d", got)
+	if got := code(withoutFolder, "look", "red"); got != frame.Served {
+		t.Errorf("with the file: code %d", got)
 	}
-	if got := code(bare, "sum", "teal"); got == frame.Served {
-		t.Error("a class that the file has not is served")
+	if got := code(withoutFolder, "sum", "teal"); got == frame.Served {
+		t.Error("a class that the file does not have is served")
 	}
-	// The publisher is back: both are on the version.
+	// The publisher is back: both servers apply its version.
 	if err := origin.Again(); err != nil {
 		t.Fatal(err)
 	}
 	last = l.publishMore(1)
-	for _, p := range []*testfleet.Program{kept, bare} {
+	for _, p := range []*testfleet.Program{withFolder, withoutFolder} {
 		awaitVersion(t, "the publisher is back", p.Ops, last, healTimeout)
 		if got := code(p, "sum", "teal"); got != frame.Served {
 			t.Errorf("code %d", got)
@@ -247,7 +250,7 @@
 	}
 }
 
-// A team that a version drops: what it has open ends as usual, what comes after is refused.
+// A version drops a team: its open requests are served, later ones are refused.
 func TestFollowRetiredTeam(t *testing.T) {
 	origin := startControl(t, "c1", "north", 0)
 	l := newVersionPublisher(t, origin)
@@ -258,7 +261,7 @@
 	for i := range uint32(open) {
 		c.Send(i+1, standin.Fields("sum", "teal", "", uint64(i+1), 4*time.Second), "1000000")
 	}
-	testfleet.Eventually(t, "they run", func() bool {
+	testfleet.Eventually(t, "the requests run", func() bool {
 		return strings.Contains(adminCommand(t, p.Ops, "show-stat"), fmt.Sprintf("app.active:%d|g", open))
 	})
 	last := l.publish(document.Change{Drop: true, Team: &document.Team{Name: "teal"}})
@@ -266,7 +269,7 @@
 	late := standin.Dial(t, p.Clients)
 	late.Send(1, standin.Fields("sum", "teal", "", 100, 4*time.Second), "1000")
 	if got, _ := late.Next(); got.Type != frame.Answer || got.Code == frame.Served {
-		t.Errorf("after the drop: %+v", got)
+		t.Errorf("after the team was dropped: %+v", got)
 	}
 	late.Send(2, standin.Fields("sum", "lime", "", 101, 4*time.Second), "1000")
 	if got, _ := late.Next(); got.Code != frame.Served {
@@ -274,14 +277,14 @@
 	}
 	for range open {
 		if got, ok := c.Next(); !ok || got.Code != frame.Served {
-			t.Errorf("what was open: %+v", got)
+			t.Errorf("an open request: %+v", got)
 		}
 	}
 	p.Leave()
 }
 
-// Versions come in the moment of SIGHUP and of SIGTERM: no request is lost, the
-// file's machine part is taken over, and after the notice to leave nothing is.
+// Versions arrive during SIGHUP and SIGTERM: no request is lost, the file's machine
+// settings are applied, and no version is applied after the shutdown notice.
 func TestFollowSignals(t *testing.T) {
 	origin := startControl(t, "c1", "north", 0)
 	l := newVersionPublisher(t, origin)
@@ -301,19 +304,19 @@
 		next := followerConfig(engine.Address)
 		next["stop_ms"] = 2000 + 10*i
 		p.Reload(next)
-		testfleet.Eventually(t, "the file is taken over", func() bool {
+		testfleet.Eventually(t, "the file is applied", func() bool {
 			return strings.Contains(adminCommand(t, p.Ops, "show-stat"), fmt.Sprintf("app.config_applied:%d|c", i+1))
 		})
 	}
 	at := versionNumber(t, p.Ops)
-	testfleet.Eventually(t, "versions go on", func() bool { return versionNumber(t, p.Ops) > at+5 })
+	testfleet.Eventually(t, "versions are applied", func() bool { return versionNumber(t, p.Ops) > at+5 })
 	load.awaitServed(20)
 	if m := showVersion(t, p.Ops); m["refused"] != "-" || m["origin"] != "publisher" {
 		t.Errorf("%v", m)
 	}
 	watch()
 	p.Signal(syscall.SIGTERM)
-	testfleet.Eventually(t, "it says that it leaves", func() bool { return isLeaving(t, l, "n0") })
+	testfleet.Eventually(t, "the server is listed as leaving", func() bool { return isLeaving(t, l, "n0") })
 	load.stop()
 	p.Leave()
 	if last := stop(); last < 10 {
@@ -321,8 +324,8 @@
 	}
 }
 
-// Versions come while one process takes the place of another: both follow, no
-// request is lost, and the one that stays is on the newest.
+// Versions arrive during an upgrade: both processes follow, no request is lost, and the
+// successor ends up with the newest version, which it stores in the folder.
 func TestFollowUpgrade(t *testing.T) {
 	origin := startControl(t, "c1", "north", 0)
 	l := newVersionPublisher(t, origin)
@@ -346,7 +349,7 @@
 	second := startProcess(t, clients, dir)
 	at := versionNumber(t, second.ops)
 	if at == 0 {
-		t.Error("the second process starts by no version")
+		t.Error("the second process starts without a version")
 	}
 	testfleet.Eventually(t, "both follow", func() bool { return versionNumber(t, first.ops) > at && versionNumber(t, second.ops) > at })
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
@@ -363,7 +366,7 @@
 	if m := showVersion(t, second.ops); m["digest"] != l.digests[last] || m["refused"] != "-" {
 		t.Errorf("%v", m)
 	}
-	// The folder is the second process's by now, and has the version after it.
+	// The second process owns the folder now, which has the newest version after its end.
 	if err := second.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -377,16 +380,16 @@
 	}
 }
 
-// A notice to leave that comes while a start waits for a publisher ends the wait.
+// A shutdown notice ends the wait for an initial version at the start.
 func TestFollowShutdownNoticeDuringStart(t *testing.T) {
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
+	defer silent.Close()
 	asked := make(chan struct{})
 	go func() {
-		if c, err := mute.Accept(); err == nil {
+		if c, err := silent.Accept(); err == nil {
 			close(asked)
 			defer c.Close()
 			<-t.Context().Done()
@@ -394,7 +397,7 @@
 	}()
 	file := writeConfig(t)
 	operator := filepath.Join(t.TempDir(), "operator.toml")
-	text := controlText("north", "", 60_000, testfleet.ControlTarget{Address: mute.Addr().String(), Region: "north"})
+	text := controlText("north", "", 60_000, testfleet.ControlTarget{Address: silent.Addr().String(), Region: "north"})
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -412,11 +415,11 @@
 			t.Error(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("it waits on")
+		t.Error("the process does not end")
 	}
 }
 
-// Without [control] the door says so, and nothing follows.
+// Without [control] no version is followed, and show-version says so.
 func TestFollowOff(t *testing.T) {
 	p := startFollower(t, "")
 	if got := adminCommand(t, p.Ops, "show-version"); !strings.HasPrefix(got, "error no [control]") {
--- a/cmd/kiteslip/control_publish_test.go
+++ b/cmd/kiteslip/control_publish_test.go
@@ -19,7 +19,7 @@
 	"kiteslip/internal/testfleet"
 )
 
-// testFollower is a real follower in the test's process that notes what it applies.
+// testFollower is a follower in the test's process that records the versions it applies.
 type testFollower struct {
 	mu       sync.Mutex
 	headers  []document.Header
@@ -27,7 +27,7 @@
 	orderErr error
 }
 
-// startTestFollower starts a follower until the test ends.
+// startTestFollower starts a follower that runs until the test ends.
 func startTestFollower(t *testing.T, name string, publishers ...follow.Endpoint) *testFollower {
 	t.Helper()
 	f, err := follow.New(follow.Settings{Name: name, Region: "north", Publishers: publishers, Seed: 1})
@@ -45,7 +45,7 @@
 	return a
 }
 
-// apply takes a version over; what comes out of order is the test's fault to show.
+// apply records a version and whether it came out of order.
 func (a *testFollower) apply(_ context.Context, doc *document.Document, delta *document.Delta) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -57,6 +57,7 @@
 	return nil
 }
 
+// current returns the number and the digest of the last version applied.
 func (a *testFollower) current() (uint64, document.Digest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,7 +67,8 @@
 	return a.headers[len(a.headers)-1].Number, a.last
 }
 
-// check judges what was applied: in order, and each the version that was accepted.
+// check fails the test unless the versions were applied in order and each is the accepted
+// one.
 func (a *testFollower) check(t *testing.T, name string, accepted map[uint64]document.Digest) {
 	t.Helper()
 	a.mu.Lock()
@@ -81,21 +83,24 @@
 	}
 }
 
+// teamChanges is the change of a team's budget.
 func teamChanges(name string, quota float64) []document.Change {
 	return []document.Change{{Team: &document.Team{Name: name, Quota: quota}}}
 }
 
+// requestContext returns the context of one request.
 func requestContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-var testMeta = document.Meta{Author: "test", Reason: "a crossing"}
+var testMeta = document.Meta{Author: "test", Reason: "a race"}
 
-// The originator is killed thirty times at any moment while versions are
-// published: what was accepted is there after the start, with the same digest, a
-// relay and two followers get it in order, and nobody ever has a version in part.
+// The originator is killed 30 times at random instants while versions are published:
+// accepted versions are in force after its start with the same digest, and a relay and
+// two followers receive them in order. Guards against an acknowledgement before the
+// version is on disk, and against versions in part.
 func TestOriginatorKilledWhilePublishing(t *testing.T) {
 	a := startControl(t, "c0", "north", 0)
 	b := startControl(t, "c1", "north", 0, testfleet.ControlTarget{Address: a.Address, Region: "north"})
@@ -103,8 +108,8 @@
 	two := startTestFollower(t, "s2", follow.Endpoint{Address: b.Address, Region: "north"})
 	rng := rand.New(rand.NewPCG(7, 7))
 	client := &publish.Client{Address: a.Address}
-	accepted := map[uint64]document.Digest{} // by the answer alone
-	unsure := 0
+	accepted := map[uint64]document.Digest{} // by the originator's reply
+	interrupted := 0
 	for kill := range 30 {
 		dead := make(chan struct{})
 		var writer sync.WaitGroup
@@ -116,8 +121,8 @@
 				}
 				h, err := client.PublishChanges(requestContext(t), changes, testMeta, document.Digest{})
 				if err != nil {
-					unsure++
-					return // it was killed: this one may be there or not
+					interrupted++
+					return // the originator was killed: this version may be in force or not
 				}
 				accepted[h.Number] = h.Digest()
 				select {
@@ -143,14 +148,14 @@
 			last = max(last, n)
 		}
 		if v.Number < last || v.Number > last+1 {
-			t.Fatalf("kill %d: version %d after the start, accepted were %d", kill, v.Number, last)
+			t.Fatalf("kill %d: version %d after the start, %d were accepted", kill, v.Number, last)
 		}
 		digest, err := v.ParseDigest()
 		if err != nil || v.Number == last && last > 0 && digest != accepted[last] {
-			t.Errorf("kill %d: version %d is %v, accepted was %v, %v", kill, v.Number, digest, accepted[last], err)
+			t.Errorf("kill %d: version %d is %v, want the accepted %v, %v", kill, v.Number, digest, accepted[last], err)
 		}
 		if v.Number > last {
-			accepted[v.Number] = digest // it was on disk, and is in force now
+			accepted[v.Number] = digest // it was on disk already, and is in force now
 		}
 	}
 	h, err := client.PublishChanges(requestContext(t), teamChanges("end", 1), testMeta, document.Digest{})
@@ -159,10 +164,10 @@
 	}
 	accepted[h.Number] = h.Digest()
 	for name, f := range map[string]*testFollower{"s1": one, "s2": two} {
-		testfleet.Eventually(t, name+" is on the last version", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
+		testfleet.Eventually(t, name+" has the last version", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
 		f.check(t, name, accepted)
 	}
-	// The log from its beginning, as one who was never there gets it.
+	// The relay has the log from its beginning.
 	v, err := (&publish.Client{Address: b.Address}).Version(requestContext(t))
 	if err != nil || v.Number != h.Number {
 		t.Errorf("the relay: %+v, %v", v, err)
@@ -170,11 +175,11 @@
 	if a.Logged("fork") || b.Logged("fork") || b.Logged("FORK") {
 		t.Error("a fork")
 	}
-	t.Logf("%d versions accepted, %d killed while one was published", len(accepted), unsure)
+	t.Logf("%d versions accepted, %d interrupted by a kill", len(accepted), interrupted)
 }
 
-// A link ends halfway through what is sent, at many places: the follower has the
-// version before, then the whole one, never a part.
+// A link ends at random positions within a delta: the follower has the version before,
+// and the new one once the link heals, never a part of it.
 func TestCutHalfwayThroughADelta(t *testing.T) {
 	a := startControl(t, "c0", "north", 0)
 	link := newLink(t, a.Address)
@@ -194,20 +199,20 @@
 			t.Fatal(err)
 		}
 		accepted[h.Number] = h.Digest()
-		testfleet.Eventually(t, "something of it has come", func() bool { return link.Carried(faultnet.Back) > carried })
+		testfleet.Eventually(t, "a part of the delta has arrived", func() bool { return link.Carried(faultnet.Back) > carried })
 		if n, _ := f.current(); n > h.Number {
-			t.Errorf("on version %d of %d", n, h.Number)
+			t.Errorf("version %d is applied, the newest is %d", n, h.Number)
 		}
 		if err := link.Heal(); err != nil {
 			t.Fatal(err)
 		}
-		testfleet.Eventually(t, "the whole version", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
+		testfleet.Eventually(t, "the version is applied", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
 	}
 	f.check(t, "s1", accepted)
 }
 
-// The originator is killed in the moment in which it has accepted a version, before
-// anybody else has it: after the start all have it.
+// The originator is killed after it has accepted a version and before any follower has
+// received it: after its start all receive it.
 func TestKilledBetweenAcceptAndSpread(t *testing.T) {
 	a := startControl(t, "c0", "north", 0)
 	link := newLink(t, a.Address)
@@ -215,14 +220,14 @@
 	f := startTestFollower(t, "s1", follow.Endpoint{Address: b.Address, Region: "south"})
 	client := &publish.Client{Address: a.Address}
 	for round := range 5 {
-		link.Silence(faultnet.Back) // nothing spreads
+		link.Silence(faultnet.Back) // followers receive nothing
 		h, err := client.PublishChanges(requestContext(t), teamChanges("a", float64(round+1)), testMeta, document.Digest{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		a.Kill()
 		if n, _ := f.current(); n >= h.Number {
-			t.Errorf("it spread: %d", n)
+			t.Errorf("the follower has version %d already", n)
 		}
 		link.Break()
 		if err := link.Heal(); err != nil {
@@ -231,13 +236,12 @@
 		if err := a.Again(); err != nil {
 			t.Fatal(err)
 		}
-		testfleet.Eventually(t, "the version that was accepted", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
+		testfleet.Eventually(t, "the accepted version is applied", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
 	}
 }
 
-// A second originator that was started by mistake makes its own version of the
-// same number: its followers are refused nothing by it, those of the first stay
-// on theirs, and both sides shout.
+// A second originator, started by mistake, makes versions with the same numbers: the
+// followers of the first keep their version, and the fork is logged and listed.
 func TestTwoOriginatorsAreAFork(t *testing.T) {
 	a := startControl(t, "c0", "north", 0)
 	link := newLink(t, a.Address)
@@ -248,7 +252,7 @@
 	}
 	f := startTestFollower(t, "s1", follow.Endpoint{Address: link.Address, Region: "north"})
 	testfleet.Eventually(t, "the first version", func() bool { n, d := f.current(); return n == 1 && d == h1.Digest() })
-	// Its folder is lost, it starts empty at its own address, and publishes.
+	// The originator loses its folder, starts empty at its address, and publishes.
 	a.Kill()
 	a.Folder = filepath.Join(t.TempDir(), "empty")
 	if err := a.Again(); err != nil {
@@ -259,13 +263,13 @@
 			t.Fatal(err)
 		}
 	}
-	testfleet.Eventually(t, "the publisher shouts", func() bool { return a.Logged("fork: a follower") })
-	testfleet.Eventually(t, "the page lists it", func() bool {
+	testfleet.Eventually(t, "the publisher logs the fork", func() bool { return a.Logged("fork: a follower") })
+	testfleet.Eventually(t, "the followers' list has the fork", func() bool {
 		lines, err := first.Followers(requestContext(t), true)
 		return err == nil && len(lines) == 1 && lines[0].Fork && lines[0].Name == "s1" && lines[0].Number == 1
 	})
 	if n, d := f.current(); n != 1 || d != h1.Digest() {
-		t.Errorf("the follower went over to version %d", n)
+		t.Errorf("the follower has switched to version %d", n)
 	}
 	var out strings.Builder
 	if err := (&controlStatus{At: []string{a.Address}, Lagging: true}).run(&out); err == nil || !strings.Contains(out.String(), "FORK") {
@@ -273,7 +277,8 @@
 	}
 }
 
-// The commands: what an operator does, and what each refusal reads like.
+// The operator's commands print the new version and the state, and each refusal says
+// what is wrong.
 func TestControlCommands(t *testing.T) {
 	a := startControl(t, "c0", "north", 16)
 	b := startControl(t, "c1", "south", 16, testfleet.ControlTarget{Address: a.Address, Region: "north"})
@@ -303,24 +308,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want("the first", out, err, "version 1 ", "is in force at "+a.Address)
+	want("the first version", out, err, "version 1 ", "is in force at "+a.Address)
 	out, err = run(a.Address, "")
-	want("the same", out, err, "nothing differs")
+	want("the same content", out, err, "nothing differs")
 	write("[[team]]\nname = \"red\"\nrequests_per_s = -5\n[[team]]\nname = \"blue\"\nrequests_per_s = -1\n")
 	out, err = run(a.Address, "")
-	want("two faults", out, err, "red", "blue")
+	want("two invalid teams", out, err, "red", "blue")
 	write("[[team]]\nname = \"red\"\nrequests_per_s = 7\n")
 	out, err = run(b.Address, "")
 	want("at a relay", out, err, a.Address)
 	out, err = run(a.Address, "0123456789ab")
-	want("another base", out, err, "--base", "in force is version 1")
+	want("a wrong base", out, err, "--base", "in force is version 1")
 	v, err := (&publish.Client{Address: a.Address}).Version(requestContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	out, err = run(a.Address, v.Digest[:12])
-	want("on its base", out, err, "version 2 ", v.Digest[:12])
-	testfleet.Eventually(t, "the relay has it", func() bool {
+	want("the right base", out, err, "version 2 ", v.Digest[:12])
+	testfleet.Eventually(t, "the relay has the version", func() bool {
 		v, err := (&publish.Client{Address: b.Address}).Version(requestContext(t))
 		return err == nil && v.Number == 2
 	})
@@ -335,11 +340,11 @@
 	b.Leave()
 	text.Reset()
 	err = (&controlStatus{At: []string{a.Address, b.Address}}).run(&text)
-	want("one that does not answer", text.String(), err, b.Address+" does not answer", "left ")
+	want("a machine that does not answer", text.String(), err, b.Address+" does not answer", "left ")
 	a.Leave()
 }
 
-// A file that is faulty keeps the machine from starting, and all keys are named.
+// A control machine does not start with an invalid file, and the error names all keys.
 func TestControlServeNamesFaults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "control.toml")
 	if err := os.WriteFile(file, []byte("name = \"\"\nlisten = \"x\"\nfolder = \"log\"\nwings = 2\n"), 0o600); err != nil {
--- a/cmd/kiteslip/keys_test.go
+++ b/cmd/kiteslip/keys_test.go
@@ -18,7 +18,7 @@
 	"kiteslip/internal/standin"
 )
 
-// startWithKeyStore starts a process with a store of keys, which no other takes the place of.
+// startWithKeyStore starts a process with a key store and without upgrades.
 func startWithKeyStore(t *testing.T, dir, engine string) *process {
 	t.Helper()
 	p := &process{t: t}
@@ -30,16 +30,16 @@
 		*address = l.Addr().String()
 		l.Close()
 	}
-	file, over := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.toml")
+	file, operatorFile := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.toml")
 	text := fmt.Sprintf(`{"name": "n", "listen": %q, "ops": %q, "engine": %q, "stop_ms": 1500, "settings": %s}`, p.clients, p.ops, engine, settings)
 	operator := fmt.Sprintf("[keys]\nfolder = %q\ndurability = \"process\"\n", filepath.Join(dir, "keys"))
-	for name, text := range map[string]string{file: text, over: operator} {
+	for name, text := range map[string]string{file: text, operatorFile: operator} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	p.Cmd = exec.Command(os.Args[0])
-	p.Env = append(os.Environ(), serverEnv+"=1", "TMPDIR="+dir, config.EnvConfig+"="+file, "KITESLIP_OPERATOR="+over, "KITESLIP_LOG=warn")
+	p.Env = append(os.Environ(), serverEnv+"=1", "TMPDIR="+dir, config.EnvConfig+"="+file, "KITESLIP_OPERATOR="+operatorFile, "KITESLIP_LOG=warn")
 	p.Stderr = os.Stderr
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -49,14 +49,15 @@
 	return p
 }
 
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.Process.Kill() //nolint:errcheck // it may have ended
 	p.Wait()         //nolint:errcheck // it was killed
 }
 
-// A process is killed partway through a run that the engine goes on with: the
-// next one neither runs it again nor loses its result. What was ended before
-// the kill is given again; what the engine never ends is told as unknown.
+// A process is killed during a run, which the engine continues: the next process neither
+// runs it again nor loses its result. Results from before the kill are answered again,
+// and a run that the engine never ends has an unknown outcome.
 func TestKilledPartwayThroughARun(t *testing.T) {
 	engine := standin.NewEngine(t, func(body string) standin.Work {
 		switch body {
@@ -81,13 +82,13 @@
 	}
 	for began := time.Now(); engine.Runs()["long"]+engine.Runs()["never"] < 2; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 2*time.Second {
-			t.Fatal("the runs do not begin")
+			t.Fatal("the runs do not start")
 		}
 	}
 	p.kill()
 	p = startWithKeyStore(t, dir, engine.Address)
 	if got := standin.Ask(t, p.ops, "show-stat"); !strings.Contains(got, "app.keys.restored:3|g") || !strings.Contains(got, "app.keys.unknown:2|g") {
-		t.Errorf("it shows %s", got)
+		t.Errorf("show-stat replies %s", got)
 	}
 	c = standin.Dial(t, p.clients)
 	want := map[uint32]string{1: "did long", 2: "unknown", 3: "did short"}
@@ -107,7 +108,7 @@
 	time.Sleep(200 * time.Millisecond)
 	ask(c, 9, "never", 21)
 	if got, _ := c.Next(); got.Code != frame.Failed {
-		t.Errorf("what never ended: %+v", got)
+		t.Errorf("a run that never ended: %+v", got)
 	}
 	for body, n := range engine.Runs() {
 		if n != 1 {
@@ -116,7 +117,7 @@
 	}
 }
 
-// The command's tools read a folder at rest, and refuse one that is in use.
+// The keys commands read a folder that no process uses, and fail on one in use.
 func TestKeysTools(t *testing.T) {
 	folder := t.TempDir()
 	now := time.Now().UnixMicro()
@@ -124,9 +125,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := func(key string, until int64, over bool) {
-		r := keystore.Record{Class: "note", Key: key, TryID: "n", Arrived: now, WindowEnd: until, Finished: over}
-		if over {
+	put := func(key string, windowEnd int64, finished bool) {
+		r := keystore.Record{Class: "note", Key: key, TryID: "n", Arrived: now, WindowEnd: windowEnd, Finished: finished}
+		if finished {
 			r.Outcome, r.Result = 1, []byte("result of "+key)
 		}
 		if err := s.Commit(keystore.ClockReading{Wall: now, Uptime: 2, BootID: 1}, []keystore.Op{{Record: r}}); err != nil {
@@ -171,9 +172,9 @@
 	}
 }
 
-// A process that owns a store is killed where another could take its place, and
-// once while that one waits for it: the next opens the store as soon as the dead
-// one's lock is free, gives its results, and runs none of its keys again.
+// The process that owns a key store is killed, once without a successor and once while a
+// successor waits for the store: the next process opens the store as soon as the lock is
+// free, answers with the stored results, and runs none of the keys again.
 func TestKeyStoreOwnerKilled(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -181,11 +182,11 @@
 	}
 	defer l.Close()
 	clients, dir := l.(*net.TCPListener), t.TempDir()
-	over := filepath.Join(dir, "operator.toml")
-	if err := os.WriteFile(over, []byte(fmt.Sprintf("[keys]\nfolder = %q\ndurability = \"process\"\n", filepath.Join(dir, "keys"))), 0o600); err != nil {
+	operatorFile := filepath.Join(dir, "operator.toml")
+	if err := os.WriteFile(operatorFile, []byte(fmt.Sprintf("[keys]\nfolder = %q\ndurability = \"process\"\n", filepath.Join(dir, "keys"))), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv("KITESLIP_OPERATOR", over)
+	t.Setenv("KITESLIP_OPERATOR", operatorFile)
 	old := startProcess(t, clients, dir)
 	if code := old.ask("note", "first", "b", 1); code != frame.Served {
 		t.Fatalf("code %d", code)
@@ -193,10 +194,10 @@
 	old.kill()
 	next := startProcess(t, clients, dir)
 	if code := next.ask("note", "first", "b", 2); code != frame.Served {
-		t.Errorf("after the owner died: code %d", code)
+		t.Errorf("after the owner was killed: code %d", code)
 	}
-	if code := next.ask("note", "second", "b", 3); code != frame.Served { // no window of doubt: the store knows all
-		t.Errorf("a new key after the owner died: code %d", code)
+	if code := next.ask("note", "second", "b", 3); code != frame.Served { // no key is in doubt, since the store has them all
+		t.Errorf("a new key after the owner was killed: code %d", code)
 	}
 	third := startProcess(t, clients, dir)
 	next.kill()
@@ -210,7 +211,7 @@
 	}
 	for i, key := range []string{"first", "second"} {
 		if code := third.ask("note", key, "b", uint64(10+i)); code != frame.Served {
-			t.Errorf("%s after two owners died: code %d", key, code)
+			t.Errorf("%s after two owners were killed: code %d", key, code)
 		}
 	}
 }
--- a/cmd/kiteslip/main.go
+++ b/cmd/kiteslip/main.go
@@ -134,6 +134,6 @@
 
 func main() {
 	ctx := kong.Parse(&cli{}, kong.Name("kiteslip"), kong.UsageOnError(),
-		kong.Description("A server that decides what it takes, runs and turns away."))
+		kong.Description("A server that decides which requests it admits, runs and refuses."))
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/kiteslip/main_test.go
+++ b/cmd/kiteslip/main_test.go
@@ -16,6 +16,7 @@
 	"kiteslip/internal/config"
 )
 
+// Guards the names of commands, flags and arguments, which come from the names of fields.
 func TestServeIsTheDefault(t *testing.T) {
 	for want, args := range map[string][]string{"serve": nil, "serve ": {"--log-level", "debug"}, "check": {"check"},
 		"version": {"version"}, "pcap replay <file>": {"pcap", "replay", "--port", "1", "main.go"}} {
@@ -34,7 +35,7 @@
 	}
 }
 
-// The operator's file that is handed over can be read, and says what it promises.
+// The operator's file in deploy is valid and has the contracts that operators rely on.
 func TestOperatorFile(t *testing.T) {
 	t.Setenv(config.EnvConfig, "")
 	cfg, err := load(filepath.Join("..", "..", "deploy", "operator.toml"))
@@ -51,8 +52,8 @@
 	}
 }
 
-// SIGHUP reads the configuration again instead of ending the process, and
-// SIGTERM after it still drains: a program that does not take the signal dies here.
+// SIGHUP reloads the configuration and does not end the process, and SIGTERM after it
+// drains. Without a handler the signal would end the test's process.
 func TestHangupDoesNotStopServer(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +85,7 @@
 	for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM} {
 		select {
 		case err := <-end:
-			t.Fatalf("it ended early: %v", err)
+			t.Fatalf("the server ended early: %v", err)
 		case <-time.After(200 * time.Millisecond):
 		}
 		if err := syscall.Kill(os.Getpid(), sig); err != nil {
@@ -97,13 +98,14 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("SIGTERM does not end it")
+		t.Error("SIGTERM does not end the server")
 	}
 	if got := debug.SetGCPercent(100); got != gcPercent {
-		t.Errorf("the collector is set to %d, not to %d", got, gcPercent)
+		t.Errorf("GC percent is %d, want %d", got, gcPercent)
 	}
 }
 
+// A file that is not a capture gives an error that names it.
 func TestNotACapture(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.pcap")
 	if err := os.WriteFile(path, []byte("no capture"), 0o600); err != nil {
--- a/cmd/kiteslip/upgrade_test.go
+++ b/cmd/kiteslip/upgrade_test.go
@@ -16,8 +16,8 @@
 	"kiteslip/internal/standin"
 )
 
-// serverEnv makes the test's own binary the program, so that processes can be
-// started, told to leave and killed without a build.
+// serverEnv is the environment variable that makes the test's binary run main, so that
+// processes can be started, drained and killed without a build.
 const serverEnv = "KITESLIP_TEST_SERVES"
 
 func TestMain(m *testing.M) {
@@ -34,7 +34,7 @@
  "tenants": [{"name": "red", "quota_per_s": 500}],
  "family_info": {"cores": 4, "memory_kb": 400000, "blowup": 4, "key_kb": 8}, "rules": {"drain_grace_us": 2000000}, "tick_us": 4000}`
 
-// process is one process of a server, as the platform runs it.
+// process is a process of a server, as the platform runs it.
 type process struct {
 	*exec.Cmd
 	t       *testing.T
@@ -42,7 +42,7 @@
 	clients string
 }
 
-// startProcess starts a process beside whatever runs, on the clients' socket.
+// startProcess starts a process on the callers' socket, beside any that run on it.
 func startProcess(t *testing.T, clients *net.TCPListener, dir string) *process {
 	t.Helper()
 	engine := standin.NewEngine(t, standin.Echo(5*time.Millisecond))
@@ -74,7 +74,7 @@
 	return p
 }
 
-// awaitReady waits until the process takes clients.
+// awaitReady waits until the process accepts callers.
 func (p *process) awaitReady() {
 	p.t.Helper()
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
@@ -97,15 +97,15 @@
 	defer c.Conn.Close()
 	c.Send(1, standin.Fields(class, "red", key, name, 2*time.Second), body)
 	got, _ := c.Next()
-	if got.Type == frame.GoAway { // the process is leaving; the request crossed that
+	if got.Type == frame.GoAway { // the process is draining, and the request crossed its notice
 		got, _ = c.Next()
 	}
 	return got.Code
 }
 
-// Real processes: one takes the place of another, which ends by itself; one
-// that is killed leaves files behind, and the next starts all the same, but
-// runs no key that the dead one may have run.
+// Real processes: a successor takes over from a process, which drains and ends. A process
+// that is killed leaves files behind; the next one starts nevertheless, but runs no key
+// that the killed one may have run.
 func TestSuccessiveUpgrades(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,7 +139,7 @@
 	second.Process.Kill() //nolint:errcheck // Wait tells
 	second.Wait()         //nolint:errcheck // it was killed
 	if left, _ := filepath.Glob(filepath.Join(dir, "kiteslip-*")); len(left) == 0 {
-		t.Error("nothing is left behind; the test shows nothing")
+		t.Error("the killed process left no files, so the next start is not tested")
 	}
 	third := startProcess(t, clients, dir)
 	expect(third, "note", "key", "once", 3, frame.Failed)
@@ -152,7 +152,7 @@
 	}
 }
 
-// What is wrong with the environment is a plain error at the start.
+// An invalid environment variable is an error at the start that names the value.
 func TestBadEnvironment(t *testing.T) {
 	for key, value := range map[string]string{config.EnvOps: "nowhere", config.EnvInheritedFD: "two"} {
 		t.Setenv(config.EnvConfig, writeConfig(t))
