--- a/internal/config/content.go
+++ b/internal/config/content.go
@@ -32,11 +32,11 @@
 
 // indexOf maps each name to its index.
 func indexOf(names []string) map[string]int {
-	at := make(map[string]int, len(names))
+	index := make(map[string]int, len(names))
 	for i, name := range names {
-		at[name] = i
+		index[name] = i
 	}
-	return at
+	return index
 }
 
 // classConfig is everything configured for one class: for the policy, the uwsgi front
@@ -71,17 +71,17 @@
 }
 
 // setClass sets the configuration of a class in its slot, an existing one or the next.
-func (c *Config) setClass(at int, name string, r *classConfig) {
-	if at == len(c.Classes) {
+func (c *Config) setClass(slot int, name string, r *classConfig) {
+	if slot == len(c.Classes) {
 		c.Classes, c.Policy.Classes = append(c.Classes, name), append(c.Policy.Classes, kiteslip.Class{})
 		c.UWSGI.Contracts, c.Backends, c.MaxResultBytes = append(c.UWSGI.Contracts, uwsgi.Contract{}), append(c.Backends, ""), append(c.MaxResultBytes, 0)
 	}
-	c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at] = r.class, r.frontend, r.backend, r.maxResultBytes
+	c.Policy.Classes[slot], c.UWSGI.Contracts[slot], c.Backends[slot], c.MaxResultBytes[slot] = r.class, r.frontend, r.backend, r.maxResultBytes
 }
 
 // classConfig returns the configuration of the class in a slot.
-func (c *Config) classConfig(at int) classConfig {
-	return classConfig{c.Policy.Classes[at], c.UWSGI.Contracts[at], c.Backends[at], c.MaxResultBytes[at]}
+func (c *Config) classConfig(slot int) classConfig {
+	return classConfig{c.Policy.Classes[slot], c.UWSGI.Contracts[slot], c.Backends[slot], c.MaxResultBytes[slot]}
 }
 
 // applyContent applies fleet content to c, which must have the baseline alone.
@@ -138,12 +138,12 @@
 		if !(t.Quota > 0) {
 			errs.add(fmt.Sprintf("team[%d].requests_per_s", i), "is %v, want above 0", t.Quota)
 		}
-		at, known := slots[t.Name]
+		slot, known := slots[t.Name]
 		if !known {
-			at, slots[t.Name] = len(c.Tenants), len(c.Tenants)
+			slot, slots[t.Name] = len(c.Tenants), len(c.Tenants)
 			c.Tenants, c.Policy.Tenants = append(c.Tenants, t.Name), append(c.Policy.Tenants, kiteslip.Tenant{})
 		}
-		c.Policy.Tenants[at].Quota = t.Quota
+		c.Policy.Tenants[slot].Quota = t.Quota
 	}
 }
 
@@ -172,11 +172,11 @@
 			}
 			paths[t.Path] = true
 			r := e.classFromContract(t, s.Backend, key)
-			at, known := slots[t.Class]
+			slot, known := slots[t.Class]
 			if !known {
-				at, slots[t.Class] = len(c.Classes), len(c.Classes)
+				slot, slots[t.Class] = len(c.Classes), len(c.Classes)
 			}
-			c.setClass(at, t.Class, &r)
+			c.setClass(slot, t.Class, &r)
 		}
 	}
 	if len(c.Policy.Classes) == 0 {
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -34,9 +34,9 @@
 	var took []time.Duration
 	for range 7 {
 		runtime.GC()
-		began := time.Now()
+		start := time.Now()
 		f()
-		took = append(took, time.Since(began))
+		took = append(took, time.Since(start))
 	}
 	return slices.Min(took)
 }
--- a/internal/pcap/pcap_test.go
+++ b/internal/pcap/pcap_test.go
@@ -59,7 +59,7 @@
 		messages := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) message {
 			return message{rapid.IntRange(0, conns-1).Draw(t, "conn"), rapid.Bool().Draw(t, "server"),
 				bytes.Repeat([]byte{rapid.Byte().Draw(t, "byte")}, rapid.IntRange(1, 4000).Draw(t, "size"))}
-		}), 0, 12).Draw(t, "messages")
+		}), 0, 12).Draw(t, "pieces")
 		streams, err := Read(bytes.NewReader(writeCapture(t, conns, messages)))
 		if err != nil {
 			t.Fatal(err)
@@ -100,9 +100,9 @@
 }
 
 func TestBadFiles(t *testing.T) {
-	whole := writeCapture(t, 1, []message{{0, false, []byte("some data")}})
-	for n := range len(whole) {
-		streams, err := Read(bytes.NewReader(whole[:n]))
+	capture := writeCapture(t, 1, []message{{0, false, []byte("some data")}})
+	for n := range len(capture) {
+		streams, err := Read(bytes.NewReader(capture[:n]))
 		switch {
 		case n < 4 && !errors.Is(err, ErrNotCapture), n >= 4 && n < 24 && !errors.Is(err, ErrTruncated):
 			t.Errorf("%d bytes of the header: %v", n, err)
@@ -112,7 +112,7 @@
 			t.Errorf("%d bytes give %d streams", n, len(streams))
 		}
 	}
-	if _, err := Read(bytes.NewReader(whole[:len(whole)-1])); !errors.Is(err, ErrTruncated) {
+	if _, err := Read(bytes.NewReader(capture[:len(capture)-1])); !errors.Is(err, ErrTruncated) {
 		t.Errorf("the last byte is missing: %v", err)
 	}
 	for _, text := range []string{"", "short text", "PK\x03\x04 and so on and on and on", "#!/bin/sh\necho not a capture at all\n"} {
@@ -128,10 +128,10 @@
 // A stream ends at a missing segment and is marked: data after a gap must not be read as
 // if it followed.
 func TestGap(t *testing.T) {
-	whole := writeCapture(t, 1, []message{{0, false, []byte("one")}, {0, false, []byte("two")}, {0, false, []byte("six")}})
-	at := bytes.Index(whole, []byte("two"))
+	capture := writeCapture(t, 1, []message{{0, false, []byte("one")}, {0, false, []byte("two")}, {0, false, []byte("six")}})
+	at := bytes.Index(capture, []byte("two"))
 	start := at - 20 - 20 - 16 // TCP, IP and packet headers
-	streams, err := Read(bytes.NewReader(append(whole[:start:start], whole[at+3:]...)))
+	streams, err := Read(bytes.NewReader(append(capture[:start:start], capture[at+3:]...)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/storage/worker.go
+++ b/internal/storage/worker.go
@@ -17,6 +17,7 @@
 	"kiteslip/internal/keystore"
 )
 
+// The limits of the queue and the expiry of records.
 const (
 	maxQueuedOps    = 1 << 14 // as many more may be in the commit under way
 	maxQueuedBytes  = 8 << 20 // results and overhead of the queued operations
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -13,7 +13,7 @@
 	VarClass     = "KITESLIP_CLASS"      // or PATH_INFO, where a contract names a path
 	VarTenant    = "KITESLIP_TENANT"     // may be absent where there is only one
 	VarTimeout   = "KITESLIP_TIMEOUT_MS" // how long the caller waits; absent = the class's timeout
-	VarTimestamp = "KITESLIP_TS"         // when the caller sent the try, in Unix milliseconds; absent = when it was read
+	VarTimestamp = "KITESLIP_TS"         // when the request arrived, in Unix milliseconds; absent = when it was read
 	VarKey       = "KITESLIP_KEY"        // the same for all tries of one request of a keyed class
 	VarSubject   = "KITESLIP_SUBJECT"    // identifies what a read is about, a hex number
 	VarWork      = "KITESLIP_WORK_MS"    // expected work
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	headerSize = 4
+	headerSize = 4 // bytes: two modifiers and the size of the variables
 	// ModifierRequest is the first modifier of a packet with the variables of a request.
 	ModifierRequest = 0
 )
