--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -122,7 +122,8 @@
 	} `json:"family_info"`
 }
 
-// The defaults and limits of the platform's file.
+// The defaults of the platform's file, which are the limits that the platform grants on
+// its scored days, and the smallest and largest values.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
 // Package wire decodes batches of events and encodes replies in the binary protocol of
-// the simulator. Numbers are little-endian, times are in microseconds.
+// the simulator. It makes no decisions. Numbers are little-endian, times are in
+// microseconds.
 package wire
 
 import (
