--- a/cmd/kiteslip/control_fleet_test.go
+++ b/cmd/kiteslip/control_fleet_test.go
@@ -24,18 +24,19 @@
 	"kiteslip/internal/testfleet"
 )
 
-// healWithin is how soon a version is in force after a fault has healed.
-const healWithin = 6 * time.Second
+// healTimeout is the limit for a version to be in force after a failure has ended.
+const healTimeout = 6 * time.Second
 
-// machine starts a control machine; with others it follows them, the first of which originates.
-func machine(t *testing.T, name, region string, deltas int, follow ...testfleet.ControlTarget) *testfleet.Control {
+// startControl starts a control machine; given others, it is a relay that follows them,
+// the originator first.
+func startControl(t *testing.T, name, region string, deltas int, follow ...testfleet.ControlTarget) *testfleet.Control {
 	t.Helper()
-	return testfleet.StartControl(t, testfleet.ControlSpec{Path: os.Args[0], Env: []string{asServer + "=1"}, Name: name, Region: region,
+	return testfleet.StartControl(t, testfleet.ControlSpec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: name, Region: region,
 		Deltas: deltas, Follow: follow})
 }
 
-// linkTo is a link to an address that can be struck.
-func linkTo(t *testing.T, address string) *faultnet.Link {
+// newLink returns a link to an address on which failures can be injected.
+func newLink(t *testing.T, address string) *faultnet.Link {
 	t.Helper()
 	l, err := faultnet.New(address)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return l
 }
 
-// controlText is [control] of a server's file.
+// controlText returns [control] of a server's file.
 func controlText(region, folder string, waitMS int, publishers ...testfleet.ControlTarget) string {
 	text := fmt.Sprintf("[control]\nregion = %q\nwait_ms = %d\n", region, waitMS)
 	if folder != "" {
@@ -57,25 +58,27 @@
 	return text
 }
 
-// followerProgram starts a server that follows, with an engine of its own.
-func followerProgram(t *testing.T, operator string) *testfleet.Program {
+// startFollower starts a server with an operator's file and an engine of its own.
+func startFollower(t *testing.T, operator string) *testfleet.Program {
 	t.Helper()
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.Close)
-	return testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{asServer + "=1"}, Name: "n0", Operator: operator,
+	return testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: "n0", Operator: operator,
 		Config: followerConfig(engine.Address)})
 }
 
+// followerConfig returns the platform's file of a follower.
 func followerConfig(engine string) map[string]any {
-	return map[string]any{"engine": engine, "stop_ms": 3000, "settings": json.RawMessage(lookSite),
+	return map[string]any{"engine": engine, "stop_ms": 3000, "settings": json.RawMessage(roomySettings),
 		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": 256}}
 }
 
-// door makes one call at the operators' door; "" = nobody is there, or leaves.
-func door(t testing.TB, ops, call string) string {
+// adminCommand sends one command to the admin endpoint and returns the reply, "" if
+// there is none because the process is starting or ending.
+func adminCommand(t testing.TB, ops, command string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", ops)
 	if err != nil {
@@ -83,19 +86,19 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // a TCP connection takes it
-	fmt.Fprintf(conn, "%s\n", call)
-	answer, err := io.ReadAll(conn)
+	fmt.Fprintf(conn, "%s\n", command)
+	reply, err := io.ReadAll(conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%s: no answer", call)
+		t.Errorf("%s: no reply", command)
 	}
-	return string(answer)
+	return string(reply)
 }
 
-// shown is what show-version tells, by its first words.
-func shown(t testing.TB, ops string) map[string]string {
+// showVersion returns the values of show-version by their names.
+func showVersion(t testing.TB, ops string) map[string]string {
 	t.Helper()
 	m := map[string]string{}
-	for _, line := range strings.Split(door(t, ops, "show-version"), "\n") {
+	for _, line := range strings.Split(adminCommand(t, ops, "show-version"), "\n") {
 		if key, value, ok := strings.Cut(line, " "); ok {
 			m[key] = value
 		}
@@ -103,17 +106,18 @@
 	return m
 }
 
-func number(t testing.TB, ops string) uint64 {
+// versionNumber returns the number of the version in force.
+func versionNumber(t testing.TB, ops string) uint64 {
 	t.Helper()
-	n, err := strconv.ParseUint(shown(t, ops)["version"], 10, 64)
+	n, err := strconv.ParseUint(showVersion(t, ops)["version"], 10, 64)
 	if err != nil {
 		t.Errorf("show-version: %v", err)
 	}
 	return n
 }
 
-// line publishes versions and knows them all.
-type line struct {
+// versionPublisher publishes versions and records their digests by number.
+type versionPublisher struct {
 	t       *testing.T
 	client  publish.Client
 	mu      sync.Mutex
@@ -121,12 +125,13 @@
 	last    uint64
 }
 
-func newLine(t *testing.T, originator *testfleet.Control) *line {
-	return &line{t: t, client: publish.Client{Address: originator.Address}, digests: map[uint64]string{}}
+// newVersionPublisher returns a publisher to an originator.
+func newVersionPublisher(t *testing.T, originator *testfleet.Control) *versionPublisher {
+	return &versionPublisher{t: t, client: publish.Client{Address: originator.Address}, digests: map[uint64]string{}}
 }
 
-// publish makes one version.
-func (l *line) publish(changes ...document.Change) uint64 {
+// publish publishes one version and returns its number.
+func (l *versionPublisher) publish(changes ...document.Change) uint64 {
 	l.t.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
 	defer end()
@@ -141,18 +146,19 @@
 	return h.Number
 }
 
-// more makes n versions, each of which changes a team's budget.
-func (l *line) more(n int) uint64 {
+// publishMore publishes n versions, each with another budget of a team, and returns the
+// number of the last.
+func (l *versionPublisher) publishMore(n int) uint64 {
 	l.t.Helper()
 	for range n {
-		l.publish(budget("teal", float64(10+l.last)))
+		l.publish(teamChange("teal", float64(10+l.last)))
 	}
 	return l.last
 }
 
-// watch looks at a server's version all the time: it is one of the line and
-// never goes back. stop ends it.
-func (l *line) watch(ops string) (stop func()) {
+// watch polls a server's version until stop is called: it must be a published one, and
+// its number must not decrease.
+func (l *versionPublisher) watch(ops string) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -162,10 +168,10 @@
 				return
 			default:
 			}
-			m := shown(l.t, ops)
+			m := showVersion(l.t, ops)
 			n, err := strconv.ParseUint(m["version"], 10, 64)
 			if err != nil {
-				continue // it is between two lives
+				continue // the process is starting or ending
 			}
 			l.mu.Lock()
 			want, known := l.digests[n]
@@ -182,17 +188,19 @@
 	return stop
 }
 
-func budget(name string, quota float64) document.Change {
+// teamChange is the change that sets a team's budget.
+func teamChange(name string, quota float64) document.Change {
 	return document.Change{Team: &document.Team{Name: name, Quota: quota}}
 }
 
-func offered(name string) document.Change {
+// serviceChange is the change that adds a service with one class of the same name.
+func serviceChange(name string) document.Change {
 	aim, deadline := 4000.0, 5000.0
 	return document.Change{Service: &document.Service{Name: name, Contracts: []document.Contract{
 		{Class: name, Effect: "repeatable", TargetTimeMS: &aim, DeadlineMS: &deadline}}}}
 }
 
-// traffic asks all the time: every request is answered, and served.
+// traffic sends one request after the other; each must be served.
 type traffic struct {
 	t      *testing.T
 	served atomic.Int64
@@ -201,7 +209,8 @@
 	once   sync.Once
 }
 
-func ask(t *testing.T, clients, class, tenant string) *traffic {
+// startTraffic sends requests of a class and a tenant until stop is called.
+func startTraffic(t *testing.T, clients, class, tenant string) *traffic {
 	l := &traffic{t: t, done: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
 		defer close(l.ended)
@@ -220,13 +229,13 @@
 				if err != nil {
 					name--
 					time.Sleep(time.Millisecond)
-					continue // between two processes nobody may listen
+					continue // between two processes there may be no listener
 				}
 				conn.Close()
 				c = standin.Dial(t, clients)
 			}
 			c.Send(uint32(name), standin.Fields(class, tenant, "", name, 4*time.Second), "1000")
-			away := false
+			goAway := false
 			for {
 				got, ok := c.Next()
 				if !ok {
@@ -235,19 +244,19 @@
 					break
 				}
 				if got.Type == frame.GoAway {
-					away = true
+					goAway = true
 					continue
 				}
 				if got.Type == frame.Answer {
 					if got.Code == frame.Served {
 						l.served.Add(1)
-					} else if !away {
+					} else if !goAway {
 						t.Errorf("request %d: code %d", name, got.Code)
 					}
 					break
 				}
 			}
-			if away && c != nil {
+			if goAway && c != nil {
 				c.Conn.Close()
 				c = nil
 			}
@@ -257,29 +266,32 @@
 	return l
 }
 
+// stop ends the traffic.
 func (l *traffic) stop() { l.once.Do(func() { close(l.done); <-l.ended }) }
 
-// goesOn waits until so many more are served.
-func (l *traffic) goesOn(n int64) {
+// awaitServed waits until n more requests are served.
+func (l *traffic) awaitServed(n int64) {
 	l.t.Helper()
 	until := l.served.Load() + n
 	testfleet.Eventually(l.t, "requests are served", func() bool { return l.served.Load() >= until || l.t.Failed() })
 }
 
-// inForce waits until a version is in force, and fails the test where that takes too long.
-func inForce(t *testing.T, what, ops string, want uint64, within time.Duration) {
+// awaitVersion waits until a version is in force, and fails the test if it takes longer
+// than limit.
+func awaitVersion(t *testing.T, what, ops string, want uint64, limit time.Duration) {
 	t.Helper()
-	began := time.Now()
-	testfleet.Eventually(t, what, func() bool { return number(t, ops) >= want })
-	took := time.Since(began)
+	start := time.Now()
+	testfleet.Eventually(t, what, func() bool { return versionNumber(t, ops) >= want })
+	took := time.Since(start)
 	t.Logf("%s: version %d in force after %v", what, want, took.Round(time.Millisecond))
-	if took > within {
-		t.Errorf("%s: it took %v, want at most %v", what, took, within)
+	if took > limit {
+		t.Errorf("%s: it took %v, want at most %v", what, took, limit)
 	}
 }
 
-// busy publishes all the time until it is stopped.
-func (l *line) busy() (stop func() uint64) {
+// publishContinuously publishes versions until stop is called, which returns the last
+// number.
+func (l *versionPublisher) publishContinuously() (stop func() uint64) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -288,7 +300,7 @@
 			case <-done:
 				return
 			default:
-				l.more(1)
+				l.publishMore(1)
 			}
 		}
 	}()
@@ -298,8 +310,8 @@
 	return stop
 }
 
-// leaving says whether the originator knows that a server leaves.
-func leaving(t *testing.T, l *line, name string) bool {
+// isLeaving reports whether the originator lists a server as leaving.
+func isLeaving(t *testing.T, l *versionPublisher, name string) bool {
 	t.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
 	defer end()
--- a/cmd/kiteslip/control_follow_test.go
+++ b/cmd/kiteslip/control_follow_test.go
@@ -20,39 +20,39 @@
 	"kiteslip/internal/testfleet"
 )
 
-// A server that is cut off over 1,000 versions takes them over one after the other
-// as soon as the cut heals; one for whom the log no longer reaches back gets the
-// whole. Requests are served all the time.
+// A server that is cut off while 1,000 versions are published applies their deltas one
+// by one once the link heals; one that is behind the start of the log gets a snapshot.
+// Requests are served all the time.
 func TestFollowCutOff(t *testing.T) {
 	for name, c := range map[string]struct{ deltas, versions, snapshots int }{
-		"over a thousand versions": {0, 1000, 0}, "over the end of the log": {20, 60, 1},
+		"within the log": {0, 1000, 0}, "behind the log": {20, 60, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			origin := machine(t, "c1", "north", c.deltas)
-			l := newLine(t, origin)
-			l.publish(budget("teal", 50), offered("sum"))
-			link := linkTo(t, origin.Address)
-			p := followerProgram(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: link.Address, Region: "north"}))
-			if m := shown(t, p.Ops); m["version"] != "1" || m["origin"] != "publisher" || m["digest"] != l.digests[1] {
+			origin := startControl(t, "c1", "north", c.deltas)
+			l := newVersionPublisher(t, origin)
+			l.publish(teamChange("teal", 50), serviceChange("sum"))
+			link := newLink(t, origin.Address)
+			p := startFollower(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: link.Address, Region: "north"}))
+			if m := showVersion(t, p.Ops); m["version"] != "1" || m["origin"] != "publisher" || m["digest"] != l.digests[1] {
 				t.Fatalf("%v", m)
 			}
-			before := shown(t, p.Ops)
-			load := ask(t, p.Clients, "sum", "teal")
+			before := showVersion(t, p.Ops)
+			load := startTraffic(t, p.Clients, "sum", "teal")
 			stop := l.watch(p.Ops)
 			link.Cut()
-			last := l.more(c.versions)
-			load.goesOn(20)
-			if n := number(t, p.Ops); n != 1 {
-				t.Errorf("version %d came through the cut", n)
+			last := l.publishMore(c.versions)
+			load.awaitServed(20)
+			if n := versionNumber(t, p.Ops); n != 1 {
+				t.Errorf("version %d was received through the cut", n)
 			}
 			if err := link.Heal(); err != nil {
 				t.Fatal(err)
 			}
-			inForce(t, name, p.Ops, last, healWithin)
-			load.goesOn(20)
+			awaitVersion(t, name, p.Ops, last, healTimeout)
+			load.awaitServed(20)
 			load.stop()
 			stop()
-			m := shown(t, p.Ops)
+			m := showVersion(t, p.Ops)
 			if want := strconv.Itoa(c.snapshots); m["snapshots"] != addTo(t, before["snapshots"], c.snapshots) || m["refused"] != "-" || m["fork"] != "false" {
 				t.Errorf("%v, want %s more snapshots than %v", m, want, before)
 			}
@@ -64,6 +64,7 @@
 	}
 }
 
+// addTo adds a number to one of show-version.
 func addTo(t *testing.T, n string, more int) string {
 	t.Helper()
 	v, err := strconv.Atoi(n)
@@ -73,77 +74,78 @@
 	return strconv.Itoa(v + more)
 }
 
-// A region that is cut off serves on by the version it has; its own publisher and
-// its servers take over what was changed meanwhile as soon as the cut heals.
+// A region that is cut off goes on serving with its version; its publisher and its
+// servers apply the newer versions once the links heal.
 func TestFollowRegionCutOff(t *testing.T) {
 	for name, cut := range map[string]func(*faultnet.Link){
-		"silence": func(l *faultnet.Link) { // as a network that loses everything
+		"silence": func(l *faultnet.Link) { // as a network that drops everything
 			l.Silence(faultnet.There)
 			l.Silence(faultnet.Back)
 		},
 		"refusal": (*faultnet.Link).Cut,
 	} {
-		t.Run(name, func(t *testing.T) { regionCutOff(t, cut) })
+		t.Run(name, func(t *testing.T) { testRegionCutOff(t, cut) })
 	}
 }
 
-func regionCutOff(t *testing.T, cut func(*faultnet.Link)) {
+// testRegionCutOff cuts the region's two links with cut.
+func testRegionCutOff(t *testing.T, cut func(*faultnet.Link)) {
 	t.Helper()
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
-	up, across := linkTo(t, origin.Address), linkTo(t, origin.Address)
-	relay := machine(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
-	p := followerProgram(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
-		testfleet.ControlTarget{Address: across.Address, Region: "north"}))
-	if m := shown(t, p.Ops); m["publisher"] != relay.Address || m["version"] != "1" {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
+	relayLink, serverLink := newLink(t, origin.Address), newLink(t, origin.Address)
+	relay := startControl(t, "c2", "south", 0, testfleet.ControlTarget{Address: relayLink.Address, Region: "north"})
+	p := startFollower(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
+		testfleet.ControlTarget{Address: serverLink.Address, Region: "north"}))
+	if m := showVersion(t, p.Ops); m["publisher"] != relay.Address || m["version"] != "1" {
 		t.Fatalf("%v", m)
 	}
-	load := ask(t, p.Clients, "sum", "teal")
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
-	cut(up)
-	cut(across)
-	last := l.more(20)
-	testfleet.Eventually(t, "the age grows", func() bool {
-		age, _ := strconv.Atoi(shown(t, p.Ops)["age_ms"])
+	cut(relayLink)
+	cut(serverLink)
+	last := l.publishMore(20)
+	testfleet.Eventually(t, "age_ms grows", func() bool {
+		age, _ := strconv.Atoi(showVersion(t, p.Ops)["age_ms"])
 		return age > 3_000
 	})
-	load.goesOn(20)
-	if n := number(t, p.Ops); n != 1 {
-		t.Errorf("version %d came through the cut", n)
+	load.awaitServed(20)
+	if n := versionNumber(t, p.Ops); n != 1 {
+		t.Errorf("version %d was received through the cut", n)
 	}
-	for _, link := range []*faultnet.Link{up, across} {
+	for _, link := range []*faultnet.Link{relayLink, serverLink} {
 		if err := link.Heal(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	inForce(t, "the region is back", p.Ops, last, healWithin)
-	load.goesOn(20)
+	awaitVersion(t, "the links have healed", p.Ops, last, healTimeout)
+	load.awaitServed(20)
 	load.stop()
 	stop()
 	p.Leave()
 }
 
-// A publisher that has lost the originator is left for one that has not, while the
-// stream to it stands: versions are in force in time.
-func TestFollowOrphan(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
-	up := linkTo(t, origin.Address)
-	relay := machine(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
-	p := followerProgram(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
+// A follower switches from a publisher that has lost the originator to one that has not,
+// although its stream is established, so that versions are in force in time.
+func TestFollowOriginatorLost(t *testing.T) {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
+	up := newLink(t, origin.Address)
+	relay := startControl(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
+	p := startFollower(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
 		testfleet.ControlTarget{Address: origin.Address, Region: "north"}))
-	load := ask(t, p.Clients, "sum", "teal")
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
-	if m := shown(t, p.Ops); m["publisher"] != relay.Address {
+	if m := showVersion(t, p.Ops); m["publisher"] != relay.Address {
 		t.Fatalf("%v", m)
 	}
 	up.Silence(faultnet.There)
 	up.Silence(faultnet.Back)
-	last := l.more(3)
-	inForce(t, "the publisher has lost the originator", p.Ops, last, healWithin)
-	if m := shown(t, p.Ops); m["publisher"] != origin.Address || m["snapshots"] != "1" {
+	last := l.publishMore(3)
+	awaitVersion(t, "the publisher has lost the originator", p.Ops, last, healTimeout)
+	if m := showVersion(t, p.Ops); m["publisher"] != origin.Address || m["snapshots"] != "1" {
 		t.Errorf("%v", m)
 	}
 	load.stop()
@@ -151,70 +153,71 @@
 	p.Leave()
 }
 
-// A publisher that answers nothing any more is left for another, and versions go on coming.
-func TestFollowMutePublisher(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
+// A follower switches from a publisher whose process hangs to another one, so that
+// versions are in force in time.
+func TestFollowSilentPublisher(t *testing.T) {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	from := testfleet.ControlTarget{Address: origin.Address, Region: "north"}
 	relays := map[string]*testfleet.Control{}
 	var targets []testfleet.ControlTarget
 	for _, name := range []string{"c2", "c3"} {
-		r := machine(t, name, "north", 0, from)
+		r := startControl(t, name, "north", 0, from)
 		relays[r.Address] = r
 		targets = append(targets, testfleet.ControlTarget{Address: r.Address, Region: "north"})
 	}
-	p := followerProgram(t, controlText("north", "", 20_000, targets...))
-	load := ask(t, p.Clients, "sum", "teal")
+	p := startFollower(t, controlText("north", "", 20_000, targets...))
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	stop := l.watch(p.Ops)
-	was := shown(t, p.Ops)["publisher"]
-	mute := relays[was]
-	if mute == nil {
-		t.Fatalf("%q is followed", was)
+	was := showVersion(t, p.Ops)["publisher"]
+	silent := relays[was]
+	if silent == nil {
+		t.Fatalf("the server follows %q, want one of the relays", was)
 	}
-	if err := syscall.Kill(mute.PID(), syscall.SIGSTOP); err != nil {
+	if err := syscall.Kill(silent.PID(), syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	last := l.more(3)
-	inForce(t, "a publisher is mute", p.Ops, last, healWithin)
-	if m := shown(t, p.Ops); m["publisher"] == was || m["snapshots"] != "1" {
+	last := l.publishMore(3)
+	awaitVersion(t, "a publisher is silent", p.Ops, last, healTimeout)
+	if m := showVersion(t, p.Ops); m["publisher"] == was || m["snapshots"] != "1" {
 		t.Errorf("%v", m)
 	}
-	syscall.Kill(mute.PID(), syscall.SIGCONT) //nolint:errcheck // it is ended next
+	syscall.Kill(silent.PID(), syscall.SIGCONT) //nolint:errcheck // it is ended next
 	load.stop()
 	stop()
 	p.Leave()
 }
 
-// Without any publisher the server serves on by the version it has, and one that
-// starts anew does by the version in its folder, or without one by its file.
-func TestFollowNobody(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
+// Without any publisher a server goes on serving with its version. One that starts uses
+// the version in its folder, or without one its file.
+func TestFollowNoPublisher(t *testing.T) {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	to := testfleet.ControlTarget{Address: origin.Address, Region: "north"}
-	kept := followerProgram(t, controlText("north", filepath.Join(t.TempDir(), "versions"), 1_000, to))
-	bare := followerProgram(t, controlText("north", "", 1_000, to))
-	last := l.more(5)
-	for _, p := range []*testfleet.Program{kept, bare} {
-		inForce(t, "before", p.Ops, last, healWithin)
+	withFolder := startFollower(t, controlText("north", filepath.Join(t.TempDir(), "versions"), 1_000, to))
+	withoutFolder := startFollower(t, controlText("north", "", 1_000, to))
+	last := l.publishMore(5)
+	for _, p := range []*testfleet.Program{withFolder, withoutFolder} {
+		awaitVersion(t, "before", p.Ops, last, healTimeout)
 	}
-	load := ask(t, kept.Clients, "sum", "teal")
+	load := startTraffic(t, withFolder.Clients, "sum", "teal")
 	origin.Kill()
-	testfleet.Eventually(t, "it is seen", func() bool { return shown(t, kept.Ops)["publisher"] == "-" })
-	load.goesOn(50)
+	testfleet.Eventually(t, "the publisher is lost", func() bool { return showVersion(t, withFolder.Ops)["publisher"] == "-" })
+	load.awaitServed(50)
 	load.stop()
-	if m := shown(t, kept.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "publisher" {
+	if m := showVersion(t, withFolder.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "publisher" {
 		t.Errorf("%v", m)
 	}
-	kept.Kill() // what is kept outlives a crash of the process
-	bare.Leave()
-	kept.Again()
-	bare.Again()
-	if m := shown(t, kept.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "folder" || m["publisher"] != "-" {
+	withFolder.Kill() // the stored version survives a crash of the process
+	withoutFolder.Leave()
+	withFolder.Again()
+	withoutFolder.Again()
+	if m := showVersion(t, withFolder.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "folder" || m["publisher"] != "-" {
 		t.Errorf("%v", m)
 	}
-	if m := shown(t, bare.Ops); m["version"] != "0" || m["origin"] != "none" {
+	if m := showVersion(t, withoutFolder.Ops); m["version"] != "0" || m["origin"] != "none" {
 		t.Errorf("%v", m)
 	}
 	code := func(p *testfleet.Program, class, tenant string) byte {
@@ -224,22 +227,22 @@
 		got, _ := c.Next()
 		return got.Code
 	}
-	if got := code(kept, "sum", "teal"); got != frame.Served {
-		t.Errorf("by the folder: code %d", got)
+	if got := code(withFolder, "sum", "teal"); got != frame.Served {
+		t.Errorf("with the folder's version: code %d", got)
 	}
-	if got := code(bare, "look", "red"); got != frame.Served {
-		t.Errorf("by the file: code %d", got)
+	if got := code(withoutFolder, "look", "red"); got != frame.Served {
+		t.Errorf("with the file: code %d", got)
 	}
-	if got := code(bare, "sum", "teal"); got == frame.Served {
-		t.Error("a class that the file has not is served")
+	if got := code(withoutFolder, "sum", "teal"); got == frame.Served {
+		t.Error("a class that the file does not have is served")
 	}
-	// The publisher is back: both are on the version.
+	// The publisher is back: both servers apply its version.
 	if err := origin.Again(); err != nil {
 		t.Fatal(err)
 	}
-	last = l.more(1)
-	for _, p := range []*testfleet.Program{kept, bare} {
-		inForce(t, "the publisher is back", p.Ops, last, healWithin)
+	last = l.publishMore(1)
+	for _, p := range []*testfleet.Program{withFolder, withoutFolder} {
+		awaitVersion(t, "the publisher is back", p.Ops, last, healTimeout)
 		if got := code(p, "sum", "teal"); got != frame.Served {
 			t.Errorf("code %d", got)
 		}
@@ -247,26 +250,26 @@
 	}
 }
 
-// A team that a version drops: what it has open ends as usual, what comes after is refused.
-func TestFollowDroppedTeam(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), budget("lime", 50), offered("sum"))
-	p := followerProgram(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: origin.Address, Region: "north"}))
+// A version drops a team: its open requests are served, later ones are refused.
+func TestFollowRetiredTeam(t *testing.T) {
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), teamChange("lime", 50), serviceChange("sum"))
+	p := startFollower(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: origin.Address, Region: "north"}))
 	c := standin.Dial(t, p.Clients)
 	const open = 8
 	for i := range uint32(open) {
 		c.Send(i+1, standin.Fields("sum", "teal", "", uint64(i+1), 4*time.Second), "1000000")
 	}
-	testfleet.Eventually(t, "they run", func() bool {
-		return strings.Contains(door(t, p.Ops, "show-stat"), fmt.Sprintf("app.active:%d|g", open))
+	testfleet.Eventually(t, "the requests run", func() bool {
+		return strings.Contains(adminCommand(t, p.Ops, "show-stat"), fmt.Sprintf("app.active:%d|g", open))
 	})
 	last := l.publish(document.Change{Drop: true, Team: &document.Team{Name: "teal"}})
-	inForce(t, "the team is dropped", p.Ops, last, healWithin)
+	awaitVersion(t, "the team is dropped", p.Ops, last, healTimeout)
 	late := standin.Dial(t, p.Clients)
 	late.Send(1, standin.Fields("sum", "teal", "", 100, 4*time.Second), "1000")
 	if got, _ := late.Next(); got.Type != frame.Answer || got.Code == frame.Served {
-		t.Errorf("after the drop: %+v", got)
+		t.Errorf("after the team was dropped: %+v", got)
 	}
 	late.Send(2, standin.Fields("sum", "lime", "", 101, 4*time.Second), "1000")
 	if got, _ := late.Next(); got.Code != frame.Served {
@@ -274,46 +277,46 @@
 	}
 	for range open {
 		if got, ok := c.Next(); !ok || got.Code != frame.Served {
-			t.Errorf("what was open: %+v", got)
+			t.Errorf("an open request: %+v", got)
 		}
 	}
 	p.Leave()
 }
 
-// Versions come in the moment of SIGHUP and of SIGTERM: no request is lost, the
-// file's machine part is taken over, and after the notice to leave nothing is.
+// Versions arrive during SIGHUP and SIGTERM: no request is lost, the file's machine
+// settings are applied, and no version is applied after the shutdown notice.
 func TestFollowSignals(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.Close)
-	p := testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{asServer + "=1"}, Name: "n0",
+	p := testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: "n0",
 		Operator: controlText("north", t.TempDir(), 20_000, testfleet.ControlTarget{Address: origin.Address, Region: "north"}),
 		Config:   followerConfig(engine.Address)})
-	load := ask(t, p.Clients, "sum", "teal")
+	load := startTraffic(t, p.Clients, "sum", "teal")
 	watch := l.watch(p.Ops)
-	stop := l.busy()
+	stop := l.publishContinuously()
 	for i := range 10 {
 		next := followerConfig(engine.Address)
 		next["stop_ms"] = 2000 + 10*i
 		p.Reload(next)
-		testfleet.Eventually(t, "the file is taken over", func() bool {
-			return strings.Contains(door(t, p.Ops, "show-stat"), fmt.Sprintf("app.config_applied:%d|c", i+1))
+		testfleet.Eventually(t, "the file is applied", func() bool {
+			return strings.Contains(adminCommand(t, p.Ops, "show-stat"), fmt.Sprintf("app.config_applied:%d|c", i+1))
 		})
 	}
-	at := number(t, p.Ops)
-	testfleet.Eventually(t, "versions go on", func() bool { return number(t, p.Ops) > at+5 })
-	load.goesOn(20)
-	if m := shown(t, p.Ops); m["refused"] != "-" || m["origin"] != "publisher" {
+	at := versionNumber(t, p.Ops)
+	testfleet.Eventually(t, "versions are applied", func() bool { return versionNumber(t, p.Ops) > at+5 })
+	load.awaitServed(20)
+	if m := showVersion(t, p.Ops); m["refused"] != "-" || m["origin"] != "publisher" {
 		t.Errorf("%v", m)
 	}
 	watch()
 	p.Signal(syscall.SIGTERM)
-	testfleet.Eventually(t, "it says that it leaves", func() bool { return leaving(t, l, "n0") })
+	testfleet.Eventually(t, "the server is listed as leaving", func() bool { return isLeaving(t, l, "n0") })
 	load.stop()
 	p.Leave()
 	if last := stop(); last < 10 {
@@ -321,12 +324,12 @@
 	}
 }
 
-// Versions come while one process takes the place of another: both follow, no
-// request is lost, and the one that stays is on the newest.
+// Versions arrive during an upgrade: both processes follow, no request is lost, and the
+// successor ends up with the newest version, which it stores in the folder.
 func TestFollowUpgrade(t *testing.T) {
-	origin := machine(t, "c1", "north", 0)
-	l := newLine(t, origin)
-	l.publish(budget("teal", 50), offered("sum"))
+	origin := startControl(t, "c1", "north", 0)
+	l := newVersionPublisher(t, origin)
+	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -339,31 +342,31 @@
 		t.Fatal(err)
 	}
 	t.Setenv("KITESLIP_OPERATOR", operator)
-	stop := l.busy()
-	first := launch(t, clients, dir)
-	load := ask(t, first.clients, "sum", "teal")
-	load.goesOn(20)
-	second := launch(t, clients, dir)
-	at := number(t, second.ops)
+	stop := l.publishContinuously()
+	first := startProcess(t, clients, dir)
+	load := startTraffic(t, first.clients, "sum", "teal")
+	load.awaitServed(20)
+	second := startProcess(t, clients, dir)
+	at := versionNumber(t, second.ops)
 	if at == 0 {
-		t.Error("the second process starts by no version")
+		t.Error("the second process starts without a version")
 	}
-	testfleet.Eventually(t, "both follow", func() bool { return number(t, first.ops) > at && number(t, second.ops) > at })
+	testfleet.Eventually(t, "both follow", func() bool { return versionNumber(t, first.ops) > at && versionNumber(t, second.ops) > at })
 	if err := first.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	load.goesOn(50)
+	load.awaitServed(50)
 	if err := first.Wait(); err != nil {
 		t.Errorf("the first process ends with %v", err)
 	}
-	load.goesOn(50)
+	load.awaitServed(50)
 	load.stop()
 	last := stop()
-	inForce(t, "the second process", second.ops, last, healWithin)
-	if m := shown(t, second.ops); m["digest"] != l.digests[last] || m["refused"] != "-" {
+	awaitVersion(t, "the second process", second.ops, last, healTimeout)
+	if m := showVersion(t, second.ops); m["digest"] != l.digests[last] || m["refused"] != "-" {
 		t.Errorf("%v", m)
 	}
-	// The folder is the second process's by now, and has the version after it.
+	// The second process owns the folder now, which has the newest version after its end.
 	if err := second.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -371,22 +374,22 @@
 		t.Errorf("the second process ends with %v", err)
 	}
 	origin.Kill()
-	third := launch(t, clients, dir)
-	if m := shown(t, third.ops); m["digest"] != l.digests[last] || m["origin"] != "folder" {
+	third := startProcess(t, clients, dir)
+	if m := showVersion(t, third.ops); m["digest"] != l.digests[last] || m["origin"] != "folder" {
 		t.Errorf("%v, want version %d", m, last)
 	}
 }
 
-// A notice to leave that comes while a start waits for a publisher ends the wait.
-func TestFollowNoticeAtTheStart(t *testing.T) {
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+// A shutdown notice ends the wait for an initial version at the start.
+func TestFollowShutdownNoticeDuringStart(t *testing.T) {
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
+	defer silent.Close()
 	asked := make(chan struct{})
 	go func() {
-		if c, err := mute.Accept(); err == nil {
+		if c, err := silent.Accept(); err == nil {
 			close(asked)
 			defer c.Close()
 			<-t.Context().Done()
@@ -394,7 +397,7 @@
 	}()
 	file := writeConfig(t)
 	operator := filepath.Join(t.TempDir(), "operator.toml")
-	text := controlText("north", "", 60_000, testfleet.ControlTarget{Address: mute.Addr().String(), Region: "north"})
+	text := controlText("north", "", 60_000, testfleet.ControlTarget{Address: silent.Addr().String(), Region: "north"})
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -412,17 +415,17 @@
 			t.Error(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("it waits on")
+		t.Error("the process does not end")
 	}
 }
 
-// Without [control] the door says so, and nothing follows.
+// Without [control] no version is followed, and show-version says so.
 func TestFollowOff(t *testing.T) {
-	p := followerProgram(t, "")
-	if got := door(t, p.Ops, "show-version"); !strings.HasPrefix(got, "error no [control]") {
+	p := startFollower(t, "")
+	if got := adminCommand(t, p.Ops, "show-version"); !strings.HasPrefix(got, "error no [control]") {
 		t.Errorf("%q", got)
 	}
-	if got := door(t, p.Ops, "show-stat"); strings.Contains(got, "control.") {
+	if got := adminCommand(t, p.Ops, "show-stat"); strings.Contains(got, "control.") {
 		t.Errorf("%s", got)
 	}
 	p.Leave()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config is the one place that reads the configuration, checks it and
-// puts defaults where something is absent. Its errors name the faulty key.
+// Package config reads, validates and updates the configuration: the platform's JSON
+// file and environment, the operator's TOML file, and the content of a fleet version.
+// It sets the defaults, and its errors name the invalid key.
 package config
 
 import (
@@ -17,7 +18,7 @@
 	"kiteslip/internal/wire"
 )
 
-// The environment that the platform sets.
+// The environment variables that the platform sets.
 const (
 	EnvName        = "EDGE_NAME"
 	EnvListen      = "EDGE_LISTEN"
@@ -26,43 +27,45 @@
 	EnvInheritedFD = "EDGE_INHERITED_FD"
 )
 
-// Limits are what the platform grants to the program.
+// Limits are the resources that the platform grants to the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// heapShare is the part of the memory limit that the Go heap may fill before
-// the collector works harder; the rest is for stacks and the system.
+// heapShare is the fraction of the memory limit that the Go heap may use before the
+// garbage collector works harder; the rest is for stacks and the system.
 const heapShare = 0.8
 
-// MaxHeapBytes is what the Go heap may fill, in bytes.
+// MaxHeapBytes returns the soft limit of the Go heap.
 func (l *Limits) MaxHeapBytes() int64 { return int64(heapShare * float64(l.MemoryMB) * (1 << 20)) }
 
-// Config is a checked configuration.
+// Config is a validated configuration. Classes and Tenants are lists of slots: the
+// other lists that are by class or by team have the same indexes.
 type Config struct {
 	Name   string
 	Listen string
-	Ops    string // the operators' door; "" = none
+	Ops    string // address of the admin endpoint; "" = none
 	Engine string
-	Ledger string // where calls below go; "" = nowhere
+	Ledger string // address for downstream calls; "" = none
 
-	InheritedFD   int    // of the clients' listening socket, which the platform holds; 0 = none
-	HandoverDir   string // the folder where two processes of an upgrade meet; "" = the system's for passing files
-	Registry      string // "" = report nowhere
+	InheritedFD   int    // descriptor of the callers' listening socket, inherited from the platform; 0 = none
+	HandoverDir   string // directory of the socket by which an upgrade's two processes meet; "" = the system's temporary directory
+	Registry      string // address; "" = none
 	Seed          uint64
-	StopTimeoutUS int64 // from the notice to leave to the kill, microseconds
+	StopTimeoutUS int64 // from the shutdown notice to the kill
 	Limits        Limits
 	Policy        kiteslip.Settings
 	Gauges        []string
 
-	ListFollowsHealth bool // callers' list drops a server whose health is not good
+	ListFollowsHealth bool // the callers' list leaves out a server that is not healthy
 
 	Classes []string
 	Tenants []string
 
-	// What a file that came before had and this one has not, see Succeed.
+	// Slots of classes and teams that are no longer configured, see Updater. May be
+	// shorter than the lists of slots.
 	RetiredClasses, RetiredTenants []bool
 
 	Control      Control
@@ -71,28 +74,28 @@
 	CheapReserve float64
 
 	UWSGI          UWSGI
-	Backends       []string // by class: the uwsgi server that does the work; "" = the engine
+	Backends       []string // by class: address of the uwsgi server that does the work; "" = the engine
 	MaxResultBytes []int    // by class, bytes
 
-	shape any   // the platform's text, decoded: which keys it has
-	base  *base // classes and teams of the platform
+	keyTree  any       // the platform's file, decoded, to compare its keys with those of the next one
+	baseline *baseline // classes and teams of the platform's file
 
-	version *document.Document // that is in force; nil = the file's own teams, services and pools
+	version *document.Document // the version in force; nil = the file's own teams, services and pools
 }
 
-// Version is the version of the fleet's document that is in force; nil = none,
-// the file's own teams, services and pools are.
+// Version returns the fleet version in force, or nil if the file's own teams, services
+// and pools are in force.
 func (c *Config) Version() *document.Document { return c.version }
 
-// UWSGI is the set-up of the second front.
+// UWSGI configures the uwsgi front end.
 type UWSGI struct {
-	Listen        string // "" = off
-	ReadTimeoutUS int64  // microseconds
-	Contracts     []uwsgi.Contract
+	Listen        string           // "" = off
+	ReadTimeoutUS int64            // longest time for a caller to send its request
+	Contracts     []uwsgi.Contract // by class
 }
 
-// raw mirrors the file that EDGE_CONFIG names.
-type raw struct {
+// platformFile mirrors the platform's file, which EDGE_CONFIG names.
+type platformFile struct {
 	Name     string          `json:"name"`
 	Listen   string          `json:"listen"`
 	Ops      string          `json:"ops"`
@@ -105,8 +108,9 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// names are the parts of the settings that only a server needs.
-type names struct {
+// platformNames mirrors the parts of the platform's settings that wire.ParseSettings
+// does not read.
+type platformNames struct {
 	Classes []struct {
 		Name string `json:"name"`
 	} `json:"classes"`
@@ -118,20 +122,21 @@
 	} `json:"family_info"`
 }
 
-// The defaults: the limits of the platform's scored days.
+// The defaults of the platform's file, which are the limits that the platform grants on
+// its scored days, and the smallest and largest values.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	defaultStopMS   = 3000
-	leastMemoryMB   = 16
-	leastSockets    = 32
-	leastFD         = 3 // after those for input, output and errors
-	mostFD          = 1 << 20
-	mostName        = 128 // bytes of a class's name, as it goes in messages and figures
+	minMemoryMB     = 16
+	minSockets      = 32
+	minInheritedFD  = 3 // after standard input, output and error
+	maxInheritedFD  = 1 << 20
+	maxNameBytes    = 128 // of the name of a class, which appears in messages and metrics
 )
 
-// Load reads the platform's configuration through getenv.
+// Load reads the platform's file; getenv gives the environment.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(EnvConfig)
 	if path == "" {
@@ -148,9 +153,9 @@
 	return c, nil
 }
 
-// Parse reads the platform's JSON. What the environment gives stands over the text.
+// Parse parses the platform's JSON. The environment overrides the text.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
-	var r raw
+	var r platformFile
 	if err := json.Unmarshal(text, &r); err != nil {
 		return nil, jsonError(err)
 	}
@@ -158,7 +163,7 @@
 	r.Listen = cmp.Or(getenv(EnvListen), r.Listen)
 	r.Ops = cmp.Or(getenv(EnvOps), r.Ops)
 	c := &Config{Name: r.Name, Listen: r.Listen, Ops: r.Ops, Engine: r.Engine, Ledger: r.Ledger, Registry: r.Registry, Limits: r.Limits}
-	if err := json.Unmarshal(text, &c.shape); err != nil {
+	if err := json.Unmarshal(text, &c.keyTree); err != nil {
 		return nil, err
 	}
 	var errs []error
@@ -168,9 +173,9 @@
 	if c.Name == "" {
 		fail("name", "is absent (or set %s)", EnvName)
 	}
-	address := func(key, value string, needed bool) {
+	address := func(key, value string, required bool) {
 		if value == "" {
-			if needed {
+			if required {
 				fail(key, "is absent")
 			}
 			return
@@ -188,8 +193,8 @@
 	}
 	if text := getenv(EnvInheritedFD); text != "" {
 		fd, err := strconv.Atoi(text)
-		if err != nil || fd < leastFD || fd > mostFD {
-			fail(EnvInheritedFD, "is %q, want the number of a descriptor from %d", text, leastFD)
+		if err != nil || fd < minInheritedFD || fd > maxInheritedFD {
+			fail(EnvInheritedFD, "is %q, want the number of a descriptor from %d", text, minInheritedFD)
 		}
 		c.InheritedFD = fd
 	}
@@ -208,19 +213,19 @@
 		fail("stop_ms", "is %v, want above 0 and at most an hour", stop)
 	}
 	c.StopTimeoutUS = int64(stop * 1000)
-	c.Limits.defaults(fail)
+	c.Limits.applyDefaults(fail)
 	if len(r.Settings) == 0 {
 		fail("settings", "are absent")
 		return nil, errors.Join(errs...)
 	}
-	if err := c.settings(r.Settings); err != nil {
+	if err := c.parseSettings(r.Settings); err != nil {
 		errs = append(errs, err)
 	}
 	return c, errors.Join(errs...)
 }
 
-// defaults fills in absent limits and checks the others.
-func (l *Limits) defaults(fail func(key, format string, args ...any)) {
+// applyDefaults sets absent limits to their defaults and validates the others.
+func (l *Limits) applyDefaults(fail func(key, format string, args ...any)) {
 	if l.Cores == 0 {
 		l.Cores = defaultCores
 	}
@@ -233,16 +238,17 @@
 	if !(l.Cores > 0) {
 		fail("limits.cores", "is %v, want above 0", l.Cores)
 	}
-	if l.MemoryMB < leastMemoryMB {
-		fail("limits.memory_mb", "is %d, want %d at least", l.MemoryMB, leastMemoryMB)
+	if l.MemoryMB < minMemoryMB {
+		fail("limits.memory_mb", "is %d, want %d at least", l.MemoryMB, minMemoryMB)
 	}
-	if l.Sockets < leastSockets {
-		fail("limits.sockets", "is %d, want %d at least", l.Sockets, leastSockets)
+	if l.Sockets < minSockets {
+		fail("limits.sockets", "is %d, want %d at least", l.Sockets, minSockets)
 	}
 }
 
-// settings reads the object that the simulator gives to an instance.
-func (c *Config) settings(text []byte) error {
+// parseSettings parses the platform's settings, which have the form of the settings in
+// the simulator's enlist record.
+func (c *Config) parseSettings(text []byte) error {
 	var err error
 	if c.Policy, c.Gauges, err = wire.ParseSettings(text); err != nil {
 		return err
@@ -250,15 +256,15 @@
 	if _, err := kiteslip.New(c.Policy, 0); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	var n names
+	var n platformNames
 	if err := json.Unmarshal(text, &n); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	c.ListFollowsHealth = n.Family.Readiness
 	seen := map[string]bool{}
 	for i, class := range n.Classes {
-		if class.Name == "" || seen[class.Name] || len(class.Name) > mostName {
-			return fmt.Errorf("settings.classes[%d].name is %q, want a name of its own of at most %d bytes", i, class.Name, mostName)
+		if class.Name == "" || seen[class.Name] || len(class.Name) > maxNameBytes {
+			return fmt.Errorf("settings.classes[%d].name is %q, want a name of its own of at most %d bytes", i, class.Name, maxNameBytes)
 		}
 		seen[class.Name] = true
 		c.Classes = append(c.Classes, class.Name)
@@ -271,12 +277,12 @@
 		seen[tenant.Name] = true
 		c.Tenants = append(c.Tenants, tenant.Name)
 	}
-	c.fronts()
-	c.base = c.bare()
+	c.growFrontend()
+	c.baseline = c.newBaseline()
 	return nil
 }
 
-// jsonError names the key at which a value has the wrong type.
+// jsonError rewrites a type mismatch so that it names the key.
 func jsonError(err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
--- a/internal/config/succeed_test.go
+++ b/internal/config/merge_test.go
@@ -12,8 +12,8 @@
 	"kiteslip"
 )
 
-// file words a platform file with these classes (name and effect) and teams.
-func file(classes [][2]string, tenants []string) string {
+// platformText returns a platform's file with these classes (name and effect) and teams.
+func platformText(classes [][2]string, tenants []string) string {
 	var c, q []string
 	for i, k := range classes {
 		c = append(c, fmt.Sprintf(`{"name": %q, "effect": %q, "on_time_us": %d, "hard_limit_us": 4000000, "window_us": 9000000}`, k[0], k[1], 1000+i))
@@ -34,21 +34,22 @@
 	return c
 }
 
-// However files follow each other, a class and a team keep their places, what
-// the newest file says holds, and what it does not name is off.
-func TestPlacesStay(t *testing.T) {
+// Over any sequence of files, classes and teams keep their slots, the newest file's
+// values apply, and classes and teams that it does not name are retired. A slot that
+// moves would give the keys and runs of one class to another.
+func TestSlotsAreStable(t *testing.T) {
 	names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 	effects := rapid.SampledFrom([]string{"repeatable", "by_key"})
 	rapid.Check(t, func(t *rapid.T) {
 		var c *Config
-		places, teams := map[string]int{}, map[string]int{}
+		slots, teams := map[string]int{}, map[string]int{}
 		for range rapid.IntRange(2, 6).Draw(t, "files") {
 			var classes [][2]string
 			for _, name := range rapid.SliceOfNDistinct(names, 1, 4, rapid.ID[string]).Draw(t, "classes") {
 				classes = append(classes, [2]string{name, effects.Draw(t, "effect")})
 			}
 			tenants := rapid.SliceOfNDistinct(names, 1, 4, rapid.ID[string]).Draw(t, "teams")
-			next := parse(t, file(classes, tenants))
+			next := parse(t, platformText(classes, tenants))
 			if c == nil {
 				c = next
 			} else {
@@ -60,23 +61,23 @@
 			if _, err := kiteslip.New(c.Policy, 0); err != nil {
 				t.Fatal(err)
 			}
-			on := map[string]bool{}
+			inForce := map[string]bool{}
 			for i, name := range c.Classes {
 				id := fmt.Sprint(name, c.Policy.Classes[i].Effect)
-				if at, seen := places[id]; seen && at != i {
+				if at, seen := slots[id]; seen && at != i {
 					t.Fatalf("class %s moved from %d to %d", id, at, i)
 				}
-				if places[id] = i; !IsRetired(c.RetiredClasses, i) {
-					on[name] = true
+				if slots[id] = i; !IsRetired(c.RetiredClasses, i) {
+					inForce[name] = true
 					if at := slices.Index(next.Classes, name); c.Policy.Classes[i] != next.Policy.Classes[at] {
 						t.Fatalf("class %s: %+v", id, c.Policy.Classes[i])
 					}
 				}
 			}
-			if got := slices.Sorted(maps.Keys(on)); !slices.Equal(got, slices.Sorted(slices.Values(next.Classes))) {
-				t.Fatalf("classes %v of %v are on", got, next.Classes)
+			if got := slices.Sorted(maps.Keys(inForce)); !slices.Equal(got, slices.Sorted(slices.Values(next.Classes))) {
+				t.Fatalf("classes %v are in force, want %v", got, next.Classes)
 			}
-			if n := len(c.Classes); n != len(places) || len(c.Backends) != n || len(c.UWSGI.Contracts) != n || len(c.MaxResultBytes) != n || len(c.RetiredClasses) > n {
+			if n := len(c.Classes); n != len(slots) || len(c.Backends) != n || len(c.UWSGI.Contracts) != n || len(c.MaxResultBytes) != n || len(c.RetiredClasses) > n {
 				t.Fatalf("%d classes in %+v", n, c)
 			}
 			for i, name := range c.Tenants {
@@ -92,9 +93,10 @@
 	})
 }
 
-// A file that lost a part is turned down, and the error names it.
-func TestLackingKeys(t *testing.T) {
-	was := file([][2]string{{"a", "by_key"}, {"b", "by_key"}}, []string{"red"})
+// A file that lacks a key of the file in use is rejected, and the error names the key:
+// the rest of a truncated or mangled file must not reset settings to their defaults.
+func TestMissingKeys(t *testing.T) {
+	was := platformText([][2]string{{"a", "by_key"}, {"b", "by_key"}}, []string{"red"})
 	c := parse(t, was)
 	for old, key := range map[string]string{
 		`"registry": "10.2.0.1:1", `:               "registry",
@@ -123,49 +125,50 @@
 	}
 	for n := range len(was) {
 		if _, err := Parse([]byte(was[:n]), unset); err == nil {
-			t.Fatalf("a file cut short after %d bytes is taken", n)
+			t.Fatalf("a file truncated after %d bytes is accepted", n)
 		}
 	}
 	for _, deadline := range []string{"0", "-5", `"x"`, "null", "[]", "1e400"} {
 		if _, err := Parse([]byte(strings.Replace(was, "4000000", deadline, 1)), unset); err == nil {
-			t.Errorf("a deadline of %s is taken", deadline)
+			t.Errorf("a deadline of %s is accepted", deadline)
 		}
 	}
 }
 
-// Places have a bound.
-func TestPlacesAreBounded(t *testing.T) {
-	const many = 1024 // at once, but one by one at the bound
-	c := parse(t, file([][2]string{{"first", "repeatable"}}, []string{"red"}))
-	for n := 1; n <= mostClassPlaces; {
+// The number of slots is limited: a process whose files name new classes or teams over
+// and over must not grow without end.
+func TestSlotsAreBounded(t *testing.T) {
+	const batch = 1024 // added at once, but one by one near the limit
+	c := parse(t, platformText([][2]string{{"first", "repeatable"}}, []string{"red"}))
+	for n := 1; n <= maxClassSlots; {
 		var classes [][2]string
-		for range max(1, min(many, mostClassPlaces-2-n)) {
+		for range max(1, min(batch, maxClassSlots-2-n)) {
 			classes = append(classes, [2]string{fmt.Sprint("c", n), "repeatable"})
 			n++
 		}
-		next, _, err := c.Merge(parse(t, file(classes, []string{"red"})))
-		if over := n > mostClassPlaces; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
+		next, _, err := c.Merge(parse(t, platformText(classes, []string{"red"})))
+		if over := n > maxClassSlots; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
 			t.Fatalf("%d classes since the start: %v", n, err)
 		}
 		c = next
 	}
-	c = parse(t, file([][2]string{{"first", "repeatable"}}, []string{"red"}))
-	for n := 1; n <= mostTeamPlaces; {
+	c = parse(t, platformText([][2]string{{"first", "repeatable"}}, []string{"red"}))
+	for n := 1; n <= maxTeamSlots; {
 		var teams []string
-		for range max(1, min(8*many, mostTeamPlaces-2-n)) {
+		for range max(1, min(8*batch, maxTeamSlots-2-n)) {
 			teams = append(teams, fmt.Sprint("t", n))
 			n++
 		}
-		next, _, err := c.Merge(parse(t, file([][2]string{{"first", "repeatable"}}, teams)))
-		if over := n > mostTeamPlaces; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
+		next, _, err := c.Merge(parse(t, platformText([][2]string{{"first", "repeatable"}}, teams)))
+		if over := n > maxTeamSlots; over != (err != nil) || over && !strings.Contains(err.Error(), "restart") {
 			t.Fatalf("%d teams since the start: %v", n, err)
 		}
 		c = next
 	}
 }
 
-// A fleet with many teams can be changed: guards against a bound on places that
-// is below what a fleet has.
+// A fleet with many teams can be changed: guards against a limit of slots that is
+// below the number of teams in a fleet.
 func TestManyTeamsChange(t *testing.T) {
 	for _, n := range []int{260, 21_000} {
 		var teams []string
@@ -173,11 +176,11 @@
 			teams = append(teams, fmt.Sprint("team", i))
 		}
 		classes := [][2]string{{"first", "repeatable"}}
-		c := parse(t, file(classes, teams))
+		c := parse(t, platformText(classes, teams))
 		teams[n/2] = "new"
-		next, kept, err := c.Merge(parse(t, file(classes, teams)))
-		if err != nil || len(kept) != 0 {
-			t.Fatalf("%d teams, one changed: %v %v", n, kept, err)
+		next, restart, err := c.Merge(parse(t, platformText(classes, teams)))
+		if err != nil || len(restart) != 0 {
+			t.Fatalf("%d teams, one changed: %v %v", n, restart, err)
 		}
 		if next.Tenants[n] != "new" || !IsRetired(next.RetiredTenants, n/2) || IsRetired(next.RetiredTenants, n) || next.Policy.Tenants[n].Quota != float64(n/2+1) {
 			t.Errorf("%d teams: the new one is %q, %+v", n, next.Tenants[n], next.Policy.Tenants[n])
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,8 +12,8 @@
 	"kiteslip/internal/control/document"
 )
 
-// OperatorFile is the operator's file: the second front, and the contracts and
-// budgets of the teams whose services are brokered.
+// OperatorFile is the operator's file: the uwsgi front end, the budgets of teams and
+// the contracts of their services, pools, keys and control machines.
 type OperatorFile struct {
 	UWSGI    UWSGIFile    `toml:"uwsgi"`
 	Machine  *Machine     `toml:"machine"`
@@ -25,21 +25,22 @@
 	Control  *ControlFile `toml:"control"`
 }
 
-// UWSGIFile sets up the uwsgi front. Without an address it is off.
+// UWSGIFile is [uwsgi] of the operator's file. Without an address the front end is off.
 type UWSGIFile struct {
 	Listen string `toml:"listen"`
-	ReadMS int64  `toml:"read_ms"` // a caller has this long to send its request
+	ReadMS int64  `toml:"read_ms"` // longest time for a caller to send its request
 }
 
-// Machine describes the machine where the platform does not.
+// Machine is [machine] of the operator's file. It describes the machine where there is
+// no platform's file.
 type Machine struct {
 	Name      string  `toml:"name"`
-	Listen    string  `toml:"listen"` // of the platform's protocol; "" = no such front
-	Ops       string  `toml:"ops"`    // the operators' door; "" = none
+	Listen    string  `toml:"listen"` // of the platform's frame protocol; "" = off
+	Ops       string  `toml:"ops"`    // admin endpoint; "" = none
 	Engine    string  `toml:"engine"` // "" = all services have backends
-	Ledger    string  `toml:"ledger"` // where calls below go; "" = nowhere
+	Ledger    string  `toml:"ledger"` // for downstream calls; "" = none
 	StopRuns  string  `toml:"stop_runs"`
-	Cores     int     `toml:"cores"` // that do the work
+	Cores     int     `toml:"cores"` // of the engine
 	WorkMB    float64 `toml:"work_mb"`
 	RunFactor float64 `toml:"run_factor"`
 	KeyKB     float64 `toml:"key_kb"`
@@ -53,32 +54,34 @@
 	OverShareWorth float64 `toml:"over_share_worth"`
 }
 
-// What the fleet serves by, whether it comes with the file or as a version.
+// Fleet content, which is in the operator's file or in a version.
 type (
 	Team     = document.Team
 	Service  = document.Service
 	Contract = document.Contract
 )
 
-// The defaults and bounds of the operator's file.
+// The defaults and limits of the operator's file.
 const (
-	defaultReadMS    = 5_000
-	defaultBody      = 2 << 10
-	defaultResult    = 4 << 10
-	mostBody         = 1 << 20
-	defaultHeldKB    = 16
-	defaultKeyKB     = 8
-	defaultRunFactor = 4
-	defaultMaxRetry  = 1_000
-	hourMS           = 3_600_000
+	defaultReadMS          = 5_000
+	defaultMaxBodyBytes    = 2 << 10
+	defaultMaxResultBytes  = 4 << 10
+	maxBodyBytes           = 1 << 20
+	defaultRequestMemoryKB = 16
+	defaultKeyKB           = 8
+	defaultRunFactor       = 4
+	defaultMaxRetryMS      = 1_000
+	hourMS                 = 3_600_000
 )
 
+// effects are the effects of a class by their names in the file.
 var effects = map[string]kiteslip.Effect{
 	"repeatable": kiteslip.Repeatable, "keyed": kiteslip.Keyed, "once": kiteslip.Once,
 }
 
-// LoadOperator reads the operator's file and puts it over platform, the
-// configuration that the platform gave; nil means that the file must say all.
+// LoadOperator reads the operator's file and applies it to platform, the configuration
+// from the platform's file; nil means that there is none and the file must describe
+// the machine.
 func LoadOperator(path string, platform *Config) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -91,14 +94,14 @@
 	return c, nil
 }
 
-// ParseOperator is LoadOperator on a text.
+// ParseOperator parses the text of an operator's file, as LoadOperator does.
 func ParseOperator(text string, platform *Config) (*Config, error) {
 	var o OperatorFile
 	meta, err := toml.Decode(text, &o)
 	if err != nil {
 		return nil, err
 	}
-	var errs problems
+	var errs validationErrors
 	for _, key := range meta.Undecoded() {
 		errs.add(key.String(), "is not known")
 	}
@@ -108,7 +111,7 @@
 			errs.add("machine", "is absent, and there is no %s that describes the machine", EnvConfig)
 			o.Machine = &Machine{}
 		}
-		c = o.Machine.config(&errs)
+		c = o.Machine.newConfig(&errs)
 	} else if o.Machine != nil {
 		errs.add("machine", "is described by %s already", EnvConfig)
 	}
@@ -118,8 +121,8 @@
 	}
 	o.Keys.apply(c, &errs)
 	o.Control.apply(c, &errs)
-	c.base = c.bare()
-	c.serve(&document.Content{Teams: o.Teams, Services: o.Services, Pools: o.Pool, CheapReserve: o.Pools.CheapReserve}, &errs)
+	c.baseline = c.newBaseline()
+	c.applyContent(&document.Content{Teams: o.Teams, Services: o.Services, Pools: o.Pool, CheapReserve: o.Pools.CheapReserve}, &errs)
 	if len(errs) == 0 {
 		if _, err := kiteslip.New(c.Policy, 0); err != nil {
 			errs = append(errs, err)
@@ -128,13 +131,14 @@
 	return c, errs.join()
 }
 
-type problems []error
+// validationErrors collects the errors of a file or version, each of which names its key.
+type validationErrors []error
 
-func (p *problems) add(key, format string, args ...any) {
+func (p *validationErrors) add(key, format string, args ...any) {
 	*p = append(*p, fmt.Errorf("%s %s", key, fmt.Sprintf(format, args...)))
 }
 
-func (f *UWSGIFile) apply(c *Config, errs *problems) {
+func (f *UWSGIFile) apply(c *Config, errs *validationErrors) {
 	c.UWSGI.Listen = f.Listen
 	if f.Listen != "" {
 		checkAddress(errs.add, "uwsgi.listen", f.Listen)
@@ -148,11 +152,11 @@
 	c.UWSGI.ReadTimeoutUS = f.ReadMS * 1000
 }
 
-// config makes a configuration without the platform's.
-func (m *Machine) config(errs *problems) *Config {
+// newConfig returns a configuration for a machine without a platform's file.
+func (m *Machine) newConfig(errs *validationErrors) *Config {
 	c := &Config{Name: m.Name, Listen: m.Listen, Ops: m.Ops, Engine: m.Engine,
 		Limits: Limits{m.Limits.Cores, m.Limits.MemoryMB, m.Limits.Sockets}}
-	c.Limits.defaults(func(key, format string, args ...any) { errs.add("machine."+key, format, args...) })
+	c.Limits.applyDefaults(func(key, format string, args ...any) { errs.add("machine."+key, format, args...) })
 	if c.Name == "" {
 		c.Name = "kiteslip"
 	}
@@ -176,19 +180,19 @@
 		MemoryKB:       positive("machine.work_mb", m.WorkMB, 64) * 1024,
 		RunFactor:      positive("machine.run_factor", m.RunFactor, defaultRunFactor),
 		KeyKB:          positive("machine.key_kb", m.KeyKB, defaultKeyKB),
-		MaxRetryAfter:  int64(positive("machine.max_retry_after_ms", float64(m.MaxRetryMS), defaultMaxRetry)) * 1000,
+		MaxRetryAfter:  int64(positive("machine.max_retry_after_ms", float64(m.MaxRetryMS), defaultMaxRetryMS)) * 1000,
 		OverShareWorth: m.OverShareWorth,
 		Goal:           kiteslip.Goal{Whole: 0.5, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.2},
 		Tick:           4_000, DrainGrace: 2_000_000, AnswerSlack: 60_000, WorthByWork: true,
 	}
-	m.calls(c, errs)
+	m.applyLedger(c, errs)
 	if w := c.Policy.OverShareWorth; w < 0 || w > 1 {
 		errs.add("machine.over_share_worth", "is %v, want 0 to 1", w)
 	}
 	return c
 }
 
-func (p problems) join() error { return errors.Join(p...) }
+func (p validationErrors) join() error { return errors.Join(p...) }
 
 func checkAddress(add func(key, format string, args ...any), key, value string) {
 	if !isAddress(value) {
--- a/internal/pcap/pcap.go
+++ b/internal/pcap/pcap.go
@@ -1,5 +1,5 @@
-// Package pcap reads TCP streams from capture files and writes traffic as
-// such. It captures nothing itself.
+// Package pcap reads TCP streams from capture files (pcap and pcapng) and writes
+// connections as pcap files. It does not capture packets.
 package pcap
 
 import (
@@ -18,20 +18,20 @@
 	"github.com/gopacket/gopacket/reassembly"
 )
 
-// Chunk is a piece of a stream, and when it was seen.
+// Chunk is a part of a stream with the time at which it was captured.
 type Chunk struct {
 	At   time.Time
 	Data []byte
 }
 
-// Stream is what one side of a TCP connection sent, in order.
+// Stream is the data that one side of a TCP connection sent, in order.
 type Stream struct {
 	From, To       netip.AddrPort
 	Chunks         []Chunk
-	MissingPackets bool // packets are missing; the chunks end before the gap
+	MissingPackets bool // packets are missing from the capture; the chunks end before the gap
 }
 
-// Bytes is the whole of a stream.
+// Bytes returns the data of all chunks.
 func (s *Stream) Bytes() []byte {
 	var b []byte
 	for i := range s.Chunks {
@@ -40,26 +40,26 @@
 	return b
 }
 
-// The errors of a file that cannot be read.
+// The errors of files that cannot be read.
 var (
 	ErrNotCapture = errors.New("pcap: not a capture file")
-	ErrTruncated  = errors.New("pcap: the capture file is cut short")
+	ErrTruncated  = errors.New("pcap: the capture file is truncated")
 )
 
-// The bounds of what is kept in memory.
+// The limits of the memory in use.
 const (
-	maxBytes = 256 << 20 // of all streams
-	maxPages = 16 << 10  // of out-of-order segments, 1,900 bytes each
+	maxStreamBytes = 256 << 20 // of all streams
+	maxPages       = 16 << 10  // of out-of-order segments, 1,900 bytes each
 )
 
-// source is what both formats of a capture file offer.
+// source is a reader of either format of capture files.
 type source interface {
 	ReadPacketData() ([]byte, gopacket.CaptureInfo, error)
 	LinkType() layers.LinkType
 }
 
-// open tells the format by its first bytes.
-func open(r io.Reader) (source, error) {
+// openSource detects the format by the first bytes.
+func openSource(r io.Reader) (source, error) {
 	in := bufio.NewReader(r)
 	magic, err := in.Peek(4)
 	if err != nil {
@@ -83,10 +83,10 @@
 	return s, nil
 }
 
-// Read returns the TCP streams of a capture file, in the order of their first
-// packets. Packets that are not TCP are passed over.
+// Read returns the TCP streams of a capture file, in the order of their first data.
+// Packets that are not TCP are ignored.
 func Read(r io.Reader) ([]*Stream, error) {
-	s, err := open(r)
+	s, err := openSource(r)
 	if err != nil {
 		return nil, err
 	}
@@ -110,32 +110,35 @@
 		if network == nil || tcp == nil {
 			continue
 		}
-		context := seen(info)
+		context := captureContext(info)
 		assembler.AssembleWithContext(network.NetworkFlow(), tcp.(*layers.TCP), &context)
-		if c.bytes > maxBytes {
-			return nil, fmt.Errorf("pcap: over %d MB of TCP data", maxBytes>>20)
+		if c.bytes > maxStreamBytes {
+			return nil, fmt.Errorf("pcap: over %d MB of TCP data", maxStreamBytes>>20)
 		}
 	}
 	assembler.FlushAll()
 	return c.streams, nil
 }
 
-// seen gives the assembler the time of a packet.
-type seen gopacket.CaptureInfo
+// captureContext gives the assembler the timestamp of a packet.
+type captureContext gopacket.CaptureInfo
 
-func (s *seen) GetCaptureInfo() gopacket.CaptureInfo { return gopacket.CaptureInfo(*s) }
+// GetCaptureInfo implements reassembly.AssemblerContext.
+func (s *captureContext) GetCaptureInfo() gopacket.CaptureInfo { return gopacket.CaptureInfo(*s) }
 
-// collector keeps what the assembler puts in order.
+// collector collects the streams that the assembler puts in order.
 type collector struct {
 	streams []*Stream
 	bytes   int
 }
 
+// New implements reassembly.StreamFactory.
 func (c *collector) New(network, transport gopacket.Flow, tcp *layers.TCP, _ reassembly.AssemblerContext) reassembly.Stream {
 	from, to := endpoint(network.Src(), uint16(tcp.SrcPort)), endpoint(network.Dst(), uint16(tcp.DstPort))
-	return &connection{c: c, sides: [2]*Stream{{From: from, To: to}, {From: to, To: from}}}
+	return &connection{collector: c, sides: [2]*Stream{{From: from, To: to}, {From: to, To: from}}}
 }
 
+// endpoint returns an address and a port of a packet.
 func endpoint(e gopacket.Endpoint, port uint16) netip.AddrPort {
 	address, _ := netip.AddrFromSlice(e.Raw()) // the zero address for what is not IP
 	return netip.AddrPortFrom(address.Unmap(), port)
@@ -143,17 +146,18 @@
 
 // connection is one TCP connection; sides[0] sent the first packet.
 type connection struct {
-	c     *collector
-	sides [2]*Stream
-	known [2]bool
+	collector *collector
+	sides     [2]*Stream
+	started   [2]bool
 }
 
-// Accept takes every segment; a capture may begin in the middle of a connection.
+// Accept accepts every segment, since a capture may begin in the middle of a connection.
 func (k *connection) Accept(_ *layers.TCP, _ gopacket.CaptureInfo, _ reassembly.TCPFlowDirection, _ reassembly.Sequence, start *bool, _ reassembly.AssemblerContext) bool {
 	*start = true
 	return true
 }
 
+// ReassembledSG appends data to a stream, up to the first gap.
 func (k *connection) ReassembledSG(sg reassembly.ScatterGather, _ reassembly.AssemblerContext) {
 	direction, _, _, skip := sg.Info()
 	i := 0
@@ -161,9 +165,9 @@
 		i = 1
 	}
 	s := k.sides[i]
-	if !k.known[i] {
-		k.known[i] = true
-		k.c.streams = append(k.c.streams, s)
+	if !k.started[i] {
+		k.started[i] = true
+		k.collector.streams = append(k.collector.streams, s)
 	}
 	length, _ := sg.Lengths()
 	if skip > 0 && len(s.Chunks) > 0 {
@@ -172,8 +176,9 @@
 	if s.MissingPackets || length == 0 {
 		return
 	}
-	k.c.bytes += length
+	k.collector.bytes += length
 	s.Chunks = append(s.Chunks, Chunk{sg.CaptureInfo(0).Timestamp, bytes.Clone(sg.Fetch(length))})
 }
 
+// ReassemblyComplete implements reassembly.Stream.
 func (k *connection) ReassemblyComplete(reassembly.AssemblerContext) bool { return true }
--- a/internal/uwsgi/response.go
+++ b/internal/uwsgi/response.go
@@ -10,8 +10,8 @@
 	"kiteslip/internal/core"
 )
 
-// AppendResponse appends the head of a response; a body of size bytes is to
-// follow. A retryAfter above 0 is in seconds.
+// AppendResponse appends the header of a response; the caller appends the body of size
+// bytes. retryAfter is in seconds; 0 leaves out the header field.
 func AppendResponse(b []byte, status, retryAfter, size int) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Type: application/octet-stream\r\nContent-Length: %d\r\n",
 		status, http.StatusText(status), size)
@@ -21,8 +21,8 @@
 	return append(b, "\r\n"...)
 }
 
-// Status maps a final answer to a status of HTTP and a time to stay away, in
-// seconds. HTTP counts whole seconds, so a shorter advice becomes one.
+// Status maps a final answer to an HTTP status and a retry-after in seconds. HTTP has
+// whole seconds, so it is rounded up.
 func Status(a *core.Answer) (status, retryAfter int) {
 	switch {
 	case a.Code == core.Served:
@@ -37,30 +37,30 @@
 	return http.StatusInternalServerError, 0
 }
 
-// Response is the answer of a uwsgi server.
+// Response is the HTTP response of a uwsgi server.
 type Response struct {
 	Status int
 	Body   []byte // points into the input
 }
 
-const maxHead = 16 << 10
+const maxHeaderBytes = 16 << 10
 
 var (
-	errResponse = errors.New("uwsgi: not a response")
-	errBroken   = errors.New("uwsgi: the response breaks off")
-	errLarge    = errors.New("uwsgi: the response is too large")
+	errNotResponse       = errors.New("uwsgi: not a response")
+	errTruncatedResponse = errors.New("uwsgi: the response is truncated")
+	errTooLarge          = errors.New("uwsgi: the response is too large")
 )
 
-// ParseResponse reads the response in b, whose body may have up to maxBody
-// bytes. It reports false while more bytes are needed; end says that no more will come.
+// ParseResponse parses the response in b, whose body is limited to maxBody bytes. It
+// reports false while the response is not complete; end says that the input has ended.
 func ParseResponse(b []byte, end bool, maxBody int) (Response, bool, error) {
 	at := bytes.Index(b, []byte("\r\n\r\n"))
 	if at < 0 {
 		switch {
-		case len(b) > maxHead:
-			return Response{}, false, errResponse
+		case len(b) > maxHeaderBytes:
+			return Response{}, false, errNotResponse
 		case end:
-			return Response{}, false, errBroken
+			return Response{}, false, errTruncatedResponse
 		}
 		return Response{}, false, nil
 	}
@@ -70,17 +70,17 @@
 		if i == 0 && bytes.HasPrefix(line, []byte("HTTP/1.")) {
 			words := bytes.Fields(line)
 			if len(words) < 2 {
-				return Response{}, false, errResponse
+				return Response{}, false, errNotResponse
 			}
 			var err error
 			if r.Status, err = strconv.Atoi(string(words[1])); err != nil {
-				return Response{}, false, errResponse
+				return Response{}, false, errNotResponse
 			}
 			continue
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok {
-			return Response{}, false, errResponse
+			return Response{}, false, errNotResponse
 		}
 		words := bytes.Fields(value)
 		var err error
@@ -90,21 +90,21 @@
 			r.Status, err = strconv.Atoi(string(words[0]))
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			if length, err = strconv.Atoi(string(words[0])); length < 0 {
-				err = errResponse
+				err = errNotResponse
 			}
 		}
 		if err != nil {
-			return Response{}, false, errResponse
+			return Response{}, false, errNotResponse
 		}
 	}
 	switch {
 	case length > maxBody || length < 0 && len(r.Body) > maxBody:
-		return Response{}, false, errLarge
+		return Response{}, false, errTooLarge
 	case length >= 0 && len(r.Body) >= length:
 		r.Body = r.Body[:length]
 		return r, true, nil
 	case length >= 0 && end:
-		return Response{}, false, errBroken
+		return Response{}, false, errTruncatedResponse
 	case length < 0 && end:
 		return r, true, nil
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire reads batches of events and writes replies in the binary
-// dialect of the bench. It holds no decision.
+// Package wire decodes batches of events and encodes replies in the binary protocol of
+// the simulator. It makes no decisions. Numbers are little-endian, times are in
+// microseconds.
 package wire
 
 import (
@@ -12,7 +13,7 @@
 	"kiteslip"
 )
 
-// Record codes of events.
+// The codes of records in a batch.
 const (
 	codeAccept   = 1
 	codeDrain    = 2
@@ -25,17 +26,17 @@
 	codeNeeds    = 9
 )
 
-// maxFrame bounds the size of a frame that is believed.
-const maxFrame = 1 << 30
+// maxFrameBytes is the limit of a frame's size, above which the input is rejected.
+const maxFrameBytes = 1 << 30
 
-// Kind tells a record about a process from one about its work.
+// Kind says whether a record is an event for an instance or about its life.
 type Kind uint8
 
 // The kinds of record.
 const (
-	Event    Kind = iota // something for a running instance
+	Event    Kind = iota // an event for a running instance
 	Enlist               // an instance starts
-	Shutdown             // an instance died
+	Shutdown             // an instance has died
 )
 
 // Record is one record of a batch.
@@ -43,85 +44,85 @@
 	Kind     Kind
 	Instance uint16
 	Event    kiteslip.Event
-	Gauges   []byte // raw readings of a timer record, in the order of the settings
-	Seed     uint64
-	Settings []byte // valid until the next batch
-	Offset   int64  // where the record starts in the input
+	Gauges   []byte // values of a timer record, float32 in the order of the settings
+	Seed     uint64 // of an enlist record
+	Settings []byte // of an enlist record; valid until the next batch
+	Offset   int64  // of the record's first byte in the input
 }
 
-// Reader reads batches.
+// Reader reads batches from a stream.
 type Reader struct {
-	r    io.Reader
-	pos  int64
-	body []byte
-	head [16]byte
-	recs []Record
+	r       io.Reader
+	offset  int64
+	body    []byte
+	header  [16]byte
+	records []Record
 }
 
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-// Next returns the clock and records of the next batch; both are valid until
-// the following call. It returns io.EOF at the end of input between frames.
+// Next returns the time and the records of the next batch; the records are valid until
+// the following call. It returns io.EOF where the input ends between frames.
 func (d *Reader) Next() (int64, []Record, error) {
-	n, err := io.ReadFull(d.r, d.head[:])
+	n, err := io.ReadFull(d.r, d.header[:])
 	if errors.Is(err, io.EOF) {
 		return 0, nil, io.EOF
 	}
 	if err != nil {
-		return 0, nil, fmt.Errorf("byte %d: header cut short, expected 16 bytes, got %d: %w", d.pos, n, err)
+		return 0, nil, fmt.Errorf("byte %d: header truncated, expected 16 bytes, got %d: %w", d.offset, n, err)
 	}
-	now := int64(binary.LittleEndian.Uint64(d.head[:]))
-	size := binary.LittleEndian.Uint32(d.head[8:])
-	count := binary.LittleEndian.Uint32(d.head[12:])
-	if size > maxFrame {
-		return 0, nil, fmt.Errorf("byte %d: frame of %d bytes, expected at most %d", d.pos+8, size, maxFrame)
+	now := int64(binary.LittleEndian.Uint64(d.header[:]))
+	size := binary.LittleEndian.Uint32(d.header[8:])
+	count := binary.LittleEndian.Uint32(d.header[12:])
+	if size > maxFrameBytes {
+		return 0, nil, fmt.Errorf("byte %d: frame of %d bytes, expected at most %d", d.offset+8, size, maxFrameBytes)
 	}
 	if count > size {
 		return 0, nil, fmt.Errorf("byte %d: %d records in %d bytes, expected one byte each at least",
-			d.pos+12, count, size)
+			d.offset+12, count, size)
 	}
-	d.pos += int64(len(d.head))
+	d.offset += int64(len(d.header))
 	if cap(d.body) < int(size) {
 		d.body = make([]byte, size)
 	}
 	d.body = d.body[:size]
 	if n, err = io.ReadFull(d.r, d.body); err != nil {
-		return 0, nil, fmt.Errorf("byte %d: frame cut short, expected %d bytes, got %d: %w",
-			d.pos, size, n, io.ErrUnexpectedEOF)
+		return 0, nil, fmt.Errorf("byte %d: frame truncated, expected %d bytes, got %d: %w",
+			d.offset, size, n, io.ErrUnexpectedEOF)
 	}
-	d.recs = d.recs[:0]
-	c := cursor{b: d.body, base: d.pos}
+	d.records = d.records[:0]
+	c := cursor{b: d.body, base: d.offset}
 	for range count {
 		rec, err := c.record()
 		if err != nil {
 			return 0, nil, err
 		}
-		d.recs = append(d.recs, rec)
+		d.records = append(d.records, rec)
 	}
-	if c.at != len(c.b) {
+	if c.offset != len(c.b) {
 		return 0, nil, fmt.Errorf("byte %d: %d bytes after the last record, expected none",
-			c.base+int64(c.at), len(c.b)-c.at)
+			c.base+int64(c.offset), len(c.b)-c.offset)
 	}
-	d.pos += int64(size)
-	return now, d.recs, nil
+	d.offset += int64(size)
+	return now, d.records, nil
 }
 
-// cursor walks over one body; after an overrun it is short and yields zeros.
+// cursor decodes the body of a frame; after an overrun all values are zero.
 type cursor struct {
-	b     []byte
-	at    int
-	base  int64
-	short bool
+	b       []byte
+	offset  int
+	base    int64
+	overrun bool
 }
 
 func (c *cursor) take(n int) []byte {
-	if c.short || n > len(c.b)-c.at {
-		c.short = true
+	if c.overrun || n > len(c.b)-c.offset {
+		c.overrun = true
 		return make([]byte, min(n, 8))
 	}
-	c.at += n
-	return c.b[c.at-n : c.at]
+	c.offset += n
+	return c.b[c.offset-n : c.offset]
 }
 
 func (c *cursor) u8() uint8   { return c.take(1)[0] }
@@ -135,7 +136,7 @@
 func (c *cursor) id() kiteslip.RequestID { return kiteslip.RequestID(c.u32()) }
 
 func (c *cursor) record() (Record, error) {
-	start := c.base + int64(c.at)
+	start := c.base + int64(c.offset)
 	code := c.u8()
 	rec := Record{Instance: c.u16(), Offset: start}
 	e := &rec.Event
@@ -173,18 +174,18 @@
 	case codeNeeds:
 		e.Kind, e.ID = kiteslip.NeedsCall, c.id()
 	default:
-		if !c.short {
+		if !c.overrun {
 			return rec, fmt.Errorf("byte %d: record code %d, expected 1 to 9", start, code)
 		}
 	}
-	if c.short {
+	if c.overrun {
 		return rec, fmt.Errorf("byte %d: record of code %d runs past its batch, expected it to end by byte %d",
 			start, code, c.base+int64(len(c.b)))
 	}
 	return rec, nil
 }
 
-// ParseGauges turns the raw readings of a timer record into Gauges, by their names.
+// ParseGauges decodes the gauges of a timer record; names are those of ParseSettings.
 func ParseGauges(raw []byte, names []string) kiteslip.Gauges {
 	values := make([]float32, 0, 8)
 	for ; len(raw) >= 4; raw = raw[4:] {
@@ -193,7 +194,8 @@
 	return GaugesFromValues(values, names)
 }
 
-// GaugesFromValues sorts readings by the names that the settings give to their places.
+// GaugesFromValues assigns values to gauges; names has the gauge of each index. Unknown
+// names are ignored.
 func GaugesFromValues(values []float32, names []string) kiteslip.Gauges {
 	g := kiteslip.Gauges{}
 	for i, name := range names {
@@ -216,73 +218,73 @@
 	return g
 }
 
-// Reply collects the actions of one batch.
+// Reply is the frame of the actions for one batch. Reset must be called before Add.
 type Reply struct{ b []byte }
 
 // Reset empties the reply.
 func (r *Reply) Reset() { r.b = append(r.b[:0], 0, 0, 0, 0) }
 
-// Bytes returns the finished frame, valid until Reset.
+// Bytes returns the complete frame, valid until Reset.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.b, uint32(len(r.b)-4))
 	return r.b
 }
 
-func flag(on bool) byte {
+func boolByte(on bool) byte {
 	if on {
 		return 1
 	}
 	return 0
 }
 
-// clip fits a duration into the u32 of the wire.
-func clip(v int64) uint32 { return uint32(max(0, min(v, math.MaxUint32))) }
+// clampU32 limits a duration to the range of uint32.
+func clampU32(v int64) uint32 { return uint32(max(0, min(v, math.MaxUint32))) }
 
-// Add writes one action of an instance.
+// Add appends one action of an instance.
 func (r *Reply) Add(instance uint16, a *kiteslip.Action) error {
 	le := binary.LittleEndian
 	open := func(code byte) { r.b = le.AppendUint16(append(r.b, code), instance) }
-	named := func(code byte) { open(code); r.b = le.AppendUint32(r.b, uint32(a.ID)) }
+	withID := func(code byte) { open(code); r.b = le.AppendUint32(r.b, uint32(a.ID)) }
 	switch a.Kind {
 	case kiteslip.SetTimer:
 		open(65)
-		r.b = le.AppendUint64(le.AppendUint32(r.b, clip(a.After)), a.Token)
+		r.b = le.AppendUint64(le.AppendUint32(r.b, clampU32(a.After)), a.Token)
 	case kiteslip.Run:
-		named(66)
+		withID(66)
 	case kiteslip.Call:
-		named(67)
-		r.b = le.AppendUint32(r.b, clip(a.After))
+		withID(67)
+		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Log:
 		open(68)
 		text := a.Text[:min(len(a.Text), math.MaxUint16)]
 		r.b = append(le.AppendUint16(r.b, uint16(len(text))), text...)
 	case kiteslip.Health:
 		open(69)
-		r.b = append(r.b, flag(a.On), flag(a.Cached))
+		r.b = append(r.b, boolByte(a.On), boolByte(a.Cached))
 	case kiteslip.SetIdleTimeout:
 		open(70)
-		r.b = le.AppendUint32(r.b, clip(a.After))
+		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Halt:
-		named(71)
+		withID(71)
 	case kiteslip.SetLoadSignal:
 		open(72)
 		r.b = le.AppendUint32(r.b, math.Float32bits(float32(a.Value)))
 	case kiteslip.Reuse:
-		named(73)
+		withID(73)
 	case kiteslip.Forget:
-		named(74)
+		withID(74)
 	case kiteslip.Retain:
-		named(75)
-		r.b = le.AppendUint32(r.b, clip(a.After))
+		withID(75)
+		r.b = le.AppendUint32(r.b, clampU32(a.After))
 	case kiteslip.Fail:
-		named(76)
+		withID(76)
 	case kiteslip.Skip:
-		named(77)
+		withID(77)
 	case kiteslip.Refuse:
-		named(79)
-		r.b = append(le.AppendUint32(r.b, clip(a.After)), flag(a.On))
+		withID(79)
+		r.b = append(le.AppendUint32(r.b, clampU32(a.After)), boolByte(a.On))
 	default:
-		return fmt.Errorf("action kind %d has no code on the wire", a.Kind)
+		return fmt.Errorf("action kind %d has no code in the protocol", a.Kind)
 	}
 	return nil
 }
