--- a/internal/server/enter_test.go
+++ b/internal/server/accept_test.go
@@ -10,7 +10,7 @@
 
 // Connections that come while the loop is busy are all taken out of the
 // system's queue meanwhile, and handed over together: none waits for another.
-func TestConnectionsEnterTogether(t *testing.T) {
+func TestConnectionsAreAcceptedWhileLoopIsBusy(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(0))
 	r := start(t, engine.Address, "", "")
@@ -21,7 +21,7 @@
 	<-busy
 	var all []*standin.Caller
 	for i := range callers {
-		c := standin.Dial(t, r.frames)
+		c := standin.Dial(t, r.framesAddr)
 		c.Send(1, standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
 		all = append(all, c)
 	}
@@ -36,7 +36,7 @@
 	opened := make(chan int, 1)
 	close(release)
 	// What is handed over comes before other tasks: a task of the next turn sees all.
-	r.onLoop(func() { r.onLoop(func() { r.onLoop(func() { opened <- len(r.sessions) }) }) })
+	r.onLoop(func() { r.onLoop(func() { r.onLoop(func() { opened <- len(r.conns) }) }) })
 	if n := <-opened; n < callers {
 		t.Errorf("%d of %d connections are open after the busy turn", n, callers)
 	}
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	adminPlaces = 32         // connections at the admin endpoint, besides those of callers
-	adminLine   = 10_000_000 // for the line to come
-	adminLinger = 1_000_000  // for the caller to close after its answer
+	maxAdminConns         = 32         // connections at the admin endpoint, besides those of callers
+	adminRequestTimeoutUS = 10_000_000 // for the line to come
+	adminLingerUS         = 1_000_000  // for the caller to close after its answer
 )
 
 // adminConn is one connection at the admin endpoint: a line, an answer, the end.
 type adminConn struct {
-	s        *Server
-	conn     gnet.Conn
-	openedAt int64
-	endAt    int64 // when it is closed by us
-	answered bool
-	shut     bool // our side is closed
-	gone     bool
+	s            *Server
+	conn         gnet.Conn
+	openedAt     int64
+	deadline     int64 // when it is closed by us
+	answered     bool
+	writeShut    bool // our side is closed
+	disconnected bool
 }
 
 func newAdminConn(s *Server) *adminConn { return &adminConn{s: s} }
@@ -33,24 +33,24 @@
 func (d *adminConn) opened(c gnet.Conn) {
 	d.conn = c
 	d.openedAt = now()
-	d.endAt = d.openedAt + adminLine
+	d.deadline = d.openedAt + adminRequestTimeoutUS
 	if len(d.s.adminSlots) < cap(d.s.adminSlots) {
 		return
 	}
 	var oldest *adminConn
-	for h := range d.s.sessions {
+	for h := range d.s.conns {
 		if o, ok := h.(*adminConn); ok && o != d && (oldest == nil || o.answered && !oldest.answered ||
 			o.answered == oldest.answered && o.openedAt < oldest.openedAt) {
 			oldest = o
 		}
 	}
 	if oldest != nil {
-		hangUp(oldest.conn)
+		closeNow(oldest.conn)
 	}
 }
 
 func (d *adminConn) closed() {
-	d.gone = true
+	d.disconnected = true
 	<-d.s.adminSlots
 }
 
@@ -69,21 +69,21 @@
 	if err != nil {
 		answer = ops.ErrorReply(err.Error())
 	} else {
-		answer = d.s.operate(line)
+		answer = d.s.runAdminCommand(line)
 	}
-	d.answered, d.endAt = true, now()+adminLinger
+	d.answered, d.deadline = true, now()+adminLingerUS
 	if _, err := d.conn.Write(answer); err == nil {
-		d.settle()
+		d.shutWhenDone()
 	}
 	return len(b), nil
 }
 
-// settle shuts our side once the answer has gone out.
-func (d *adminConn) settle() {
-	if d.answered && !d.shut && !d.gone && d.conn.OutboundBuffered() == 0 {
-		d.shut = true
+// shutWhenDone shuts our side once the answer has gone out.
+func (d *adminConn) shutWhenDone() {
+	if d.answered && !d.writeShut && !d.disconnected && d.conn.OutboundBuffered() == 0 {
+		d.writeShut = true
 		if err := unix.Shutdown(d.conn.Fd(), unix.SHUT_WR); err != nil {
-			hangUp(d.conn)
+			closeNow(d.conn)
 		}
 	}
 }
@@ -93,37 +93,37 @@
 
 // expire closes what has had its time.
 func (d *adminConn) expire(t int64) {
-	if t >= d.endAt {
-		hangUp(d.conn)
+	if t >= d.deadline {
+		closeNow(d.conn)
 		return
 	}
-	d.settle()
+	d.shutWhenDone()
 }
 
-// operate carries out one call at the door.
-func (s *Server) operate(line []byte) []byte {
+// runAdminCommand carries out one call at the door.
+func (s *Server) runAdminCommand(line []byte) []byte {
 	call, err := ops.Parse(line)
 	if err != nil {
 		return ops.ErrorReply(err.Error())
 	}
 	switch call {
 	case ops.ShowStat:
-		f := s.figures()
+		f := s.metrics()
 		return ops.StatReply(f.Append(nil))
 	case ops.ShowVersion:
 		return s.showVersion()
 	case ops.Drain:
-		s.withdraw(true)
+		s.setWithdrawn(true)
 		return ops.DoneReply("drain")
 	case ops.Resume:
-		if s.stopAt != 0 {
+		if s.killAt != 0 {
 			return ops.ErrorReply("stopping: nothing takes back the notice to leave")
 		}
-		s.withdraw(false)
+		s.setWithdrawn(false)
 		return ops.DoneReply("resume")
 	}
 	switch {
-	case s.stopAt != 0:
+	case s.killAt != 0:
 		return ops.ErrorReply("stopping")
 	case s.core.Withdrawn():
 		return ops.ErrorReply("draining")
@@ -133,20 +133,20 @@
 	return ops.DoneReply("ready")
 }
 
-// withdraw takes the server off the callers' list, or puts it back. Nothing
+// setWithdrawn takes the server off the callers' list, or puts it back. Nothing
 // that runs or still comes is touched.
-func (s *Server) withdraw(on bool) {
+func (s *Server) setWithdrawn(on bool) {
 	if s.core.Withdrawn() != on {
 		s.log.Info("operator", zap.Bool("drain", on))
 		s.core.SetWithdrawn(on)
-		s.reportAt = 0
-		s.schedule()
+		s.nextReportAt = 0
+		s.scheduleIteration()
 	}
 }
 
-// figures gathers what is counted where each event ends.
-func (s *Server) figures() metrics.Snapshot {
-	f := metrics.Snapshot{Tries: s.link.Tries() + s.called, Active: s.core.Outstanding(), ConfigsApplied: s.applied, ConfigsRejected: s.rejected}
+// metrics gathers what is counted where each event ends.
+func (s *Server) metrics() metrics.Snapshot {
+	f := metrics.Snapshot{Tries: s.link.Tries() + s.backendCalls, Active: s.core.Outstanding(), ConfigsApplied: s.reloadsApplied, ConfigsRejected: s.reloadsRejected}
 	for i, n := range s.core.AnswersByClass() {
 		f.Classes = append(f.Classes, metrics.Class{Name: s.cfg.Classes[i], OK: n.Served, Shed: n.Refused, Errors: n.Failed})
 	}
@@ -154,15 +154,15 @@
 		f.Pools = append(f.Pools, metrics.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Guaranteed: p.Guaranteed,
 			Borrowed: p.Borrowed, Lent: p.Lent, MaxQueued: p.MaxQueued, SavedRuns: p.SavedRuns, Refused: p.Refused, BookedKB: int(p.BookedKB), HasCheapest: p.HasCheapest})
 	}
-	f.RejectedBy = s.rejects.Counts()
-	f.Ledger = s.ledgerFigures()
-	f.Control = s.controlFigures()
+	f.RejectedBy = s.rejections.Counts()
+	f.Ledger = s.ledgerMetrics()
+	f.Control = s.controlMetrics()
 	if w := s.keys.worker; w != nil {
 		k := w.Stats()
-		f.Keys = &metrics.Keys{Restored: s.keys.restored, UnknownOutcome: s.keys.unknown, Commits: int(k.Commits), Records: int(k.Operations),
+		f.Keys = &metrics.Keys{Restored: s.keys.restored, UnknownOutcome: s.keys.unknownOutcome, Commits: int(k.Commits), Records: int(k.Operations),
 			Errors: int(k.Errors), MaxCommitMS: int(k.MaxCommitUS / 1000), Waiting: k.Waiting, DiskKB: int(k.DiskBytes / 1024),
 			UnrecordedRuns: s.core.UnrecordedRuns()}
-	} else if s.keys.failed != nil {
+	} else if s.keys.openErr != nil {
 		f.Keys = &metrics.Keys{Errors: 1}
 	}
 	return f
--- a/internal/server/closing_test.go
+++ b/internal/server/conn_close_test.go
@@ -17,16 +17,16 @@
 // How connections end, the crossings of it: docs/design/crossings.md lists them.
 // The order that does harm is forced by holding the loop or a peer.
 
-// rest takes the frames that still come until the end of the connection.
-func rest(c *standin.Caller) (all []standin.Reply) {
+// readAll takes the frames that still come until the end of the connection.
+func readAll(c *standin.Caller) (all []standin.Reply) {
 	for got, ok := c.Next(); ok; got, ok = c.Next() {
 		all = append(all, got)
 	}
 	return all
 }
 
-// count counts answers by their code, and how many other frames there are.
-func count(all []standin.Reply) (served, refused, failed, others int) {
+// countByCode counts answers by their code, and how many other frames there are.
+func countByCode(all []standin.Reply) (served, refused, failed, others int) {
 	for _, r := range all {
 		switch {
 		case r.Type != frame.Answer || r.Stream == 0:
@@ -42,11 +42,11 @@
 	return
 }
 
-// callers is how many callers' connections there are.
-func (r *running) callers() int {
+// frameConnCount is how many callers' connections there are.
+func (r *testServer) frameConnCount() int {
 	n := 0
-	for h := range r.sessions {
-		if _, ok := h.(*session); ok {
+	for h := range r.conns {
+		if _, ok := h.(*frameConn); ok {
 			n++
 		}
 	}
@@ -55,7 +55,7 @@
 
 // A frame that cannot be told apart ends what is taken on a connection, and
 // costs the requests before it nothing.
-func TestFaultyFrameCostsNoOtherAnswer(t *testing.T) {
+func TestMalformedFrameKeepsEarlierAnswers(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(100*time.Millisecond))
 	r := start(t, engine.Address, "", "")
@@ -66,13 +66,13 @@
 		"request on 0":    frame.AppendRequest(nil, 0, standin.Fields("look", "red", "", 1, time.Second), nil),
 		"malformed check": append(frame.AppendHeader(nil, frame.HealthCheck, 9, 1), 9),
 	} {
-		c := standin.Dial(t, r.frames)
+		c := standin.Dial(t, r.framesAddr)
 		for i := range uint32(3) {
 			c.Send(i+1, standin.Fields("look", "red", "", uint64(len(what))<<8+uint64(i), 3*time.Second), "b")
 		}
 		c.Write(bad)
 		c.Send(10, standin.Fields("look", "red", "", uint64(len(what))<<8+10, 3*time.Second), "after")
-		if served, _, _, others := count(rest(c)); served != 3 || others != 1 {
+		if served, _, _, others := countByCode(readAll(c)); served != 3 || others != 1 {
 			t.Errorf("%s: %d of 3 served, %d other frames, want one error on stream 0", what, served, others)
 		}
 	}
@@ -88,32 +88,32 @@
 	engine := standin.NewEngine(t, standin.Echo(100*time.Millisecond))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	for i := range uint32(5) {
 		c.Send(i+1, standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
 	}
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if served, _, _, _ := count(rest(c)); served != 5 {
+	if served, _, _, _ := countByCode(readAll(c)); served != 5 {
 		t.Errorf("%d of 5 served", served)
 	}
-	r.eventually(t, "its place is free", func() bool { return r.callers() == 0 && len(r.slots) == len(r.listeners) })
+	r.eventually(t, "its place is free", func() bool { return r.frameConnCount() == 0 && len(r.slots) == len(r.listeners) })
 }
 
 // A caller that has closed, with requests open, is known to be gone long before
 // these are over, with whatever it left unread.
-func TestClosedCallerIsGone(t *testing.T) {
+func TestClosedCallerIsDetected(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(5*time.Second))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
 	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
 	c.Conn.Close()
 	began := time.Now()
-	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Disconnected == 1 && r.callers() == 0 })
+	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Disconnected == 1 && r.frameConnCount() == 0 })
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("that took %v", took)
 	}
@@ -121,54 +121,54 @@
 
 // A request that arrives in the moment in which its connection is to be closed
 // as idle is taken in and answered first.
-func TestRequestCrossesTheCloseOfAnIdleConnection(t *testing.T) {
+func TestRequestRacesIdleClose(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Fatalf("%+v", got)
 	}
-	s := r.session(t)
-	r.look(func() { // the loop reads nothing meanwhile
-		s.goAway()
+	s := r.onlyFrameConn(t)
+	r.onLoopWait(func() { // the loop reads nothing meanwhile
+		s.sendGoAway()
 		s.flush()
 		c.Send(2, standin.Fields("look", "red", "", 2, 3*time.Second), "b")
-		for !unread(s.conn) {
+		for !hasUnread(s.conn) {
 			time.Sleep(time.Millisecond)
 		}
-		s.awayAt, s.usedAt = now()-2*awayLinger, now()-2*awayLinger
-		r.reapAt = 0
+		s.goAwayAt, s.lastUsedAt = now()-2*goAwayLingerUS, now()-2*goAwayLingerUS
+		r.nextReapAt = 0
 		r.reapIdle(now())
 	})
-	if served, _, _, _ := count(rest(c)); served != 1 {
+	if served, _, _, _ := countByCode(readAll(c)); served != 1 {
 		t.Errorf("%d of 1 served", served)
 	}
 }
 
 // A request that crosses the end of our side is not run: its caller, which was
 // told, sends it again elsewhere. And nothing resets what was sent before.
-func TestRequestCrossesTheEndOfOurSide(t *testing.T) {
+func TestRequestRacesWriteShutdown(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	conn, err := net.Dial("tcp", r.frames)
+	conn, err := net.Dial("tcp", r.framesAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	s := r.session(t)
+	s := r.onlyFrameConn(t)
 	conn.Write(frame.AppendRequest(nil, 1, standin.Fields("look", "red", "", 1, 3*time.Second), []byte("first"))) //nolint:errcheck // seen below
-	r.eventually(t, "it is answered", func() bool { return s.served && len(s.open) == 0 && s.unsent() == 0 })
-	r.look(func() {
-		s.away, s.awayAt, s.usedAt = true, now()-2*awayLinger, now()-2*awayLinger
-		r.reapAt = 0
+	r.eventually(t, "it is answered", func() bool { return s.answered && len(s.openRequests) == 0 && s.unsent() == 0 })
+	r.onLoopWait(func() {
+		s.goAwaySent, s.goAwayAt, s.lastUsedAt = true, now()-2*goAwayLingerUS, now()-2*goAwayLingerUS
+		r.nextReapAt = 0
 		r.reapIdle(now())
 		conn.Write(frame.AppendRequest(nil, 2, standin.Fields("look", "red", "", 2, 3*time.Second), []byte("crosses"))) //nolint:errcheck // it crosses
-		for i := 0; i < 100 && s.conn != nil && !s.gone && !unread(s.conn); i++ {
+		for i := 0; i < 100 && s.conn != nil && !s.disconnected && !hasUnread(s.conn); i++ {
 			time.Sleep(time.Millisecond)
 		}
 	})
@@ -188,7 +188,7 @@
 	engine := standin.NewEngine(t, standin.Echo(2*time.Second))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
 	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
 	if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -197,12 +197,12 @@
 	if err := c.Conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		t.Fatal(err)
 	}
-	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Disconnected == 1 && r.callers() == 0 })
+	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Disconnected == 1 && r.frameConnCount() == 0 })
 }
 
 // Checks, cancels, requests of unknown classes, new connections and half frames
 // by the thousand cost a working caller little, and what they take has a bound.
-func TestFloodsBesideWork(t *testing.T) {
+func TestFloodsDoNotStarveCallers(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
@@ -224,7 +224,7 @@
 		}()
 	}
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", r.frames)
+		c, err := net.Dial("tcp", r.framesAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -242,12 +242,12 @@
 		unknown.Write(frame.AppendRequest(nil, i, standin.Fields("none", "red", "", 1<<40+uint64(i), time.Second), nil))
 	}) //nolint:errcheck // a flood
 	flood(func(i uint32) {
-		if c, err := net.Dial("tcp", r.frames); err == nil {
+		if c, err := net.Dial("tcp", r.framesAddr); err == nil {
 			c.Write([]byte{0, 0, 1, 0, 65}[:1+i%5]) //nolint:errcheck // a flood
 			c.Close()
 		}
 	})
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	slowest := time.Duration(0)
 	for i := range uint32(100) {
 		began := time.Now()
@@ -262,38 +262,38 @@
 	if slowest > 2*time.Second {
 		t.Errorf("the slowest of 100 took %v", slowest)
 	}
-	r.look(func() {
-		if len(r.checks) > checksMost || r.buffered > r.cfg.Limits.MemoryMB<<20/heldDivisor {
-			t.Errorf("%d checks wait, %d bytes are held", len(r.checks), r.buffered)
+	r.onLoopWait(func() {
+		if len(r.pendingChecks) > maxPendingChecks || r.partialBytes > r.cfg.Limits.MemoryMB<<20/partialMemoryDivisor {
+			t.Errorf("%d checks wait, %d bytes are held", len(r.pendingChecks), r.partialBytes)
 		}
 	})
 }
 
 // A connection that is to end while its caller takes nothing more ends all the
 // same: what is owed on it has a time to go out.
-func TestEndOfACallerThatTakesNothing(t *testing.T) {
+func TestCloseOfNonReadingCaller(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	cfg := platform(t, engine.Address, "")
+	cfg := platformConfig(t, engine.Address, "")
 	for i := range cfg.Policy.Classes {
 		cfg.Policy.Classes[i].Timeout = 200_000
 	}
 	r := launch(t, cfg)
 	result := make([]byte, frame.MaxResult)
 	for _, how := range []string{"a bad frame", "its side ended", "idle"} {
-		conn, err := net.Dial("tcp", r.frames)
+		conn, err := net.Dial("tcp", r.framesAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close() // it never reads
-		s := r.session(t)
-		r.look(func() {
-			for s.unsent() == 0 && !s.gone {
-				s.put(frame.Answer, 0, frame.Failed, nil, result)
+		s := r.onlyFrameConn(t)
+		r.onLoopWait(func() {
+			for s.unsent() == 0 && !s.disconnected {
+				s.queueAnswer(frame.Answer, 0, frame.Failed, nil, result)
 				s.flush()
 			}
 			if how == "idle" {
-				s.part(now())
+				s.closeGracefully(now())
 			}
 		})
 		switch how {
@@ -302,32 +302,32 @@
 		case "its side ended":
 			conn.(*net.TCPConn).CloseWrite() //nolint:errcheck // seen below
 		}
-		r.eventually(t, how+": it ends", func() bool { return s.gone && r.callers() == 0 })
+		r.eventually(t, how+": it ends", func() bool { return s.disconnected && r.frameConnCount() == 0 })
 	}
 }
 
 // Bytes behind a uwsgi request wait unread when its answer goes out: the answer
 // arrives, and the end of the connection after it, not a reset.
-func TestBytesBehindAWebRequest(t *testing.T) {
+func TestTrailingBytesAfterUWSGIRequest(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(2*time.Second))
 	r := start(t, engine.Address, "", "[uwsgi]\nlisten = \"127.0.0.1:0\"\n")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	conn, err := net.Dial("tcp", r.web)
+	conn, err := net.Dial("tcp", r.uwsgiAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.Write(standin.Packet(t, standin.Vars("look", "red", "", 3*time.Second), "b")) //nolint:errcheck // seen below
 	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
-	r.look(func() {
-		for h := range r.sessions {
-			f, ok := h.(*webSession)
+	r.onLoopWait(func() {
+		for h := range r.conns {
+			f, ok := h.(*uwsgiConn)
 			if !ok {
 				continue
 			}
 			conn.Write([]byte("more")) //nolint:errcheck // seen in the next line
-			for !unread(f.conn) {
+			for !hasUnread(f.conn) {
 				time.Sleep(time.Millisecond)
 			}
 			f.Answer(1, core.Answer{Code: core.Served, Result: []byte("the answer")})
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -9,55 +9,55 @@
 	"kiteslip/internal/ops"
 )
 
-// partingMost is how long the end of the process waits for the follower's: its
+// followerExitTimeout is how long the end of the process waits for the follower's: its
 // last word was said at the notice to leave, and the file it writes is replaced
 // as a whole, so that nothing is lost with it.
-const partingMost = 100 * time.Millisecond
+const followerExitTimeout = 100 * time.Millisecond
 
 // control is what a server has of the fleet's versions: a follower that runs
 // beside the loop. Without one there is no goroutine, and nothing on the loop asks for it.
 type control struct {
 	follower *follow.Follower
-	end      context.CancelFunc
-	ended    chan struct{}
+	cancel   context.CancelFunc
+	done     chan struct{}
 }
 
 // Follow has the server take over the versions that f brings, from Serve on until
 // the notice to leave. The server was made with the document that f.First returned.
 func (s *Server) Follow(f *follow.Follower) { s.control.follower = f }
 
-// beginFollowing runs the follower beside the loop.
-func (s *Server) beginFollowing() {
+// startFollower runs the follower beside the loop.
+func (s *Server) startFollower() {
 	c := &s.control
 	if c.follower == nil {
 		return
 	}
-	ctx, end := context.WithCancel(s.life)
-	c.end, c.ended = end, make(chan struct{})
+	ctx, end := context.WithCancel(s.runCtx)
+	c.cancel, c.done = end, make(chan struct{})
 	go func() {
-		defer close(c.ended)
-		c.follower.Run(ctx, s.takeVersion)
+		defer close(c.done)
+		c.follower.Run(ctx, s.applyVersion)
 	}()
 }
 
-// endFollowing takes no version from here on, and has the follower say that the
+// stopFollower takes no version from here on, and has the follower say that the
 // server leaves.
-func (s *Server) endFollowing() {
-	if s.control.end != nil {
-		s.control.end()
+func (s *Server) stopFollower() {
+	if s.control.cancel != nil {
+		s.control.cancel()
 	}
 }
 
-// parted waits for the follower's end, for a moment.
-func (c *control) parted() {
-	if c.end == nil {
+// waitForFollower waits for the follower's end, for a moment.
+func (c *control) waitForFollower() {
+	if c.cancel == nil {
 		return
 	}
-	c.end()
-	late := time.NewTimer(partingMost)
+	c.cancel()
+	late := time.NewTimer(followerExitTimeout)
 	defer late.Stop()
 	select {
-	case <-c.ended:
+	case <-c.done:
 	case <-late.C:
 	}
 }
@@ -73,8 +73,8 @@
 		Snapshots: st.Snapshots, Switches: st.Switches, SentBytes: st.SentBytes, ReceivedBytes: st.ReceivedBytes})
 }
 
-// controlFigures are those of the version in force; nil = control is off.
-func (s *Server) controlFigures() *metrics.Control {
+// controlMetrics are those of the version in force; nil = control is off.
+func (s *Server) controlMetrics() *metrics.Control {
 	if s.control.follower == nil {
 		return nil
 	}
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -16,36 +16,36 @@
 	"kiteslip/internal/wire"
 )
 
-// check is a deep health check that waits for the engine.
-type check struct {
-	from   *session
-	stream uint32
-	until  int64
+// pendingCheck is a deep health check that waits for the engine.
+type pendingCheck struct {
+	conn     *frameConn
+	stream   uint32
+	deadline int64
 }
 
-// reach starts the search for the engine at the address that holds now. A
+// connectEngine starts the search for the engine at the address that holds now. A
 // search that is still under way for another address ends.
-func (s *Server) reach() {
+func (s *Server) connectEngine() {
 	if s.cfg.Engine != "" {
-		go s.dial(s.dials.Add(1), s.cfg.Engine)
+		go s.dialEngine(s.engineDialID.Add(1), s.cfg.Engine)
 	}
 }
 
-// dial tries to reach the engine until a link stands or another search begins.
+// dialEngine tries to reach the engine until a link stands or another search begins.
 // Guards both ends against links that break as soon as they stand: however a
 // search comes about, tries lie apart.
-func (s *Server) dial(search int64, address string) {
-	for !s.over.Load() && s.dials.Load() == search {
+func (s *Server) dialEngine(search int64, address string) {
+	for !s.ended.Load() && s.engineDialID.Load() == search {
 		t := now()
-		if last := s.dialedAt.Swap(t); t-last < redial {
-			time.Sleep(time.Duration(redial-(t-last)) * time.Microsecond)
-			s.dialedAt.Store(now())
+		if last := s.engineDialedAt.Swap(t); t-last < engineRedialIntervalUS {
+			time.Sleep(time.Duration(engineRedialIntervalUS-(t-last)) * time.Microsecond)
+			s.engineDialedAt.Store(now())
 		}
-		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(dialMost))
+		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(engineDialTimeout))
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		cancel()
 		if err == nil {
-			if _, err = s.client.EnrollContext(c, &engineConn{s: s, search: search}); err == nil {
+			if _, err = s.client.EnrollContext(c, &engineConn{s: s, dialID: search}); err == nil {
 				return
 			}
 		}
@@ -56,7 +56,7 @@
 // Run starts a request where its class is served.
 func (s *Server) Run(r *core.Request) {
 	if backend := s.cfg.Backends[r.Class]; backend != "" {
-		s.call(backend, r)
+		s.callBackend(backend, r)
 		return
 	}
 	s.link.Run(r)
@@ -85,21 +85,21 @@
 
 // Tested takes in the end of a deep health check's work.
 func (s *Server) Tested(tag string, ok bool) {
-	if c, waits := s.checks[tag]; waits {
-		delete(s.checks, tag)
-		c.from.checks--
+	if c, waits := s.pendingChecks[tag]; waits {
+		delete(s.pendingChecks, tag)
+		c.conn.pendingChecks--
 		good, _ := s.health()
-		c.from.verdict(c.stream, ok && good)
+		c.conn.answerHealth(c.stream, ok && good)
 	}
 }
 
 // engineConn is the connection to the engine.
 type engineConn struct {
-	s      *Server
-	conn   gnet.Conn
-	search int64 // that found it
-	out    [][]byte
-	gone   bool
+	s            *Server
+	conn         gnet.Conn
+	dialID       int64 // that found it
+	out          [][]byte
+	disconnected bool
 }
 
 // opened takes the connection into use in place of the one before, which the
@@ -108,26 +108,26 @@
 	e.conn = c
 	// Guards against a link that goes quiet without a word: what the other end's system has not acknowledged for as
 	// long as any request may last ends it. Not every system has this; without it the link is as before.
-	unix.SetsockoptInt(c.Fd(), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(e.s.longest()/1000)) //nolint:errcheck // see above
-	if e.search != e.s.dials.Load() {
-		e.s.onLoop(e.hangUp) // the engine has moved meanwhile
+	unix.SetsockoptInt(c.Fd(), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(e.s.maxRequestTimeUS()/1000)) //nolint:errcheck // see above
+	if e.dialID != e.s.engineDialID.Load() {
+		e.s.onLoop(e.closeNow) // the engine has moved meanwhile
 		return
 	}
 	old := e.s.engine
 	if old != nil {
 		old.flush()
-		e.s.lost()
+		e.s.engineLinkLost()
 	}
 	e.s.engine = e
 	e.s.link.Attach(e.send)
 	if old != nil {
-		old.hangUp()
+		old.closeNow()
 	}
 }
 
-func (e *engineConn) hangUp() {
-	if !e.gone {
-		hangUp(e.conn)
+func (e *engineConn) closeNow() {
+	if !e.disconnected {
+		closeNow(e.conn)
 	}
 }
 
@@ -147,41 +147,41 @@
 }
 
 func (e *engineConn) closed() {
-	e.gone = true
+	e.disconnected = true
 	if e.s.engine != e {
 		return
 	}
 	e.s.engine = nil
-	e.s.lost()
-	if !e.s.over.Load() {
-		if t := now(); t-e.s.goneAt >= goneEvery { // one that breaks again and again says so once in a while
-			e.s.goneAt = t
+	e.s.engineLinkLost()
+	if !e.s.ended.Load() {
+		if t := now(); t-e.s.linkLossLoggedAt >= linkLossLogIntervalUS { // one that breaks again and again says so once in a while
+			e.s.linkLossLoggedAt = t
 			e.s.log.Warn("the link to the engine is gone", zap.Int("running", e.s.link.Running()))
 		}
-		e.s.reach()
+		e.s.connectEngine()
 	}
 }
 
-// lost takes in the end of the link in use; deep checks that wait for it fail.
-func (s *Server) lost() {
+// engineLinkLost takes in the end of the link in use; deep checks that wait for it fail.
+func (s *Server) engineLinkLost() {
 	s.link.ConnectionLost()
-	for tag := range s.checks {
+	for tag := range s.pendingChecks {
 		s.Tested(tag, false)
 	}
 }
 
 func (e *engineConn) send(parts ...[]byte) {
 	if len(e.out) == 0 {
-		e.s.dirty = append(e.s.dirty, e)
+		e.s.unflushed = append(e.s.unflushed, e)
 	}
 	e.out = append(e.out, parts...)
-	e.s.schedule()
+	e.s.scheduleIteration()
 }
 
 // flush writes what waits. Guards the descriptor of a closed connection, which
 // the system may have given to another one already.
 func (e *engineConn) flush() {
-	if !e.gone {
-		e.out = gather(e.conn, e.out)
+	if !e.disconnected {
+		e.out = writevAll(e.conn, e.out)
 	}
 }
--- a/internal/server/session_test.go
+++ b/internal/server/frame_conn_test.go
@@ -70,7 +70,7 @@
 	r.eventually(t, "the engine's link", r.link.Ready)
 	name := uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
-		c := standin.Dial(r.test, r.frames)
+		c := standin.Dial(r.test, r.framesAddr)
 		defer c.Conn.Close()
 		m := &model{legal: map[uint32][]byte{}, body: map[uint32]string{}}
 		cancelled := map[uint32]bool{}
@@ -87,7 +87,7 @@
 		}
 		bad := func(change func(f []frame.Field) []frame.Field) func(*rapid.T) {
 			return func(t *rapid.T) {
-				if m.faults++; m.faults >= faultsMost {
+				if m.faults++; m.faults >= maxMalformedInRow {
 					t.Skip("one more ends the connection")
 				}
 				request(change(fresh()), frame.Failed)
@@ -127,7 +127,7 @@
 		c.Write(out)
 		m.end(t, c, cancelled)
 	})
-	r.eventually(t, "all places are free", func() bool { return r.callers() == 0 && r.lingering == 0 })
+	r.eventually(t, "all places are free", func() bool { return r.frameConnCount() == 0 && r.closingConns == 0 })
 }
 
 // end ends the connection in one of the ways that there are, while answers are
@@ -185,7 +185,7 @@
 		"request on 0":    frame.AppendRequest(nil, 0, standin.Fields("look", "red", "", 1, time.Second), nil),
 		"malformed check": append(frame.AppendHeader(nil, frame.HealthCheck, 1, 1), 9),
 	} {
-		c := standin.Dial(t, r.frames)
+		c := standin.Dial(t, r.framesAddr)
 		c.Write(bytes)
 		if got, ok := c.Next(); !ok || got.Stream != 0 || got.Code != frame.Failed {
 			t.Errorf("%s: %+v", name, got)
@@ -194,7 +194,7 @@
 			t.Errorf("%s: the connection goes on with %+v", name, got)
 		}
 	}
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Write([]byte("\x00\x00\x00\x06\x41\x00\x00\x00\x07\xff"))
 	if got, _ := c.Next(); got.Stream != 7 || got.Code != frame.Failed {
 		t.Errorf("fields cut short: %+v", got)
@@ -202,7 +202,7 @@
 }
 
 // Large frames that never come whole are bounded over all connections.
-func TestHalfSentFramesAreBounded(t *testing.T) {
+func TestPartialFramesAreBounded(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
@@ -211,17 +211,17 @@
 	part[4] = frame.Request
 	var callers []*standin.Caller
 	for range 40 { // 10 MB against an eighth of 64 MB
-		c := standin.Dial(t, r.frames)
+		c := standin.Dial(t, r.framesAddr)
 		c.Write(part)
 		callers = append(callers, c)
 	}
 	r.eventually(t, "the memory is bounded", func() bool {
-		return len(r.sessions) < 40 && r.buffered <= r.cfg.Limits.MemoryMB<<20/heldDivisor+frame.MaxLength
+		return len(r.conns) < 40 && r.partialBytes <= r.cfg.Limits.MemoryMB<<20/partialMemoryDivisor+frame.MaxLength
 	})
 	for _, c := range callers {
 		c.Conn.Close()
 	}
-	r.eventually(t, "all is freed", func() bool { return r.buffered == 0 })
+	r.eventually(t, "all is freed", func() bool { return r.partialBytes == 0 })
 }
 
 // A caller that does not read is closed once too much waits for it.
@@ -230,16 +230,16 @@
 	result := make([]byte, frame.MaxResult)
 	engine := standin.NewEngine(t, func(string) standin.Work { return standin.Work{Result: string(result)} })
 	r := start(t, engine.Address, "", "")
-	c := standin.Dial(t, r.frames)
-	s := r.session(t)
+	c := standin.Dial(t, r.framesAddr)
+	s := r.onlyFrameConn(t)
 	// Fill the socket on the loop: the reader of the stand-in cannot run dry of it in between.
-	r.look(func() {
+	r.onLoopWait(func() {
 		for range 16_384 {
-			s.put(frame.Answer, 0, frame.Failed, nil, result)
+			s.queueAnswer(frame.Answer, 0, frame.Failed, nil, result)
 		}
 		s.flush()
 	})
-	r.eventually(t, "the connection is closed", func() bool { return s.gone })
+	r.eventually(t, "the connection is closed", func() bool { return s.disconnected })
 	for range c.Replies { //nolint:revive // until the end of the connection
 	}
 }
@@ -249,7 +249,7 @@
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(100*time.Millisecond))
 	r := start(t, engine.Address, "", "")
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	r.eventually(t, "the engine's link", r.link.Ready)
 	const tries = 24
 	for i := range tries {
@@ -282,15 +282,15 @@
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	deep := func(stream uint32) []byte {
 		return append(frame.AppendHeader(nil, frame.HealthCheck, stream, 1+3+4+1), "\x01\x04real\x00\x011"...)
 	}
 	for i, state := range []struct{ good, stored, asks bool }{{true, true, false}, {false, true, false}, {true, false, true}, {false, false, false}} {
 		asked := 0
-		r.look(func() {
+		r.onLoopWait(func() {
 			r.health = func() (bool, bool) { return state.good, state.stored }
-			asked = r.checkID
+			asked = r.lastCheckID
 		})
 		c.Write(append(deep(uint32(2*i+1)), deep(uint32(2*i+2))...)) // two at once keep their streams
 		seen := map[uint32]bool{}
@@ -304,8 +304,8 @@
 		if !seen[uint32(2*i+1)] || !seen[uint32(2*i+2)] {
 			t.Errorf("%+v: streams %v", state, seen)
 		}
-		r.look(func() {
-			if asks := r.checkID > asked; asks != state.asks {
+		r.onLoopWait(func() {
+			if asks := r.lastCheckID > asked; asks != state.asks {
 				t.Errorf("%+v: the engine was asked: %v", state, asks)
 			}
 		})
@@ -313,11 +313,11 @@
 }
 
 // Where the module wants idle connections closed, callers are asked to.
-func TestIdleConnectionsAreSentAway(t *testing.T) {
+func TestIdleConnectionsGetGoAway(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
-	used := standin.Dial(t, r.frames)
+	used := standin.Dial(t, r.framesAddr)
 	used.Send(1, standin.Fields("look", "red", "", 1, time.Second), "b")
 	if got, _ := used.Next(); got.Code != frame.Served {
 		t.Fatalf("%+v", got)
@@ -338,9 +338,9 @@
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	r.look(func() { r.drain("a test", now()) })
-	r.eventually(t, "GOAWAY", func() bool { return r.away })
-	c := standin.Dial(t, r.frames)
+	r.onLoopWait(func() { r.beginShutdown("a test", now()) })
+	r.eventually(t, "GOAWAY", func() bool { return r.goAwaySent })
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "b")
 	answered := false
 	for got, ok := c.Next(); ok; got, ok = c.Next() {
@@ -350,7 +350,7 @@
 		t.Error("the caller that came late got no answer")
 	}
 	select {
-	case err := <-r.end:
+	case err := <-r.serveErr:
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/server/fronts_test.go
+++ b/internal/server/frontends_test.go
@@ -19,8 +19,8 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// operator sets up the second front; classes go to the engine, or to the backend given.
-func operator(backend string) string {
+// operatorTOML sets up the second front; classes go to the engine, or to the backend given.
+func operatorTOML(backend string) string {
 	if backend != "" {
 		backend = fmt.Sprintf("backend = %q", backend)
 	}
@@ -112,14 +112,14 @@
 }
 
 // play sends the traffic and returns what became of each try.
-func play(t *testing.T, r *running, web bool) []result {
+func play(t *testing.T, r *testServer, web bool) []result {
 	tries := traffic()
 	results := make([]result, len(tries))
 	began := make([]time.Time, len(tries))
 	var wait sync.WaitGroup
 	var caller *standin.Caller
 	if !web {
-		caller = standin.Dial(t, r.frames)
+		caller = standin.Dial(t, r.framesAddr)
 	}
 	origin := time.Now()
 	for i, try := range tries {
@@ -132,7 +132,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			reply := standin.Post(r.web, standin.Packet(t, standin.Vars(try.class, "red", try.key, try.timeout), try.body))
+			reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars(try.class, "red", try.key, try.timeout), try.body))
 			results[i] = result{outcome(reply), reply.Body, reply.At.Sub(began[i])}
 		}()
 	}
@@ -198,7 +198,7 @@
 // The same traffic on each path gives the same outcomes every time. Its timing
 // is compared up to three times, for a machine that is busy with other things:
 // a difference that the program makes is there each time.
-func TestFrontsAgree(t *testing.T) {
+func TestFrontendsAgree(t *testing.T) {
 	var late []string
 	for range 3 {
 		results := playAll(t)
@@ -233,7 +233,7 @@
 		if path.backend {
 			address, ran = backend.Address, backend.Runs
 		}
-		r := start(t, engine.Address, "", operator(address))
+		r := start(t, engine.Address, "", operatorTOML(address))
 		r.eventually(t, "the engine's link", r.link.Ready)
 		wait.Add(1)
 		go func() {
@@ -261,7 +261,7 @@
 }
 
 // The comparisons themselves must be able to fail.
-func TestDifferencesAreSeen(t *testing.T) {
+func TestComparisonsDetectDifferences(t *testing.T) {
 	var a []result
 	for range traffic() {
 		a = append(a, result{"served", "x", 10 * time.Millisecond})
@@ -282,10 +282,10 @@
 	}
 }
 
-func TestWebStatuses(t *testing.T) {
+func TestUWSGIStatuses(t *testing.T) {
 	t.Parallel()
 	backend := standin.NewBackend(t, work)
-	r := start(t, "127.0.0.1:1", "", operator(backend.Address))
+	r := start(t, "127.0.0.1:1", "", operatorTOML(backend.Address))
 	vars := func(class, key string, timeout time.Duration) []uwsgi.Var {
 		return standin.Vars(class, "red", key, timeout)
 	}
@@ -316,7 +316,7 @@
 		{"far too large", packet(vars("look", "", second), strings.Repeat("x", 1<<20)), 413},
 		{"too slow", packet(vars("look", "", second), "quick")[:30], 408},
 	} {
-		reply := standin.Post(r.web, c.packet)
+		reply := standin.Post(r.uwsgiAddr, c.packet)
 		if reply.Status != c.status {
 			t.Errorf("%s: status %d %q, want %d", c.name, reply.Status, reply.Body, c.status)
 		}
@@ -327,18 +327,18 @@
 }
 
 // A uwsgi server that was never reached has run nothing: refused, not failed.
-func TestUnreachedBackendRefuses(t *testing.T) {
+func TestUnreachableBackendRefuses(t *testing.T) {
 	t.Parallel()
-	r := start(t, "127.0.0.1:1", "", operator("127.0.0.1:1"))
-	if reply := standin.Post(r.web, standin.Packet(t, standin.Vars("note", "red", "k", time.Second), "x")); reply.Status != 503 {
+	r := start(t, "127.0.0.1:1", "", operatorTOML("127.0.0.1:1"))
+	if reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k", time.Second), "x")); reply.Status != 503 {
 		t.Errorf("%+v", reply)
 	}
 }
 
-// part opens a uwsgi connection and sends n bytes of the packet.
-func part(t *testing.T, r *running, packet []byte, n int) net.Conn {
+// sendPartial opens a uwsgi connection and sends n bytes of the packet.
+func sendPartial(t *testing.T, r *testServer, packet []byte, n int) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", r.web)
+	c, err := net.Dial("tcp", r.uwsgiAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -348,26 +348,26 @@
 	return c
 }
 
-// free says that no connection, request or half-read byte is left.
-func (r *running) free() bool {
+// allReleased says that no connection, request or half-read byte is left.
+func (r *testServer) allReleased() bool {
 	requests, _ := r.core.Tracked()
-	return len(r.sessions) == 1 && r.buffered == 0 && requests == 0 && r.webs == 0 && len(r.slots) == len(r.listeners)
+	return len(r.conns) == 1 && r.partialBytes == 0 && requests == 0 && r.uwsgiConns == 0 && len(r.slots) == len(r.listeners)
 }
 
-func TestWebCallerLeavesHalfway(t *testing.T) {
+func TestUWSGICallerDisconnectsMidRequest(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operator(""))
+	r := start(t, engine.Address, "", operatorTOML(""))
 	packet := standin.Packet(t, standin.Vars("look", "red", "", time.Second), "quick one")
 	for n := range len(packet) {
-		c := part(t, r, packet, n)
+		c := sendPartial(t, r, packet, n)
 		if n%7 == 3 {
 			time.Sleep(5 * time.Millisecond) // let the part be read
 		}
 		c.Close()
 	}
-	r.eventually(t, "all is freed", r.free)
-	r.look(func() {
+	r.eventually(t, "all is freed", r.allReleased)
+	r.onLoopWait(func() {
 		if n := r.core.Counts().Received; n != 0 {
 			t.Errorf("%d half-sent requests entered the core", n)
 		}
@@ -377,33 +377,33 @@
 	}
 }
 
-func TestWebCallerLeavesAfterwards(t *testing.T) {
+func TestUWSGICallerDisconnectsAfterRequest(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operator(""))
+	r := start(t, engine.Address, "", operatorTOML(""))
 	packet := standin.Packet(t, standin.Vars("note", "red", "k", time.Second), "slow one")
-	c := part(t, r, packet, len(packet))
+	c := sendPartial(t, r, packet, len(packet))
 	r.eventually(t, "the request is in", func() bool { return r.core.Counts().Received == 1 })
 	c.Close()
 	r.eventually(t, "the caller is gone", func() bool { return r.core.Counts().Disconnected == 1 })
 	// The run goes on, and the next try takes its result.
-	if reply := standin.Post(r.web, packet); reply.Status != 200 || reply.Body != "did slow one" {
+	if reply := standin.Post(r.uwsgiAddr, packet); reply.Status != 200 || reply.Body != "did slow one" {
 		t.Errorf("next try: %+v", reply)
 	}
-	r.eventually(t, "all is freed", r.free)
+	r.eventually(t, "all is freed", r.allReleased)
 	if n := engine.Runs()["slow one"]; n != 1 {
 		t.Errorf("%d runs", n)
 	}
 }
 
-func TestKeyRunsOnceAcrossFronts(t *testing.T) {
+func TestKeyRunsOnceAcrossFrontends(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operator(""))
-	c := standin.Dial(t, r.frames)
+	r := start(t, engine.Address, "", operatorTOML(""))
+	c := standin.Dial(t, r.framesAddr)
 	for i := range 3 {
 		c.Send(uint32(i+1), standin.Fields("note", "red", "k", uint64(i+1), 2*time.Second), "slow note")
-		reply := standin.Post(r.web, standin.Packet(t, standin.Vars("note", "red", "k", 2*time.Second), "slow note"))
+		reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k", 2*time.Second), "slow note"))
 		if reply.Status != 200 || reply.Body != "did slow note" {
 			t.Errorf("uwsgi: %+v", reply)
 		}
@@ -421,12 +421,12 @@
 func TestMixedLoadDuringDrain(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operator(""))
+	r := start(t, engine.Address, "", operatorTOML(""))
 	r.eventually(t, "the engine's link", r.link.Ready)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	seen := map[string]int{}
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	sent, away := 0, false
 	signals := r.signals
 	for i := range 150 {
@@ -446,7 +446,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			reply := standin.Post(r.web, standin.Packet(t, standin.Vars("find", "blue", "", time.Second), fmt.Sprint("quick ", i)))
+			reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("find", "blue", "", time.Second), fmt.Sprint("quick ", i)))
 			mu.Lock()
 			defer mu.Unlock()
 			if reply.Status == 0 && strings.Contains(reply.Body, "refused") {
@@ -469,7 +469,7 @@
 	}
 	r.signals = nil
 	select {
-	case err := <-r.end:
+	case err := <-r.serveErr:
 		if err != nil {
 			t.Error(err)
 		}
@@ -488,16 +488,16 @@
 
 // A uwsgi connection, written in any pieces and left at any point: a whole
 // request is answered once, a part of one is never entered.
-func TestWebConnectionAgainstModel(t *testing.T) {
+func TestUWSGIConnectionAgainstModel(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operator(""))
+	r := start(t, engine.Address, "", operatorTOML(""))
 	r.eventually(t, "the engine's link", r.link.Ready)
 	whole := 0
 	rapid.Check(t, func(t *rapid.T) {
 		body := fmt.Sprint("quick ", strings.Repeat("x", rapid.IntRange(0, 58).Draw(t, "size")))
 		rest := standin.Packet(r.test, standin.Vars("look", "red", "", 2*time.Second), body)
-		c, err := net.Dial("tcp", r.web)
+		c, err := net.Dial("tcp", r.uwsgiAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -521,8 +521,8 @@
 			t.Fatalf("%q, %v", answer, err)
 		}
 	})
-	r.eventually(t, "all is freed", r.free)
-	r.look(func() {
+	r.eventually(t, "all is freed", r.allReleased)
+	r.onLoopWait(func() {
 		if n := r.core.Counts(); n.Received != whole || n.Served != whole {
 			t.Errorf("%d whole requests, counts %+v", whole, n)
 		}
--- a/internal/server/half.go
+++ b/internal/server/half_close.go
@@ -7,30 +7,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// half is a connection whose caller has ended its side and may still read. The
+// halfClosedConn is a connection whose caller has ended its side and may still read. The
 // loop's library closes such a connection; the descriptor here is a second one
 // of the same socket, so that what is owed can still be written.
-type half struct {
-	fd   int
-	rest []byte // that the system has not taken yet
-	err  error  // the caller is gone
+type halfClosedConn struct {
+	fd     int
+	unsent []byte // that the system has not taken yet
+	err    error  // the caller is gone
 }
 
 // Writev writes what the system takes and keeps the rest.
-func (h *half) Writev(parts [][]byte) (int, error) {
+func (h *halfClosedConn) Writev(parts [][]byte) (int, error) {
 	n := 0
 	for _, p := range parts {
 		n += len(p)
-		h.rest = append(h.rest, p...)
+		h.unsent = append(h.unsent, p...)
 	}
-	return n, h.push()
+	return n, h.flush()
 }
 
-// push writes what waits. It also sees that the caller is gone: a socket whose
+// flush writes what waits. It also sees that the caller is gone: a socket whose
 // other end is closed, not only shut, answers what it is sent with a reset.
-func (h *half) push() error {
-	for len(h.rest) > 0 && h.err == nil {
-		n, err := unix.Write(h.fd, h.rest)
+func (h *halfClosedConn) flush() error {
+	for len(h.unsent) > 0 && h.err == nil {
+		n, err := unix.Write(h.fd, h.unsent)
 		switch {
 		case errors.Is(err, unix.EAGAIN):
 			return nil
@@ -38,7 +38,7 @@
 		case err != nil:
 			h.err = err
 		default:
-			h.rest = h.rest[n:]
+			h.unsent = h.unsent[n:]
 		}
 	}
 	if h.err == nil {
@@ -46,26 +46,26 @@
 			h.err = unix.Errno(code)
 		}
 	}
-	if len(h.rest) == 0 {
-		h.rest = nil
+	if len(h.unsent) == 0 {
+		h.unsent = nil
 	}
 	return h.err
 }
 
 // OutboundBuffered is how many bytes the system has not taken yet.
-func (h *half) OutboundBuffered() int { return len(h.rest) }
+func (h *halfClosedConn) OutboundBuffered() int { return len(h.unsent) }
 
-func (h *half) close() {
+func (h *halfClosedConn) close() {
 	unix.Close(h.fd) //nolint:errcheck // it is gone either way
 	h.err = unix.EBADF
 }
 
-// halve keeps a connection whose caller has ended its side while answers are
+// keepHalfClosed keeps a connection whose caller has ended its side while answers are
 // owed, and reports whether it did. The caller is told at once that nothing new
 // is taken: that costs one that still reads nothing, and shows one that is gone.
-func (f *session) halve(err error) bool {
-	owed := len(f.open)+f.checks+len(f.out) > 0 || f.conn.OutboundBuffered() > 0
-	if f.half != nil || f.shutAt != 0 || !owed || !errors.Is(err, io.EOF) {
+func (f *frameConn) keepHalfClosed(err error) bool {
+	owed := len(f.openRequests)+f.pendingChecks+len(f.out) > 0 || f.conn.OutboundBuffered() > 0
+	if f.halfClosed != nil || f.writeShutAt != 0 || !owed || !errors.Is(err, io.EOF) {
 		return false
 	}
 	if f.conn.OutboundBuffered() > 0 {
@@ -78,13 +78,13 @@
 	if err != nil {
 		return false
 	}
-	h := &half{fd: fd}
-	if h.push() != nil {
+	h := &halfClosedConn{fd: fd}
+	if h.flush() != nil {
 		h.close()
 		return false
 	}
-	f.half, f.deaf, f.endBy = h, true, now()+f.s.owing()
-	f.hold(0) //nolint:errcheck // nothing is held any more
-	f.goAway()
+	f.halfClosed, f.discarding, f.flushDeadline = h, true, now()+f.s.flushTimeout()
+	f.trackPartial(0) //nolint:errcheck // nothing is held any more
+	f.sendGoAway()
 	return true
 }
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -13,26 +13,26 @@
 
 // More clients than there are places ask once and hold on, and as many say
 // nothing, on both fronts: each that asks is still let in and served.
-func TestHoldersMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "[uwsgi]\nlisten = \"127.0.0.1:0\"\n")
 	r.eventually(t, "the engine's link", r.link.Ready)
 	for i := range cap(r.slots) + 40 {
-		standin.Dial(t, r.frames) // stays
-		standin.Dial(t, r.web)    // stays too
-		c := standin.Dial(t, r.frames)
+		standin.Dial(t, r.framesAddr) // stays
+		standin.Dial(t, r.uwsgiAddr)  // stays too
+		c := standin.Dial(t, r.framesAddr)
 		c.Send(1, standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
 		if got, ok := c.Next(); !ok || got.Code != frame.Served {
 			t.Fatalf("client %d: %+v", i, got)
 		}
 	}
-	body := standin.Post(r.web, standin.Packet(t, standin.Vars("look", "red", "", 3*time.Second), "w"))
+	body := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("look", "red", "", 3*time.Second), "w"))
 	if body.Status != 200 {
 		t.Errorf("uwsgi: %+v", body)
 	}
-	r.look(func() {
-		if n := len(r.sessions); n > cap(r.slots)+1 {
+	r.onLoopWait(func() {
+		if n := len(r.conns); n > cap(r.slots)+1 {
 			t.Errorf("%d connections are open", n)
 		}
 	})
@@ -51,7 +51,7 @@
 		"half a request":   whole[:len(whole)/2],
 		"a cancel of none": frame.AppendHeader(nil, frame.Cancel, 5, 0),
 	} {
-		clients[what] = standin.Dial(t, r.frames)
+		clients[what] = standin.Dial(t, r.framesAddr)
 		clients[what].Write(bytes)
 	}
 	for what, c := range clients {
@@ -70,13 +70,13 @@
 // A client that uses a number twice, or has more open than it may, is told so on
 // stream 0 and gets nothing more taken: what it sent before is answered, once
 // each, and neither the bad request nor anything after it runs.
-func TestMiscountedStreamsEndWhatIsTaken(t *testing.T) {
+func TestInvalidStreamIDsStopReading(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(100*time.Millisecond))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
 	for what, n := range map[string]int{"two under one number": 2, "too many": frame.MaxStreams + 1} {
-		c := standin.Dial(t, r.frames)
+		c := standin.Dial(t, r.framesAddr)
 		var out []byte
 		for i := range n {
 			stream := uint32(i + 1)
@@ -112,13 +112,13 @@
 }
 
 // A client that sends what cannot be read again and again is not listened to for ever.
-func TestFaultsAreBounded(t *testing.T) {
+func TestMalformedRequestsAreBounded(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	var out []byte
-	for i := range 2 * faultsMost {
+	for i := range 2 * maxMalformedInRow {
 		out = frame.AppendRequest(out, uint32(i+1), standin.Fields("none", "red", "", uint64(i+1), time.Second), nil)
 	}
 	c.Write(out)
@@ -129,20 +129,20 @@
 		}
 		answers++
 	}
-	if answers != faultsMost+1 {
-		t.Errorf("%d answers, want %d and one on stream 0", answers, faultsMost)
+	if answers != maxMalformedInRow+1 {
+		t.Errorf("%d answers, want %d and one on stream 0", answers, maxMalformedInRow)
 	}
 }
 
 // Requests that cannot be read, with good ones between, each get an error and
 // cost the good ones nothing: a caller may know of a class that we do not.
-func TestFaultsAmongGoodRequests(t *testing.T) {
+func TestMalformedAmongValidRequests(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
-	for i := range 3 * faultsMost {
+	c := standin.Dial(t, r.framesAddr)
+	for i := range 3 * maxMalformedInRow {
 		class, want := "look", byte(frame.Served)
 		if i%3 > 0 {
 			class, want = "unknown", frame.Failed
@@ -155,12 +155,12 @@
 }
 
 // The key of one request with the body of another gets no result, on either front.
-func TestKeyOfAnotherRequest(t *testing.T) {
+func TestKeyReusedWithAnotherBody(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "[uwsgi]\nlisten = \"127.0.0.1:0\"\n")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	for i, body := range []string{"mine", "other", "mine"} {
 		c.Send(uint32(i+1), standin.Fields("note", "red", "key", uint64(i+1), 3*time.Second), body)
 		got, _ := c.Next()
@@ -169,10 +169,10 @@
 		}
 	}
 	vars := standin.Vars("note", "red", "key", 3*time.Second)
-	if got := standin.Post(r.web, standin.Packet(t, vars, "other")); got.Status != 400 || !strings.Contains(got.Body, "another body") {
+	if got := standin.Post(r.uwsgiAddr, standin.Packet(t, vars, "other")); got.Status != 400 || !strings.Contains(got.Body, "another body") {
 		t.Errorf("uwsgi, another body: %+v", got)
 	}
-	if got := standin.Post(r.web, standin.Packet(t, vars, "mine")); got.Status != 200 || got.Body != "did mine" {
+	if got := standin.Post(r.uwsgiAddr, standin.Packet(t, vars, "mine")); got.Status != 200 || got.Body != "did mine" {
 		t.Errorf("uwsgi, the same body: %+v", got)
 	}
 	if runs := fmt.Sprint(engine.Runs()); runs != "map[mine:1]" {
@@ -180,13 +180,13 @@
 	}
 }
 
-// session returns the one session that the frame front has.
-func (r *running) session(t *testing.T) *session {
+// onlyFrameConn returns the one session that the frame front has.
+func (r *testServer) onlyFrameConn(t *testing.T) *frameConn {
 	t.Helper()
-	var s *session
+	var s *frameConn
 	r.eventually(t, "a session", func() bool {
-		for h := range r.sessions {
-			if f, ok := h.(*session); ok {
+		for h := range r.conns {
+			if f, ok := h.(*frameConn); ok {
 				s = f
 			}
 		}
@@ -200,43 +200,43 @@
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
-	c, err := net.Dial("tcp", r.frames)
+	c, err := net.Dial("tcp", r.framesAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close() // it never reads
-	s := r.session(t)
+	s := r.onlyFrameConn(t)
 	result := make([]byte, frame.MaxResult)
-	r.look(func() {
+	r.onLoopWait(func() {
 		r.cfg.Limits.MemoryMB = 1
-		for s.unsent() <= 1<<20/unsentPart && !s.gone {
-			s.put(frame.Answer, 0, frame.Failed, nil, result)
+		for s.unsent() <= 1<<20/unsentMemoryDivisor && !s.disconnected {
+			s.queueAnswer(frame.Answer, 0, frame.Failed, nil, result)
 			s.flush()
 		}
-		if s.gone || s.unsent() > outMost {
+		if s.disconnected || s.unsent() > maxUnsentBytes {
 			t.Error("the bound of one connection came first")
 		}
 	})
-	r.eventually(t, "the connection is closed", func() bool { return s.gone })
+	r.eventually(t, "the connection is closed", func() bool { return s.disconnected })
 }
 
 // A deep check of which the engine says nothing is answered as bad in time.
-func TestDeepCheckEnds(t *testing.T) {
+func TestDeepCheckTimesOut(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
-	c := standin.Dial(t, r.frames)
-	s := r.session(t)
-	r.look(func() {
-		r.checks["unanswered"] = check{s, 7, now() + 100_000}
-		s.checks++
+	c := standin.Dial(t, r.framesAddr)
+	s := r.onlyFrameConn(t)
+	r.onLoopWait(func() {
+		r.pendingChecks["unanswered"] = pendingCheck{s, 7, now() + 100_000}
+		s.pendingChecks++
 	})
 	if got, ok := c.Next(); !ok || got.Type != frame.HealthStatus || got.Stream != 7 || got.Code != frame.Unhealthy {
 		t.Errorf("%+v", got)
 	}
-	r.look(func() {
-		if s.checks != 0 || len(r.checks) != 0 {
-			t.Errorf("%d checks are left, %d in all", s.checks, len(r.checks))
+	r.onLoopWait(func() {
+		if s.pendingChecks != 0 || len(r.pendingChecks) != 0 {
+			t.Errorf("%d checks are left, %d in all", s.pendingChecks, len(r.pendingChecks))
 		}
 	})
 }
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -15,20 +15,20 @@
 	"kiteslip/internal/storage"
 )
 
-// keys is the store of keyed results, where one is set up.
-type keys struct {
-	fs       vfs.FS // nil = the system's
-	worker   *storage.Worker
-	restored int  // keys read at the start
-	unknown  int  // ... of which the end is not known
-	opening  bool // the store is being opened beside the loop
-	failed   error
+// keyState is the store of keyed results, where one is set up.
+type keyState struct {
+	fs             vfs.FS // nil = the system's
+	worker         *storage.Worker
+	restored       int  // keys read at the start
+	unknownOutcome int  // ... of which the end is not known
+	opening        bool // the store is being opened beside the loop
+	openErr        error
 }
 
 const (
-	keysAgain  = 100 * time.Millisecond // between two tries to open a store that another process has
-	keysFresh  = 2_500_000              // a process that wrote to its store up to so long before its end wrote all
-	keysCommit = 2 * time.Second        // the end waits so long for the last records
+	keyStoreRetryInterval = 100 * time.Millisecond // between two tries to open a store that another process has
+	storeFreshUS          = 2_500_000              // a process that wrote to its store up to so long before its end wrote all
+	keyStoreCloseTimeout  = 2 * time.Second        // the end waits so long for the last records
 )
 
 // journal hands the core's records to the worker.
@@ -37,17 +37,17 @@
 	w *storage.Worker
 }
 
-func (j journal) Begin(token uint32, r core.Record) { j.w.Put(token, j.s.stored(&r)) }
-func (j journal) End(token uint32, r core.Record)   { j.w.Put(token, j.s.stored(&r)) }
-func (j journal) Delete(r core.Record)              { j.w.Delete(j.s.stored(&r)) }
+func (j journal) Begin(token uint32, r core.Record) { j.w.Put(token, j.s.storedRecord(&r)) }
+func (j journal) End(token uint32, r core.Record)   { j.w.Put(token, j.s.storedRecord(&r)) }
+func (j journal) Delete(r core.Record)              { j.w.Delete(j.s.storedRecord(&r)) }
 
-func (s *Server) stored(r *core.Record) keystore.Record {
+func (s *Server) storedRecord(r *core.Record) keystore.Record {
 	return keystore.Record{Class: s.cfg.Classes[r.Class], Key: r.Key, TryID: r.TryID, Arrived: r.Arrived, WindowEnd: r.WindowEnd, Deadline: r.Deadline,
 		BodyHash: r.BodyHash, Finished: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result}
 }
 
-// openKeys opens the store and reads what it holds. It blocks.
-func (s *Server) openKeys() (*keystore.Store, []keystore.Record, error) {
+// openKeyStore opens the store and reads what it holds. It blocks.
+func (s *Server) openKeyStore() (*keystore.Store, []keystore.Record, error) {
 	k := &s.cfg.Keys
 	opt := keystore.Options{Folder: k.Folder, FS: s.keys.fs, MaxBytes: k.MaxBytes, Now: storage.ReadClocks()}
 	if k.ProcessDurability {
@@ -65,19 +65,19 @@
 	return store, records, nil
 }
 
-// restore takes over what the store holds, and lets it keep what comes.
-func (s *Server) restore(store *keystore.Store, records []keystore.Record) {
+// restoreKeys takes over what the store holds, and lets it keep what comes.
+func (s *Server) restoreKeys(store *keystore.Store, records []keystore.Record) {
 	for i := range records {
 		r := &records[i]
 		s.keys.restored++
 		outcome := r.Outcome
 		if !r.Finished {
-			s.keys.unknown++
+			s.keys.unknownOutcome++
 			outcome = uint8(kiteslip.Failed)
 		}
-		class, known := s.keyed[r.Class]
+		class, known := s.keyedClasses[r.Class]
 		if !known { // kept for a configuration that brings the class back
-			s.handing.strays = append(s.handing.strays, handover.Message{Kind: handover.Record, Text: r.Class, Key: r.Key,
+			s.upgrade.unknownClassKeys = append(s.upgrade.unknownClassKeys, handover.Message{Kind: handover.Record, Text: r.Class, Key: r.Key,
 				Arrived: r.Arrived, WindowEnd: r.WindowEnd, BodyHash: r.BodyHash, Finished: true, Outcome: outcome, Result: r.Result})
 			continue
 		}
@@ -94,51 +94,51 @@
 			for _, o := range outcomes {
 				s.core.Recorded(t, o.Token, o.Err)
 			}
-			s.schedule()
+			s.scheduleIteration()
 		})
 	})
 	s.core.SetJournal(journal{s, s.keys.worker}, s.cfg.Keys.AllowUnrecorded)
 	s.log.Info("keys are kept", zap.String("folder", s.cfg.Keys.Folder), zap.Int("restored", s.keys.restored),
-		zap.Int("unknown", s.keys.unknown), zap.Int64("shift_ms", store.WindowExtension()/1000))
+		zap.Int("unknown", s.keys.unknownOutcome), zap.Int64("shift_ms", store.WindowExtension()/1000))
 }
 
-// keepKeys opens the store where this process owns the keys from its start. A
+// initKeyStore opens the store where this process owns the keys from its start. A
 // folder that can't be used ends the start, unless the operator wants to go on
 // without it.
-func (s *Server) keepKeys() error {
+func (s *Server) initKeyStore() error {
 	if s.cfg.Keys.Folder == "" || !s.core.OwnsKeys() {
 		return nil
 	}
-	store, records, err := s.openKeys()
+	store, records, err := s.openKeyStore()
 	if err != nil {
 		if !s.cfg.Keys.AllowUnrecorded || errors.Is(err, keystore.ErrInUse) {
 			return fmt.Errorf("keys: %w", err)
 		}
-		s.keys.failed = err
+		s.keys.openErr = err
 		s.log.Error("keys are not kept, and go on in memory", zap.Error(err))
 		s.core.AcquireKeys(now() + s.core.MaxWindow()) // what an earlier life ran is not known here
 		return nil
 	}
-	if u := &s.handing; s.wroteAll(store, u.doubt) {
+	if u := &s.upgrade; s.recordedAll(store, u.inDoubtUntil) {
 		s.core.AcquireKeys(0)
 	}
-	s.restore(store, records)
+	s.restoreKeys(store, records)
 	return nil
 }
 
-// wroteAll says whether the process that is the cause of a doubt wrote all that
+// recordedAll says whether the process that is the cause of a doubt wrote all that
 // it began to this store: it used it until its end, and would not have run
 // anything without a record.
-func (s *Server) wroteAll(store *keystore.Store, doubt int64) bool {
+func (s *Server) recordedAll(store *keystore.Store, doubt int64) bool {
 	last := store.LastUsed().Wall
-	return doubt != 0 && last != 0 && last+keysFresh >= doubt-s.core.MaxWindow() && !s.cfg.Keys.AllowUnrecorded
+	return doubt != 0 && last != 0 && last+storeFreshUS >= doubt-s.core.MaxWindow() && !s.cfg.Keys.AllowUnrecorded
 }
 
-// ownKeys takes the keys over while the server runs: the store is opened beside
+// acquireKeys takes the keys over while the server runs: the store is opened beside
 // the loop, and the keys are this process's once it is.
-func (s *Server) ownKeys(doubt int64) {
+func (s *Server) acquireKeys(doubt int64) {
 	if s.cfg.Keys.Folder == "" {
-		s.owned(doubt)
+		s.ownershipTaken(doubt)
 		return
 	}
 	if s.keys.opening || s.keys.worker != nil {
@@ -149,35 +149,35 @@
 		var store *keystore.Store
 		var records []keystore.Record
 		var err error
-		for !s.over.Load() {
-			if store, records, err = s.openKeys(); !errors.Is(err, keystore.ErrInUse) {
+		for !s.ended.Load() {
+			if store, records, err = s.openKeyStore(); !errors.Is(err, keystore.ErrInUse) {
 				break
 			}
-			time.Sleep(keysAgain)
+			time.Sleep(keyStoreRetryInterval)
 		}
-		s.onLoop(func() { s.opened(store, records, err, doubt) })
+		s.onLoop(func() { s.keyStoreOpened(store, records, err, doubt) })
 	}()
 }
 
-func (s *Server) opened(store *keystore.Store, records []keystore.Record, err error, doubt int64) {
+func (s *Server) keyStoreOpened(store *keystore.Store, records []keystore.Record, err error, doubt int64) {
 	s.keys.opening = false
 	if err != nil {
-		s.keys.failed = err
+		s.keys.openErr = err
 		s.log.Error("keys are not kept", zap.Error(err))
 		if s.cfg.Keys.AllowUnrecorded {
-			s.owned(max(doubt, now()+s.core.MaxWindow()))
+			s.ownershipTaken(max(doubt, now()+s.core.MaxWindow()))
 		}
 		return // keyed requests fail: what ran is not known
 	}
-	if s.wroteAll(store, doubt) {
+	if s.recordedAll(store, doubt) {
 		doubt = 0
 	}
-	s.restore(store, records)
-	s.owned(doubt)
+	s.restoreKeys(store, records)
+	s.ownershipTaken(doubt)
 }
 
-// leaveKeys gives the store up, and calls then on the loop once all is written.
-func (s *Server) leaveKeys(then func()) {
+// releaseKeyStore gives the store up, and calls then on the loop once all is written.
+func (s *Server) releaseKeyStore(then func()) {
 	w := s.keys.worker
 	if w == nil {
 		then()
@@ -194,14 +194,14 @@
 	}()
 }
 
-// closeKeys writes what waits, at the end.
-func (s *Server) closeKeys() {
+// closeKeyStore writes what waits, at the end.
+func (s *Server) closeKeyStore() {
 	if s.keys.worker == nil {
 		return
 	}
 	select {
 	case <-s.keys.worker.Close():
-	case <-time.After(keysCommit):
+	case <-time.After(keyStoreCloseTimeout):
 		s.log.Warn("the store of keys has not taken its last records in time")
 	}
 }
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -23,13 +23,13 @@
 
 // A server that starts anew gives the results of the one before, and runs
 // nothing again; a key that comes with another body is an error as ever.
-func TestKeysOutliveARestart(t *testing.T) {
+func TestKeysSurviveRestart(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	folder := filepath.Join(t.TempDir(), "keys")
 	r := start(t, engine.Address, "", keysFile(folder))
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	for i := range 20 {
 		c.Send(uint32(i+1), standin.Fields("note", "red", fmt.Sprint("k", i), uint64(i+1), 3*time.Second), fmt.Sprint("body ", i))
 	}
@@ -41,10 +41,10 @@
 	r.stop(t)
 	r = start(t, engine.Address, "", keysFile(folder)+"[uwsgi]\nlisten = \"127.0.0.1:0\"\n")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	if got := r.ask(t, "show-stat"); !strings.Contains(got, "app.keys.restored:20|g") || !strings.Contains(got, "app.keys.unknown:0|g") {
+	if got := r.adminCall(t, "show-stat"); !strings.Contains(got, "app.keys.restored:20|g") || !strings.Contains(got, "app.keys.unknown:0|g") {
 		t.Errorf("it shows %s", got)
 	}
-	c = standin.Dial(t, r.frames)
+	c = standin.Dial(t, r.framesAddr)
 	for i := range 20 {
 		c.Send(uint32(i+1), standin.Fields("note", "red", fmt.Sprint("k", i), uint64(100+i), 3*time.Second), fmt.Sprint("body ", i))
 		if got, ok := c.Next(); !ok || got.Code != frame.Served || got.Body != fmt.Sprint("did body ", i) {
@@ -55,19 +55,19 @@
 	if got, _ := c.Next(); got.Code != frame.Failed {
 		t.Errorf("another body for a key of the life before: %+v", got)
 	}
-	web := standin.Post(r.web, standin.Packet(t, standin.Vars("note", "red", "k2", 3*time.Second), "body 2"))
+	web := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k2", 3*time.Second), "body 2"))
 	if web.Status != 200 || web.Body != "did body 2" {
 		t.Errorf("through the other front: %+v", web)
 	}
 	var records int64
-	r.look(func() { records = r.keys.worker.Stats().Operations })
+	r.onLoopWait(func() { records = r.keys.worker.Stats().Operations })
 	for i := range 500 { // one that is very popular takes no more room
 		c.Send(uint32(100+i), standin.Fields("note", "red", "k3", uint64(1000+i), 3*time.Second), "body 3")
 		if got, ok := c.Next(); !ok || got.Code != frame.Served {
 			t.Fatalf("%+v", got)
 		}
 	}
-	r.look(func() {
+	r.onLoopWait(func() {
 		if n := r.keys.worker.Stats().Operations; n != records {
 			t.Errorf("500 repeats of one key left %d records", n-records)
 		}
@@ -113,7 +113,7 @@
 func TestSlowStoreDelaysNoOtherClass(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(5*time.Millisecond))
-	cfg := platform(t, engine.Address, "")
+	cfg := platformConfig(t, engine.Address, "")
 	cfg, err := config.ParseOperator(fmt.Sprintf("[keys]\nfolder = %q\n", filepath.Join(t.TempDir(), "keys")), cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -122,7 +122,7 @@
 	r := launchWith(t, cfg, func(s *Server) { s.keys.fs = slow })
 	r.eventually(t, "it serves", func() bool { return r.serving && r.link.Ready() })
 	slow.each.Store(int64(time.Second))
-	keyed, reads := standin.Dial(t, r.frames), standin.Dial(t, r.frames)
+	keyed, reads := standin.Dial(t, r.framesAddr), standin.Dial(t, r.framesAddr)
 	for i := range 24 {
 		keyed.Send(uint32(i+1), standin.Fields("note", "red", fmt.Sprint("k", i), uint64(1000+i), 1500*time.Millisecond), "n")
 	}
@@ -154,7 +154,7 @@
 	folder := filepath.Join(t.TempDir(), "keys")
 	start(t, engine.Address, "", keysFile(folder))
 	for _, more := range []string{"", "on_error = \"memory\"\n"} {
-		cfg, err := config.ParseOperator(keysFile(folder)+more, platform(t, engine.Address, ""))
+		cfg, err := config.ParseOperator(keysFile(folder)+more, platformConfig(t, engine.Address, ""))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -178,7 +178,7 @@
 	if err := os.WriteFile(folder, []byte("not a folder"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.ParseOperator(keysFile(folder), platform(t, engine.Address, ""))
+	cfg, err := config.ParseOperator(keysFile(folder), platformConfig(t, engine.Address, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,10 +191,10 @@
 	}
 	r := start(t, engine.Address, "", keysFile(folder)+"on_error = \"memory\"\n")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	if got := r.ask(t, "show-stat"); !strings.Contains(got, "app.keys.errors:1|c") {
+	if got := r.adminCall(t, "show-stat"); !strings.Contains(got, "app.keys.errors:1|c") {
 		t.Errorf("it shows %s", got)
 	}
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("note", "red", "k", 1, 3*time.Second), "b")
 	if got, _ := c.Next(); got.Code != frame.Failed || engine.Runs()["b"] != 0 {
 		t.Errorf("a key that an earlier life may have run: %+v", got)
@@ -203,14 +203,14 @@
 
 // In an upgrade the store goes over with the keys: the next process opens it,
 // grants claims once they are on record, and a third start knows all of it.
-func TestStoreFollowsTheUpgrade(t *testing.T) {
+func TestKeyStoreMovesWithUpgrade(t *testing.T) {
 	t.Parallel()
-	s := site(t)
+	s := newSharedListener(t)
 	folder := filepath.Join(t.TempDir(), "keys")
 	engine := standin.NewEngine(t, standin.Echo(20*time.Millisecond))
-	old := launch(t, s.process(t, engine.Address, keysFile(folder)))
-	old.ready(t)
-	c := old.open(t)
+	old := launch(t, s.processConfig(t, engine.Address, keysFile(folder)))
+	old.waitReady(t)
+	c := old.dialUntilMine(t)
 	send := func(c *standin.Caller, stream uint32, key string, name uint64) standin.Reply {
 		t.Helper()
 		c.Send(stream, standin.Fields("note", "red", key, name, 3*time.Second), "of "+key)
@@ -222,24 +222,24 @@
 	}
 	send(c, 1, "first", 1)
 	other := standin.NewEngine(t, standin.Echo(20*time.Millisecond))
-	next := launch(t, s.process(t, other.Address, keysFile(folder)))
-	next.ready(t)
+	next := launch(t, s.processConfig(t, other.Address, keysFile(folder)))
+	next.waitReady(t)
 	next.eventually(t, "it owns the keys and keeps them", func() bool { return next.core.OwnsKeys() && next.keys.worker != nil })
-	old.look(func() {
+	old.onLoopWait(func() {
 		if old.keys.worker != nil {
 			t.Error("the old process still has the store")
 		}
 	})
 	send(c, 2, "claimed", 2) // by the old process, granted by the new one
-	d := next.open(t)
+	d := next.dialUntilMine(t)
 	send(d, 1, "first", 3)
 	send(d, 2, "claimed", 4)
 	send(d, 3, "own", 5)
 	old.stop(t)
 	next.stop(t)
 	third := start(t, engine.Address, "", keysFile(folder))
-	if third.keys.restored != 3 || third.keys.unknown != 0 {
-		t.Errorf("the third start knows %d keys, %d without an end", third.keys.restored, third.keys.unknown)
+	if third.keys.restored != 3 || third.keys.unknownOutcome != 0 {
+		t.Errorf("the third start knows %d keys, %d without an end", third.keys.restored, third.keys.unknownOutcome)
 	}
 	for _, e := range []*standin.Engine{engine, other} {
 		for body, n := range e.Runs() {
--- a/internal/server/calls.go
+++ b/internal/server/ledger.go
@@ -9,12 +9,12 @@
 	"kiteslip/internal/reject"
 )
 
-// below is what the server knows of calls below.
-type below struct {
-	client *ledger.Client // nil = there is no ledger
-	places int            // connections that are set aside for it
-	ends   map[ledger.EndReason]int
-	late   int // results that nobody waited for any more
+// downstream is what the server knows of calls below.
+type downstream struct {
+	client       *ledger.Client // nil = there is no ledger
+	maxConns     int            // connections that are set aside for it
+	resultCounts map[ledger.EndReason]int
+	lateResults  int // results that nobody waited for any more
 }
 
 // openLedger starts the client where a ledger is set up, or leads it to another address.
@@ -23,14 +23,14 @@
 	switch {
 	case s.cfg.Ledger == "":
 		return
-	case s.below.client != nil:
-		err = s.below.client.SetAddress(s.cfg.Ledger)
-	case s.below.places == 0:
+	case s.downstream.client != nil:
+		err = s.downstream.client.SetAddress(s.cfg.Ledger)
+	case s.downstream.maxConns == 0:
 		s.log.Warn("the ledger needs descriptors set aside at the start; until a restart its calls fail")
 		return
 	default:
-		if s.below.client, err = ledger.New(s.cfg.Ledger, s.below.places, s.ledgerSaid); err == nil {
-			s.core.SetLedger(s.below.client)
+		if s.downstream.client, err = ledger.New(s.cfg.Ledger, s.downstream.maxConns, s.onLedgerResult); err == nil {
+			s.core.SetLedger(s.downstream.client)
 		}
 	}
 	if err != nil {
@@ -38,36 +38,36 @@
 	}
 }
 
-// ledgerSaid takes in the end of a call, from beside the loop.
-func (s *Server) ledgerSaid(r ledger.Result) {
+// onLedgerResult takes in the end of a call, from beside the loop.
+func (s *Server) onLedgerResult(r ledger.Result) {
 	s.onLoop(func() {
-		s.below.ends[r.Reason]++
+		s.downstream.resultCounts[r.Reason]++
 		if r.Reason != ledger.OK {
 			s.reject(&reject.Error{Cause: "ledger_" + r.Reason.String(), Err: r.Err})
 		}
 		if !s.core.CallDone(now(), r.Token, r.Outcome, r.Reply) {
-			s.below.late++
+			s.downstream.lateResults++
 		}
-		s.schedule()
+		s.scheduleIteration()
 	})
 }
 
-// ledgerFigures are those of the calls; nil = there is no ledger.
-func (s *Server) ledgerFigures() *metrics.Ledger {
-	if s.below.client == nil {
+// ledgerMetrics are those of the calls; nil = there is no ledger.
+func (s *Server) ledgerMetrics() *metrics.Ledger {
+	if s.downstream.client == nil {
 		return nil
 	}
-	f := &metrics.Ledger{InFlight: s.core.CallsInFlight(), LateResults: s.below.late}
+	f := &metrics.Ledger{InFlight: s.core.CallsInFlight(), LateResults: s.downstream.lateResults}
 	for _, end := range ledger.EndReasons() {
-		f.Outcomes = append(f.Outcomes, reject.CauseCount{Cause: end.String(), Count: s.below.ends[end]})
+		f.Outcomes = append(f.Outcomes, reject.CauseCount{Cause: end.String(), Count: s.downstream.resultCounts[end]})
 	}
 	return f
 }
 
 // closeLedger gives up what is still out.
 func (s *Server) closeLedger() {
-	if s.below.client != nil {
-		s.below.client.Close()
+	if s.downstream.client != nil {
+		s.downstream.client.Close()
 	}
 }
 
--- a/internal/server/calls_test.go
+++ b/internal/server/ledger_test.go
@@ -15,21 +15,21 @@
 	"kiteslip/internal/standin/ledger"
 )
 
-// tillSettings are those of a small site whose runs call a ledger: reads that
+// ledgerSettings are those of a small site whose runs call a ledger: reads that
 // may leave it out, and keyed writes that may not. Runs can be paused.
-var tillSettings = strings.NewReplacer(`"callers": 4,`, `"callers": 4, "below": "tier", "preemption": "freeze", "passes_deadline": false, "readiness": true,
+var ledgerSettings = strings.NewReplacer(`"callers": 4,`, `"callers": 4, "below": "tier", "preemption": "freeze", "passes_deadline": false, "readiness": true,
 	"class_calls": [true, true, true], "class_skip_worth": [0.5, 0, 0], "calls_over_us": 5000000, "lingers_us": 200000,`).Replace(settings)
 
-// till is a server with an engine and a ledger.
-type till struct {
-	*running
+// ledgerServer is a server with an engine and a ledger.
+type ledgerServer struct {
+	*testServer
 	engine *box.Engine
 	ledger *ledger.Ledger
 }
 
-func newTill(t *testing.T, script func(ledger.Call) ledger.Act) *till {
+func newLedgerServer(t *testing.T, script func(ledger.Call) ledger.Act) *ledgerServer {
 	t.Helper()
-	k := &till{}
+	k := &ledgerServer{}
 	var err error
 	if k.engine, err = box.Serve(box.Spec{Cores: 64}); err != nil {
 		t.Fatal(err)
@@ -42,16 +42,16 @@
 	}
 	t.Cleanup(k.ledger.Down)
 	cfg := k.config(t, k.ledger.Address)
-	k.running = launch(t, cfg)
+	k.testServer = launch(t, cfg)
 	k.eventually(t, "it serves", func() bool { return k.serving && k.link.Ready() })
 	return k
 }
 
-func (k *till) config(t *testing.T, ledger string) *config.Config {
+func (k *ledgerServer) config(t *testing.T, ledger string) *config.Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name": "t", "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "engine": %q, "ledger": %q,
 		"seed": "1", "stop_ms": 2000, "limits": {"cores": 1, "memory_mb": 64, "sockets": 288}, "settings": %s}`,
-		k.engine.Address, ledger, tillSettings)
+		k.engine.Address, ledger, ledgerSettings)
 	cfg, err := config.Parse([]byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -59,8 +59,8 @@
 	return cfg
 }
 
-// untold are the fields of a request that does not say how long its caller waits.
-func untold(class, key string, name uint64) []frame.Field {
+// fieldsWithoutTimeout are the fields of a request that does not say how long its caller waits.
+func fieldsWithoutTimeout(class, key string, name uint64) []frame.Field {
 	var fields []frame.Field
 	for _, f := range standin.Fields(class, "red", key, name, time.Second) {
 		if f.Name != "timeout" && f.Name != "ms" {
@@ -74,9 +74,9 @@
 
 // Each way in which a call ends becomes the answer it must: what may have had
 // its effect is not called again, what never ran is.
-func TestAnswersByTheLedgersWord(t *testing.T) {
+func TestAnswersByLedgerOutcome(t *testing.T) {
 	t.Parallel()
-	k := newTill(t, func(c ledger.Call) ledger.Act {
+	k := newLedgerServer(t, func(c ledger.Call) ledger.Act {
 		first := c.Try == 1
 		switch {
 		case strings.Contains(c.Body, "untouched-once") && first:
@@ -96,7 +96,7 @@
 		}
 		return ledger.Act{}
 	})
-	c := standin.Dial(t, k.frames)
+	c := standin.Dial(t, k.framesAddr)
 	cases := []struct {
 		class, body string
 		code        byte
@@ -115,7 +115,7 @@
 		if want.class == "note" {
 			key = fmt.Sprint("k", i)
 		}
-		c.Send(uint32(i+1), untold(want.class, key, uint64(i+1)), want.body)
+		c.Send(uint32(i+1), fieldsWithoutTimeout(want.class, key, uint64(i+1)), want.body)
 		got, ok := c.Next()
 		if !ok || got.Code != want.code {
 			t.Errorf("%s %q: %+v, want code %d", want.class, want.body, got, want.code)
@@ -129,7 +129,7 @@
 		}
 		before = seen
 	}
-	if got := k.ask(t, "show-stat"); !strings.Contains(got, "app.rejected.ledger_broken:1|c") || !strings.Contains(got, "app.ledger.ok:5|c") {
+	if got := k.adminCall(t, "show-stat"); !strings.Contains(got, "app.rejected.ledger_broken:1|c") || !strings.Contains(got, "app.ledger.ok:5|c") {
 		t.Errorf("it shows %s", got)
 	}
 }
@@ -138,11 +138,11 @@
 // what can is served without, nothing waits for ever; it is used again when back.
 func TestLedgerDownAndBack(t *testing.T) {
 	t.Parallel()
-	k := newTill(t, nil)
-	c := standin.Dial(t, k.frames)
+	k := newLedgerServer(t, nil)
+	c := standin.Dial(t, k.framesAddr)
 	k.ledger.Down()
-	c.Send(1, untold("note", "a", 1), "1000*1 a")
-	c.Send(2, untold("look", "", 2), "1000*1 b")
+	c.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 a")
+	c.Send(2, fieldsWithoutTimeout("look", "", 2), "1000*1 b")
 	for range 2 {
 		if got, ok := c.Next(); !ok || got.Stream == 1 && got.Code != failed || got.Stream == 2 && got.Body != "1000*1 b|skipped" {
 			t.Errorf("while it is down: %+v", got)
@@ -151,7 +151,7 @@
 	if err := k.ledger.Up(); err != nil {
 		t.Fatal(err)
 	}
-	c.Send(3, untold("note", "b", 3), "1000*1 c")
+	c.Send(3, fieldsWithoutTimeout("note", "b", 3), "1000*1 c")
 	if got, _ := c.Next(); got.Code != served || got.Body != "1000*1 c|posted call 0 of 1000*1 c" {
 		t.Errorf("when it is back: %+v", got)
 	}
@@ -161,17 +161,17 @@
 // that need no call are served meanwhile.
 func TestLedgerHangs(t *testing.T) {
 	t.Parallel()
-	k := newTill(t, func(c ledger.Call) ledger.Act {
+	k := newLedgerServer(t, func(c ledger.Call) ledger.Act {
 		if strings.Contains(c.Body, "hang") {
 			return ledger.Act{After: 10 * time.Second}
 		}
 		return ledger.Act{}
 	})
-	c := standin.Dial(t, k.frames)
+	c := standin.Dial(t, k.framesAddr)
 	fields := standin.Fields("note", "red", "a", 1, 700*time.Millisecond)
 	due := time.Now().Add(760 * time.Millisecond)
 	c.Send(1, fields, "1000*1 hang")
-	c.Send(2, untold("look", "", 2), "1000 quick")
+	c.Send(2, fieldsWithoutTimeout("look", "", 2), "1000 quick")
 	if got, _ := c.Next(); got.Stream != 2 || got.Code != served {
 		t.Errorf("beside it: %+v", got)
 	}
@@ -186,13 +186,13 @@
 func TestManyCallsFewConnections(t *testing.T) {
 	t.Parallel()
 	const runs = 100
-	k := newTill(t, func(ledger.Call) ledger.Act { return ledger.Act{After: 5 * time.Millisecond} })
+	k := newLedgerServer(t, func(ledger.Call) ledger.Act { return ledger.Act{After: 5 * time.Millisecond} })
 	var callers []*standin.Caller
 	for i := range runs {
 		if i%25 == 0 {
-			callers = append(callers, standin.Dial(t, k.frames))
+			callers = append(callers, standin.Dial(t, k.framesAddr))
 		}
-		callers[i/25].Send(uint32(i%25+1), untold("find", "", uint64(i+1)), fmt.Sprintf("100*1 r%d", i))
+		callers[i/25].Send(uint32(i%25+1), fieldsWithoutTimeout("find", "", uint64(i+1)), fmt.Sprintf("100*1 r%d", i))
 	}
 	codes := map[byte]int{}
 	for i := range runs {
@@ -205,8 +205,8 @@
 	if codes[served]+codes[refused] != runs || codes[served] < runs/4 {
 		t.Errorf("answers by code: %v", codes)
 	}
-	if _, most := k.ledger.Connections(); most > k.below.places {
-		t.Errorf("%d connections to the ledger, %d are set aside", most, k.below.places)
+	if _, most := k.ledger.Connections(); most > k.downstream.maxConns {
+		t.Errorf("%d connections to the ledger, %d are set aside", most, k.downstream.maxConns)
 	}
 	if log := k.engine.Log(); log.Fed != codes[served] || log.Stray != 0 {
 		t.Errorf("the engine saw %+v, %d were served", log, codes[served])
@@ -215,12 +215,12 @@
 
 // A caller goes while its run stands at a call: the call is given up where
 // running anew does no harm, and its place is free once the engine says so.
-func TestCallerGoesAtACall(t *testing.T) {
+func TestCallerDisconnectsDuringCall(t *testing.T) {
 	t.Parallel()
 	came := make(chan struct{}, 1)
-	k := newTill(t, func(ledger.Call) ledger.Act { came <- struct{}{}; return ledger.Act{After: time.Minute} })
-	c := standin.Dial(t, k.frames)
-	c.Send(1, untold("find", "", 1), "1000*1 a")
+	k := newLedgerServer(t, func(ledger.Call) ledger.Act { came <- struct{}{}; return ledger.Act{After: time.Minute} })
+	c := standin.Dial(t, k.framesAddr)
+	c.Send(1, fieldsWithoutTimeout("find", "", 1), "1000*1 a")
 	<-came
 	c.Conn.Close()
 	k.eventually(t, "the call is given up", func() bool { return k.core.CallsInFlight() == 0 })
@@ -232,12 +232,12 @@
 func TestLinkBreaksBetweenNeedAndFeed(t *testing.T) {
 	t.Parallel()
 	came, release := make(chan struct{}, 1), make(chan struct{})
-	k := newTill(t, func(ledger.Call) ledger.Act { came <- struct{}{}; <-release; return ledger.Act{} })
-	c := standin.Dial(t, k.frames)
-	c.Send(1, untold("note", "a", 1), "1000*1 a")
+	k := newLedgerServer(t, func(ledger.Call) ledger.Act { came <- struct{}{}; <-release; return ledger.Act{} })
+	c := standin.Dial(t, k.framesAddr)
+	c.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 a")
 	<-came
 	k.engine.Cut()
-	k.eventually(t, "the link is lost, and back", func() bool { return k.link.Ready() && k.dials.Load() > 1 })
+	k.eventually(t, "the link is lost, and back", func() bool { return k.link.Ready() && k.engineDialID.Load() > 1 })
 	close(release)
 	if got, _ := c.Next(); got.Code != served || got.Body != "1000*1 a|posted call 0 of 1000*1 a" {
 		t.Errorf("%+v", got)
@@ -248,14 +248,14 @@
 }
 
 // A keyed run stands at its call when a marked repeat comes: both get its result.
-func TestRepeatOfARunAtACall(t *testing.T) {
+func TestRetryWhileRunAwaitsCall(t *testing.T) {
 	t.Parallel()
 	came, release := make(chan struct{}, 1), make(chan struct{})
-	k := newTill(t, func(ledger.Call) ledger.Act { came <- struct{}{}; <-release; return ledger.Act{} })
-	c := standin.Dial(t, k.frames)
-	c.Send(1, untold("note", "a", 1), "1000*1 a")
+	k := newLedgerServer(t, func(ledger.Call) ledger.Act { came <- struct{}{}; <-release; return ledger.Act{} })
+	c := standin.Dial(t, k.framesAddr)
+	c.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 a")
 	<-came
-	c.Send(2, append(untold("note", "a", 2), frame.Field{Name: "resent", Value: "1"}), "1000*1 a")
+	c.Send(2, append(fieldsWithoutTimeout("note", "a", 2), frame.Field{Name: "resent", Value: "1"}), "1000*1 a")
 	k.eventually(t, "the repeat is in", func() bool { return k.core.Counts().Received == 2 })
 	close(release)
 	for range 2 {
@@ -270,19 +270,19 @@
 
 // SIGTERM with calls in hand: what ends in time is served, the rest is
 // answered before the stop, and the process ends.
-func TestDrainWithCallsInHand(t *testing.T) {
+func TestDrainWithPendingCalls(t *testing.T) {
 	t.Parallel()
 	came := make(chan struct{}, 2)
-	k := newTill(t, func(c ledger.Call) ledger.Act {
+	k := newLedgerServer(t, func(c ledger.Call) ledger.Act {
 		came <- struct{}{}
 		if strings.Contains(c.Body, "slow") {
 			return ledger.Act{After: time.Minute}
 		}
 		return ledger.Act{After: 300 * time.Millisecond}
 	})
-	c := standin.Dial(t, k.frames)
-	c.Send(1, untold("note", "a", 1), "1000*1 soon")
-	c.Send(2, untold("note", "b", 2), "1000*1 slow")
+	c := standin.Dial(t, k.framesAddr)
+	c.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 soon")
+	c.Send(2, fieldsWithoutTimeout("note", "b", 2), "1000*1 slow")
 	<-came
 	<-came
 	k.signals <- syscall.SIGTERM
@@ -300,31 +300,31 @@
 	if codes[1] != served || codes[2] != failed {
 		t.Errorf("codes %v", codes)
 	}
-	if err := <-k.end; err != nil {
+	if err := <-k.serveErr; err != nil {
 		t.Errorf("the drain ends with %v", err)
 	}
 }
 
 // The ledger moves with a new configuration: the call that is out ends where it
 // was made, later ones go to the new address.
-func TestLedgerMoves(t *testing.T) {
+func TestLedgerAddressChanges(t *testing.T) {
 	t.Parallel()
 	came, release := make(chan struct{}, 1), make(chan struct{})
 	var once sync.Once
-	k := newTill(t, func(ledger.Call) ledger.Act { once.Do(func() { came <- struct{}{} }); <-release; return ledger.Act{} })
+	k := newLedgerServer(t, func(ledger.Call) ledger.Act { once.Do(func() { came <- struct{}{} }); <-release; return ledger.Act{} })
 	next, err := ledger.Serve(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Down)
-	c := standin.Dial(t, k.frames)
-	c.Send(1, untold("note", "a", 1), "1000*1 a")
+	c := standin.Dial(t, k.framesAddr)
+	c.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 a")
 	<-came
 	cfg := k.config(t, next.Address)
-	if !k.hupFrom(t, func() (*config.Config, error) { return cfg, nil }) {
+	if !k.sighupFrom(t, func() (*config.Config, error) { return cfg, nil }) {
 		t.Fatal("a good configuration is turned down")
 	}
-	c.Send(2, untold("note", "b", 2), "1000*1 b")
+	c.Send(2, fieldsWithoutTimeout("note", "b", 2), "1000*1 b")
 	if got, _ := c.Next(); got.Stream != 2 || got.Code != served {
 		t.Errorf("%+v", got)
 	}
@@ -338,10 +338,10 @@
 }
 
 // A run that is paused holds its memory, and its caller is answered when it is due.
-func TestPausedAtItsDueTime(t *testing.T) {
+func TestPausedRunAtDeadline(t *testing.T) {
 	t.Parallel()
-	k := newTill(t, nil)
-	c := standin.Dial(t, k.frames)
+	k := newLedgerServer(t, nil)
+	c := standin.Dial(t, k.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, 600*time.Millisecond), "5000000 long")
 	k.eventually(t, "it runs", func() bool { return k.engine.Log().Begun["5000000 long"] == 1 })
 	if got, _ := c.Next(); got.Code != failed {
@@ -353,11 +353,11 @@
 }
 
 // A connection may carry requests that state their patience and others that do not.
-func TestToldAndUntoldOnOneConnection(t *testing.T) {
+func TestRequestsWithAndWithoutTimeout(t *testing.T) {
 	t.Parallel()
-	k := newTill(t, nil)
-	c := standin.Dial(t, k.frames)
-	c.Send(1, untold("look", "", 1), "100 a")
+	k := newLedgerServer(t, nil)
+	c := standin.Dial(t, k.framesAddr)
+	c.Send(1, fieldsWithoutTimeout("look", "", 1), "100 a")
 	c.Send(2, standin.Fields("look", "red", "", 2, time.Second), "100 b")
 	for range 2 {
 		if got, _ := c.Next(); got.Code != served {
@@ -372,14 +372,14 @@
 	t.Parallel()
 	engine := standin.NewEngine(t, func(body string) standin.Work { return standin.Work{For: time.Hour} })
 	registry, reports := standin.NewRegistry(t)
-	text := strings.NewReplacer(settings, tillSettings).Replace(platformText(engine.Address, registry))
+	text := strings.NewReplacer(settings, ledgerSettings).Replace(platformJSON(engine.Address, registry))
 	cfg, err := config.Parse([]byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := launch(t, cfg)
 	r.eventually(t, "it serves", func() bool { return r.serving })
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	deadline := time.After(20 * time.Second)
 	for i, stalled := uint32(1), false; !stalled; i++ {
 		c.Send(i, standin.Fields("look", "red", "", uint64(i), 300*time.Millisecond), "x")
@@ -400,15 +400,15 @@
 // and counts it by cause.
 func TestRejectionsAreCounted(t *testing.T) {
 	t.Parallel()
-	k := newTill(t, nil)
-	c := standin.Dial(t, k.frames)
+	k := newLedgerServer(t, nil)
+	c := standin.Dial(t, k.framesAddr)
 	for i := range uint32(3) {
 		c.Send(i+1, []frame.Field{{Name: "kind", Value: "look"}}, "x")
 		c.Next()
 	}
-	c.Send(4, append(untold("look", "", 1), frame.Field{Name: "level", Value: "9"}), "x")
+	c.Send(4, append(fieldsWithoutTimeout("look", "", 1), frame.Field{Name: "level", Value: "9"}), "x")
 	c.Next()
-	got := k.ask(t, "show-stat")
+	got := k.adminCall(t, "show-stat")
 	for _, want := range []string{"app.rejected.field_absent_req:3|c", "app.rejected.field_unusable_level:1|c"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%s is not in %s", want, got)
--- a/internal/server/pools_test.go
+++ b/internal/server/pools_test.go
@@ -25,7 +25,7 @@
 
 // Pools show at the door, are resized and dropped at SIGHUP with work running
 // in them, and a file that is wrong changes nothing.
-func TestPoolsAtTheDoorAndAtReload(t *testing.T) {
+func TestPoolsInStatsAndReload(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
 	engine := standin.NewEngine(t, func(body string) standin.Work {
@@ -38,7 +38,7 @@
 	with := func(share string) string { return fmt.Sprintf(poolFile, share) }
 	r := start(t, engine.Address, "", with("0.25"))
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	stream := uint32(0)
 	ask := func(class, key, body string) {
 		stream++
@@ -51,7 +51,7 @@
 		t.Helper()
 		var got string
 		for began := time.Now(); time.Since(began) < 5*time.Second; time.Sleep(5 * time.Millisecond) {
-			got = r.ask(t, "show-stat")
+			got = r.adminCall(t, "show-stat")
 			missing := ""
 			for _, w := range want {
 				if !strings.Contains(got, "app.pool."+w+"\n") {
@@ -67,7 +67,7 @@
 	shows("reads.running:1|g", "notes.running:1|g", "notes.waiting:0|g", "notes.own:2|g", "rest.running:0|g")
 	reload := func(text string) bool {
 		t.Helper()
-		return r.hupOperator(t, engine.Address, text)
+		return r.sighupOperator(t, engine.Address, text)
 	}
 	if reload(with("0.75")) {
 		t.Error("shares of over 1 are taken")
@@ -92,22 +92,22 @@
 	if !reload("") {
 		t.Error("a file without pools is not taken")
 	}
-	if got := r.ask(t, "show-stat"); strings.Contains(got, "app.pool.") {
+	if got := r.adminCall(t, "show-stat"); strings.Contains(got, "app.pool.") {
 		t.Errorf("pools are shown that are gone: %s", got)
 	}
 }
 
 // A repeat that comes after its class has moved to another pool takes the
 // result of the run in the old one.
-func TestRepeatAcrossPools(t *testing.T) {
+func TestRetryAcrossPools(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(300*time.Millisecond))
 	r := start(t, engine.Address, "", fmt.Sprintf(poolFile, "0.25"))
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("note", "red", "k", 1, 3*time.Second), "b")
 	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
-	if !r.hupOperator(t, engine.Address, "[[pool]]\nname = \"all\"\nclasses = [\"note\", \"look\", \"find\"]\nshare = 1.0\n") {
+	if !r.sighupOperator(t, engine.Address, "[[pool]]\nname = \"all\"\nclasses = [\"note\", \"look\", \"find\"]\nshare = 1.0\n") {
 		t.Fatal("the file is not taken")
 	}
 	c.Send(2, standin.Fields("note", "red", "k", 2, 3*time.Second), "b")
@@ -124,19 +124,19 @@
 // The next process of an upgrade has the pools of the same file.
 func TestPoolsSurviveAnUpgrade(t *testing.T) {
 	t.Parallel()
-	s := site(t)
+	s := newSharedListener(t)
 	file := fmt.Sprintf(poolFile, "0.25")
 	engine := standin.NewEngine(t, standin.Echo(200*time.Millisecond))
-	old := launch(t, s.process(t, engine.Address, file))
-	old.ready(t)
-	c := old.open(t)
+	old := launch(t, s.processConfig(t, engine.Address, file))
+	old.waitReady(t)
+	c := old.dialUntilMine(t)
 	c.Send(1, standin.Fields("note", "red", "k", 1, 3*time.Second), "b")
-	next := launch(t, s.process(t, standin.NewEngine(t, standin.Echo(time.Millisecond)).Address, file))
-	next.ready(t)
-	if got := next.ask(t, "show-stat"); !strings.Contains(got, "app.pool.notes.own:2|g") {
+	next := launch(t, s.processConfig(t, standin.NewEngine(t, standin.Echo(time.Millisecond)).Address, file))
+	next.waitReady(t)
+	if got := next.adminCall(t, "show-stat"); !strings.Contains(got, "app.pool.notes.own:2|g") {
 		t.Errorf("the new process shows %s", got)
 	}
-	d := next.open(t)
+	d := next.dialUntilMine(t)
 	d.Send(1, standin.Fields("note", "red", "k", 2, 3*time.Second), "b")
 	for _, caller := range []*standin.Caller{c, d} {
 		if got, ok := caller.Next(); !ok || got.Code != frame.Served || got.Body != "did b" {
--- a/internal/server/links_test.go
+++ b/internal/server/reconnect_test.go
@@ -21,7 +21,7 @@
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "[fe80::1]:9", "") // the system does not connect without a zone
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "b")
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Errorf("%+v", got)
@@ -29,7 +29,7 @@
 }
 
 // An engine whose links break as soon as they stand is not asked without a pause.
-func TestBreakingEngineLinkIsSoughtWithPauses(t *testing.T) {
+func TestEngineRedialIsRateLimited(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,14 +53,14 @@
 	}()
 	began := time.Now()
 	start(t, l.Addr().String(), "", "")
-	if took := (<-twenty).Sub(began); took < 19*redial*time.Microsecond/2 {
+	if took := (<-twenty).Sub(began); took < 19*engineRedialIntervalUS*time.Microsecond/2 {
 		t.Errorf("20 links in %v", took)
 	}
 }
 
 // A link to the engine that goes quiet without a word, its bytes not taken any
 // more, is given up and sought anew; requests are served again.
-func TestEngineLinkGoesQuiet(t *testing.T) {
+func TestSilentEngineLinkIsReplaced(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,7 +92,7 @@
 			go io.Copy(near, far) //nolint:errcheck // until either ends
 		}
 	}()
-	cfg := platform(t, l.Addr().String(), "")
+	cfg := platformConfig(t, l.Addr().String(), "")
 	for i := range cfg.Policy.Classes {
 		cfg.Policy.Classes[i].Timeout = 1_000_000
 	}
@@ -104,7 +104,7 @@
 	for i := range filler {
 		filler[i] = ' '
 	}
-	r.look(func() {
+	r.onLoopWait(func() {
 		for range 8 {
 			r.engine.send(filler)
 		}
@@ -112,7 +112,7 @@
 	})
 	first := r.engine
 	r.eventually(t, "another link", func() bool { return r.engine != nil && r.engine != first && r.link.Ready() })
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "b")
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Errorf("%+v", got)
@@ -121,13 +121,13 @@
 
 // The socket of the reports becomes of no use while the process serves: another
 // one is opened, and the reports go on before the registry drops the server.
-func TestReportsOutliveTheirSocket(t *testing.T) {
+func TestRegistrySocketIsReopened(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	registry, reports := standin.NewRegistry(t)
 	r := start(t, engine.Address, registry, "")
 	<-reports
-	r.look(func() {
+	r.onLoopWait(func() {
 		if err := r.heartbeat.Close(); err != nil {
 			t.Error(err)
 		}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -16,16 +16,16 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// asked is a version that is to be taken over.
-type asked struct {
-	doc     *document.Document
-	delta   *document.Delta // the step from the version in force; nil = it came whole
-	verdict chan error
+// versionRequest is a version that is to be taken over.
+type versionRequest struct {
+	doc    *document.Document
+	delta  *document.Delta // the step from the version in force; nil = it came whole
+	result chan error
 }
 
 var (
-	errLeaving = errors.New("server: the notice to leave has come, no version is taken over any more")
-	errEnded   = errors.New("server: the run has ended")
+	errShuttingDown = errors.New("server: the notice to leave has come, no version is taken over any more")
+	errEnded        = errors.New("server: the run has ended")
 )
 
 // reloads takes in SIGHUP and versions, one after the other, beside the loop and
@@ -39,9 +39,9 @@
 		select {
 		case <-signals:
 			s.reload(places)
-		case v := <-s.versions:
-			v.verdict <- s.version(places, v)
-		case <-s.life.Done():
+		case v := <-s.versionRequests:
+			v.result <- s.handleVersion(places, v)
+		case <-s.runCtx.Done():
 			return
 		}
 	}
@@ -62,39 +62,39 @@
 		ch, err = places.PrepareFile(next)
 	}
 	if err != nil {
-		s.onLoop(func() { s.turnDown(err) })
+		s.onLoop(func() { s.rejectConfig(err) })
 		return
 	}
-	s.put(places, ch) //nolint:errcheck // the loop has logged and counted it
+	s.submitChange(places, ch) //nolint:errcheck // the loop has logged and counted it
 }
 
-// takeVersion takes over a version of what the fleet serves by, and returns when
+// applyVersion takes over a version of what the fleet serves by, and returns when
 // it is in force or refused: then the error says why, and the one before is in
 // force. delta is the step from the version in force; nil = it came whole. It is
 // for goroutines beside the loop.
-func (s *Server) takeVersion(ctx context.Context, doc *document.Document, delta *document.Delta) error {
-	v := asked{doc, delta, make(chan error, 1)}
+func (s *Server) applyVersion(ctx context.Context, doc *document.Document, delta *document.Delta) error {
+	v := versionRequest{doc, delta, make(chan error, 1)}
 	select {
-	case s.versions <- v:
+	case s.versionRequests <- v:
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-s.life.Done():
+	case <-s.runCtx.Done():
 		return errEnded
 	}
 	select {
-	case err := <-v.verdict: // it is near, and whoever asks is to know it
+	case err := <-v.result: // it is near, and whoever asks is to know it
 		return err
-	case <-s.life.Done():
+	case <-s.runCtx.Done():
 		return errEnded
 	}
 }
 
-func (s *Server) version(places *config.Updater, v asked) error {
+func (s *Server) handleVersion(places *config.Updater, v versionRequest) error {
 	h := v.doc.Header()
 	places.SetTime(now())
 	ch, err := places.PrepareVersion(v.doc, v.delta)
 	if err == nil {
-		err = s.put(places, ch)
+		err = s.submitChange(places, ch)
 	}
 	if err != nil {
 		s.log.Error("the version is not used", zap.Uint64("version", h.Number), zap.Stringer("digest", v.doc.Digest()), zap.Error(err))
@@ -102,10 +102,10 @@
 	return err
 }
 
-// put has the loop take over a change, and waits for its verdict.
-func (s *Server) put(places *config.Updater, ch *config.Change) error {
+// submitChange has the loop take over a change, and waits for its verdict.
+func (s *Server) submitChange(places *config.Updater, ch *config.Change) error {
 	verdict := make(chan error, 1)
-	s.onLoop(func() { verdict <- s.adopt(ch) })
+	s.onLoop(func() { verdict <- s.applyChange(ch) })
 	select {
 	case err := <-verdict:
 		if err == nil {
@@ -113,50 +113,50 @@
 			places.Commit(ch)
 		}
 		return err
-	case <-s.life.Done():
+	case <-s.runCtx.Done():
 		return errEnded
 	}
 }
 
-// adopt takes over a checked change between two batches, and changes nothing
+// applyChange takes over a checked change between two batches, and changes nothing
 // unless all of it can be used. It costs by what has changed. What is part of how
 // the process was set up (names, addresses, limits) needs a restart.
-func (s *Server) adopt(ch *config.Change) error {
+func (s *Server) applyChange(ch *config.Change) error {
 	was, next := s.cfg, ch.Config
 	err := error(nil)
-	if !ch.FromFile && s.stopAt != 0 {
-		err = errLeaving
+	if !ch.FromFile && s.killAt != 0 {
+		err = errShuttingDown
 	} else {
 		err = s.core.Reconfigure(next.Policy, next.RetiredClasses, ch.Pools)
 	}
 	if err != nil {
 		if ch.FromFile {
-			s.turnDown(err)
+			s.rejectConfig(err)
 		}
 		return err
 	}
 	s.cfg = next
-	s.name(ch.Classes, ch.Tenants)
+	s.updateNames(ch.Classes, ch.Tenants)
 	if len(ch.Classes) > 0 {
-		s.recall()
-		if s.calls == 0 && uses(next.Backends) {
+		s.restoreUnknownClassKeys()
+		if s.maxBackendCalls == 0 && hasBackend(next.Backends) {
 			s.log.Warn("backends need descriptors set aside at the start; until a restart their classes fail")
 		}
 	}
 	if ch.FromFile {
-		s.machine(ch, was)
+		s.applyMachineSettings(ch, was)
 	} else {
 		h := next.Version().Header()
 		s.log.Info("version in force", zap.Uint64("version", h.Number), zap.Stringer("digest", next.Version().Digest()),
 			zap.String("author", h.Author), zap.String("reason", h.Reason), zap.Int("classes", len(ch.Classes)), zap.Int("teams", len(ch.Tenants)))
 	}
-	s.reportAt = 0
-	s.schedule()
+	s.nextReportAt = 0
+	s.scheduleIteration()
 	return nil
 }
 
-// machine takes over what a file says beside classes and teams.
-func (s *Server) machine(ch *config.Change, was *config.Config) {
+// applyMachineSettings takes over what a file says beside classes and teams.
+func (s *Server) applyMachineSettings(ch *config.Change, was *config.Config) {
 	next := ch.Config
 	for _, key := range ch.RestartRequired {
 		s.log.Warn("a change that needs a restart is not taken over", zap.String("key", key))
@@ -165,35 +165,35 @@
 		s.log.Warn("the file's own teams, services and pools are passed over: a version is in force",
 			zap.Uint64("version", next.Version().Header().Number))
 	}
-	if s.stopAt != 0 {
+	if s.killAt != 0 {
 		next.StopTimeoutUS = was.StopTimeoutUS
 	}
 	if next.Engine != was.Engine {
-		s.reach() // the link in use is kept until the new one stands
+		s.connectEngine() // the link in use is kept until the new one stands
 	}
 	if next.Ledger != was.Ledger {
 		s.openLedger()
 	}
 	if next.Registry != was.Registry {
-		s.reregister()
+		s.reconnectRegistry()
 	}
-	s.applied++
+	s.reloadsApplied++
 	s.log.Info("configuration reloaded", zap.String("engine", next.Engine), zap.String("registry", next.Registry),
 		zap.Int("classes", len(ch.Classes)), zap.Int("teams", len(ch.Tenants)))
 }
 
-// turnDown notes a configuration that is not used.
-func (s *Server) turnDown(err error) {
-	s.rejected++
+// rejectConfig notes a configuration that is not used.
+func (s *Server) rejectConfig(err error) {
+	s.reloadsRejected++
 	s.log.Error("the new configuration is not used", zap.Error(err))
 }
 
-// nameAll tells the fronts and the engine's link which classes and teams there
+// initNames tells the fronts and the engine's link which classes and teams there
 // are at the start.
-func (s *Server) nameAll() {
+func (s *Server) initNames() {
 	s.names = &frame.NameIndex{Classes: make(map[string]int, len(s.cfg.Classes)), Tenants: make(map[string]int, len(s.cfg.Tenants))}
-	s.keyed = map[string]int{}
-	s.book = &uwsgi.ContractTable{Classes: s.names.Classes, Tenants: s.names.Tenants}
+	s.keyedClasses = map[string]int{}
+	s.uwsgiContracts = &uwsgi.ContractTable{Classes: s.names.Classes, Tenants: s.names.Tenants}
 	all := func(n int) []int {
 		places := make([]int, n)
 		for i := range places {
@@ -201,11 +201,11 @@
 		}
 		return places
 	}
-	s.name(all(len(s.cfg.Classes)), all(len(s.cfg.Tenants)))
+	s.updateNames(all(len(s.cfg.Classes)), all(len(s.cfg.Tenants)))
 }
 
-// name tells them what has changed at these places.
-func (s *Server) name(classes, tenants []int) {
+// updateNames tells them what has changed at these places.
+func (s *Server) updateNames(classes, tenants []int) {
 	cfg, names := s.cfg, s.names
 	for _, on := range []bool{false, true} { // of two classes with one name the one in force counts
 		for _, i := range classes {
@@ -221,9 +221,9 @@
 	for i := len(names.Keyed); i < len(cfg.Classes); i++ {
 		effect := cfg.Policy.Classes[i].Effect
 		names.Keyed = append(names.Keyed, effect == kiteslip.Keyed)
-		s.safe = append(s.safe, effect == kiteslip.Repeatable)
+		s.repeatable = append(s.repeatable, effect == kiteslip.Repeatable)
 		if effect == kiteslip.Keyed {
-			s.keyed[cfg.Classes[i]] = i
+			s.keyedClasses[cfg.Classes[i]] = i
 		}
 	}
 	for _, i := range tenants {
@@ -237,46 +237,46 @@
 		}
 	}
 	s.tenants = cfg.Tenants
-	s.book.Contracts = cfg.UWSGI.Contracts
-	s.link.SetClasses(cfg.Classes, s.safe)
+	s.uwsgiContracts.Contracts = cfg.UWSGI.Contracts
+	s.link.SetClasses(cfg.Classes, s.repeatable)
 }
 
-// reregister sends the reports to the registry that holds now. It is reached
+// reconnectRegistry sends the reports to the registry that holds now. It is reached
 // beside the loop: its address may be a name that is slow to be looked up, or
 // cannot be reached for now. Nothing waits for it, and report tries again.
-func (s *Server) reregister() {
+func (s *Server) reconnectRegistry() {
 	if s.heartbeat != nil {
 		s.heartbeat.Close()
 		s.heartbeat = nil
 	}
-	s.registering++
-	at := s.registering
+	s.registryDialID++
+	at := s.registryDialID
 	if s.cfg.Registry == "" {
 		return
 	}
 	address, name := s.cfg.Registry, s.cfg.Name
-	s.seeking = true
+	s.registryDialing = true
 	go func() {
 		heartbeat, err := registry.Dial(address, name)
 		s.onLoop(func() {
 			switch {
-			case at != s.registering: // it has moved meanwhile
+			case at != s.registryDialID: // it has moved meanwhile
 				if err == nil {
 					heartbeat.Close()
 				}
 				return
 			case err != nil:
-				s.seeking, s.seekAt = false, now()+seekEvery
+				s.registryDialing, s.nextRegistryDialAt = false, now()+registryRetryIntervalUS
 				s.log.Warn("registry", zap.Error(err))
 				return
 			}
-			s.seeking, s.heartbeat, s.reportAt = false, heartbeat, 0
-			s.schedule()
+			s.registryDialing, s.heartbeat, s.nextReportAt = false, heartbeat, 0
+			s.scheduleIteration()
 		})
 	}()
 }
 
-// uses says whether any class is served by a backend.
-func uses(backends []string) bool {
+// hasBackend says whether any class is served by a backend.
+func hasBackend(backends []string) bool {
 	return slices.ContainsFunc(backends, func(address string) bool { return address != "" })
 }
--- a/internal/server/hold_test.go
+++ b/internal/server/reload_latency_test.go
@@ -18,9 +18,9 @@
 	fleetClasses = 2_800
 )
 
-// fleet is a server, not started, that serves by a version of that size, in which
+// newFleetServer is a server, not started, that serves by a version of that size, in which
 // each of so many pools has ten classes.
-func fleet(t testing.TB, pools int) (*Server, *config.Updater, *document.Document) {
+func newFleetServer(t testing.TB, pools int) (*Server, *config.Updater, *document.Document) {
 	t.Helper()
 	var all []document.Change
 	for i := range fleetTeams {
@@ -36,8 +36,8 @@
 		}
 		all = append(all, document.Change{Pool: p})
 	}
-	doc, _ := follows(t, document.Empty(), all...)
-	places := config.NewUpdater(platform(t, "127.0.0.1:1", ""))
+	doc, _ := nextVersion(t, document.Empty(), all...)
+	places := config.NewUpdater(platformConfig(t, "127.0.0.1:1", ""))
 	ch, err := places.PrepareVersion(doc, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -51,21 +51,21 @@
 	return s, places, doc
 }
 
-// holds says how long the loop is held by each of a number of changes, and how
+// loopBlockTimes says how long the loop is held by each of a number of changes, and how
 // long each is made ready beside it, in order, and what it takes to make the last
 // one ready at the cost of all, the fastest of three.
-func holds(t *testing.T, pools, times int, change func(i int) []document.Change) (beside, loop []time.Duration, whole time.Duration) {
+func loopBlockTimes(t *testing.T, pools, times int, change func(i int) []document.Change) (beside, loop []time.Duration, whole time.Duration) {
 	t.Helper()
-	s, places, doc := fleet(t, pools)
+	s, places, doc := newFleetServer(t, pools)
 	for i := range times {
-		next, delta := follows(t, doc, change(i)...)
+		next, delta := nextVersion(t, doc, change(i)...)
 		began := time.Now()
 		ch, err := places.PrepareVersion(next, delta)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ready := time.Now()
-		if err := s.adopt(ch); err != nil {
+		if err := s.applyChange(ch); err != nil {
 			t.Fatal(err)
 		}
 		loop, beside = append(loop, time.Since(ready)), append(beside, ready.Sub(began))
@@ -88,7 +88,7 @@
 // A change holds the loop by what it changes, and not by all. What is asserted is
 // a part of what all costs in the same run: a time by itself says more of a busy
 // machine than of the loop.
-func TestChangeHoldsTheLoopShortly(t *testing.T) {
+func TestConfigChangeBlocksLoopBriefly(t *testing.T) {
 	for _, c := range []struct {
 		what  string
 		pools int
@@ -119,7 +119,7 @@
 			return all
 		}},
 	} {
-		beside, loop, whole := holds(t, c.pools, c.times, c.make)
+		beside, loop, whole := loopBlockTimes(t, c.pools, c.times, c.make)
 		t.Logf("%s of %d, %d classes: the loop is held %v (median of %d, worst %v), beside it %v; all costs %v",
 			c.what, fleetTeams, fleetClasses, loop[c.times/2], c.times, loop[c.times-1], beside[c.times/2], whole)
 		if loop[0]*time.Duration(c.part) > whole {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -22,7 +22,7 @@
 	newRegistry, newReports := standin.NewRegistry(t)
 	r := start(t, engine.Address, oldRegistry, "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "long")
 	r.eventually(t, "a run", func() bool { return r.link.Running() == 1 })
 	<-oldReports
@@ -32,7 +32,7 @@
 	r.LoadConfig = func() (*config.Config, error) { read <- struct{}{}; return nil, errors.New("a faulty file") }
 	r.signals <- syscall.SIGHUP
 	<-read
-	r.look(func() {
+	r.onLoopWait(func() {
 		if r.cfg.Engine != was || r.cfg.Registry != oldRegistry {
 			t.Errorf("a faulty file was taken over")
 		}
@@ -62,15 +62,15 @@
 func TestReloadMovesBackends(t *testing.T) {
 	t.Parallel()
 	before, after := standin.NewBackend(t, work), standin.NewBackend(t, work)
-	r := start(t, "127.0.0.1:1", "", operator(before.Address))
+	r := start(t, "127.0.0.1:1", "", operatorTOML(before.Address))
 	post := func(body string) {
 		t.Helper()
-		if got := standin.Post(r.web, standin.Packet(t, standin.Vars("find", "red", "", time.Second), body)); got.Status != 200 {
+		if got := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("find", "red", "", time.Second), body)); got.Status != 200 {
 			t.Errorf("%s: %+v", body, got)
 		}
 	}
 	post("quick before")
-	next, err := config.ParseOperator(operator(after.Address), platform(t, "127.0.0.1:1", ""))
+	next, err := config.ParseOperator(operatorTOML(after.Address), platformConfig(t, "127.0.0.1:1", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,39 +83,39 @@
 	}
 }
 
-// hup gives the server a file and waits until it has taken it or turned it down.
-func (r *running) hup(t *testing.T, text string) (applied bool) {
+// sighup gives the server a file and waits until it has taken it or turned it down.
+func (r *testServer) sighup(t *testing.T, text string) (applied bool) {
 	t.Helper()
-	return r.hupFrom(t, func() (*config.Config, error) { return config.Parse([]byte(text), func(string) string { return "" }) })
+	return r.sighupFrom(t, func() (*config.Config, error) { return config.Parse([]byte(text), func(string) string { return "" }) })
 }
 
-// hupOperator does the same with an operator's file over the same platform file.
-func (r *running) hupOperator(t *testing.T, engine, text string) (applied bool) {
+// sighupOperator does the same with an operator's file over the same platform file.
+func (r *testServer) sighupOperator(t *testing.T, engine, text string) (applied bool) {
 	t.Helper()
-	return r.hupFrom(t, func() (*config.Config, error) { return config.ParseOperator(text, platform(t, engine, "")) })
+	return r.sighupFrom(t, func() (*config.Config, error) { return config.ParseOperator(text, platformConfig(t, engine, "")) })
 }
 
-func (r *running) hupFrom(t *testing.T, read func() (*config.Config, error)) (applied bool) {
+func (r *testServer) sighupFrom(t *testing.T, read func() (*config.Config, error)) (applied bool) {
 	t.Helper()
 	was, no := 0, 0
-	r.look(func() { was, no = r.applied, r.rejected })
+	r.onLoopWait(func() { was, no = r.reloadsApplied, r.reloadsRejected })
 	r.LoadConfig = read
 	r.signals <- syscall.SIGHUP
-	r.eventually(t, "the file is read", func() bool { return r.applied+r.rejected > was+no })
-	r.look(func() { applied = r.applied > was })
+	r.eventually(t, "the file is read", func() bool { return r.reloadsApplied+r.reloadsRejected > was+no })
+	r.onLoopWait(func() { applied = r.reloadsApplied > was })
 	return applied
 }
 
 // Classes come, go and return while requests are open: each request ends by the
 // promise it came under, a key runs once across the absence of its class, and
 // files that cannot be used whole change nothing and are counted.
-func TestRetune(t *testing.T) {
+func TestReloadChangesClasses(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, work)
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	file := platformText(engine.Address, "")
-	c := standin.Dial(t, r.frames)
+	file := platformJSON(engine.Address, "")
+	c := standin.Dial(t, r.framesAddr)
 	stream := uint32(0)
 	send := func(class, tenant, key, body string) {
 		stream++
@@ -135,7 +135,7 @@
 
 	next := strings.Replace(strings.Replace(file, `"find"`, `"fetch"`, 1), `"note"`, `"other"`, 1)
 	next = strings.Replace(next, `{"name": "blue", "quota_per_s": 500}`, `{"name": "green", "quota_per_s": 500}`, 1)
-	if !r.hup(t, next) {
+	if !r.sighup(t, next) {
 		t.Fatal("a good file is turned down")
 	}
 	expect("a request of a class that went", frame.Served)
@@ -144,7 +144,7 @@
 	expect("a new class and team", frame.Served)
 	send("other", "red", "key", "quick other")
 	expect("a new keyed class, with a key that another class has", frame.Served)
-	for range 2 * faultsMost { // callers learn late: no fault of theirs
+	for range 2 * maxMalformedInRow { // callers learn late: no fault of theirs
 		send("find", "red", "", "quick late")
 		expect("a class that went", frame.Refused)
 	}
@@ -156,14 +156,14 @@
 	for what, text := range map[string]string{"empty": "", "cut short": file[:len(file)/2], "a key lacks": strings.Replace(file, `"seed": "1", `, "", 1),
 		"no deadline": strings.Replace(file, `"hard_limit_us": 4000000`, `"hard_limit_us": 0`, 1),
 		"no settings": strings.Replace(file, `"settings"`, `"else"`, 1)} {
-		if r.hup(t, text) {
+		if r.sighup(t, text) {
 			t.Errorf("%s: the file is taken", what)
 		}
 	}
 	send("fetch", "green", "", "quick fetch")
 	expect("a class, after bad files", frame.Served)
 
-	if !r.hup(t, file) {
+	if !r.sighup(t, file) {
 		t.Fatal("the first file is turned down")
 	}
 	send("note", "red", "key", "quick note")
@@ -173,7 +173,7 @@
 	if n := engine.Runs()["quick note"]; n != 1 {
 		t.Errorf("a key ran %d times", n)
 	}
-	if got := r.ask(t, "show-stat"); !strings.Contains(got, "app.config_applied:2|c\napp.config_rejected:5|c\n") ||
+	if got := r.adminCall(t, "show-stat"); !strings.Contains(got, "app.config_applied:2|c\napp.config_rejected:5|c\n") ||
 		!strings.Contains(got, "app.ok.fetch:2|c\n") || !strings.Contains(got, "app.shed.find:32|c\n") {
 		t.Errorf("figures\n%s", got)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -30,100 +30,100 @@
 )
 
 const (
-	readBuffer  = 64 << 10  // of the loop, shared by all connections
-	outMost     = 256 << 10 // what a slow reader may leave unread before its connection is closed
-	iovMost     = 512       // slices of one gathered write, under the system's 1,024
-	redial      = 50_000    // between tries to reach the engine
-	seekEvery   = 1_000_000 // between tries to reach the registry
-	unheardMost = 4         // reports in a row that the system turns away before the registry is sought anew
-	goneEvery   = 1_000_000 // between two lines in the log that the engine's link is gone
-	dialMost    = time.Second
-	gaugeEvery  = 10_000     // between two questions for the gauges while requests are in hand
-	heldDivisor = 8          // part of the memory that half-read frames may take
-	bigBuffer   = 16 << 10   // ... above which a connection that holds more is closed
-	expireEvery = 20_000     // between two looks for what has run out of time
-	checkTime   = 2_000_000  // a deep check waits this long for the engine
-	checksMost  = 16         // deep checks that wait at once
-	statusEvery = 10_000_000 // between two lines of totals in the log
+	readBufferBytes         = 64 << 10  // of the loop, shared by all connections
+	maxUnsentBytes          = 256 << 10 // what a slow reader may leave unread before its connection is closed
+	maxIovecs               = 512       // slices of one gathered write, under the system's 1,024
+	engineRedialIntervalUS  = 50_000    // between tries to reach the engine
+	registryRetryIntervalUS = 1_000_000 // between tries to reach the registry
+	maxFailedReports        = 4         // reports in a row that the system turns away before the registry is sought anew
+	linkLossLogIntervalUS   = 1_000_000 // between two lines in the log that the engine's link is gone
+	engineDialTimeout       = time.Second
+	gaugeIntervalUS         = 10_000     // between two questions for the gauges while requests are in hand
+	partialMemoryDivisor    = 8          // part of the memory that half-read frames may take
+	largePartialBytes       = 16 << 10   // ... above which a connection that holds more is closed
+	expiryIntervalUS        = 20_000     // between two looks for what has run out of time
+	deepCheckTimeoutUS      = 2_000_000  // a deep check waits this long for the engine
+	maxPendingChecks        = 16         // deep checks that wait at once
+	statusIntervalUS        = 10_000_000 // between two lines of totals in the log
 )
 
 // Server is one real server.
 type Server struct {
 	gnet.BuiltinEventEngine
-	cfg       *config.Config
-	log       *zap.Logger
-	core      *core.Core
-	link      *engine.Link
-	heartbeat *registry.Heartbeat
-	engine    *engineConn  // the link in use; nil while there is none
-	dials     atomic.Int64 // numbers the searches for the engine; only the latest counts
+	cfg          *config.Config
+	log          *zap.Logger
+	core         *core.Core
+	link         *engine.Link
+	heartbeat    *registry.Heartbeat
+	engine       *engineConn  // the link in use; nil while there is none
+	engineDialID atomic.Int64 // numbers the searches for the engine; only the latest counts
 
-	dialedAt atomic.Int64 // when it was last tried to reach the engine
-	goneAt   int64        // when it was last logged that the link is gone
+	engineDialedAt   atomic.Int64 // when it was last tried to reach the engine
+	linkLossLoggedAt int64        // when it was last logged that the link is gone
 
 	// Reload reads the configuration anew, for SIGHUP; nil = what was read at the start stays.
-	LoadConfig func() (*config.Config, error)
-	names      *frame.NameIndex
-	keyed      map[string]int // keyed classes, those included that are no longer in force
-	safe       []bool         // by class: whether a run may be repeated
-	tenants    []string       // that names knows of, by place
-	versions   chan asked     // to be taken over, see reloads
-	client     *gnet.Client
-	loop       gnet.EventLoop
-	up         chan struct{} // closed when the loop runs
-	done       chan error    // the end of the run
+	LoadConfig      func() (*config.Config, error)
+	names           *frame.NameIndex
+	keyedClasses    map[string]int      // keyed classes, those included that are no longer in force
+	repeatable      []bool              // by class: whether a run may be repeated
+	tenants         []string            // that names knows of, by place
+	versionRequests chan versionRequest // to be taken over, see reloads
+	client          *gnet.Client
+	loop            gnet.EventLoop
+	started         chan struct{} // closed when the loop runs
+	done            chan error    // the end of the run
 
-	listeners []front
-	slots     chan struct{} // one for each connection that may be open
-	lingering int           // connections whose end is under way, see closing.go
-	accepting int           // listeners of callers that are still accepted on
-	entering  atomic.Int64  // connections that were accepted and are not on the loop yet
+	listeners       []frontend
+	slots           chan struct{} // one for each connection that may be open
+	closingConns    int           // connections whose end is under way, see closing.go
+	activeListeners int           // listeners of callers that are still accepted on
+	enrolling       atomic.Int64  // connections that were accepted and are not on the loop yet
 
-	descriptors *semaphore.Weighted // for callers' connections
-	life        context.Context     // of the run
-	end         context.CancelFunc
-	admin       *front        // for operators; nil = not set up
-	adminSlots  chan struct{} // the places there
-	sessions    map[handler]struct{}
-	buffered    int // bytes of half-read frames, over all connections
+	descriptors  *semaphore.Weighted // for callers' connections
+	runCtx       context.Context     // of the run
+	cancelRun    context.CancelFunc
+	admin        *frontend     // for operators; nil = not set up
+	adminSlots   chan struct{} // the places there
+	conns        map[handler]struct{}
+	partialBytes int // bytes of half-read frames, over all connections
 
-	dirty     []handler
-	scheduled bool
-	timer     *time.Timer
-	timerAt   int64
-	statAt    int64
-	reportAt  int64
+	unflushed    []handler
+	scheduled    bool
+	timer        *time.Timer
+	timerAt      int64
+	nextGaugeAt  int64
+	nextReportAt int64
 
-	registering int   // numbers the searches for the registry; only the latest counts
-	seeking     bool  // one is under way
-	seekAt      int64 // not before this
-	unheard     int   // reports in a row that the system has turned away
+	registryDialID     int   // numbers the searches for the registry; only the latest counts
+	registryDialing    bool  // one is under way
+	nextRegistryDialAt int64 // not before this
+	failedReports      int   // reports in a row that the system has turned away
 
-	logAt int64
-	leaving
-	serving  bool // clients are taken
-	called   int  // runs that were handed to backends
-	applied  int  // configuration files taken at SIGHUP
-	rejected int  // and turned down
-	handing  upgrade
-	stopping atomic.Bool // listeners are closed on purpose
-	over     atomic.Bool // the run has ended
+	nextStatusAt int64
+	shutdownState
+	serving          bool // clients are taken
+	backendCalls     int  // runs that were handed to backends
+	reloadsApplied   int  // configuration files taken at SIGHUP
+	reloadsRejected  int  // and turned down
+	upgrade          upgradeState
+	closingListeners atomic.Bool // listeners are closed on purpose
+	ended            atomic.Bool // the run has ended
 
-	keys     keys
-	book     *uwsgi.ContractTable
-	below    below
-	control  control
-	rejects  reject.Counter
-	backends map[*backendConn]struct{}
-	calls    int    // backends that may be called at once
-	webs     int    // open connections of the uwsgi front
-	webID    uint64 // names the requests of the uwsgi front
-	expireAt int64
-	reapAt   int64
+	keys            keyState
+	uwsgiContracts  *uwsgi.ContractTable
+	downstream      downstream
+	control         control
+	rejections      reject.Counter
+	backendConns    map[*backendConn]struct{}
+	maxBackendCalls int    // backends that may be called at once
+	uwsgiConns      int    // open connections of the uwsgi front
+	lastUWSGIID     uint64 // names the requests of the uwsgi front
+	nextExpiryAt    int64
+	nextReapAt      int64
 
-	health  func() (good, stored bool)
-	checks  map[string]check // deep health checks that wait for the engine, by tag
-	checkID int
+	health        func() (good, stored bool)
+	pendingChecks map[string]pendingCheck // deep health checks that wait for the engine, by tag
+	lastCheckID   int
 }
 
 // now is the system's Unix clock in microseconds.
@@ -132,18 +132,18 @@
 // New prepares a server; nothing listens until Serve.
 func New(cfg *config.Config, log *zap.Logger) (*Server, error) {
 	s := &Server{
-		cfg: cfg, log: log, up: make(chan struct{}), done: make(chan error, 1),
-		sessions: map[handler]struct{}{}, checks: map[string]check{},
-		backends: map[*backendConn]struct{}{}, versions: make(chan asked),
+		cfg: cfg, log: log, started: make(chan struct{}), done: make(chan error, 1),
+		conns: map[handler]struct{}{}, pendingChecks: map[string]pendingCheck{},
+		backendConns: map[*backendConn]struct{}{}, versionRequests: make(chan versionRequest),
 	}
-	s.life, s.end = context.WithCancel(context.Background())
+	s.runCtx, s.cancelRun = context.WithCancel(context.Background())
 	p := NewDescriptorBudget(cfg)
-	s.below.ends, s.below.places = map[ledger.EndReason]int{}, p.Ledger
-	s.calls = p.BackendCalls
+	s.downstream.resultCounts, s.downstream.maxConns = map[ledger.EndReason]int{}, p.Ledger
+	s.maxBackendCalls = p.BackendCalls
 	s.slots, s.adminSlots = make(chan struct{}, p.CallerConnections), make(chan struct{}, p.Admin)
 	s.descriptors = semaphore.NewWeighted(int64(p.CallerDescriptors))
 	s.link = engine.NewLink(s, now)
-	s.nameAll()
+	s.initNames()
 	var err error
 	s.core, err = core.New(core.Settings{
 		Policy: cfg.Policy, Seed: cfg.Seed, Pools: cfg.PoolSettings(),
@@ -160,7 +160,7 @@
 // Serve serves until the drain is over or something that it cannot do without fails.
 func (s *Server) Serve(signals Signals) error {
 	var err error
-	if s.client, err = gnet.NewClient(s, gnet.WithReadBufferCap(readBuffer), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+	if s.client, err = gnet.NewClient(s, gnet.WithReadBufferCap(readBufferBytes), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithLogger(s.log.Sugar())); err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 		return err
 	}
 	defer func() {
-		s.end()
+		s.cancelRun()
 		s.client.Stop() //nolint:errcheck // nothing is left to be done about it
 		if s.heartbeat != nil {
 			s.heartbeat.Close()
@@ -177,34 +177,34 @@
 	if err = s.findLoop(); err != nil {
 		return err
 	}
-	if err = s.meet(); err != nil {
+	if err = s.findPredecessor(); err != nil {
 		return err
 	}
 	defer s.closeUpgrade()
-	if err = s.keepKeys(); err != nil {
+	if err = s.initKeyStore(); err != nil {
 		return err
 	}
-	defer s.closeKeys()
+	defer s.closeKeyStore()
 	defer s.closeLedger()
 	if err = s.Listen(); err != nil {
 		return err
 	}
-	defer s.unlisten()
-	s.onLoop(s.begin)
-	close(s.up)
-	s.onLoop(s.reach)
+	defer s.closeListeners()
+	s.onLoop(s.startLoop)
+	close(s.started)
+	s.onLoop(s.connectEngine)
 	if s.admin != nil {
 		defer s.admin.Close()
-		go s.accept(*s.admin)
+		go s.acceptLoop(*s.admin)
 	}
 	go s.reloads(signals.Reload)
-	s.beginFollowing()
-	defer s.control.parted()
+	s.startFollower()
+	defer s.control.waitForFollower()
 	for {
 		select {
 		case n := <-signals.Stop:
-			s.endFollowing()
-			s.onLoop(func() { s.drain(n.Signal.String(), n.At.UnixMicro()) })
+			s.stopFollower()
+			s.onLoop(func() { s.beginShutdown(n.Signal.String(), n.At.UnixMicro()) })
 		case err := <-s.done:
 			return err
 		}
@@ -244,10 +244,10 @@
 // OnOpen is called by gnet on the loop.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if h, ok := c.Context().(handler); ok {
-		s.sessions[h] = struct{}{}
+		s.conns[h] = struct{}{}
 		h.opened(c)
-		if len(s.slots) >= cap(s.slots)-cap(s.slots)/freeShare {
-			s.schedule() // for evictIdle
+		if len(s.slots) >= cap(s.slots)-cap(s.slots)/freeSlotsDivisor {
+			s.scheduleIteration() // for evictIdle
 		}
 	}
 	return nil, gnet.None
@@ -272,24 +272,24 @@
 		h.flush()
 		return gnet.Close
 	}
-	s.schedule()
+	s.scheduleIteration()
 	return gnet.None
 }
 
 // OnClose is called by gnet on the loop when a connection has ended.
 func (s *Server) OnClose(c gnet.Conn, err error) gnet.Action {
 	if h, ok := c.Context().(handler); ok {
-		if _, open := s.sessions[h]; open {
-			if f, ok := h.(*session); ok && f.halve(err) {
-				s.schedule()
+		if _, open := s.conns[h]; open {
+			if f, ok := h.(*frameConn); ok && f.keepHalfClosed(err) {
+				s.scheduleIteration()
 				return gnet.None
 			}
-			delete(s.sessions, h)
+			delete(s.conns, h)
 			h.closed()
-			s.schedule()
+			s.scheduleIteration()
 		}
 	}
 	return gnet.None
 }
 
-var errSlow = errors.New("the caller does not take its answers")
+var errSlowReader = errors.New("the caller does not take its answers")
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -25,26 +25,26 @@
  "rules": {"answer_slack_us": 60000, "drain_grace_us": 2000000, "fall_multiple": 8, "fall_us": 1500000},
  "goal": {"whole": 1}, "tick_us": 4000, "group_size": 1}`
 
-// running is a server under test.
-type running struct {
+// testServer is a server under test.
+type testServer struct {
 	*Server
-	test        testing.TB
-	frames, web string // addresses
-	signals     chan os.Signal
-	end         chan error
+	test                  testing.TB
+	framesAddr, uwsgiAddr string // addresses
+	signals               chan os.Signal
+	serveErr              chan error
 }
 
-// platformText is the file that the platform would write.
-func platformText(engine, registry string) string {
+// platformJSON is the file that the platform would write.
+func platformJSON(engine, registry string) string {
 	return fmt.Sprintf(`{"name": "t", "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "engine": %q, "registry": %q,
 		"seed": "1", "stop_ms": 2000, "limits": {"cores": 1, "memory_mb": 64, "sockets": 288}, "settings": %s}`,
 		engine, registry, settings)
 }
 
-// platform is what the platform would configure.
-func platform(t testing.TB, engine, registry string) *config.Config {
+// platformConfig is what the platform would configure.
+func platformConfig(t testing.TB, engine, registry string) *config.Config {
 	t.Helper()
-	cfg, err := config.Parse([]byte(platformText(engine, registry)), func(string) string { return "" })
+	cfg, err := config.Parse([]byte(platformJSON(engine, registry)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,9 +53,9 @@
 
 // start runs a server against an engine and, if operator is given, with that
 // operator's file, in which %s stands for a free loopback address.
-func start(t testing.TB, engine, registry, operator string) *running {
+func start(t testing.TB, engine, registry, operator string) *testServer {
 	t.Helper()
-	cfg := platform(t, engine, registry)
+	cfg := platformConfig(t, engine, registry)
 	if operator != "" {
 		var err error
 		if cfg, err = config.ParseOperator(operator, cfg); err != nil {
@@ -68,13 +68,13 @@
 }
 
 // launch runs a server set up by cfg, which need not serve yet.
-func launch(t testing.TB, cfg *config.Config) *running {
+func launch(t testing.TB, cfg *config.Config) *testServer {
 	t.Helper()
 	return launchWith(t, cfg, func(*Server) {})
 }
 
 // launchWith does the same with a server that is changed before it starts.
-func launchWith(t testing.TB, cfg *config.Config, change func(*Server)) *running {
+func launchWith(t testing.TB, cfg *config.Config, change func(*Server)) *testServer {
 	t.Helper()
 	s, err := New(cfg, zap.NewNop())
 	if err != nil {
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 	}
-	r := &running{Server: s, test: t, signals: make(chan os.Signal, 1), end: make(chan error, 1)}
+	r := &testServer{Server: s, test: t, signals: make(chan os.Signal, 1), serveErr: make(chan error, 1)}
 	stop, reload := make(chan ShutdownNotice, 1), make(chan os.Signal, 1)
 	go func(signals <-chan os.Signal) {
 		for {
@@ -97,27 +97,27 @@
 				} else {
 					stop <- ShutdownNotice{sig, time.Now()}
 				}
-			case <-s.life.Done():
+			case <-s.runCtx.Done():
 				return
 			}
 		}
 	}(r.signals)
-	go func() { r.end <- s.Serve(Signals{Stop: stop, Reload: reload}) }()
+	go func() { r.serveErr <- s.Serve(Signals{Stop: stop, Reload: reload}) }()
 	select {
-	case <-s.up:
-	case err := <-r.end:
+	case <-s.started:
+	case err := <-r.serveErr:
 		t.Fatalf("it does not start: %v", err)
 	}
-	r.frames = s.Addresses()[0]
+	r.framesAddr = s.Addresses()[0]
 	if cfg.UWSGI.Listen != "" {
-		r.web = s.Addresses()[1]
+		r.uwsgiAddr = s.Addresses()[1]
 	}
 	t.Cleanup(func() { r.stop(t) })
 	return r
 }
 
 // stop drains the server and fails the test unless it ends well in time.
-func (r *running) stop(t testing.TB) {
+func (r *testServer) stop(t testing.TB) {
 	t.Helper()
 	if r.signals == nil {
 		return
@@ -125,7 +125,7 @@
 	r.signals <- syscall.SIGTERM
 	r.signals = nil
 	select {
-	case err := <-r.end:
+	case err := <-r.serveErr:
 		if err != nil {
 			t.Errorf("the drain ended with: %v", err)
 		}
@@ -134,19 +134,19 @@
 	}
 }
 
-// look runs f on the loop.
-func (r *running) look(f func()) {
+// onLoopWait runs f on the loop.
+func (r *testServer) onLoopWait(f func()) {
 	done := make(chan struct{})
 	r.onLoop(func() { f(); close(done) })
 	<-done
 }
 
 // eventually waits for what the loop reports, bounded.
-func (r *running) eventually(t testing.TB, what string, ok func() bool) {
+func (r *testServer) eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 1000 {
 		is := false
-		r.look(func() { is = ok() })
+		r.onLoopWait(func() { is = ok() })
 		if is {
 			return
 		}
@@ -160,7 +160,7 @@
 	engine := standin.NewEngine(t, standin.Echo(5*time.Millisecond))
 	registry, reports := standin.NewRegistry(t)
 	r := start(t, engine.Address, registry, "")
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "\x00\r\nbody")
 	if got, _ := c.Next(); got.Code != 79 || got.Stream != 1 || got.Body != "did \x00\r\nbody" {
 		t.Errorf("answer %+v", got)
@@ -190,7 +190,7 @@
 	r := start(t, engine.Address, registry, "")
 	<-reports
 	down()
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	for i := range uint64(20) { // over more than three reports
 		c.Send(uint32(i+1), standin.Fields("look", "red", "", i+1, time.Second), "b")
 		if got, _ := c.Next(); got.Code != frame.Served {
@@ -198,7 +198,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	r.ask(t, "drain")
+	r.adminCall(t, "drain")
 	_, reports, _ = standin.NewRegistryAt(t, registry)
 	if got := <-reports; got != "BEAT t draining" {
 		t.Errorf("report %q when it is back", got)
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -18,30 +18,30 @@
 // The end of the process, the crossings of it: docs/design/crossings.md lists them.
 // The order that does harm is forced by holding the loop, a slot or a file.
 
-// alive runs f on the loop, unless the process has ended.
-func (r *running) alive(f func()) bool {
+// runUnlessEnded runs f on the loop, unless the process has ended.
+func (r *testServer) runUnlessEnded(f func()) bool {
 	done := make(chan struct{})
 	r.onLoop(func() { f(); close(done) })
 	select {
 	case <-done:
 		return true
-	case err := <-r.end:
-		r.end <- err
+	case err := <-r.serveErr:
+		r.serveErr <- err
 		return false
 	}
 }
 
 // What the system has accepted when the listeners close, and the process has
 // not, is taken in and answered.
-func TestDrainTakesInTheQueue(t *testing.T) {
+func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(3*time.Second))
-	cfg := platform(t, engine.Address, "")
+	cfg := platformConfig(t, engine.Address, "")
 	cfg.Policy.DrainGrace = 0
 	r := launch(t, cfg)
 	r.eventually(t, "the engine's link", r.link.Ready)
 	ask := func(name uint64) *standin.Caller {
-		c := standin.Dial(t, r.frames)
+		c := standin.Dial(t, r.framesAddr)
 		c.Send(1, standin.Fields("look", "red", "", name, 3*time.Second), "b")
 		return c
 	}
@@ -54,22 +54,22 @@
 	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
 	second, third := ask(2), ask(3) // stand in the system's queue
 	r.signals <- syscall.SIGTERM
-	r.eventually(t, "the listeners are to close", r.stopping.Load)
-	r.look(func() {
-		if r.callers() != 1 {
-			t.Errorf("%d callers are in, want 1", r.callers())
+	r.eventually(t, "the listeners are to close", r.closingListeners.Load)
+	r.onLoopWait(func() {
+		if r.frameConnCount() != 1 {
+			t.Errorf("%d callers are in, want 1", r.frameConnCount())
 		}
 	})
 	for range held {
 		<-r.slots
 	}
 	for what, c := range map[string]*standin.Caller{"first": first, "second": second, "third": third} {
-		if _, refused, failed, _ := count(rest(c)); refused+failed != 1 {
+		if _, refused, failed, _ := countByCode(readAll(c)); refused+failed != 1 {
 			t.Errorf("%s: %d answers, want 1", what, refused+failed)
 		}
 	}
 	r.signals = nil
-	if err := <-r.end; err != nil {
+	if err := <-r.serveErr; err != nil {
 		t.Error(err)
 	}
 }
@@ -80,27 +80,27 @@
 	t.Parallel()
 	for _, stop := range []int64{1_000, 40_000, 120_000, 400_000} {
 		engine := standin.NewEngine(t, standin.Echo(3*time.Second))
-		cfg := platform(t, engine.Address, "")
+		cfg := platformConfig(t, engine.Address, "")
 		cfg.StopTimeoutUS = stop
 		r := launch(t, cfg)
 		r.eventually(t, "the engine's link", r.link.Ready)
-		c := standin.Dial(t, r.frames)
+		c := standin.Dial(t, r.framesAddr)
 		c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
 		c.Send(2, standin.Fields("note", "red", "key", 2, 3*time.Second), "b")
 		r.eventually(t, "both run", func() bool { return r.link.Running() == 2 })
 		r.signals <- syscall.SIGTERM
 		r.signals = nil
-		if _, refused, failed, _ := count(rest(c)); refused+failed != 2 {
+		if _, refused, failed, _ := countByCode(readAll(c)); refused+failed != 2 {
 			t.Errorf("stop after %d us: %d of 2 answered", stop, refused+failed)
 		}
-		if err := <-r.end; err != nil {
+		if err := <-r.serveErr; err != nil {
 			t.Errorf("stop after %d us: %v", stop, err)
 		}
 	}
 }
 
 // Two files and a notice to leave cross: the notice is not lost behind the files.
-func TestNoticeIsNotLostBehindReloads(t *testing.T) {
+func TestShutdownNoticeIsNotLostBehindReloads(t *testing.T) {
 	s := Notify()
 	for range 20 {
 		for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM} {
@@ -118,10 +118,10 @@
 }
 
 // A file taken over while the process leaves lengthens neither its time nor its grace.
-func TestReloadWhileLeaving(t *testing.T) {
+func TestReloadDuringDrain(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	text := strings.Replace(platformText(engine.Address, ""), `"drain_grace_us": 2000000`, `"drain_grace_us": 0`, 1)
+	text := strings.Replace(platformJSON(engine.Address, ""), `"drain_grace_us": 2000000`, `"drain_grace_us": 0`, 1)
 	parse := func(text string) *config.Config {
 		cfg, err := config.Parse([]byte(text), func(string) string { return "" })
 		if err != nil {
@@ -129,16 +129,16 @@
 		}
 		return cfg
 	}
-	next := parse(strings.Replace(platformText(engine.Address, ""), `"stop_ms": 2000`, `"stop_ms": 9000`, 1))
+	next := parse(strings.Replace(platformJSON(engine.Address, ""), `"stop_ms": 2000`, `"stop_ms": 9000`, 1))
 	r := launchWith(t, parse(text), func(s *Server) { s.LoadConfig = func() (*config.Config, error) { return next, nil } })
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.frames)
+	c := standin.Dial(t, r.framesAddr)
 	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "before")
 	c.Next()
 	r.signals <- syscall.SIGTERM
-	r.eventually(t, "it leaves", func() bool { return r.stopAt != 0 })
+	r.eventually(t, "it leaves", func() bool { return r.killAt != 0 })
 	r.signals <- syscall.SIGHUP
-	r.eventually(t, "the file is taken", func() bool { return r.applied == 1 })
+	r.eventually(t, "the file is taken", func() bool { return r.reloadsApplied == 1 })
 	c.Send(2, standin.Fields("look", "red", "", 2, time.Second), "after")
 	for got, ok := c.Next(); ok; got, ok = c.Next() {
 		if got.Stream == 2 && got.Code != frame.Refused {
@@ -147,7 +147,7 @@
 	}
 	r.signals = nil
 	select {
-	case err := <-r.end:
+	case err := <-r.serveErr:
 		if err != nil {
 			t.Error(err)
 		}
@@ -161,7 +161,7 @@
 
 // Descriptors of connections in all their states stay within what the limits
 // grant, for small limits and large, and something is left for callers.
-func TestPlacesAddUp(t *testing.T) {
+func TestDescriptorBudgetAddsUp(t *testing.T) {
 	for _, sockets := range []int{32, 48, 64, 100, 256, 512, 1024, 65536} {
 		for _, change := range []func(*config.Config){
 			func(*config.Config) {},
@@ -170,12 +170,12 @@
 			func(c *config.Config) { c.Backends = []string{"127.0.0.1:1", "", ""} },
 			func(c *config.Config) { c.InheritedFD = 3 },
 		} {
-			cfg := platform(t, "127.0.0.1:1", "")
+			cfg := platformConfig(t, "127.0.0.1:1", "")
 			cfg.Limits.Sockets = sockets
 			change(cfg)
 			p := NewDescriptorBudget(cfg)
-			sum := p.Internal + p.Admin + p.Ledger + enterDescriptors*p.BackendCalls + p.CallerDescriptors
-			if sockets >= 64 && sum > sockets || p.CallerConnections < callersLeast || p.CallerConnections > p.CallerDescriptors {
+			sum := p.Internal + p.Admin + p.Ledger + enrolDescriptors*p.BackendCalls + p.CallerDescriptors
+			if sockets >= 64 && sum > sockets || p.CallerConnections < minCallerConnections || p.CallerConnections > p.CallerDescriptors {
 				t.Errorf("%d sockets: %+v, %d in all", sockets, p, sum)
 			}
 			if sockets >= 256 && p.CallerConnections < sockets/3 {
@@ -187,36 +187,36 @@
 
 // The notice to leave comes while the keys are on their way to the next process:
 // this one stays until they have all gone out, or the next one is in doubt of them.
-func TestNoticeWhileKeysAreHandedOver(t *testing.T) {
+func TestShutdownNoticeDuringKeyHandover(t *testing.T) {
 	t.Parallel()
-	s := site(t)
+	s := newSharedListener(t)
 	engines := [2]*standin.Engine{standin.NewEngine(t, standin.Echo(time.Millisecond)), standin.NewEngine(t, standin.Echo(time.Millisecond))}
-	old := launch(t, s.process(t, engines[0].Address, ""))
-	old.ready(t)
-	young := launch(t, s.process(t, engines[1].Address, ""))
-	young.ready(t)
-	old.look(func() { old.handing.peer.handing, old.handing.peer.closing = true, true }) // as while the store is closed
+	old := launch(t, s.processConfig(t, engines[0].Address, ""))
+	old.waitReady(t)
+	young := launch(t, s.processConfig(t, engines[1].Address, ""))
+	young.waitReady(t)
+	old.onLoopWait(func() { old.upgrade.peer.sendingTable, old.upgrade.peer.storeClosing = true, true }) // as while the store is closed
 	old.signals <- syscall.SIGTERM
 	old.signals = nil
 	for left, rounds := false, 0; rounds < 20; {
-		if !old.alive(func() {
-			if left = old.stopAt != 0; left {
-				old.shutDown(now() + 10*lingerClose)
+		if !old.runUnlessEnded(func() {
+			if left = old.killAt != 0; left {
+				old.advanceShutdown(now() + 10*shutdownLingerUS)
 				rounds++
 			}
 		}) {
 			t.Fatal("it ends with keys in its hands")
 		}
 	}
-	old.look(func() { old.handing.peer.handing, old.handing.peer.closing = false, false })
-	if err := <-old.end; err != nil {
+	old.onLoopWait(func() { old.upgrade.peer.sendingTable, old.upgrade.peer.storeClosing = false, false })
+	if err := <-old.serveErr; err != nil {
 		t.Error(err)
 	}
 }
 
 // The notice comes before the listener stands, twice, and before the engine has
 // said a word; the time to the kill counts from when it came.
-func TestNoticeBeforeAnythingStands(t *testing.T) {
+func TestShutdownNoticeDuringStart(t *testing.T) {
 	t.Parallel()
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes links, and never says HELLO
 	if err != nil {
@@ -224,7 +224,7 @@
 	}
 	t.Cleanup(func() { silent.Close() })
 	for _, early := range []bool{true, false} {
-		s, err := New(platform(t, silent.Addr().String(), ""), zap.NewNop())
+		s, err := New(platformConfig(t, silent.Addr().String(), ""), zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -237,34 +237,34 @@
 		end := make(chan error, 1)
 		go func() { end <- s.Serve(Signals{Stop: stop}) }()
 		if !early {
-			<-s.up
+			<-s.started
 			c := standin.Dial(t, s.Addresses()[0])
 			c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
 			c.Send(2, standin.Fields("note", "red", "k", 2, 3*time.Second), "b")
-			r := &running{Server: s}
+			r := &testServer{Server: s}
 			r.eventually(t, "both are read", func() bool { return s.core.Outstanding() == 2 })
 			stop <- ShutdownNotice{syscall.SIGTERM, at}
-			if _, refused, failed, _ := count(rest(c)); refused+failed != 2 {
+			if _, refused, failed, _ := countByCode(readAll(c)); refused+failed != 2 {
 				t.Errorf("%d of 2 answered", refused+failed)
 			}
 		}
 		if err := <-end; err != nil {
 			t.Error(err)
 		}
-		if s.stopAt != at.UnixMicro()+s.cfg.StopTimeoutUS {
-			t.Errorf("early %v: the kill is expected %d us after the notice, not %d", early, s.stopAt-at.UnixMicro(), s.cfg.StopTimeoutUS)
+		if s.killAt != at.UnixMicro()+s.cfg.StopTimeoutUS {
+			t.Errorf("early %v: the kill is expected %d us after the notice, not %d", early, s.killAt-at.UnixMicro(), s.cfg.StopTimeoutUS)
 		}
 	}
 }
 
 // The notice comes while a file is being read that does not come to its end: the
 // drain begins and ends without it.
-func TestNoticeWhileAFileIsRead(t *testing.T) {
+func TestShutdownNoticeDuringReload(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	reading, held := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(held) })
-	r := launchWith(t, platform(t, engine.Address, ""), func(s *Server) {
+	r := launchWith(t, platformConfig(t, engine.Address, ""), func(s *Server) {
 		s.LoadConfig = func() (*config.Config, error) {
 			close(reading)
 			<-held
@@ -276,7 +276,7 @@
 	r.signals <- syscall.SIGTERM
 	r.signals = nil
 	select {
-	case err := <-r.end:
+	case err := <-r.serveErr:
 		if err != nil {
 			t.Error(err)
 		}
@@ -285,31 +285,31 @@
 	}
 }
 
-// failing is a listener whose accepts fail at once, as without descriptors, a few times.
-type failing struct {
+// failingListener is a listener whose accepts fail at once, as without descriptors, a few times.
+type failingListener struct {
 	net.Listener
 	left int
 }
 
-func (l *failing) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.left--; l.left < 0 {
 		return nil, net.ErrClosed
 	}
 	return nil, syscall.EMFILE
 }
 
-func (l *failing) Close() error { return nil }
+func (l *failingListener) Close() error { return nil }
 
 // Accepts that fail at once are not repeated without a pause, and keep no place.
-func TestFailingAcceptsHavePauses(t *testing.T) {
+func TestAcceptErrorsAreThrottled(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	r := start(t, engine.Address, "", "")
 	const tries = 20
 	slots := make(chan struct{}, 1)
 	began := time.Now()
-	r.accept(front{Listener: &failing{left: tries}, slots: slots, admin: true})
-	if took := time.Since(began); took < tries*noRoom || len(slots) > 0 {
+	r.acceptLoop(frontend{Listener: &failingListener{left: tries}, slots: slots, admin: true})
+	if took := time.Since(began); took < tries*acceptRetryInterval || len(slots) > 0 {
 		t.Errorf("%d tries in %v, %d places held", tries, took, len(slots))
 	}
 }
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -9,13 +9,13 @@
 
 // The words of the answer log, one for each code and cause.
 var (
-	codeWords  = [...]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed"}
-	causeWords = [...]string{core.Abandoned: "given_up", core.DeadlineExceeded: "overdue", core.RunFailed: "run_failed",
+	codeNames  = [...]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed"}
+	causeNames = [...]string{core.Abandoned: "given_up", core.DeadlineExceeded: "overdue", core.RunFailed: "run_failed",
 		core.InDoubt: "in_doubt", core.OutcomeUnknown: "unknown"}
 )
 
-// word is the name of i in words, or "?" where there is none.
-func word[T ~uint8](words []string, i T) string {
+// nameOf is the name of i in words, or "?" where there is none.
+func nameOf[T ~uint8](words []string, i T) string {
 	if int(i) < len(words) {
 		return words[i]
 	}
@@ -32,7 +32,7 @@
 	}
 	fields := make([]zap.Field, 0, 14)
 	fields = append(fields, zap.String("front", front), zap.String("req", r.TryID), zap.String("class", s.className(r.Class)),
-		zap.String("code", word(codeWords[:], a.Code)), zap.Int64("arrived", r.Arrived/1000), zap.Int64("due", r.Deadline/1000),
+		zap.String("code", nameOf(codeNames[:], a.Code)), zap.Int64("arrived", r.Arrived/1000), zap.Int64("due", r.Deadline/1000),
 		zap.Int64("at", now()/1000), zap.Int("via", r.Caller), zap.Int("team", r.Tenant))
 	if r.Key != "" {
 		fields = append(fields, zap.String("opkey", r.Key))
@@ -44,7 +44,7 @@
 	case core.Refused:
 		fields = append(fields, zap.Int64("hold_off_ms", a.RetryAfter/1000), zap.Bool("no_more", a.NoFailover))
 	case core.Failed:
-		fields = append(fields, zap.String("cause", word(causeWords[:], a.Cause)))
+		fields = append(fields, zap.String("cause", nameOf(causeNames[:], a.Cause)))
 	}
 	s.log.Debug("answer", fields...)
 }
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -22,98 +22,98 @@
 // and the two are one server until this one ends. docs/design.md says who may
 // do what when; here the two are tied to the loop.
 const (
-	greetWithin  = 1_000_000 // for the old process to greet the new one
-	tableWithin  = 4_000_000 // from the start, for its keys; clients are taken then, with or without
-	engineWithin = 4_500_000 // from the start, for the engine to answer
-	silentPeer   = 5_000_000 // a process that says nothing for longer has stalled
-	loadEvery    = 20_000    // between two words on the load, which also say that we live
-	leaveMost    = 3_000_000 // what the platform counts of the longest deadline before it kills
-	leaveRest    = 700_000   // ... and adds
-	peerOutMost  = 8 << 20   // a process that reads less than that has stalled
-	recordsMost  = 1 << 20   // keys that one process may hand over
-	linksMost    = 4         // connections at the meeting place
-	tableAtOnce  = 1 << 20   // bytes of the table that are under way at once
-	memoryShared = 2         // processes share the memory and the places
+	greetTimeoutUS         = 1_000_000 // for the old process to greet the new one
+	tableTimeoutUS         = 4_000_000 // from the start, for its keys; clients are taken then, with or without
+	engineReadyTimeoutUS   = 4_500_000 // from the start, for the engine to answer
+	peerTimeoutUS          = 5_000_000 // a process that says nothing for longer has stalled
+	loadReportIntervalUS   = 20_000    // between two words on the load, which also say that we live
+	maxPlatformStopUS      = 3_000_000 // what the platform counts of the longest deadline before it kills
+	platformStopExtraUS    = 700_000   // ... and adds
+	maxPeerUnsentBytes     = 8 << 20   // a process that reads less than that has stalled
+	maxImportedRecords     = 1 << 20   // keys that one process may hand over
+	maxPeerConns           = 4         // connections at the meeting place
+	maxTableBytesInFlight  = 1 << 20   // bytes of the table that are under way at once
+	sharedResourcesDivisor = 2         // processes share the memory and the places
 )
 
-// upgrade is what a server knows of the process before or after it.
-type upgrade struct {
-	place    *handover.Endpoint
-	listener *net.UnixListener
-	dialed   *net.UnixConn // to the old process, before the loop has it
-	web      net.Listener  // of the uwsgi front, as passed on; nil = none
-	began    int64
-	doubt    int64              // at the start, for what an earlier process may have run
-	peer     *peerConn          // in use; nil = there is none
-	waiting  *peerConn          // has come to take our place and has to wait
-	strays   []handover.Message // keys of classes that only the old process has
-	links    int                // connections at the meeting place
-	records  int                // keys that were handed over to us
-	reserved int                // places left to the other process
-	dialing  bool               // the owner of the keys is sought
-	admitted bool               // clients are taken
-	handed   bool               // our place was handed over
-	loadAt   int64
+// upgradeState is what a server knows of the process before or after it.
+type upgradeState struct {
+	endpoint         *handover.Endpoint
+	listener         *net.UnixListener
+	predecessorConn  *net.UnixConn // to the old process, before the loop has it
+	uwsgiListener    net.Listener  // of the uwsgi front, as passed on; nil = none
+	startedAt        int64
+	inDoubtUntil     int64              // at the start, for what an earlier process may have run
+	peer             *peerConn          // in use; nil = there is none
+	waitingSuccessor *peerConn          // has come to take our place and has to wait
+	unknownClassKeys []handover.Message // keys of classes that only the old process has
+	peerConns        int                // connections at the meeting place
+	importedRecords  int                // keys that were handed over to us
+	reservedSlots    int                // places left to the other process
+	dialingOwner     bool               // the owner of the keys is sought
+	acceptingCallers bool               // clients are taken
+	keysHandedOver   bool               // our place was handed over
+	nextLoadAt       int64
 }
 
 // peerConn is the connection between the two processes.
 type peerConn struct {
-	s       *Server
-	conn    gnet.Conn
-	newer   bool // it is to take our place
-	out     []byte
-	gone    bool
-	heardAt int64
-	handing bool               // the table is under way
-	closing bool               // ... once the store of keys is closed
-	table   []core.Record      // keys that are still to be handed over, and then YOURS
-	doubt   int64              // ... which says this
-	later   []handover.Message // what is said after that
+	s             *Server
+	conn          gnet.Conn
+	successor     bool // it is to take our place
+	out           []byte
+	disconnected  bool
+	lastContactAt int64
+	sendingTable  bool               // the table is under way
+	storeClosing  bool               // ... once the store of keys is closed
+	table         []core.Record      // keys that are still to be handed over, and then YOURS
+	inDoubtUntil  int64              // ... which says this
+	afterTable    []handover.Message // what is said after that
 }
 
 func (p *peerConn) opened(c gnet.Conn) {
-	p.conn, p.heardAt = c, now()
-	if p.s.handing.links++; p.s.handing.links > linksMost || !p.newer && p.s.handing.peer != nil {
+	p.conn, p.lastContactAt = c, now()
+	if p.s.upgrade.peerConns++; p.s.upgrade.peerConns > maxPeerConns || !p.successor && p.s.upgrade.peer != nil {
 		p.s.onLoop(func() {
-			if !p.gone {
-				hangUp(c)
+			if !p.disconnected {
+				closeNow(c)
 			}
 		})
 		return
 	}
-	if !p.newer {
-		p.s.handing.peer = p
+	if !p.successor {
+		p.s.upgrade.peer = p
 		p.send(&handover.Message{Kind: handover.Hello, Text: p.s.cfg.Name})
-		p.s.share()
+		p.s.shareResources()
 	}
 }
 
 func (p *peerConn) closed() {
-	p.gone = true
-	u := &p.s.handing
-	u.links--
-	if u.waiting == p {
-		u.waiting = nil
+	p.disconnected = true
+	u := &p.s.upgrade
+	u.peerConns--
+	if u.waitingSuccessor == p {
+		u.waitingSuccessor = nil
 	}
 	if u.peer == p {
 		u.peer = nil
-		p.s.log.Info("the other process is gone", zap.Bool("newer", p.newer))
+		p.s.log.Info("the other process is gone", zap.Bool("newer", p.successor))
 		p.s.core.PeerLost()
 		p.s.core.SetPeerLoad(0, 0)
-		p.s.unshare()
-		p.s.schedule()
+		p.s.reclaimResources()
+		p.s.scheduleIteration()
 	}
 }
 
 // feed takes in messages. Guards against what no process of this server says: the link ends.
 func (p *peerConn) feed(b []byte) (int, error) {
-	p.heardAt = now()
+	p.lastContactAt = now()
 	used := 0
 	for {
 		m, n, err := handover.Split(b[used:])
 		if err == nil && n > 0 {
 			used += n
-			err = p.take(&m)
+			err = p.handleMessage(&m)
 		}
 		if err != nil {
 			p.s.log.Error("upgrade", zap.Error(err))
@@ -125,52 +125,52 @@
 	}
 }
 
-var errOrder = errors.New("a message that does not belong here")
+var errUnexpectedMessage = errors.New("a message that does not belong here")
 
-func (p *peerConn) take(m *handover.Message) error {
-	s, u := p.s, &p.s.handing
+func (p *peerConn) handleMessage(m *handover.Message) error {
+	s, u := p.s, &p.s.upgrade
 	if m.Kind == handover.Hello {
-		if !p.newer || m.Text != s.cfg.Name || u.peer == p || u.waiting != nil {
-			return fmt.Errorf("%w: %q wants to take the place", errOrder, m.Text)
+		if !p.successor || m.Text != s.cfg.Name || u.peer == p || u.waitingSuccessor != nil {
+			return fmt.Errorf("%w: %q wants to take the place", errUnexpectedMessage, m.Text)
 		}
-		u.waiting = p
-		s.give()
+		u.waitingSuccessor = p
+		s.handOverKeys()
 		return nil
 	}
 	if u.peer != p {
-		return errOrder
+		return errUnexpectedMessage
 	}
 	class, known := -1, false
 	switch m.Kind {
 	case handover.Record, handover.Claim, handover.RunEnded:
-		if class, known = s.keyed[m.Text]; !known { // a class that only the other one has
+		if class, known = s.keyedClasses[m.Text]; !known { // a class that only the other one has
 			switch m.Kind {
 			case handover.Claim:
 				p.Deny(m.ID, kiteslip.Failed, nil)
 			case handover.Record:
-				if u.records++; u.records > recordsMost {
-					return errOrder
+				if u.importedRecords++; u.importedRecords > maxImportedRecords {
+					return errUnexpectedMessage
 				}
-				u.strays = append(u.strays, *m)
+				u.unknownClassKeys = append(u.unknownClassKeys, *m)
 			}
 			return nil
 		}
 	}
 	if m.Outcome > uint8(kiteslip.NotStarted) {
-		return errOrder
+		return errUnexpectedMessage
 	}
 	switch m.Kind {
 	case handover.Record:
-		if p.newer || s.core.OwnsKeys() || u.records >= recordsMost {
-			return errOrder
+		if p.successor || s.core.OwnsKeys() || u.importedRecords >= maxImportedRecords {
+			return errUnexpectedMessage
 		}
-		u.records++
-		s.core.ImportRecord(record(class, m))
+		u.importedRecords++
+		s.core.ImportRecord(coreRecord(class, m))
 	case handover.KeysTransferred:
-		if p.newer || s.core.OwnsKeys() {
-			return errOrder
+		if p.successor || s.core.OwnsKeys() {
+			return errUnexpectedMessage
 		}
-		s.own(m.WindowEnd)
+		s.takeOwnership(m.WindowEnd)
 	case handover.Claim:
 		s.core.Claimed(m.ID, class, m.Key, m.Arrived, m.BodyHash)
 	case handover.RunEnded:
@@ -182,69 +182,69 @@
 	case handover.Load:
 		s.core.SetPeerLoad(int(m.Runs), float64(m.MemoryKB))
 	}
-	s.schedule()
+	s.scheduleIteration()
 	return nil
 }
 
-// recall enters the keys of classes that only the old process had, once a new
+// restoreUnknownClassKeys enters the keys of classes that only the old process had, once a new
 // configuration brings their class back; those whose time is up are forgotten.
-func (s *Server) recall() {
-	u, t := &s.handing, now()
-	u.strays = slices.DeleteFunc(u.strays, func(m handover.Message) bool {
-		class, known := s.keyed[m.Text]
+func (s *Server) restoreUnknownClassKeys() {
+	u, t := &s.upgrade, now()
+	u.unknownClassKeys = slices.DeleteFunc(u.unknownClassKeys, func(m handover.Message) bool {
+		class, known := s.keyedClasses[m.Text]
 		if known && m.WindowEnd >= t {
 			if u.peer == nil && !m.Finished { // its end was told to nobody
 				m.Finished, m.Outcome = true, uint8(kiteslip.Failed)
 			}
-			s.core.ImportRecord(record(class, &m))
+			s.core.ImportRecord(coreRecord(class, &m))
 		}
 		return known || m.WindowEnd < t
 	})
 }
 
-// record is a key as the old process tells of it.
-func record(class int, m *handover.Message) core.Record {
+// coreRecord is a key as the old process tells of it.
+func coreRecord(class int, m *handover.Message) core.Record {
 	return core.Record{Class: class, Key: m.Key, Arrived: m.Arrived, WindowEnd: m.WindowEnd, BodyHash: m.BodyHash, Finished: m.Finished,
 		Outcome: kiteslip.Outcome(m.Outcome), Result: m.Result}
 }
 
 // send queues a message for the end of the round, behind a table that is under way.
 func (p *peerConn) send(m *handover.Message) {
-	if p.handing {
-		p.later = append(p.later, *m)
+	if p.sendingTable {
+		p.afterTable = append(p.afterTable, *m)
 		return
 	}
-	p.put(m)
+	p.queueMessage(m)
 }
 
-func (p *peerConn) put(m *handover.Message) {
+func (p *peerConn) queueMessage(m *handover.Message) {
 	if len(p.out) == 0 {
-		p.s.dirty = append(p.s.dirty, p)
+		p.s.unflushed = append(p.s.unflushed, p)
 	}
 	var err error
 	if p.out, err = handover.Append(p.out, m); err != nil {
 		p.s.log.Error("upgrade", zap.Error(err))
 	}
-	p.s.schedule()
+	p.s.scheduleIteration()
 }
 
 // expire ends a link that serves nothing; the one in use is watched by tend.
 func (p *peerConn) expire(t int64) {
-	if p.s.handing.peer != p && t-p.heardAt > silentPeer {
-		hangUp(p.conn)
+	if p.s.upgrade.peer != p && t-p.lastContactAt > peerTimeoutUS {
+		closeNow(p.conn)
 	}
 }
 
 // flush writes what waits. Guards the memory against a process that reads nothing.
 func (p *peerConn) flush() {
-	if p.gone || len(p.out) == 0 {
+	if p.disconnected || len(p.out) == 0 {
 		return
 	}
-	gather(p.conn, [][]byte{p.out})
+	writevAll(p.conn, [][]byte{p.out})
 	p.out = p.out[:0]
-	if !p.gone && p.conn.OutboundBuffered() > peerOutMost {
+	if !p.disconnected && p.conn.OutboundBuffered() > maxPeerUnsentBytes {
 		p.s.log.Warn("the other process has stalled")
-		hangUp(p.conn)
+		closeNow(p.conn)
 	}
 }
 
@@ -269,224 +269,224 @@
 		Outcome: uint8(outcome), Result: result})
 }
 
-// meet looks for a process whose place this one is to take, before anything
+// findPredecessor looks for a process whose place this one is to take, before anything
 // is listened on. Where there is none, the keys are this one's own at once.
-func (s *Server) meet() error {
-	u := &s.handing
-	u.began = now()
+func (s *Server) findPredecessor() error {
+	u := &s.upgrade
+	u.startedAt = now()
 	if s.cfg.InheritedFD == 0 {
 		return nil
 	}
 	var err error
-	if u.place, err = handover.NewEndpoint(cmp.Or(s.cfg.HandoverDir, os.TempDir()), s.cfg.Name); err != nil {
+	if u.endpoint, err = handover.NewEndpoint(cmp.Or(s.cfg.HandoverDir, os.TempDir()), s.cfg.Name); err != nil {
 		return err
 	}
 	s.core.ReleaseKeys(nil)
-	if u.dialed = u.place.Dial(); u.dialed == nil {
-		if u.place.TryLock() {
-			u.doubt = s.doubtSince(u.place.LastOwnerAlive())
-			s.core.AcquireKeys(u.doubt)
+	if u.predecessorConn = u.endpoint.Dial(); u.predecessorConn == nil {
+		if u.endpoint.TryLock() {
+			u.inDoubtUntil = s.inDoubtUntil(u.endpoint.LastOwnerAlive())
+			s.core.AcquireKeys(u.inDoubtUntil)
 		}
 		return nil
 	}
 	// Guards the start against an old process that is stuck: what it does is then in doubt, see guard.
-	if u.web, err = handover.ReceiveListener(u.dialed, time.UnixMicro(u.began+greetWithin)); err != nil {
+	if u.uwsgiListener, err = handover.ReceiveListener(u.predecessorConn, time.UnixMicro(u.startedAt+greetTimeoutUS)); err != nil {
 		s.log.Warn("upgrade", zap.Error(err))
-		u.dialed.Close()
-		u.dialed = nil
+		u.predecessorConn.Close()
+		u.predecessorConn = nil
 	}
 	return nil
 }
 
-// begin starts the loop's work, and the talk with the old process if there is one.
-func (s *Server) begin() {
-	s.timer = time.AfterFunc(time.Hour, func() { s.onLoop(s.round) })
-	u := &s.handing
-	if u.dialed == nil && s.core.OwnsKeys() {
-		s.admit() // there is no old process
+// startLoop starts the loop's work, and the talk with the old process if there is one.
+func (s *Server) startLoop() {
+	s.timer = time.AfterFunc(time.Hour, func() { s.onLoop(s.runIteration) })
+	u := &s.upgrade
+	if u.predecessorConn == nil && s.core.OwnsKeys() {
+		s.startServing() // there is no old process
 	}
-	if u.dialed != nil {
-		u.dialing = true
+	if u.predecessorConn != nil {
+		u.dialingOwner = true
 		go func() {
-			s.enrol(u.dialed, &peerConn{s: s})
-			s.onLoop(func() { u.dialing = false })
+			s.enrolPeer(u.predecessorConn, &peerConn{s: s})
+			s.onLoop(func() { u.dialingOwner = false })
 		}()
 	}
-	s.round()
+	s.runIteration()
 }
 
-// enrol gives a connection between the two processes to the loop. It waits for
+// enrolPeer gives a connection between the two processes to the loop. It waits for
 // the loop, so it runs beside it.
-func (s *Server) enrol(c *net.UnixConn, p *peerConn) {
+func (s *Server) enrolPeer(c *net.UnixConn, p *peerConn) {
 	if _, err := s.client.EnrollContext(c, p); err != nil {
 		s.log.Warn("upgrade", zap.Error(err))
 	}
 }
 
-// doubtSince is until when what another process started without our knowledge may still count.
-func (s *Server) doubtSince(last time.Time) int64 {
+// inDoubtUntil is until when what another process started without our knowledge may still count.
+func (s *Server) inDoubtUntil(last time.Time) int64 {
 	if last.IsZero() {
 		return 0
 	}
 	return last.UnixMicro() + s.core.MaxWindow()
 }
 
-// own takes the keys over, if no other process has them.
-func (s *Server) own(doubt int64) {
-	if s.handing.place.TryLock() {
-		s.ownKeys(doubt)
+// takeOwnership takes the keys over, if no other process has them.
+func (s *Server) takeOwnership(doubt int64) {
+	if s.upgrade.endpoint.TryLock() {
+		s.acquireKeys(doubt)
 	}
-	s.schedule()
+	s.scheduleIteration()
 }
 
-// owned makes the keys this process's, with the store open if there is one.
-func (s *Server) owned(doubt int64) {
+// ownershipTaken makes the keys this process's, with the store open if there is one.
+func (s *Server) ownershipTaken(doubt int64) {
 	s.log.Info("the keys are owned here", zap.Int64("doubt_ms", max(0, (doubt-now())/1000)))
 	s.core.AcquireKeys(doubt)
-	if p := s.handing.peer; p != nil {
+	if p := s.upgrade.peer; p != nil {
 		s.core.SetPeer(p)
 	}
-	s.await()
-	s.schedule()
+	s.awaitSuccessor()
+	s.scheduleIteration()
 }
 
-// give hands the keys to the process that has come to take our place, also in a
+// handOverKeys hands the keys to the process that has come to take our place, also in a
 // drain. It waits while this one is itself still being handed a place.
-func (s *Server) give() {
-	u := &s.handing
-	p := u.waiting
+func (s *Server) handOverKeys() {
+	u := &s.upgrade
+	p := u.waitingSuccessor
 	if p == nil || u.peer != nil || !s.core.OwnsKeys() {
 		return
 	}
-	u.waiting, u.peer, u.handed = nil, p, true
-	s.share()
+	u.waitingSuccessor, u.peer, u.keysHandedOver = nil, p, true
+	s.shareResources()
 	doubt := s.core.ReleaseKeys(p)
-	if err := u.place.Unlock(); err != nil {
+	if err := u.endpoint.Unlock(); err != nil {
 		s.log.Error("upgrade", zap.Error(err))
 	}
-	p.handing, p.closing = true, true
-	s.leaveKeys(func() {
-		p.table, p.doubt, p.closing = slices.Collect(s.core.Records), doubt, false
+	p.sendingTable, p.storeClosing = true, true
+	s.releaseKeyStore(func() {
+		p.table, p.inDoubtUntil, p.storeClosing = slices.Collect(s.core.Records), doubt, false
 		s.log.Info("the keys are handed over", zap.Int("keys", len(p.table)))
-		p.pump()
+		p.sendTable()
 	})
 }
 
-// pump sends as much of the table as the other process keeps up with, so that
+// sendTable sends as much of the table as the other process keeps up with, so that
 // a large one takes no memory of its own.
-func (p *peerConn) pump() {
-	if !p.handing || p.closing {
+func (p *peerConn) sendTable() {
+	if !p.sendingTable || p.storeClosing {
 		return
 	}
-	for len(p.table) > 0 && len(p.out)+p.conn.OutboundBuffered() < tableAtOnce {
+	for len(p.table) > 0 && len(p.out)+p.conn.OutboundBuffered() < maxTableBytesInFlight {
 		r := &p.table[0]
-		p.put(&handover.Message{Kind: handover.Record, Text: p.s.cfg.Classes[r.Class], Key: r.Key, Arrived: r.Arrived, WindowEnd: r.WindowEnd,
+		p.queueMessage(&handover.Message{Kind: handover.Record, Text: p.s.cfg.Classes[r.Class], Key: r.Key, Arrived: r.Arrived, WindowEnd: r.WindowEnd,
 			BodyHash: r.BodyHash, Finished: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result})
 		p.table = p.table[1:]
 	}
 	if len(p.table) == 0 {
-		p.handing, p.table = false, nil
-		p.put(&handover.Message{Kind: handover.KeysTransferred, WindowEnd: p.doubt})
-		for i := range p.later {
-			p.put(&p.later[i])
+		p.sendingTable, p.table = false, nil
+		p.queueMessage(&handover.Message{Kind: handover.KeysTransferred, WindowEnd: p.inDoubtUntil})
+		for i := range p.afterTable {
+			p.queueMessage(&p.afterTable[i])
 		}
-		p.later = nil
+		p.afterTable = nil
 	}
 }
 
-// tend keeps an upgrade going; it is called once a round.
-func (s *Server) tend(t int64) {
-	u := &s.handing
-	if u.place == nil {
+// advanceUpgrade keeps an upgrade going; it is called once a round.
+func (s *Server) advanceUpgrade(t int64) {
+	u := &s.upgrade
+	if u.endpoint == nil {
 		return
 	}
-	s.give()
+	s.handOverKeys()
 	if u.peer != nil {
-		u.peer.pump()
+		u.peer.sendTable()
 	}
-	if u.peer != nil && t >= u.loadAt {
-		u.loadAt = t + loadEvery
+	if u.peer != nil && t >= u.nextLoadAt {
+		u.nextLoadAt = t + loadReportIntervalUS
 		runs, kb := s.core.EngineLoad()
 		u.peer.send(&handover.Message{Kind: handover.Load, Runs: uint32(runs), MemoryKB: uint32(kb)})
 	}
-	if u.peer != nil && t-u.peer.heardAt > silentPeer {
+	if u.peer != nil && t-u.peer.lastContactAt > peerTimeoutUS {
 		s.log.Warn("the other process has stalled")
-		hangUp(u.peer.conn)
+		closeNow(u.peer.conn)
 	}
-	s.reserve()
-	if !u.admitted && s.stopAt == 0 && (s.core.OwnsKeys() && s.link.Ready() || s.core.OwnsKeys() && t-u.began > engineWithin ||
-		!s.core.OwnsKeys() && t-u.began > tableWithin) {
-		s.admit()
+	s.reserveSlots()
+	if !u.acceptingCallers && s.killAt == 0 && (s.core.OwnsKeys() && s.link.Ready() || s.core.OwnsKeys() && t-u.startedAt > engineReadyTimeoutUS ||
+		!s.core.OwnsKeys() && t-u.startedAt > tableTimeoutUS) {
+		s.startServing()
 	}
 }
 
-// guard keeps the ownership known to be alive, or takes it where the owner has
+// watchKeyOwner keeps the ownership known to be alive, or takes it where the owner has
 // died. It is called as often as the reports.
-func (s *Server) guard(t int64) {
-	u := &s.handing
+func (s *Server) watchKeyOwner(t int64) {
+	u := &s.upgrade
 	switch {
-	case u.place == nil:
+	case u.endpoint == nil:
 	case s.core.OwnsKeys():
-		if err := u.place.Touch(); err != nil {
+		if err := u.endpoint.Touch(); err != nil {
 			s.log.Warn("upgrade", zap.Error(err))
 		}
-	case u.peer == nil && s.stopAt == 0:
+	case u.peer == nil && s.killAt == 0:
 		// The owner may have started runs until a moment ago.
 		if s.keys.opening {
 			return // the keys are ours once the store is open
 		}
-		if u.place.TryLock() {
-			u.handed = false
-			s.own(t + s.core.MaxWindow())
-		} else if !u.handed && !u.dialing {
-			u.dialing = true // the owner may hear us by now
-			go s.redial()
+		if u.endpoint.TryLock() {
+			u.keysHandedOver = false
+			s.takeOwnership(t + s.core.MaxWindow())
+		} else if !u.keysHandedOver && !u.dialingOwner {
+			u.dialingOwner = true // the owner may hear us by now
+			go s.redialOwner()
 		}
 	}
 }
 
-// redial tries again to reach the process that owns the keys.
-func (s *Server) redial() {
-	if c := s.handing.place.Dial(); c != nil {
-		web, err := handover.ReceiveListener(c, time.Now().Add(greetWithin*time.Microsecond))
+// redialOwner tries again to reach the process that owns the keys.
+func (s *Server) redialOwner() {
+	if c := s.upgrade.endpoint.Dial(); c != nil {
+		web, err := handover.ReceiveListener(c, time.Now().Add(greetTimeoutUS*time.Microsecond))
 		if web != nil {
 			web.Close() // it comes too late to be used
 		}
 		if err == nil {
-			s.enrol(c, &peerConn{s: s})
+			s.enrolPeer(c, &peerConn{s: s})
 		} else {
 			c.Close()
 		}
 	}
-	s.onLoop(func() { s.handing.dialing = false })
+	s.onLoop(func() { s.upgrade.dialingOwner = false })
 }
 
-// admit begins to take clients.
-func (s *Server) admit() {
-	u := &s.handing
-	u.admitted = true
-	s.await()
+// startServing begins to take clients.
+func (s *Server) startServing() {
+	u := &s.upgrade
+	u.acceptingCallers = true
+	s.awaitSuccessor()
 	s.serving = true
 	for _, l := range s.listeners {
-		s.accepting++
-		go s.accept(l)
+		s.activeListeners++
+		go s.acceptLoop(l)
 	}
 	s.log.Info("serving", zap.String("name", s.cfg.Name), zap.String("listen", s.cfg.Listen),
 		zap.String("uwsgi", s.cfg.UWSGI.Listen), zap.Bool("keys", s.core.OwnsKeys()))
 }
 
-// await makes this process the one that the next meets, once it takes clients
+// awaitSuccessor makes this process the one that the next meets, once it takes clients
 // and has keys to hand over; anew, where another has taken the name and died.
-func (s *Server) await() {
-	u := &s.handing
-	if u.place == nil || !u.admitted || !s.core.OwnsKeys() {
+func (s *Server) awaitSuccessor() {
+	u := &s.upgrade
+	if u.endpoint == nil || !u.acceptingCallers || !s.core.OwnsKeys() {
 		return
 	}
 	if u.listener != nil {
 		u.listener.Close()
 	}
 	var err error
-	if u.listener, err = u.place.Listen(); err != nil {
+	if u.listener, err = u.endpoint.Listen(); err != nil {
 		s.log.Error("upgrade", zap.Error(err)) // this one serves, but cannot be relieved
 		return
 	}
@@ -494,11 +494,11 @@
 	if len(s.listeners) > 1 {
 		web, _ = s.listeners[1].Listener.(*net.TCPListener)
 	}
-	go s.welcome(u.listener, web)
+	go s.acceptSuccessors(u.listener, web)
 }
 
-// welcome lets in processes that come to take our place.
-func (s *Server) welcome(l *net.UnixListener, web *net.TCPListener) {
+// acceptSuccessors lets in processes that come to take our place.
+func (s *Server) acceptSuccessors(l *net.UnixListener, web *net.TCPListener) {
 	for {
 		c, err := l.AcceptUnix()
 		if err != nil {
@@ -509,67 +509,67 @@
 			c.Close()
 			continue
 		}
-		s.enrol(c, &peerConn{s: s, newer: true})
+		s.enrolPeer(c, &peerConn{s: s, successor: true})
 	}
 }
 
-// replaced says whether another process has taken our place and lives.
-func (s *Server) replaced() bool { return s.handing.handed && !s.core.OwnsKeys() }
+// superseded says whether another process has taken our place and lives.
+func (s *Server) superseded() bool { return s.upgrade.keysHandedOver && !s.core.OwnsKeys() }
 
-// handOff takes in SIGTERM where another process has our place: it is no
+// drainSuperseded takes in SIGTERM where another process has our place: it is no
 // notice to drain. Callers are sent to new connections, which the other one
 // takes, and what was read is answered.
-func (s *Server) handOff(t int64) {
+func (s *Server) drainSuperseded(t int64) {
 	longest := int64(0)
 	for i := range s.cfg.Policy.Classes {
 		longest = max(longest, s.cfg.Policy.Classes[i].Timeout)
 	}
-	s.leaving = leavingTimes(t, min(longest, leaveMost)+leaveRest, 0)
-	s.closeAt = t
-	s.log.Info("leaving to the other process", zap.Int64("stop_ms", (s.stopAt-t)/1000))
-	s.core.HandedOver(s.stopAt)
-	s.round()
+	s.shutdownState = shutdownTimes(t, min(longest, maxPlatformStopUS)+platformStopExtraUS, 0)
+	s.closeListenersAt = t
+	s.log.Info("leaving to the other process", zap.Int64("stop_ms", (s.killAt-t)/1000))
+	s.core.HandedOver(s.killAt)
+	s.runIteration()
 }
 
-// emptied says whether nothing is left here that the other process may want, or a caller.
-func (s *Server) emptied() bool {
-	if !s.handing.handed {
+// handoverComplete says whether nothing is left here that the other process may want, or a caller.
+func (s *Server) handoverComplete() bool {
+	if !s.upgrade.keysHandedOver {
 		return true
 	}
-	for h := range s.sessions {
+	for h := range s.conns {
 		switch h.(type) {
-		case *session, *webSession:
+		case *frameConn, *uwsgiConn:
 			return false
 		}
 	}
-	if p := s.handing.peer; p != nil && (p.handing || len(p.out) > 0) {
+	if p := s.upgrade.peer; p != nil && (p.sendingTable || len(p.out) > 0) {
 		return false // the keys are still on their way
 	}
 	return s.core.KeyedRuns() == 0
 }
 
-// share leaves half of the memory and of the places to the other process; unshare takes them back.
-func (s *Server) share() {
-	debug.SetMemoryLimit(s.cfg.Limits.MaxHeapBytes() / memoryShared)
-	s.reserve()
+// shareResources leaves half of the memory and of the places to the other process; unshare takes them back.
+func (s *Server) shareResources() {
+	debug.SetMemoryLimit(s.cfg.Limits.MaxHeapBytes() / sharedResourcesDivisor)
+	s.reserveSlots()
 }
 
-func (s *Server) unshare() {
+func (s *Server) reclaimResources() {
 	debug.SetMemoryLimit(s.cfg.Limits.MaxHeapBytes())
-	for ; s.handing.reserved > 0; s.handing.reserved-- {
-		s.leaveSlot()
+	for ; s.upgrade.reservedSlots > 0; s.upgrade.reservedSlots-- {
+		s.releaseCallerSlot()
 	}
 }
 
-// reserve keeps places free for the other process, as soon as they are.
-func (s *Server) reserve() {
-	for s.handing.peer != nil && s.handing.reserved < cap(s.slots)/memoryShared {
+// reserveSlots keeps places free for the other process, as soon as they are.
+func (s *Server) reserveSlots() {
+	for s.upgrade.peer != nil && s.upgrade.reservedSlots < cap(s.slots)/sharedResourcesDivisor {
 		if !s.descriptors.TryAcquire(1) {
 			return
 		}
 		select {
 		case s.slots <- struct{}{}:
-			s.handing.reserved++
+			s.upgrade.reservedSlots++
 		default:
 			s.descriptors.Release(1)
 			return
@@ -577,14 +577,14 @@
 	}
 }
 
-// passed returns the listener that the old process has passed on, if it is the
+// passedListener returns the listener that the old process has passed on, if it is the
 // one for this address. Guards callers against one that nobody accepts on.
-func (s *Server) passed(address string) net.Listener {
-	l := s.handing.web
+func (s *Server) passedListener(address string) net.Listener {
+	l := s.upgrade.uwsgiListener
 	if l == nil {
 		return nil
 	}
-	s.handing.web = nil
+	s.upgrade.uwsgiListener = nil
 	want, err := net.ResolveTCPAddr("tcp", address)
 	got, ok := l.Addr().(*net.TCPAddr)
 	if err != nil || !ok || want.Port != got.Port || !want.IP.Equal(got.IP) && len(want.IP) > 0 && !want.IP.IsUnspecified() {
@@ -594,8 +594,8 @@
 	return l
 }
 
-// inherit returns the clients' listener that the platform holds.
-func (s *Server) inherit() (net.Listener, error) {
+// inheritedListener returns the clients' listener that the platform holds.
+func (s *Server) inheritedListener() (net.Listener, error) {
 	l, err := handover.Inherit(s.cfg.InheritedFD)
 	if err != nil {
 		return nil, err
@@ -609,11 +609,11 @@
 
 // closeUpgrade frees what an upgrade needs, at the end.
 func (s *Server) closeUpgrade() {
-	u := &s.handing
+	u := &s.upgrade
 	if u.listener != nil {
 		u.listener.Close()
 	}
-	if u.place != nil {
-		u.place.Close()
+	if u.endpoint != nil {
+		u.endpoint.Close()
 	}
 }
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -18,27 +18,27 @@
 	"kiteslip/internal/standin"
 )
 
-// socket is the clients' listening socket, as the platform holds it.
-type socket struct {
+// sharedListener is the clients' listening socket, as the platform holds it.
+type sharedListener struct {
 	*net.TCPListener
 	folder string
 }
 
-// site prepares what the processes of one server share: the folder and the socket.
-func site(t *testing.T) socket {
+// newSharedListener prepares what the processes of one server share: the folder and the socket.
+func newSharedListener(t *testing.T) sharedListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return socket{l.(*net.TCPListener), t.TempDir()}
+	return sharedListener{l.(*net.TCPListener), t.TempDir()}
 }
 
-// process configures one process of the server, with an engine's address of its own.
-func (s socket) process(t *testing.T, engine, more string) *config.Config {
+// processConfig configures one process of the server, with an engine's address of its own.
+func (s sharedListener) processConfig(t *testing.T, engine, more string) *config.Config {
 	t.Helper()
-	cfg := platform(t, engine, "")
+	cfg := platformConfig(t, engine, "")
 	cfg.HandoverDir = s.folder
 	if more != "" {
 		var err error
@@ -56,27 +56,27 @@
 	return cfg
 }
 
-// ready waits until the process takes clients, as the platform does.
-func (r *running) ready(t *testing.T) {
+// waitReady waits until the process takes clients, as the platform does.
+func (r *testServer) waitReady(t *testing.T) {
 	t.Helper()
-	for began := time.Now(); r.ask(t, "ready") != "done ready\n"; time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); r.adminCall(t, "ready") != "done ready\n"; time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 6*time.Second {
 			t.Fatal("not ready within 6 s")
 		}
 	}
 }
 
-// open connects until a connection is one of r's.
-func (r *running) open(t *testing.T) *standin.Caller {
+// dialUntilMine connects until a connection is one of r's.
+func (r *testServer) dialUntilMine(t *testing.T) *standin.Caller {
 	t.Helper()
 	for range 200 {
-		c := standin.Dial(t, r.frames)
+		c := standin.Dial(t, r.framesAddr)
 		for range 50 {
 			mine := false
-			r.look(func() {
-				for h := range r.sessions {
-					f, ok := h.(*session)
-					mine = mine || ok && !f.gone && f.conn.RemoteAddr().String() == c.Conn.LocalAddr().String()
+			r.onLoopWait(func() {
+				for h := range r.conns {
+					f, ok := h.(*frameConn)
+					mine = mine || ok && !f.disconnected && f.conn.RemoteAddr().String() == c.Conn.LocalAddr().String()
 				}
 			})
 			if mine {
@@ -94,11 +94,11 @@
 // and ends; callers are let in all along, on both fronts.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
-	at := site(t)
+	at := newSharedListener(t)
 	first := standin.NewEngine(t, work)
-	old := launch(t, at.process(t, first.Address, operator("")))
-	old.ready(t)
-	c := old.open(t)
+	old := launch(t, at.processConfig(t, first.Address, operatorTOML("")))
+	old.waitReady(t)
+	c := old.dialUntilMine(t)
 	c.Send(1, standin.Fields("note", "red", "had", 1, 3*time.Second), "had")
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Fatalf("%+v", got)
@@ -107,14 +107,14 @@
 	old.eventually(t, "a run", func() bool { return old.link.Running() == 1 })
 
 	second := standin.NewEngine(t, work)
-	next := at.process(t, second.Address, operator(""))
-	next.UWSGI.Listen = old.web // the same address: it is passed on
+	next := at.processConfig(t, second.Address, operatorTOML(""))
+	next.UWSGI.Listen = old.uwsgiAddr // the same address: it is passed on
 	young := launch(t, next)
-	young.ready(t)
-	if got := young.web; got != old.web {
-		t.Errorf("the uwsgi front is at %s, not at %s", got, old.web)
+	young.waitReady(t)
+	if got := young.uwsgiAddr; got != old.uwsgiAddr {
+		t.Errorf("the uwsgi front is at %s, not at %s", got, old.uwsgiAddr)
 	}
-	d := young.open(t)
+	d := young.dialUntilMine(t)
 	d.Send(1, standin.Fields("note", "red", "had", 3, 3*time.Second), "had")
 	d.Send(2, standin.Fields("note", "red", "under", 4, 3*time.Second), "slow under")
 	for range 2 {
@@ -138,8 +138,8 @@
 	if got, _ := c.Next(); got.Type != frame.GoAway {
 		t.Errorf("want GOAWAY, got %+v", got)
 	}
-	old.eventually(t, "leaving", func() bool { return old.stopAt != 0 })
-	if got := old.ask(t, "ready"); got != "error stopping\n" {
+	old.eventually(t, "leaving", func() bool { return old.killAt != 0 })
+	if got := old.adminCall(t, "ready"); got != "error stopping\n" {
 		t.Errorf("the old process: %q", got)
 	}
 	c.Send(6, standin.Fields("note", "red", "crossed", 9, 3*time.Second), "crossed") // it crosses GOAWAY
@@ -148,7 +148,7 @@
 	}
 	c.Conn.Close()
 	for i := range 30 { // each reaches the new process
-		e := standin.Dial(t, old.frames)
+		e := standin.Dial(t, old.framesAddr)
 		e.Send(1, standin.Fields("look", "red", "", uint64(100+i), 3*time.Second), "look")
 		got, _ := e.Next()
 		if got.Type == frame.GoAway {
@@ -159,11 +159,11 @@
 		}
 	}
 	vars := standin.Vars("note", "red", "asked", 3*time.Second)
-	if got := standin.Post(old.web, standin.Packet(t, vars, "asked")); got.Status != 200 {
+	if got := standin.Post(old.uwsgiAddr, standin.Packet(t, vars, "asked")); got.Status != 200 {
 		t.Errorf("uwsgi: %+v", got)
 	}
 	select {
-	case err := <-old.end:
+	case err := <-old.serveErr:
 		if err != nil {
 			t.Errorf("the old process ends with %v", err)
 		}
@@ -190,30 +190,30 @@
 			t.Errorf("%q ran %d times at the old process and %d at the new one", body, one[body], two[body])
 		}
 	}
-	young.eventually(t, "its places are its own again", func() bool { return young.handing.reserved == 0 && young.handing.peer == nil })
+	young.eventually(t, "its places are its own again", func() bool { return young.upgrade.reservedSlots == 0 && young.upgrade.peer == nil })
 }
 
 // A third process can take the place of the second.
 func TestUpgradeAgain(t *testing.T) {
 	t.Parallel()
-	at := site(t)
+	at := newSharedListener(t)
 	engine := standin.NewEngine(t, work)
-	before := launch(t, at.process(t, engine.Address, ""))
-	before.ready(t)
-	c := before.open(t)
+	before := launch(t, at.processConfig(t, engine.Address, ""))
+	before.waitReady(t)
+	c := before.dialUntilMine(t)
 	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
 	c.Next()
 	c.Conn.Close()
 	for i := range 2 {
 		engine := standin.NewEngine(t, work)
-		next := launch(t, at.process(t, engine.Address, ""))
-		next.ready(t)
+		next := launch(t, at.processConfig(t, engine.Address, ""))
+		next.waitReady(t)
 		before.signals <- syscall.SIGTERM
-		if err := <-before.end; err != nil {
+		if err := <-before.serveErr; err != nil {
 			t.Errorf("process %d ends with %v", i, err)
 		}
 		before.signals = nil
-		d := next.open(t)
+		d := next.dialUntilMine(t)
 		d.Send(1, standin.Fields("note", "red", "key", uint64(10+i), 3*time.Second), "once")
 		if got, _ := d.Next(); got.Code != frame.Served || engine.Runs()["once"] != 0 {
 			t.Errorf("process %d: %+v, runs %v", i+1, got, engine.Runs())
@@ -226,23 +226,23 @@
 // A process that starts while another drains gets its keys all the same.
 func TestStartDuringDrain(t *testing.T) {
 	t.Parallel()
-	at := site(t)
+	at := newSharedListener(t)
 	engine := standin.NewEngine(t, work)
-	old := launch(t, at.process(t, engine.Address, ""))
-	old.ready(t)
-	c := old.open(t)
+	old := launch(t, at.processConfig(t, engine.Address, ""))
+	old.waitReady(t)
+	c := old.dialUntilMine(t)
 	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
 	c.Next()
 	old.signals <- syscall.SIGTERM
-	old.eventually(t, "the notice", func() bool { return old.stopAt != 0 })
+	old.eventually(t, "the notice", func() bool { return old.killAt != 0 })
 	next := standin.NewEngine(t, work)
-	young := launch(t, at.process(t, next.Address, ""))
-	young.ready(t)
-	if err := <-old.end; err != nil {
+	young := launch(t, at.processConfig(t, next.Address, ""))
+	young.waitReady(t)
+	if err := <-old.serveErr; err != nil {
 		t.Errorf("the drain ends with %v", err)
 	}
 	old.signals = nil
-	d := young.open(t)
+	d := young.dialUntilMine(t)
 	d.Send(1, standin.Fields("note", "red", "key", 2, 3*time.Second), "once")
 	if got, _ := d.Next(); got.Code != frame.Served || next.Runs()["once"] != 0 {
 		t.Errorf("the key of the one that drained: %+v, runs %v", got, next.Runs())
@@ -257,21 +257,21 @@
 // the old one: what it may have started is in doubt and fails, all else is served.
 func TestNewProcessDies(t *testing.T) {
 	t.Parallel()
-	at := site(t)
+	at := newSharedListener(t)
 	engine := standin.NewEngine(t, work)
-	old := launch(t, at.process(t, engine.Address, ""))
-	old.ready(t)
-	c := old.open(t)
+	old := launch(t, at.processConfig(t, engine.Address, ""))
+	old.waitReady(t)
+	c := old.dialUntilMine(t)
 	c.Send(1, standin.Fields("note", "red", "had", 1, 3*time.Second), "had")
 	c.Next()
-	young := launch(t, at.process(t, "127.0.0.1:1", "")) // its engine never answers, so it takes no clients
-	old.eventually(t, "the keys are handed over", func() bool { return old.handing.handed })
+	young := launch(t, at.processConfig(t, "127.0.0.1:1", "")) // its engine never answers, so it takes no clients
+	old.eventually(t, "the keys are handed over", func() bool { return old.upgrade.keysHandedOver })
 	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
-	young.look(func() { // its death, as the system makes it
-		young.handing.place.Unlock() //nolint:errcheck // as above
-		hangUp(young.handing.peer.conn)
+	young.onLoopWait(func() { // its death, as the system makes it
+		young.upgrade.endpoint.Unlock() //nolint:errcheck // as above
+		closeNow(young.upgrade.peer.conn)
 	})
-	old.eventually(t, "the keys are back", func() bool { return old.core.OwnsKeys() && !old.handing.handed })
+	old.eventually(t, "the keys are back", func() bool { return old.core.OwnsKeys() && !old.upgrade.keysHandedOver })
 	c.Send(2, standin.Fields("note", "red", "had", 2, 3*time.Second), "had")
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Errorf("a known key: %+v", got)
@@ -287,9 +287,9 @@
 	if n := engine.Runs()["other"] + engine.Runs()["had"]; n != 1 {
 		t.Errorf("%d runs of keys", n)
 	}
-	third := launch(t, at.process(t, standin.NewEngine(t, work).Address, "")) // finds the old one, whose name the dead one took
-	third.ready(t)
-	third.look(func() {
+	third := launch(t, at.processConfig(t, standin.NewEngine(t, work).Address, "")) // finds the old one, whose name the dead one took
+	third.waitReady(t)
+	third.onLoopWait(func() {
 		if !third.core.OwnsKeys() || third.core.ReleaseKeys(nil) == 0 {
 			t.Error("the keys, or the doubt about some, do not pass on")
 		}
@@ -299,24 +299,24 @@
 // An old process that comes back to itself hands its keys over after all.
 func TestOldProcessRecovers(t *testing.T) {
 	t.Parallel()
-	at := site(t)
+	at := newSharedListener(t)
 	engine := standin.NewEngine(t, work)
-	old := launch(t, at.process(t, engine.Address, ""))
-	old.ready(t)
-	c := old.open(t)
+	old := launch(t, at.processConfig(t, engine.Address, ""))
+	old.waitReady(t)
+	c := old.dialUntilMine(t)
 	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
 	c.Next()
-	old.look(func() { old.handing.listener.Close() })
-	stuck, err := old.handing.place.Listen() // greets nobody
+	old.onLoopWait(func() { old.upgrade.listener.Close() })
+	stuck, err := old.upgrade.endpoint.Listen() // greets nobody
 	if err != nil {
 		t.Fatal(err)
 	}
-	young := launch(t, at.process(t, standin.NewEngine(t, work).Address, ""))
+	young := launch(t, at.processConfig(t, standin.NewEngine(t, work).Address, ""))
 	stuck.Close()
-	old.look(old.await)
+	old.onLoopWait(old.awaitSuccessor)
 	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
-	young.ready(t)
-	d := young.open(t)
+	young.waitReady(t)
+	d := young.dialUntilMine(t)
 	d.Send(1, standin.Fields("note", "red", "key", 2, 3*time.Second), "once")
 	if got, _ := d.Next(); got.Code != frame.Served {
 		t.Errorf("a key of the old process: %+v", got)
@@ -327,19 +327,19 @@
 // keys stay out of its hands until the other is dead and a window has passed.
 func TestOldProcessStalls(t *testing.T) {
 	t.Parallel()
-	at := site(t)
+	at := newSharedListener(t)
 	engine := standin.NewEngine(t, work)
-	old := launch(t, at.process(t, engine.Address, ""))
-	old.ready(t)
-	old.look(func() { old.handing.listener.Close() })
-	stuck, err := old.handing.place.Listen() // greets nobody
+	old := launch(t, at.processConfig(t, engine.Address, ""))
+	old.waitReady(t)
+	old.onLoopWait(func() { old.upgrade.listener.Close() })
+	stuck, err := old.upgrade.endpoint.Listen() // greets nobody
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stuck.Close()
-	young := launch(t, at.process(t, engine.Address, ""))
-	young.ready(t)
-	c := young.open(t)
+	young := launch(t, at.processConfig(t, engine.Address, ""))
+	young.waitReady(t)
+	c := young.dialUntilMine(t)
 	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "key")
 	if got, _ := c.Next(); got.Code != frame.Failed {
 		t.Errorf("a key that the old process owns: %+v", got)
@@ -348,7 +348,7 @@
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Errorf("a read: %+v", got)
 	}
-	old.look(func() { old.handing.place.Unlock() }) //nolint:errcheck // its death
+	old.onLoopWait(func() { old.upgrade.endpoint.Unlock() }) //nolint:errcheck // its death
 	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
 	if engine.Runs()["key"] != 0 {
 		t.Error("a key in doubt ran")
@@ -356,14 +356,14 @@
 }
 
 // What other connections at the meeting place say ends them and nothing else.
-func TestStrangersAtTheMeetingPlace(t *testing.T) {
+func TestUnknownPeersAtHandoverEndpoint(t *testing.T) {
 	t.Parallel()
-	at := site(t)
+	at := newSharedListener(t)
 	engine := standin.NewEngine(t, work)
-	old := launch(t, at.process(t, engine.Address, ""))
-	old.ready(t)
+	old := launch(t, at.processConfig(t, engine.Address, ""))
+	old.waitReady(t)
 	for _, bytes := range []string{"\xff\xff\xff\xff", strings.Repeat("\x00", 99), "\x00\x00\x00\x2b\x03" + strings.Repeat("\x00", 42)} {
-		c := old.handing.place.Dial()
+		c := old.upgrade.endpoint.Dial()
 		if c == nil {
 			t.Fatal("nobody listens")
 		}
@@ -375,8 +375,8 @@
 		}
 		c.Close()
 	}
-	old.look(func() {
-		if !old.core.OwnsKeys() || old.handing.peer != nil || old.handing.waiting != nil {
+	old.onLoopWait(func() {
+		if !old.core.OwnsKeys() || old.upgrade.peer != nil || old.upgrade.waitingSuccessor != nil {
 			t.Error("a stranger has taken the keys")
 		}
 	})
@@ -384,8 +384,8 @@
 
 // A descriptor that is no listening socket is a plain error at the start.
 func TestBadInheritedDescriptor(t *testing.T) {
-	site(t)
-	cfg := platform(t, "127.0.0.1:1", "")
+	newSharedListener(t)
+	cfg := platformConfig(t, "127.0.0.1:1", "")
 	cfg.InheritedFD = 1 << 19
 	s, err := New(cfg, zap.NewNop())
 	if err != nil {
@@ -400,27 +400,27 @@
 // is said meanwhile comes after it.
 func TestLargeTable(t *testing.T) {
 	t.Parallel()
-	at := site(t)
+	at := newSharedListener(t)
 	engine := standin.NewEngine(t, work)
-	old := launch(t, at.process(t, engine.Address, ""))
-	old.ready(t)
-	const keys = 2 * peerOutMost / frame.MaxResult
-	old.look(func() {
+	old := launch(t, at.processConfig(t, engine.Address, ""))
+	old.waitReady(t)
+	const keys = 2 * maxPeerUnsentBytes / frame.MaxResult
+	old.onLoopWait(func() {
 		result := make([]byte, frame.MaxResult)
 		for i := range keys {
 			old.core.ImportRecord(core.Record{Class: 2, Key: fmt.Sprint("key", i), Arrived: now(), WindowEnd: now() + 60_000_000, Finished: true,
 				Outcome: kiteslip.OK, Result: result})
 		}
 	})
-	young := launch(t, at.process(t, standin.NewEngine(t, work).Address, ""))
-	old.eventually(t, "the table is under way", func() bool { return old.handing.handed })
-	c := old.open(t)
+	young := launch(t, at.processConfig(t, standin.NewEngine(t, work).Address, ""))
+	old.eventually(t, "the table is under way", func() bool { return old.upgrade.keysHandedOver })
+	c := old.dialUntilMine(t)
 	c.Send(1, standin.Fields("note", "red", "asked meanwhile", 1, 3*time.Second), "asked")
 	if got, _ := c.Next(); got.Code != frame.Served {
 		t.Errorf("a key that is asked for meanwhile: %+v", got)
 	}
-	young.ready(t)
-	young.look(func() {
+	young.waitReady(t)
+	young.onLoopWait(func() {
 		if _, n := young.core.Tracked(); n != keys+1 {
 			t.Errorf("%d keys of %d have come", n, keys+1)
 		}
