--- a/internal/server/web.go
+++ b/internal/server/uwsgi.go
@@ -18,65 +18,65 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// webSession is one caller's connection on the uwsgi protocol. It carries one
+// uwsgiConn is one caller's connection on the uwsgi protocol. It carries one
 // request: variables, body, answer, close.
-type webSession struct {
-	s        *Server
-	conn     gnet.Conn
-	request  *core.Request // nil until the variables are in
-	length   int           // of the body
-	waits    bool          // the request is in the core
-	answered bool
-	gone     bool
-	held     int
-	openedAt int64
-	readBy   int64
-	out      [][]byte
-	closing
+type uwsgiConn struct {
+	s            *Server
+	conn         gnet.Conn
+	request      *core.Request // nil until the variables are in
+	bodyLen      int           // of the body
+	submitted    bool          // the request is in the core
+	answered     bool
+	disconnected bool
+	partialLen   int
+	openedAt     int64
+	readDeadline int64
+	out          [][]byte
+	connClose
 }
 
-func newWebSession(s *Server) *webSession { return &webSession{s: s} }
+func newUWSGIConn(s *Server) *uwsgiConn { return &uwsgiConn{s: s} }
 
-func (f *webSession) opened(c gnet.Conn) {
+func (f *uwsgiConn) opened(c gnet.Conn) {
 	f.conn = c
 	f.openedAt = now()
-	f.s.webs++
-	f.readBy = now() + f.s.cfg.UWSGI.ReadTimeoutUS
+	f.s.uwsgiConns++
+	f.readDeadline = now() + f.s.cfg.UWSGI.ReadTimeoutUS
 }
 
 // closed frees all; a request whose body never came whole was never entered,
 // and one that was entered has no caller any longer.
-func (f *webSession) closed() {
-	f.gone = true
-	f.hold(0)
-	f.s.webs--
-	f.s.lingered(&f.closing)
-	f.s.leaveSlot()
-	if f.waits && !f.answered {
+func (f *uwsgiConn) closed() {
+	f.disconnected = true
+	f.trackPartial(0)
+	f.s.uwsgiConns--
+	f.s.closeFinished(&f.connClose)
+	f.s.releaseCallerSlot()
+	if f.submitted && !f.answered {
 		f.s.core.Disconnected(f.request)
 	}
 	f.request = nil
 }
 
 // idle counts a connection from its start: what is half sent makes room too.
-func (f *webSession) idle() idle {
-	if f.waits && !f.answered {
-		return idle{}
+func (f *uwsgiConn) idle() idleState {
+	if f.submitted && !f.answered {
+		return idleState{}
 	}
-	return idle{since: f.openedAt, served: f.answered}
+	return idleState{since: f.openedAt, answered: f.answered}
 }
 
-func (f *webSession) unsent() int     { return f.conn.OutboundBuffered() }
-func (f *webSession) peer() gnet.Conn { return f.conn }
+func (f *uwsgiConn) unsent() int        { return f.conn.OutboundBuffered() }
+func (f *uwsgiConn) netConn() gnet.Conn { return f.conn }
 
-func (f *webSession) hold(n int) {
-	f.s.buffered += n - f.held
-	f.held = n
+func (f *uwsgiConn) trackPartial(n int) {
+	f.s.partialBytes += n - f.partialLen
+	f.partialLen = n
 }
 
-func (f *webSession) feed(b []byte) (int, error) {
+func (f *uwsgiConn) feed(b []byte) (int, error) {
 	used := 0
-	if f.waits || f.answered || f.deaf {
+	if f.submitted || f.answered || f.discarding {
 		return len(b), nil // nothing more is owed an ear on this connection
 	}
 	if f.request == nil {
@@ -86,50 +86,50 @@
 			return len(b), nil
 		}
 		if n == 0 {
-			f.hold(len(b))
+			f.trackPartial(len(b))
 			return 0, nil
 		}
-		r, length, problem := uwsgi.ParseRequest(vars, f.s.book, now())
+		r, length, problem := uwsgi.ParseRequest(vars, f.s.uwsgiContracts, now())
 		if problem != nil {
 			f.refuse(problem)
 			return len(b), nil
 		}
-		f.request, f.length, used = r, length, n
+		f.request, f.bodyLen, used = r, length, n
 	}
-	if len(b)-used < f.length {
-		f.hold(len(b) - used)
-		if f.s.buffered > f.s.cfg.Limits.MemoryMB<<20/heldDivisor {
+	if len(b)-used < f.bodyLen {
+		f.trackPartial(len(b) - used)
+		if f.s.partialBytes > f.s.cfg.Limits.MemoryMB<<20/partialMemoryDivisor {
 			f.refuse(&uwsgi.RequestError{Status: http.StatusServiceUnavailable, Reason: "too many half-sent requests"})
 		}
 		return used, nil
 	}
-	f.hold(0)
-	f.enter(slices.Clone(b[used : used+f.length]))
+	f.trackPartial(0)
+	f.submit(slices.Clone(b[used : used+f.bodyLen]))
 	return len(b), nil
 }
 
-// enter gives the whole request to the core.
-func (f *webSession) enter(body []byte) {
+// submit gives the whole request to the core.
+func (f *uwsgiConn) submit(body []byte) {
 	r := f.request
-	f.s.webID++
+	f.s.lastUWSGIID++
 	// Not 16 hex digits: guards against a name that a caller of the other front has chosen.
-	r.TryID = fmt.Sprintf("w%015x", f.s.webID)
+	r.TryID = fmt.Sprintf("w%015x", f.s.lastUWSGIID)
 	r.Body, r.Stream, r.ReplyTo = body, 1, f
-	f.waits = true
+	f.submitted = true
 	if err := f.s.core.Submit(now(), r); err != nil {
-		f.waits = false
+		f.submitted = false
 		f.refuse(&uwsgi.RequestError{Status: http.StatusBadRequest, Reason: err.Error()})
 	}
 }
 
 // refuse answers a request that does not enter the core.
-func (f *webSession) refuse(p *uwsgi.RequestError) {
+func (f *uwsgiConn) refuse(p *uwsgi.RequestError) {
 	f.s.reject(&reject.Error{Cause: "uwsgi_" + strconv.Itoa(p.Status), Err: p})
 	f.respond(p.Status, 0, []byte(p.Reason+"\n"))
 }
 
 // Answer writes the final answer.
-func (f *webSession) Answer(_ uint32, a core.Answer) {
+func (f *uwsgiConn) Answer(_ uint32, a core.Answer) {
 	f.s.traceAnswer("uwsgi", f.request, a)
 	status, retryAfter := uwsgi.Status(&a)
 	body := a.Result
@@ -139,80 +139,80 @@
 	f.respond(status, retryAfter, body)
 }
 
-func (f *webSession) respond(status, retryAfter int, body []byte) {
-	if f.answered || f.gone {
+func (f *uwsgiConn) respond(status, retryAfter int, body []byte) {
+	if f.answered || f.disconnected {
 		return
 	}
 	f.answered = true
-	f.hold(0)
+	f.trackPartial(0)
 	f.out = append(f.out, uwsgi.AppendResponse(nil, status, retryAfter, len(body)))
 	if len(body) > 0 {
 		f.out = append(f.out, body)
 	}
-	f.s.dirty = append(f.s.dirty, f)
-	f.s.schedule()
+	f.s.unflushed = append(f.s.unflushed, f)
+	f.s.scheduleIteration()
 }
 
 // flush writes the answer and closes: the protocol carries one request for
 // each connection. What the socket does not take at once is given the time
 // until readBy.
-func (f *webSession) flush() {
-	if f.gone || len(f.out) == 0 {
+func (f *uwsgiConn) flush() {
+	if f.disconnected || len(f.out) == 0 {
 		return
 	}
-	f.out = gather(f.conn, f.out)
-	f.readBy = now() + f.s.cfg.UWSGI.ReadTimeoutUS
-	f.settle()
+	f.out = writevAll(f.conn, f.out)
+	f.readDeadline = now() + f.s.cfg.UWSGI.ReadTimeoutUS
+	f.shutWhenDone()
 }
 
-// settle shuts our side of a connection whose answer has gone out. Guards the
+// shutWhenDone shuts our side of a connection whose answer has gone out. Guards the
 // answer: closing with bytes unread would make the system reset the connection,
 // so the rest is read until the caller closes or readBy comes.
-func (f *webSession) settle() {
-	if f.gone || f.shutAt != 0 || !f.answered && !f.deaf || len(f.out) > 0 || f.conn.OutboundBuffered() > 0 {
+func (f *uwsgiConn) shutWhenDone() {
+	if f.disconnected || f.writeShutAt != 0 || !f.answered && !f.discarding || len(f.out) > 0 || f.conn.OutboundBuffered() > 0 {
 		return
 	}
 	t := now()
-	f.s.shut(f, t, max(0, f.readBy-t))
+	f.s.shutWrite(f, t, max(0, f.readDeadline-t))
 }
 
-// part ends the connection, unless a request is in hand or waits unread.
-func (f *webSession) part(int64) {
-	if f.waits && !f.answered || !f.answered && unread(f.conn) {
+// closeGracefully ends the connection, unless a request is in hand or waits unread.
+func (f *uwsgiConn) closeGracefully(int64) {
+	if f.submitted && !f.answered || !f.answered && hasUnread(f.conn) {
 		return
 	}
-	f.deaf = true
-	f.settle()
+	f.discarding = true
+	f.shutWhenDone()
 }
 
-func (f *webSession) hangUp() {
-	if !f.gone {
-		hangUp(f.conn)
+func (f *uwsgiConn) closeNow() {
+	if !f.disconnected {
+		closeNow(f.conn)
 	}
 }
 
 // expire closes what has run out of time: callers that send their request too
 // slowly or do not take the answer, and calls of uwsgi servers.
 func (s *Server) expire(t int64) {
-	if t < s.expireAt {
+	if t < s.nextExpiryAt {
 		return
 	}
-	s.expireAt = t + expireEvery
-	for h := range s.sessions {
-		f, ok := h.(*webSession)
+	s.nextExpiryAt = t + expiryIntervalUS
+	for h := range s.conns {
+		f, ok := h.(*uwsgiConn)
 		switch {
-		case !ok || f.waits && !f.answered:
-		case (f.answered || f.deaf) && t >= f.readBy:
-			hangUp(f.conn)
+		case !ok || f.submitted && !f.answered:
+		case (f.answered || f.discarding) && t >= f.readDeadline:
+			closeNow(f.conn)
 		case f.answered:
-			f.settle()
-		case t >= f.readBy:
+			f.shutWhenDone()
+		case t >= f.readDeadline:
 			f.refuse(&uwsgi.RequestError{Status: http.StatusRequestTimeout, Reason: "the request did not come in time"})
 		}
 	}
-	for b := range s.backends {
-		if t >= b.until {
-			b.end(kiteslip.Failed, nil)
+	for b := range s.backendConns {
+		if t >= b.deadline {
+			b.finish(kiteslip.Failed, nil)
 		}
 	}
 	s.flush()
@@ -220,29 +220,29 @@
 
 // backendConn is one call of a uwsgi server.
 type backendConn struct {
-	s        *Server
-	r        *core.Request
-	conn     gnet.Conn
-	began    int64
-	until    int64 // when it is given up
-	in       []byte
-	finished bool
+	s         *Server
+	r         *core.Request
+	conn      gnet.Conn
+	startedAt int64
+	deadline  int64 // when it is given up
+	in        []byte
+	finished  bool
 }
 
-// call runs r at the uwsgi server at address.
-func (s *Server) call(address string, r *core.Request) {
-	b := &backendConn{s: s, r: r, began: now(), until: r.Deadline}
+// callBackend runs r at the uwsgi server at address.
+func (s *Server) callBackend(address string, r *core.Request) {
+	b := &backendConn{s: s, r: r, startedAt: now(), deadline: r.Deadline}
 	if class := &s.cfg.Policy.Classes[r.Class]; class.Effect == kiteslip.Keyed {
 		// Another try may yet want the result, and none may run beside this one.
-		b.until = max(b.until, r.Arrived+class.Window)
+		b.deadline = max(b.deadline, r.Arrived+class.Window)
 	}
-	s.backends[b] = struct{}{}
-	if len(s.backends) > s.calls { // Guards the limit on sockets, whatever the module runs.
-		b.end(kiteslip.NotStarted, nil)
+	s.backendConns[b] = struct{}{}
+	if len(s.backendConns) > s.maxBackendCalls { // Guards the limit on sockets, whatever the module runs.
+		b.finish(kiteslip.NotStarted, nil)
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithDeadline(context.Background(), time.UnixMicro(b.until))
+		ctx, cancel := context.WithDeadline(context.Background(), time.UnixMicro(b.deadline))
 		defer cancel()
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		if err == nil {
@@ -252,7 +252,7 @@
 			s.log.Debug("backend", zap.String("address", address), zap.Error(err))
 			s.onLoop(func() {
 				if b.conn == nil { // nothing was sent, so nothing ran
-					b.end(kiteslip.NotStarted, nil)
+					b.finish(kiteslip.NotStarted, nil)
 				}
 			})
 		}
@@ -262,7 +262,7 @@
 func (b *backendConn) opened(c gnet.Conn) {
 	b.conn = c
 	if b.finished {
-		hangUp(c)
+		closeNow(c)
 		return
 	}
 	r, cfg := b.r, b.s.cfg
@@ -282,11 +282,11 @@
 	}
 	head, err := uwsgi.AppendRequest(nil, vars)
 	if err != nil {
-		b.end(kiteslip.NotStarted, nil)
+		b.finish(kiteslip.NotStarted, nil)
 		return
 	}
-	b.s.called++
-	gather(c, [][]byte{head, r.Body})
+	b.s.backendCalls++
+	writevAll(c, [][]byte{head, r.Body})
 }
 
 func (b *backendConn) feed(p []byte) (int, error) {
@@ -311,24 +311,24 @@
 	switch {
 	case err != nil:
 		b.s.log.Debug("backend", zap.Error(err))
-		b.end(kiteslip.Failed, nil)
+		b.finish(kiteslip.Failed, nil)
 	case whole && response.Status/100 == 2:
-		b.end(kiteslip.OK, slices.Clone(response.Body))
+		b.finish(kiteslip.OK, slices.Clone(response.Body))
 	case whole:
-		b.end(kiteslip.Failed, nil)
+		b.finish(kiteslip.Failed, nil)
 	}
 }
 
-// end books the end of the run, once, and frees the connection.
-func (b *backendConn) end(outcome kiteslip.Outcome, result []byte) {
+// finish books the end of the run, once, and frees the connection.
+func (b *backendConn) finish(outcome kiteslip.Outcome, result []byte) {
 	if b.finished {
 		return
 	}
 	b.finished, b.in = true, nil
-	delete(b.s.backends, b)
-	b.s.core.Done(b.r, outcome, now()-b.began, result)
-	b.s.schedule()
+	delete(b.s.backendConns, b)
+	b.s.core.Done(b.r, outcome, now()-b.startedAt, result)
+	b.s.scheduleIteration()
 	if b.conn != nil {
-		hangUp(b.conn)
+		closeNow(b.conn)
 	}
 }
--- a/internal/server/version_test.go
+++ b/internal/server/version_test.go
@@ -17,8 +17,8 @@
 	"kiteslip/internal/standin"
 )
 
-// follows is the version that comes after d when these changes are made.
-func follows(t testing.TB, d *document.Document, changes ...document.Change) (*document.Document, *document.Delta) {
+// nextVersion is the version that comes after d when these changes are made.
+func nextVersion(t testing.TB, d *document.Document, changes ...document.Change) (*document.Document, *document.Delta) {
 	t.Helper()
 	delta, err := d.Draft(changes, document.Meta{Author: "anna", Reason: "a test", Time: 1})
 	if err != nil {
@@ -47,12 +47,12 @@
 // Versions are taken over one after the other while requests are open: a request
 // of a class or team that goes ends as usual, later ones are refused; a version
 // that cannot be used here is refused with all its faults, and changes nothing.
-func TestTakeVersion(t *testing.T) {
+func TestApplyVersion(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, work)
 	r := start(t, engine.Address, "", "")
 	r.eventually(t, "the engine's link", r.link.Ready)
-	c, stream := standin.Dial(t, r.frames), uint32(0)
+	c, stream := standin.Dial(t, r.framesAddr), uint32(0)
 	send := func(class, tenant, body string) {
 		stream++
 		c.Send(stream, standin.Fields(class, tenant, "", uint64(stream), 3*time.Second), body)
@@ -66,9 +66,9 @@
 	take := func(doc *document.Document, delta *document.Delta) error {
 		ctx, end := context.WithTimeout(t.Context(), 10*time.Second)
 		defer end()
-		return r.takeVersion(ctx, doc, delta)
+		return r.applyVersion(ctx, doc, delta)
 	}
-	first, _ := follows(t, document.Empty(), team("teal", 50), service("sum"))
+	first, _ := nextVersion(t, document.Empty(), team("teal", 50), service("sum"))
 	if err := take(first, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	expect("a class and team of the platform", frame.Served)
 	send("sum", "teal", "slow open")
 	r.eventually(t, "a run", func() bool { return r.link.Running() == 1 })
-	second, step := follows(t, first, drop(team("teal", 0)), team("lime", 20), drop(service("sum")), service("count"))
+	second, step := nextVersion(t, first, drop(team("teal", 0)), team("lime", 20), drop(service("sum")), service("count"))
 	if err := take(second, step); err != nil {
 		t.Fatal(err)
 	}
@@ -90,18 +90,18 @@
 	send("count", "lime", "quick")
 	expect("a class and team that came", frame.Served)
 
-	bad, step := follows(t, second, document.Change{Service: &document.Service{Name: "a", Contracts: []document.Contract{{Class: "a", Effect: "once"}}}},
+	bad, step := nextVersion(t, second, document.Change{Service: &document.Service{Name: "a", Contracts: []document.Contract{{Class: "a", Effect: "once"}}}},
 		document.Change{Service: &document.Service{Name: "b", Contracts: []document.Contract{{Class: "b", Effect: "keyed", DeadlineMS: &[]float64{9}[0]}}}})
 	if err := take(bad, step); err == nil || !strings.Contains(err.Error(), "deadline_ms") || !strings.Contains(err.Error(), "window_ms") {
 		t.Errorf("a version that cannot be used here: %v", err)
 	}
-	third, step := follows(t, bad, drop(service("a")), drop(service("b")), service("draw"))
+	third, step := nextVersion(t, bad, drop(service("a")), drop(service("b")), service("draw"))
 	if err := take(third, step); err != nil { // on a parent that is not in force here
 		t.Fatal(err)
 	}
 	send("draw", "lime", "quick")
 	expect("a class, after a version that was refused", frame.Served)
-	r.look(func() {
+	r.onLoopWait(func() {
 		if r.cfg.Version() != third {
 			t.Errorf("version %d is in force", r.cfg.Version().Header().Number)
 		}
@@ -113,11 +113,11 @@
 func TestVersionsAndReload(t *testing.T) {
 	t.Parallel()
 	r := start(t, "127.0.0.1:1", "", "")
-	doc, _ := follows(t, document.Empty(), team("teal", 1), service("sum"))
-	if err := r.takeVersion(t.Context(), doc, nil); err != nil {
+	doc, _ := nextVersion(t, document.Empty(), team("teal", 1), service("sum"))
+	if err := r.applyVersion(t.Context(), doc, nil); err != nil {
 		t.Fatal(err)
 	}
-	file := strings.Replace(platformText("127.0.0.1:1", ""), `"find"`, `"fetch"`, 1)
+	file := strings.Replace(platformJSON("127.0.0.1:1", ""), `"find"`, `"fetch"`, 1)
 	r.LoadConfig = func() (*config.Config, error) { return config.Parse([]byte(file), func(string) string { return "" }) }
 	done := make(chan struct{})
 	go func() {
@@ -127,49 +127,49 @@
 		}
 	}()
 	for i := range 50 {
-		next, delta := follows(t, doc, team("teal", float64(i+2)), service(fmt.Sprint("sum", i)))
-		if err := r.takeVersion(t.Context(), next, delta); err != nil {
+		next, delta := nextVersion(t, doc, team("teal", float64(i+2)), service(fmt.Sprint("sum", i)))
+		if err := r.applyVersion(t.Context(), next, delta); err != nil {
 			t.Fatal(err)
 		}
 		doc = next
 	}
 	<-done
-	r.eventually(t, "the files", func() bool { return r.applied > 0 })
-	r.look(func() {
+	r.eventually(t, "the files", func() bool { return r.reloadsApplied > 0 })
+	r.onLoopWait(func() {
 		on := map[string]float64{}
 		for i, name := range r.cfg.Tenants {
 			if !config.IsRetired(r.cfg.RetiredTenants, i) {
 				on[name] = r.cfg.Policy.Tenants[i].Quota
 			}
 		}
-		if _, fetch := r.names.Classes["fetch"]; r.cfg.Version() != doc || on["teal"] != 51 || r.rejected != 0 || !fetch || r.names.Classes["sum49"] == 0 {
-			t.Errorf("version %d, teams %v, %d files refused, classes %v", r.cfg.Version().Header().Number, on, r.rejected, r.names.Classes)
+		if _, fetch := r.names.Classes["fetch"]; r.cfg.Version() != doc || on["teal"] != 51 || r.reloadsRejected != 0 || !fetch || r.names.Classes["sum49"] == 0 {
+			t.Errorf("version %d, teams %v, %d files refused, classes %v", r.cfg.Version().Header().Number, on, r.reloadsRejected, r.names.Classes)
 		}
 	})
 }
 
 // No version is taken over once the notice to leave has come, and nobody who asks
 // waits for a server that has ended.
-func TestNoVersionAfterTheNotice(t *testing.T) {
+func TestNoVersionAfterShutdownNotice(t *testing.T) {
 	t.Parallel()
 	r := start(t, "127.0.0.1:1", "", "")
-	doc, _ := follows(t, document.Empty(), team("teal", 1))
-	r.look(func() { r.stopAt = 1 })
-	if err := r.takeVersion(t.Context(), doc, nil); !errors.Is(err, errLeaving) {
+	doc, _ := nextVersion(t, document.Empty(), team("teal", 1))
+	r.onLoopWait(func() { r.killAt = 1 })
+	if err := r.applyVersion(t.Context(), doc, nil); !errors.Is(err, errShuttingDown) {
 		t.Errorf("after the notice: %v", err)
 	}
-	r.look(func() {
+	r.onLoopWait(func() {
 		if r.cfg.Version() != nil {
 			t.Error("the version is in force")
 		}
-		r.stopAt = 0
+		r.killAt = 0
 	})
-	ended, err := New(platform(t, "127.0.0.1:1", ""), zap.NewNop())
+	ended, err := New(platformConfig(t, "127.0.0.1:1", ""), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended.end()
-	if err := ended.takeVersion(t.Context(), doc, nil); !errors.Is(err, errEnded) {
+	ended.cancelRun()
+	if err := ended.applyVersion(t.Context(), doc, nil); !errors.Is(err, errEnded) {
 		t.Errorf("after the end: %v", err)
 	}
 }
