--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	maxAdminConns         = 32         // connections at the admin endpoint, besides those of callers
-	adminRequestTimeoutUS = 10_000_000 // for the line to come
-	adminLingerUS         = 1_000_000  // for the caller to close after its answer
+	maxAdminConns         = 32         // connections of the admin endpoint; callers' connections have their own limit
+	adminRequestTimeoutUS = 10_000_000 // for the command line to arrive
+	adminLingerUS         = 1_000_000  // for the operator to close after the answer
 )
 
-// adminConn is one connection at the admin endpoint: a line, an answer, the end.
+// adminConn is one connection of the admin endpoint: a command line, an answer, close.
 type adminConn struct {
 	s            *Server
 	conn         gnet.Conn
 	openedAt     int64
-	deadline     int64 // when it is closed by us
+	deadline     int64 // when the server closes it
 	answered     bool
-	writeShut    bool // our side is closed
+	writeShut    bool // the write side is shut
 	disconnected bool
 }
 
 func newAdminConn(s *Server) *adminConn { return &adminConn{s: s} }
 
-// opened takes the connection in. Guards against callers that hold on: the
-// last place goes to the newcomer, and the one that has waited longest is closed.
+// opened starts the connection's timeout. Where it takes the last slot, the
+// connection open for longest is closed, answered ones first, so that idle
+// connections never keep an operator out.
 func (d *adminConn) opened(c gnet.Conn) {
 	d.conn = c
 	d.openedAt = now()
@@ -54,9 +55,9 @@
 	<-d.s.adminSlots
 }
 
-// feed answers a whole line at once, ahead of the round. Guards the answer: a
-// close with bytes unread would make the system reset the connection, so only
-// our side is shut, and what follows the line is passed over.
+// feed answers a whole line at once, before the loop iteration. Closing with unread
+// input would make the system reset the connection, and the answer could be
+// lost, so only the write side is shut, and further input is discarded.
 func (d *adminConn) feed(b []byte) (int, error) {
 	if d.answered {
 		return len(b), nil
@@ -78,7 +79,7 @@
 	return len(b), nil
 }
 
-// shutWhenDone shuts our side once the answer has gone out.
+// shutWhenDone shuts the write side once the answer has gone out.
 func (d *adminConn) shutWhenDone() {
 	if d.answered && !d.writeShut && !d.disconnected && d.conn.OutboundBuffered() == 0 {
 		d.writeShut = true
@@ -91,7 +92,7 @@
 func (d *adminConn) flush()      {}
 func (d *adminConn) unsent() int { return 0 }
 
-// expire closes what has had its time.
+// expire closes the connection at its deadline.
 func (d *adminConn) expire(t int64) {
 	if t >= d.deadline {
 		closeNow(d.conn)
@@ -100,13 +101,13 @@
 	d.shutWhenDone()
 }
 
-// runAdminCommand carries out one call at the door.
+// runAdminCommand carries out one admin command and returns the reply.
 func (s *Server) runAdminCommand(line []byte) []byte {
-	call, err := ops.Parse(line)
+	command, err := ops.Parse(line)
 	if err != nil {
 		return ops.ErrorReply(err.Error())
 	}
-	switch call {
+	switch command {
 	case ops.ShowStat:
 		f := s.metrics()
 		return ops.StatReply(f.Append(nil))
@@ -133,8 +134,8 @@
 	return ops.DoneReply("ready")
 }
 
-// setWithdrawn takes the server off the callers' list, or puts it back. Nothing
-// that runs or still comes is touched.
+// setWithdrawn takes the server off the callers' list, or puts it back. Requests
+// that run or still arrive are not affected.
 func (s *Server) setWithdrawn(on bool) {
 	if s.core.Withdrawn() != on {
 		s.log.Info("operator", zap.Bool("drain", on))
@@ -144,7 +145,7 @@
 	}
 }
 
-// metrics gathers what is counted where each event ends.
+// metrics collects the metrics of all components.
 func (s *Server) metrics() metrics.Snapshot {
 	f := metrics.Snapshot{Tries: s.link.Tries() + s.backendCalls, Active: s.core.Outstanding(), ConfigsApplied: s.reloadsApplied, ConfigsRejected: s.reloadsRejected}
 	for i, n := range s.core.AnswersByClass() {
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -9,24 +9,25 @@
 	"kiteslip/internal/ops"
 )
 
-// followerExitTimeout is how long the end of the process waits for the follower's: its
-// last word was said at the notice to leave, and the file it writes is replaced
-// as a whole, so that nothing is lost with it.
+// followerExitTimeout is how long the process waits for the follower at its end.
+// Nothing is lost if the follower does not finish: it sent its last message after
+// the shutdown notice, and the file that it writes is replaced as a whole.
 const followerExitTimeout = 100 * time.Millisecond
 
-// control is what a server has of the fleet's versions: a follower that runs
-// beside the loop. Without one there is no goroutine, and nothing on the loop asks for it.
+// control holds the follower that receives the fleet's configuration versions. It
+// runs outside the loop; without one there is no goroutine and no work on the loop.
 type control struct {
 	follower *follow.Follower
 	cancel   context.CancelFunc
 	done     chan struct{}
 }
 
-// Follow has the server take over the versions that f brings, from Serve on until
-// the notice to leave. The server was made with the document that f.First returned.
+// Follow makes the server apply the versions that f receives, from Serve on until
+// the shutdown notice. The server must have been created with the document that
+// f.InitialVersion returned.
 func (s *Server) Follow(f *follow.Follower) { s.control.follower = f }
 
-// startFollower runs the follower beside the loop.
+// startFollower runs the follower outside the loop.
 func (s *Server) startFollower() {
 	c := &s.control
 	if c.follower == nil {
@@ -40,15 +41,15 @@
 	}()
 }
 
-// stopFollower takes no version from here on, and has the follower say that the
-// server leaves.
+// stopFollower ends the follower, which then announces that the server leaves; no
+// version is applied from here on.
 func (s *Server) stopFollower() {
 	if s.control.cancel != nil {
 		s.control.cancel()
 	}
 }
 
-// waitForFollower waits for the follower's end, for a moment.
+// waitForFollower ends the follower and waits for it for a limited time.
 func (c *control) waitForFollower() {
 	if c.cancel == nil {
 		return
@@ -62,7 +63,7 @@
 	}
 }
 
-// showVersion answers the operators' door.
+// showVersion answers the admin command that asks for the version in force.
 func (s *Server) showVersion() []byte {
 	if s.control.follower == nil {
 		return ops.ErrorReply("no [control]: the file's own teams and services are in force")
@@ -73,7 +74,8 @@
 		Snapshots: st.Snapshots, Switches: st.Switches, SentBytes: st.SentBytes, ReceivedBytes: st.ReceivedBytes})
 }
 
-// controlMetrics are those of the version in force; nil = control is off.
+// controlMetrics returns the metrics of the version in force; nil = the server
+// follows no versions.
 func (s *Server) controlMetrics() *metrics.Control {
 	if s.control.follower == nil {
 		return nil
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -4,58 +4,59 @@
 	"kiteslip/internal/config"
 )
 
-// DescriptorBudget say how the descriptors that the platform grants are divided, so that
-// callers, however many come and stay, never take what the server itself needs.
+// DescriptorBudget is the division of the file descriptors that the platform
+// grants. Callers, however many connect and stay, never take those that the
+// server itself needs.
 type DescriptorBudget struct {
-	Internal          int // the loop, the engine's link and its search, the registry, listeners, files
-	Admin             int // operators' connections
+	Internal          int // for the loop, the engine's link and a dial beside it, the registry, listeners and files
+	Admin             int // connections of the admin endpoint
 	Ledger            int // connections to the ledger
-	BackendCalls      int // calls of uwsgi servers at once
-	CallerDescriptors int // that callers' connections may take, those that are entering twice
-	CallerConnections int // callers' connections at most
+	BackendCalls      int // backend calls that may be in progress at once
+	CallerDescriptors int // for callers' connections; one that is being enrolled takes two
+	CallerConnections int // maximum of callers' connections
 }
 
 const (
-	internalDescriptors  = 24 // measured: 15 at rest, 19 while a link is sought beside one in use
-	handoverDescriptors  = 8  // an upgrade's meeting place, its lock and links
-	keyDescriptors       = 64 // the store of keys: its lock, logs and tables
-	controlDescriptors   = 8  // a stream to a publisher and one that is asked beside it; the kept version, its lock and folder
-	adminDivisor         = 8  // the part of the descriptors that the admin endpoint may take
-	ledgerDivisor        = 8  // ... that connections to the ledger may take
-	ledgerConnectionsCap = 64
-	backendDivisor       = 4  // the part of what is left that calls of uwsgi servers may take
-	enrolReserveDivisor  = 16 // ... that is kept for connections that are entering
-	maxEnrolReserve      = 40
+	internalDescriptors  = 24 // 15 when idle, 19 while the engine is dialed beside a link in use
+	handoverDescriptors  = 8  // the handover endpoint, its lock and connections
+	keyDescriptors       = 64 // the key store: its lock, logs and tables
+	controlDescriptors   = 8  // a stream to a publisher and a probe of another one; the kept version, its lock and folder
+	adminDivisor         = 8  // the admin endpoint may take this fraction of the descriptors
+	ledgerDivisor        = 8  // ... and connections to the ledger this one,
+	ledgerConnectionsCap = 64 // ... up to this many
+	backendDivisor       = 4  // backend calls may take this fraction of the rest
+	enrolReserveDivisor  = 16 // this fraction is reserved for connections that are being enrolled,
+	maxEnrolReserve      = 40 // ... up to this many
 	minCallerConnections = 2
 )
 
 // NewDescriptorBudget divides the descriptors that the limits grant.
 func NewDescriptorBudget(cfg *config.Config) DescriptorBudget {
-	p := DescriptorBudget{Internal: internalDescriptors, Ledger: MaxLedgerConnections(cfg)}
+	budget := DescriptorBudget{Internal: internalDescriptors, Ledger: MaxLedgerConnections(cfg)}
 	if cfg.InheritedFD != 0 {
-		p.Internal += handoverDescriptors
+		budget.Internal += handoverDescriptors
 	}
 	if cfg.Keys.Folder != "" {
-		p.Internal += min(keyDescriptors, cfg.Limits.Sockets/4)
+		budget.Internal += min(keyDescriptors, cfg.Limits.Sockets/4)
 	}
 	if cfg.Control.Enabled() {
-		p.Internal += controlDescriptors
+		budget.Internal += controlDescriptors
 	}
 	if cfg.Ops != "" {
-		p.Admin = max(1, min(maxAdminConns, cfg.Limits.Sockets/adminDivisor))
+		budget.Admin = max(1, min(maxAdminConns, cfg.Limits.Sockets/adminDivisor))
 	}
-	rest := cfg.Limits.Sockets - p.Internal - p.Admin - p.Ledger
+	rest := cfg.Limits.Sockets - budget.Internal - budget.Admin - budget.Ledger
 	if hasBackend(cfg.Backends) {
-		// One that is being handed to the loop has two for a moment.
-		p.BackendCalls = max(1, rest/backendDivisor/enrolDescriptors)
-		rest -= enrolDescriptors * p.BackendCalls
+		// A connection has two while it is enrolled.
+		budget.BackendCalls = max(1, rest/backendDivisor/enrolDescriptors)
+		rest -= enrolDescriptors * budget.BackendCalls
 	}
-	p.CallerDescriptors = max(minCallerConnections*enrolDescriptors, rest)
-	p.CallerConnections = max(minCallerConnections, p.CallerDescriptors-max(enrolDescriptors, min(maxEnrolReserve, cfg.Limits.Sockets/enrolReserveDivisor)))
-	return p
+	budget.CallerDescriptors = max(minCallerConnections*enrolDescriptors, rest)
+	budget.CallerConnections = max(minCallerConnections, budget.CallerDescriptors-max(enrolDescriptors, min(maxEnrolReserve, cfg.Limits.Sockets/enrolReserveDivisor)))
+	return budget
 }
 
-// MaxLedgerConnections is how many connections to the ledger a server may hold.
+// MaxLedgerConnections is the maximum of connections to the ledger that a server holds.
 func MaxLedgerConnections(cfg *config.Config) int {
 	if cfg.Ledger == "" {
 		return 0
--- a/internal/server/engine.go
+++ b/internal/server/engine.go
@@ -23,17 +23,17 @@
 	deadline int64
 }
 
-// connectEngine starts the search for the engine at the address that holds now. A
-// search that is still under way for another address ends.
+// connectEngine begins to dial the engine at the configured address. An attempt
+// that is still in progress for another address ends.
 func (s *Server) connectEngine() {
 	if s.cfg.Engine != "" {
 		go s.dialEngine(s.engineDialID.Add(1), s.cfg.Engine)
 	}
 }
 
-// dialEngine tries to reach the engine until a link stands or another search begins.
-// Guards both ends against links that break as soon as they stand: however a
-// search comes about, tries lie apart.
+// dialEngine dials the engine until it is connected or a later attempt begins.
+// Dials are at least engineRedialIntervalUS apart, across attempts too, so that
+// links that break as soon as they are established load neither end.
 func (s *Server) dialEngine(search int64, address string) {
 	for !s.ended.Load() && s.engineDialID.Load() == search {
 		t := now()
@@ -53,7 +53,7 @@
 	}
 }
 
-// Run starts a request where its class is served.
+// Run starts a request on the engine, or on the backend of its class.
 func (s *Server) Run(r *core.Request) {
 	if backend := s.cfg.Backends[r.Class]; backend != "" {
 		s.callBackend(backend, r)
@@ -62,30 +62,32 @@
 	s.link.Run(r)
 }
 
-// UnexpectedNotice takes in what the engine said that was turned away or names no run here.
+// UnexpectedNotice counts a message of the engine that was rejected or names no run
+// of this process.
 func (s *Server) UnexpectedNotice(cause, line string) {
 	s.reject(&reject.Error{Cause: cause, Err: fmt.Errorf("engine: %.120q", line)})
 }
 
-// Hello takes in that the engine is up.
+// Hello handles the engine's message that it is running, since up microseconds, and
+// whether its cores are cold.
 func (s *Server) Hello(cold bool, up int64) {
 	s.log.Info("engine", zap.Bool("cold", cold), zap.Int64("up_ms", up/1000))
 	s.core.SetWarmup(cold, now()-up)
 }
 
-// Done takes in the end of a run.
+// Done handles the end of a run.
 func (s *Server) Done(r *core.Request, outcome kiteslip.Outcome, elapsed int64, result []byte) {
 	s.core.Done(r, outcome, elapsed, result)
 }
 
-// Stats takes in the gauges.
+// Stats handles the engine's gauges.
 func (s *Server) Stats(values []float32) {
 	s.core.SetGauges(wire.GaugesFromValues(values, s.cfg.Gauges))
 }
 
-// Tested takes in the end of a deep health check's work.
+// Tested handles the end of a deep health check's test work.
 func (s *Server) Tested(tag string, ok bool) {
-	if c, waits := s.pendingChecks[tag]; waits {
+	if c, pending := s.pendingChecks[tag]; pending {
 		delete(s.pendingChecks, tag)
 		c.conn.pendingChecks--
 		good, _ := s.health()
@@ -97,20 +99,20 @@
 type engineConn struct {
 	s            *Server
 	conn         gnet.Conn
-	dialID       int64 // that found it
+	dialID       int64 // of the attempt that established it
 	out          [][]byte
 	disconnected bool
 }
 
-// opened takes the connection into use in place of the one before, which the
-// engine no longer minds. What that one still had to say is said again here.
+// opened replaces the connection in use, to which the engine no longer listens.
+// Notices that the old one still had to deliver are repeated on the new one.
 func (e *engineConn) opened(c gnet.Conn) {
 	e.conn = c
-	// Guards against a link that goes quiet without a word: what the other end's system has not acknowledged for as
-	// long as any request may last ends it. Not every system has this; without it the link is as before.
-	unix.SetsockoptInt(c.Fd(), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(e.s.maxRequestTimeUS()/1000)) //nolint:errcheck // see above
+	// Detects a link that has become silent: it ends when data stays unacknowledged by the other end's system for
+	// longer than any request may last. Systems without this option keep such a link until TCP gives up.
+	unix.SetsockoptInt(c.Fd(), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(e.s.maxRequestTimeUS()/1000)) //nolint:errcheck // optional, see above
 	if e.dialID != e.s.engineDialID.Load() {
-		e.s.onLoop(e.closeNow) // the engine has moved meanwhile
+		e.s.onLoop(e.closeNow) // the engine's address has changed meanwhile
 		return
 	}
 	old := e.s.engine
@@ -133,8 +135,8 @@
 
 func (e *engineConn) unsent() int { return 0 }
 
-// feed takes in notices. Guards against those that a replaced link still
-// brings: the same ones come on the link in use, under the same numbers.
+// feed handles the engine's messages. Those on a replaced connection are ignored:
+// the same ones arrive on the connection in use, under the same numbers.
 func (e *engineConn) feed(b []byte) (int, error) {
 	if e.s.engine != e {
 		return len(b), nil
@@ -154,15 +156,16 @@
 	e.s.engine = nil
 	e.s.engineLinkLost()
 	if !e.s.ended.Load() {
-		if t := now(); t-e.s.linkLossLoggedAt >= linkLossLogIntervalUS { // one that breaks again and again says so once in a while
+		if t := now(); t-e.s.linkLossLoggedAt >= linkLossLogIntervalUS { // a link that breaks repeatedly is logged once per interval
 			e.s.linkLossLoggedAt = t
-			e.s.log.Warn("the link to the engine is gone", zap.Int("running", e.s.link.Running()))
+			e.s.log.Warn("engine link lost", zap.Int("running", e.s.link.Running()))
 		}
 		e.s.connectEngine()
 	}
 }
 
-// engineLinkLost takes in the end of the link in use; deep checks that wait for it fail.
+// engineLinkLost handles the end of the link in use; deep health checks that wait
+// for it fail.
 func (s *Server) engineLinkLost() {
 	s.link.ConnectionLost()
 	for tag := range s.pendingChecks {
@@ -178,8 +181,8 @@
 	e.s.scheduleIteration()
 }
 
-// flush writes what waits. Guards the descriptor of a closed connection, which
-// the system may have given to another one already.
+// flush writes the queued output. It does not touch a closed connection, whose
+// descriptor the system may have given to another one already.
 func (e *engineConn) flush() {
 	if !e.disconnected {
 		e.out = writevAll(e.conn, e.out)
--- a/internal/server/frame_conn.go
+++ b/internal/server/frame_conn.go
@@ -10,32 +10,32 @@
 	"kiteslip/internal/frame"
 )
 
-// frameConn is one caller's connection on the platform's protocol.
+// frameConn is a caller's connection on the platform's frame protocol.
 type frameConn struct {
 	s              *Server
 	conn           gnet.Conn
-	halfClosed     *halfClosedConn          // in place of conn, once the caller has ended its side
-	openRequests   map[uint32]*core.Request // by stream, without an answer
-	highestStream  uint32                   // streams up to this were used
+	halfClosed     *halfClosedConn          // in place of conn once the caller has shut its write side
+	openRequests   map[uint32]*core.Request // requests without a final answer, by stream
+	highestStream  uint32                   // highest stream ID used so far
 	headers        []byte
 	out            [][]byte
 	goAwaySent     bool
 	goAwayAt       int64
 	disconnected   bool
-	partialLen     int   // bytes of a frame that is not whole yet
-	partialSince   int64 // when the first of them came; 0 = there are none
-	lastUsedAt     int64 // when it last carried anything
-	answered       bool  // it was given an answer
+	partialLen     int   // bytes of a partial frame
+	partialSince   int64 // when the first of them arrived; 0 = none
+	lastUsedAt     int64 // when it last carried bytes in either direction
+	answered       bool  // an answer was sent on it
 	malformedInRow int
-	pendingChecks  int // that wait for the engine
+	pendingChecks  int // deep health checks that wait for the engine
 
 	openedAt int64
 	connClose
 }
 
-// maxMalformedInRow is how many requests that cannot be read one connection may bring
-// in a row. Guards the requests of a caller that learns of a class before this
-// server does: with good ones between, such a connection is of use.
+// maxMalformedInRow is how many malformed requests in a row a connection may send.
+// Valid requests in between reset the count: a caller that learns of a new class
+// before this server does keeps its connection.
 const maxMalformedInRow = 16
 
 func newFrameConn(s *Server) *frameConn {
@@ -47,11 +47,12 @@
 	f.openedAt = now()
 	f.lastUsedAt = f.openedAt
 	if f.s.goAwaySent {
-		f.sendGoAway() // it was accepted while the listener closed
+		f.sendGoAway() // it was accepted while the listener was closing
 	}
 }
 
-// answerWriter is what answers are written to.
+// answerWriter is what answers are written to: the connection, or what replaces it
+// once the caller has shut its write side.
 type answerWriter interface {
 	Writev(parts [][]byte) (int, error)
 	OutboundBuffered() int
@@ -80,9 +81,9 @@
 	}
 }
 
-// feed takes in all whole frames of b. An error ends what is taken, and the
-// connection once all that was taken before is answered: it costs no other
-// request its answer.
+// feed handles all whole frames of b. After an error no further input is
+// handled, and the connection is closed once all earlier requests have been
+// answered: the error costs no other request its answer.
 func (f *frameConn) feed(b []byte) (int, error) {
 	if f.discarding {
 		return len(b), nil
@@ -102,15 +103,16 @@
 			}
 		}
 		if err != nil {
-			// What follows cannot be told apart any more.
+			// The boundaries of the frames that follow are unknown.
 			f.stopReading(err)
 			return len(b), nil
 		}
 	}
 }
 
-// trackPartial books the bytes of a half-read frame. Guards against callers that
-// leave large frames half sent on many connections until the memory is gone.
+// trackPartial records the size of a partial frame. It fails where partial frames
+// take too much memory, as when callers leave large frames unfinished on many
+// connections.
 func (f *frameConn) trackPartial(n int) error {
 	f.s.partialBytes += n - f.partialLen
 	f.partialLen = n
@@ -132,7 +134,7 @@
 	errMalformedInRow = withCause("faults_in_a_row", "too many requests in a row that cannot be read")
 )
 
-// handleFrame takes in one frame; an error ends the connection.
+// handleFrame handles one frame; an error ends the connection.
 func (f *frameConn) handleFrame(fr *frame.Frame) error {
 	switch fr.Type {
 	case frame.Request:
@@ -150,10 +152,9 @@
 	return nil
 }
 
-// handleRequest takes in one request, or answers why it cannot. Guards against
-// clients that do not count their streams: answers could not be told apart, so
-// with a number that was used before, or with more open than the protocol
-// allows, nothing more is taken on the connection.
+// handleRequest submits one request, or answers why it can't. A stream ID that was
+// used before, or more open requests than the protocol allows, is an error that
+// ends the connection, since the caller could not tell the answers apart.
 func (f *frameConn) handleRequest(fr *frame.Frame) error {
 	switch {
 	case fr.Stream == 0:
@@ -182,17 +183,17 @@
 	return nil
 }
 
-// stopReading takes nothing more, after an error on stream 0.
+// stopReading answers an error on stream 0 and discards all further input.
 func (f *frameConn) stopReading(why error) {
 	f.answerError(0, why)
 	f.discarding, f.flushDeadline = true, now()+f.s.flushTimeout()
-	f.trackPartial(0) //nolint:errcheck // nothing is held any more
+	f.trackPartial(0) //nolint:errcheck // no partial frame is left, so it can't fail
 }
 
-// closeGracefully ends the connection in an orderly way, unless something waits unread.
+// closeGracefully begins the close of the connection, unless unread input waits.
 func (f *frameConn) closeGracefully(t int64) {
 	if f.halfClosed == nil && !f.discarding && hasUnread(f.conn) {
-		return // taken in first
+		return // the input is handled first
 	}
 	f.sendGoAway()
 	if !f.discarding {
@@ -202,18 +203,19 @@
 	f.shutWhenDone(t)
 }
 
-// shutWhenDone shuts our side of a connection that is to end, once nothing is owed on it.
+// shutWhenDone shuts the write side of a connection that is to end, once all answers
+// have gone out.
 func (f *frameConn) shutWhenDone(t int64) {
 	switch {
 	case f.disconnected || !f.discarding || f.writeShutAt != 0 || len(f.openRequests)+f.pendingChecks+len(f.out) > 0 || f.unsent() > 0:
 	case f.halfClosed != nil:
-		f.closeNow() // the caller's side has ended before
+		f.closeNow() // the caller has shut its side already
 	default:
 		f.s.shutWrite(f, t, f.s.lingerTimeout())
 	}
 }
 
-// closeNow closes the connection at once; what is open has no caller any more.
+// closeNow closes the connection at once; its open requests lose their caller.
 func (f *frameConn) closeNow() {
 	switch {
 	case f.disconnected:
@@ -243,13 +245,13 @@
 	return f.conn
 }
 
-// answerError answers what cannot be read.
+// answerError counts a malformed request or frame and answers with the reason.
 func (f *frameConn) answerError(stream uint32, err error) {
 	f.s.reject(err)
 	f.queueAnswer(frame.Answer, stream, frame.Failed, nil, []byte(err.Error()))
 }
 
-// Answer writes the final answer of the request on stream.
+// Answer sends the final answer of the request on stream.
 func (f *frameConn) Answer(stream uint32, a core.Answer) {
 	f.s.traceAnswer("frames", f.openRequests[stream], a)
 	delete(f.openRequests, stream)
@@ -260,7 +262,8 @@
 	f.queueAnswer(frame.Answer, stream, code, fields, body)
 }
 
-// handleHealthCheck answers a check: as stored, or once the engine has done some work.
+// handleHealthCheck answers a health check with the stored state, or, for a deep
+// check, once the engine has done test work.
 func (f *frameConn) handleHealthCheck(fr *frame.Frame) error {
 	fields, _, err := frame.ParseFields(fr.Payload)
 	if err != nil {
@@ -275,7 +278,7 @@
 		f.answerHealth(fr.Stream, good)
 		return nil
 	}
-	// Guards the engine's cores against checks without end; also against their waiting here.
+	// Bounds the test work on the engine's cores and the checks that wait here.
 	if len(f.s.pendingChecks) >= maxPendingChecks {
 		f.answerHealth(fr.Stream, good)
 		return nil
@@ -302,7 +305,7 @@
 	f.queueAnswer(frame.HealthStatus, stream, code, nil, nil)
 }
 
-// sendGoAway asks the caller for no new request on this connection.
+// sendGoAway asks the caller to send no new request on this connection.
 func (f *frameConn) sendGoAway() {
 	if !f.goAwaySent {
 		f.goAwaySent, f.goAwayAt = true, now()
@@ -310,7 +313,7 @@
 	}
 }
 
-// queueAnswer queues one answer: its head, written in one piece, and its body as it is.
+// queueAnswer queues one answer: its header and fields in one slice, and its body uncopied.
 func (f *frameConn) queueAnswer(kind byte, stream uint32, code byte, fields []frame.Field, body []byte) {
 	f.answered = true
 	at := len(f.headers)
--- a/internal/server/half_close.go
+++ b/internal/server/half_close.go
@@ -7,16 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// halfClosedConn is a connection whose caller has ended its side and may still read. The
-// loop's library closes such a connection; the descriptor here is a second one
-// of the same socket, so that what is owed can still be written.
+// halfClosedConn is a connection whose caller has shut its write side and may
+// still read. gnet closes such a connection; this is a second descriptor of the
+// same socket, so that outstanding answers can still be written.
 type halfClosedConn struct {
 	fd     int
-	unsent []byte // that the system has not taken yet
-	err    error  // the caller is gone
+	unsent []byte // written, but not taken by the system yet
+	err    error  // set once the caller has disconnected
 }
 
-// Writev writes what the system takes and keeps the rest.
+// Writev writes what the system takes and buffers the rest.
 func (h *halfClosedConn) Writev(parts [][]byte) (int, error) {
 	n := 0
 	for _, p := range parts {
@@ -26,8 +26,9 @@
 	return n, h.flush()
 }
 
-// flush writes what waits. It also sees that the caller is gone: a socket whose
-// other end is closed, not only shut, answers what it is sent with a reset.
+// flush writes what is unsent. It also detects that the caller has disconnected:
+// a peer that has closed its socket, not only shut the write side, answers data
+// with a reset.
 func (h *halfClosedConn) flush() error {
 	for len(h.unsent) > 0 && h.err == nil {
 		n, err := unix.Write(h.fd, h.unsent)
@@ -52,26 +53,27 @@
 	return h.err
 }
 
-// OutboundBuffered is how many bytes the system has not taken yet.
+// OutboundBuffered is the number of unsent bytes.
 func (h *halfClosedConn) OutboundBuffered() int { return len(h.unsent) }
 
 func (h *halfClosedConn) close() {
-	unix.Close(h.fd) //nolint:errcheck // it is gone either way
+	unix.Close(h.fd) //nolint:errcheck // it is closed in any case
 	h.err = unix.EBADF
 }
 
-// keepHalfClosed keeps a connection whose caller has ended its side while answers are
-// owed, and reports whether it did. The caller is told at once that nothing new
-// is taken: that costs one that still reads nothing, and shows one that is gone.
+// keepHalfClosed keeps a connection whose caller has shut its write side while
+// answers are outstanding, and reports whether it did. It sends GOAWAY at once:
+// that does no harm to a caller that still reads, and one that has disconnected
+// answers it with a reset.
 func (f *frameConn) keepHalfClosed(err error) bool {
-	owed := len(f.openRequests)+f.pendingChecks+len(f.out) > 0 || f.conn.OutboundBuffered() > 0
-	if f.halfClosed != nil || f.writeShutAt != 0 || !owed || !errors.Is(err, io.EOF) {
+	outstanding := len(f.openRequests)+f.pendingChecks+len(f.out) > 0 || f.conn.OutboundBuffered() > 0
+	if f.halfClosed != nil || f.writeShutAt != 0 || !outstanding || !errors.Is(err, io.EOF) {
 		return false
 	}
 	if f.conn.OutboundBuffered() > 0 {
-		f.conn.Flush() //nolint:errcheck // seen in the next line
+		f.conn.Flush() //nolint:errcheck // the next line checks the result
 		if f.conn.OutboundBuffered() > 0 {
-			return false // it does not take its answers
+			return false // the caller does not read its answers
 		}
 	}
 	fd, err := f.conn.Dup()
@@ -84,7 +86,7 @@
 		return false
 	}
 	f.halfClosed, f.discarding, f.flushDeadline = h, true, now()+f.s.flushTimeout()
-	f.trackPartial(0) //nolint:errcheck // nothing is held any more
+	f.trackPartial(0) //nolint:errcheck // no partial frame is left, so it can't fail
 	f.sendGoAway()
 	return true
 }
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -7,18 +7,18 @@
 	"go.uber.org/zap"
 )
 
-// Connections are few, and a caller that never lets go of one must not keep
-// others out: each has to bring something soon, and while free places are
-// short, those that carry nothing make room.
+// Connection slots are few, and callers that hold idle connections must not keep
+// others out: each connection has to carry a request soon, and while free slots
+// are short, idle connections are evicted.
 const (
 	firstFrameTimeoutUS = 2_000_000 // for the first whole frame
-	frameRestTimeoutUS  = 5_000_000 // for the rest of one that has begun, on a connection that was answered before
-	goAwayLingerUS      = 1_000_000 // from GOAWAY to the close by us, once nothing is open
-	evictMinIdleUS      = 100_000   // a connection that carries nothing for less than this is never closed for its place
-	freeSlotsDivisor    = 8         // this part of the places is kept free
-	silentSlotsDivisor  = 2         // ... and this part is taken from those that never said a word, once none is free
-	reapIntervalUS      = 20_000    // between two looks
-	unsentMemoryDivisor = 8         // part of the memory that answers not taken yet may fill
+	frameRestTimeoutUS  = 5_000_000 // for the rest of a partial frame on a connection that has carried an answer
+	goAwayLingerUS      = 1_000_000 // from GOAWAY to the close by the server, once no request is open
+	evictMinIdleUS      = 100_000   // a connection idle for less than this is not evicted
+	freeSlotsDivisor    = 8         // this fraction of the slots is kept free
+	silentSlotsDivisor  = 2         // ... and this fraction is taken from silent connections once no slot is free
+	reapIntervalUS      = 20_000    // between two checks of all connections
+	unsentMemoryDivisor = 8         // unsent answers may take this fraction of the memory
 )
 
 var (
@@ -26,21 +26,22 @@
 	errHalfFrame = withCause("half_frame", "the rest of a frame has not come in time")
 )
 
-// idleState is what a connection says of itself when places are short.
+// idleState says whether a connection can be evicted when slots are short.
 type idleState struct {
-	since    int64 // when it last carried anything; 0 = it is in use
-	answered bool  // it was given an answer before
+	since    int64 // when it last carried bytes; 0 = it is in use
+	answered bool  // it has carried an answer
 }
 
-// reapIdle closes connections that hold a place, memory or a caller's hope for nothing.
+// reapIdle closes connections that exceed their time limits or that take slots or
+// memory without use.
 func (s *Server) reapIdle(t int64) {
 	if t < s.nextReapAt {
 		return
 	}
 	s.nextReapAt = t + reapIntervalUS
-	after := s.core.IdleTimeout()
-	if after == 0 {
-		after = s.cfg.Policy.IdleAfter
+	idleAfter := s.core.IdleTimeout()
+	if idleAfter == 0 {
+		idleAfter = s.cfg.Policy.IdleAfter
 	}
 	unsent := 0
 	for h := range s.conns {
@@ -53,11 +54,11 @@
 		}
 		f, ok := h.(*frameConn)
 		if !ok {
-			continue // the uwsgi front has times of its own, see expire
+			continue // the uwsgi front end has its own time limits, see expire
 		}
-		at, within := f.idle(), int64(firstFrameTimeoutUS)
-		if at.answered {
-			within = frameRestTimeoutUS // it may carry open requests, and a standstill of the machine cuts frames in two
+		state, within := f.idle(), int64(firstFrameTimeoutUS)
+		if state.answered {
+			within = frameRestTimeoutUS // it may carry open requests, and a stall of the machine can split a frame
 		}
 		switch {
 		case f.writeShutAt != 0:
@@ -67,20 +68,20 @@
 		case f.halfClosed != nil && f.halfClosed.flush() != nil:
 			f.closeNow()
 		case f.discarding && t >= f.flushDeadline:
-			f.closeNow() // it does not take what is owed
+			f.closeNow() // the caller does not read its answers
 		case f.discarding:
 			f.shutWhenDone(t)
 		case f.partialSince != 0 && t-f.partialSince >= within:
 			f.stopReading(errHalfFrame)
-		case at.since == 0:
-		case !at.answered && t-f.openedAt >= firstFrameTimeoutUS:
+		case state.since == 0:
+		case !state.answered && t-f.openedAt >= firstFrameTimeoutUS:
 			if !hasUnread(f.conn) {
 				f.stopReading(errSilent)
 			}
-		case f.goAwaySent && t-max(at.since, f.goAwayAt) >= goAwayLingerUS:
+		case f.goAwaySent && t-max(state.since, f.goAwayAt) >= goAwayLingerUS:
 			f.closeGracefully(t)
-		case !f.goAwaySent && after > 0 && t-at.since >= after && (f.highestStream > 0 || t-at.since >= s.cfg.Policy.IdleAfter):
-			f.sendGoAway() // the caller closes, so that no request can cross
+		case !f.goAwaySent && idleAfter > 0 && t-state.since >= idleAfter && (f.highestStream > 0 || t-state.since >= s.cfg.Policy.IdleAfter):
+			f.sendGoAway() // the caller closes, so that no request can race the close
 		}
 	}
 	s.flush()
@@ -90,40 +91,40 @@
 	s.evictIdle(t)
 }
 
-// evictIdle ends idle connections until a part of the places is free: first
-// those that never brought a thing, then those idle for longest. Guards
-// against clients that connect and hold on, until callers are not let in. Those
-// whose end is under way leave their places once nothing can cross any more.
+// evictIdle closes idle connections until a fraction of the slots is free: first
+// those that never carried an answer, then those idle for longest. Otherwise
+// clients that connect and stay idle would keep callers out. Connections that
+// are being closed free their slots once no request can race the close any more.
 func (s *Server) evictIdle(t int64) {
 	free := cap(s.slots) - len(s.slots)
 	short := max(1, cap(s.slots)/freeSlotsDivisor) - free
 	if short <= 0 {
 		return
 	}
-	mute := 0 // that many more may go, of those that never said a word: others wait for their places
+	silent := 0 // this many more silent ones may be evicted, as others wait for their slots
 	if free == 0 {
-		mute = cap(s.slots)/silentSlotsDivisor - short
+		silent = cap(s.slots)/silentSlotsDivisor - short
 	}
-	type place struct {
+	type candidate struct {
 		idleState
 		h callerConn
 	}
-	var places []place
-	var leaving []callerConn
+	var candidates []candidate
+	var closing []callerConn
 	for h := range s.callerConns {
 		if e := h.closeState(); e.writeShutAt != 0 {
 			if t-e.writeShutAt >= inFlightUS {
-				leaving = append(leaving, h)
+				closing = append(closing, h)
 			}
-		} else if at := h.idle(); at.since != 0 && t-at.since >= evictMinIdleUS {
-			places = append(places, place{at, h})
+		} else if state := h.idle(); state.since != 0 && t-state.since >= evictMinIdleUS {
+			candidates = append(candidates, candidate{state, h})
 		}
 	}
-	short -= s.closingConns // their places come free in a moment
-	for _, h := range leaving {
+	short -= s.closingConns // their slots are about to become free
+	for _, h := range closing {
 		h.closeNow()
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(candidates, func(a, b candidate) int {
 		if a.answered != b.answered {
 			if a.answered {
 				return 1
@@ -132,8 +133,8 @@
 		}
 		return cmp.Compare(a.since, b.since)
 	})
-	for _, p := range places {
-		if short <= 0 && (p.answered || short+mute <= 0) {
+	for _, p := range candidates {
+		if short <= 0 && (p.answered || short+silent <= 0) {
 			return
 		}
 		p.h.closeGracefully(t)
@@ -143,7 +144,7 @@
 	}
 }
 
-// closeSlowest closes the caller's connection that most answers wait for.
+// closeSlowest closes the caller's connection with the most unsent bytes.
 func (s *Server) closeSlowest() {
 	var slowest callerConn
 	for h := range s.callerConns {
--- a/internal/server/keys.go
+++ b/internal/server/keys.go
@@ -15,23 +15,23 @@
 	"kiteslip/internal/storage"
 )
 
-// keyState is the store of keyed results, where one is set up.
+// keyState is the state of the key store, where one is configured.
 type keyState struct {
 	fs             vfs.FS // nil = the system's
 	worker         *storage.Worker
-	restored       int  // keys read at the start
-	unknownOutcome int  // ... of which the end is not known
-	opening        bool // the store is being opened beside the loop
+	restored       int  // keys read from the store
+	unknownOutcome int  // ... with unknown outcome
+	opening        bool // the store is being opened outside the loop
 	openErr        error
 }
 
 const (
-	keyStoreRetryInterval = 100 * time.Millisecond // between two tries to open a store that another process has
-	storeFreshUS          = 2_500_000              // a process that wrote to its store up to so long before its end wrote all
-	keyStoreCloseTimeout  = 2 * time.Second        // the end waits so long for the last records
+	keyStoreRetryInterval = 100 * time.Millisecond // between two attempts to open a store that another process uses
+	storeFreshUS          = 2_500_000              // a process whose store was in use until this long before its end recorded all its runs
+	keyStoreCloseTimeout  = 2 * time.Second        // at the end, for the last records to be written
 )
 
-// journal hands the core's records to the worker.
+// journal passes the core's records to the storage worker.
 type journal struct {
 	s *Server
 	w *storage.Worker
@@ -46,7 +46,7 @@
 		BodyHash: r.BodyHash, Finished: r.Finished, Outcome: uint8(r.Outcome), Result: r.Result}
 }
 
-// openKeyStore opens the store and reads what it holds. It blocks.
+// openKeyStore opens the store and reads its records. It blocks.
 func (s *Server) openKeyStore() (*keystore.Store, []keystore.Record, error) {
 	k := &s.cfg.Keys
 	opt := keystore.Options{Folder: k.Folder, FS: s.keys.fs, MaxBytes: k.MaxBytes, Now: storage.ReadClocks()}
@@ -65,7 +65,7 @@
 	return store, records, nil
 }
 
-// restoreKeys takes over what the store holds, and lets it keep what comes.
+// restoreKeys imports the records of the store, and has it keep the records from now on.
 func (s *Server) restoreKeys(store *keystore.Store, records []keystore.Record) {
 	for i := range records {
 		r := &records[i]
@@ -76,14 +76,14 @@
 			outcome = uint8(kiteslip.Failed)
 		}
 		class, known := s.keyedClasses[r.Class]
-		if !known { // kept for a configuration that brings the class back
+		if !known { // kept until a configuration has the class again
 			s.upgrade.unknownClassKeys = append(s.upgrade.unknownClassKeys, handover.Message{Kind: handover.Record, Text: r.Class, Key: r.Key,
 				Arrived: r.Arrived, WindowEnd: r.WindowEnd, BodyHash: r.BodyHash, Finished: true, Outcome: outcome, Result: r.Result})
 			continue
 		}
-		// The engine may still run what was begun, or have ended it while nobody listened.
-		waits := !r.Finished && r.TryID != "" && s.cfg.Backends[class] == ""
-		if run := s.core.ImportRecord(core.Record{Class: class, Key: r.Key, Arrived: r.Arrived, WindowEnd: r.WindowEnd, BodyHash: r.BodyHash, Finished: !waits,
+		// The engine may still be running it, or may have ended it while no process was connected.
+		awaited := !r.Finished && r.TryID != "" && s.cfg.Backends[class] == ""
+		if run := s.core.ImportRecord(core.Record{Class: class, Key: r.Key, Arrived: r.Arrived, WindowEnd: r.WindowEnd, BodyHash: r.BodyHash, Finished: !awaited,
 			Outcome: kiteslip.Outcome(outcome), Result: r.Result, TryID: r.TryID, Deadline: r.Deadline, OutcomeUnknown: !r.Finished}); run != nil {
 			s.link.Await(run)
 		}
@@ -98,13 +98,12 @@
 		})
 	})
 	s.core.SetJournal(journal{s, s.keys.worker}, s.cfg.Keys.AllowUnrecorded)
-	s.log.Info("keys are kept", zap.String("folder", s.cfg.Keys.Folder), zap.Int("restored", s.keys.restored),
+	s.log.Info("key store opened", zap.String("folder", s.cfg.Keys.Folder), zap.Int("restored", s.keys.restored),
 		zap.Int("unknown", s.keys.unknownOutcome), zap.Int64("shift_ms", store.WindowExtension()/1000))
 }
 
 // initKeyStore opens the store where this process owns the keys from its start. A
-// folder that can't be used ends the start, unless the operator wants to go on
-// without it.
+// folder that can't be used is an error, unless the operator allows unrecorded runs.
 func (s *Server) initKeyStore() error {
 	if s.cfg.Keys.Folder == "" || !s.core.OwnsKeys() {
 		return nil
@@ -115,8 +114,8 @@
 			return fmt.Errorf("keys: %w", err)
 		}
 		s.keys.openErr = err
-		s.log.Error("keys are not kept, and go on in memory", zap.Error(err))
-		s.core.AcquireKeys(now() + s.core.MaxWindow()) // what an earlier life ran is not known here
+		s.log.Error("key store failed to open; keys are kept in memory only", zap.Error(err))
+		s.core.AcquireKeys(now() + s.core.MaxWindow()) // what an earlier process ran is not known
 		return nil
 	}
 	if u := &s.upgrade; s.recordedAll(store, u.inDoubtUntil) {
@@ -126,19 +125,19 @@
 	return nil
 }
 
-// recordedAll says whether the process that is the cause of a doubt wrote all that
-// it began to this store: it used it until its end, and would not have run
-// anything without a record.
-func (s *Server) recordedAll(store *keystore.Store, doubt int64) bool {
+// recordedAll reports whether the earlier process whose runs are in doubt until
+// inDoubtUntil recorded all of them in this store: it used the store until its end,
+// and was not allowed to run anything unrecorded.
+func (s *Server) recordedAll(store *keystore.Store, inDoubtUntil int64) bool {
 	last := store.LastUsed().Wall
-	return doubt != 0 && last != 0 && last+storeFreshUS >= doubt-s.core.MaxWindow() && !s.cfg.Keys.AllowUnrecorded
+	return inDoubtUntil != 0 && last != 0 && last+storeFreshUS >= inDoubtUntil-s.core.MaxWindow() && !s.cfg.Keys.AllowUnrecorded
 }
 
-// acquireKeys takes the keys over while the server runs: the store is opened beside
-// the loop, and the keys are this process's once it is.
-func (s *Server) acquireKeys(doubt int64) {
+// acquireKeys acquires the keys while the server runs: the store is opened outside
+// the loop, and this process owns the keys once that is done.
+func (s *Server) acquireKeys(inDoubtUntil int64) {
 	if s.cfg.Keys.Folder == "" {
-		s.ownershipTaken(doubt)
+		s.ownershipTaken(inDoubtUntil)
 		return
 	}
 	if s.keys.opening || s.keys.worker != nil {
@@ -155,28 +154,31 @@
 			}
 			time.Sleep(keyStoreRetryInterval)
 		}
-		s.onLoop(func() { s.keyStoreOpened(store, records, err, doubt) })
+		s.onLoop(func() { s.keyStoreOpened(store, records, err, inDoubtUntil) })
 	}()
 }
 
-func (s *Server) keyStoreOpened(store *keystore.Store, records []keystore.Record, err error, doubt int64) {
+// keyStoreOpened imports the records of the opened store and completes the
+// acquisition of the keys.
+func (s *Server) keyStoreOpened(store *keystore.Store, records []keystore.Record, err error, inDoubtUntil int64) {
 	s.keys.opening = false
 	if err != nil {
 		s.keys.openErr = err
-		s.log.Error("keys are not kept", zap.Error(err))
+		s.log.Error("key store failed to open", zap.Error(err))
 		if s.cfg.Keys.AllowUnrecorded {
-			s.ownershipTaken(max(doubt, now()+s.core.MaxWindow()))
+			s.ownershipTaken(max(inDoubtUntil, now()+s.core.MaxWindow()))
 		}
-		return // keyed requests fail: what ran is not known
+		return // without ownership keyed requests fail: what ran is not known
 	}
-	if s.recordedAll(store, doubt) {
-		doubt = 0
+	if s.recordedAll(store, inDoubtUntil) {
+		inDoubtUntil = 0
 	}
 	s.restoreKeys(store, records)
-	s.ownershipTaken(doubt)
+	s.ownershipTaken(inDoubtUntil)
 }
 
-// releaseKeyStore gives the store up, and calls then on the loop once all is written.
+// releaseKeyStore closes the store, and calls then on the loop once all records are
+// written.
 func (s *Server) releaseKeyStore(then func()) {
 	w := s.keys.worker
 	if w == nil {
@@ -194,7 +196,7 @@
 	}()
 }
 
-// closeKeyStore writes what waits, at the end.
+// closeKeyStore writes the waiting records and closes the store, at the end of the process.
 func (s *Server) closeKeyStore() {
 	if s.keys.worker == nil {
 		return
@@ -202,6 +204,6 @@
 	select {
 	case <-s.keys.worker.Close():
 	case <-time.After(keyStoreCloseTimeout):
-		s.log.Warn("the store of keys has not taken its last records in time")
+		s.log.Warn("key store did not write its last records before the timeout")
 	}
 }
--- a/internal/server/ledger.go
+++ b/internal/server/ledger.go
@@ -9,15 +9,15 @@
 	"kiteslip/internal/reject"
 )
 
-// downstream is what the server knows of calls below.
+// downstream is the state of the downstream calls to the ledger.
 type downstream struct {
-	client       *ledger.Client // nil = there is no ledger
-	maxConns     int            // connections that are set aside for it
+	client       *ledger.Client // nil = no ledger is configured
+	maxConns     int            // connections reserved for it at the start
 	resultCounts map[ledger.EndReason]int
-	lateResults  int // results that nobody waited for any more
+	lateResults  int // results that no run waited for any more
 }
 
-// openLedger starts the client where a ledger is set up, or leads it to another address.
+// openLedger creates the client where a ledger is configured, or sets its new address.
 func (s *Server) openLedger() {
 	var err error
 	switch {
@@ -26,7 +26,7 @@
 	case s.downstream.client != nil:
 		err = s.downstream.client.SetAddress(s.cfg.Ledger)
 	case s.downstream.maxConns == 0:
-		s.log.Warn("the ledger needs descriptors set aside at the start; until a restart its calls fail")
+		s.log.Warn("ledger configured after the start has no descriptors reserved; its calls fail until a restart")
 		return
 	default:
 		if s.downstream.client, err = ledger.New(s.cfg.Ledger, s.downstream.maxConns, s.onLedgerResult); err == nil {
@@ -34,11 +34,11 @@
 		}
 	}
 	if err != nil {
-		s.log.Error("ledger", zap.Error(err)) // the configuration was checked, so this is a fault here
+		s.log.Error("ledger", zap.Error(err)) // the configuration was checked before, so this is an internal error
 	}
 }
 
-// onLedgerResult takes in the end of a call, from beside the loop.
+// onLedgerResult handles the end of a call; it is called outside the loop.
 func (s *Server) onLedgerResult(r ledger.Result) {
 	s.onLoop(func() {
 		s.downstream.resultCounts[r.Reason]++
@@ -52,7 +52,7 @@
 	})
 }
 
-// ledgerMetrics are those of the calls; nil = there is no ledger.
+// ledgerMetrics returns the metrics of downstream calls; nil = no ledger is configured.
 func (s *Server) ledgerMetrics() *metrics.Ledger {
 	if s.downstream.client == nil {
 		return nil
@@ -64,29 +64,29 @@
 	return f
 }
 
-// closeLedger gives up what is still out.
+// closeLedger ends the calls that are still in progress.
 func (s *Server) closeLedger() {
 	if s.downstream.client != nil {
 		s.downstream.client.Close()
 	}
 }
 
-// The core's Engine: what is said to a run goes out on the engine's link. Runs
-// of backends never stand at a call, and can't be stopped.
+// The methods of core.Engine for runs in progress send to the engine's link. Runs
+// on a backend make no downstream calls and can't be halted.
 
 // Halt stops a run.
 func (s *Server) Halt(r *core.Request) { s.link.Halt(r) }
 
-// Resume goes on with a paused run.
+// Resume continues a paused run.
 func (s *Server) Resume(r *core.Request) { s.link.Resume(r) }
 
-// Reply hands a run the reply to its call.
+// Reply passes a run the reply to its downstream call.
 func (s *Server) Reply(r *core.Request, reply []byte) { s.link.Reply(r, reply) }
 
-// Skip lets a run go on without its call.
+// Skip lets a run continue without its downstream call.
 func (s *Server) Skip(r *core.Request, notice uint64) { s.link.Skip(r, notice) }
 
-// NeedsCall takes in that a run stands at a call.
+// NeedsCall handles the engine's notice that a run waits for a downstream call.
 func (s *Server) NeedsCall(r *core.Request, notice uint64, body []byte) {
 	s.core.NeedsCall(r, notice, body)
 }
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -12,22 +12,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// frontend is a listener, what its connections speak, and the places for them.
+// frontend is a listener with the protocol of its connections and their connection slots.
 type frontend struct {
 	net.Listener
 	newHandler func() handler
 	slots      chan struct{}
-	admin      bool // it is the operators', whose connections are handed over one by one
+	admin      bool // the admin endpoint, whose connections are enrolled one by one
 }
 
-// Listen opens the listeners, which Serve does otherwise.
+// Listen opens the listeners; Serve calls it if it was not called before.
 func (s *Server) Listen() error {
 	if s.listeners != nil {
 		return nil
 	}
 	for _, f := range []struct {
-		address string
-		session func() handler
+		address    string
+		newHandler func() handler
 	}{
 		{s.cfg.Listen, func() handler { return newFrameConn(s) }},
 		{s.cfg.UWSGI.Listen, func() handler { return newUWSGIConn(s) }},
@@ -46,9 +46,9 @@
 			s.closeListeners()
 			return fmt.Errorf("listen: %w", err)
 		}
-		s.listeners = append(s.listeners, frontend{Listener: l, newHandler: f.session, slots: s.slots})
+		s.listeners = append(s.listeners, frontend{Listener: l, newHandler: f.newHandler, slots: s.slots})
 	}
-	s.passedListener("") // one that is left over has no use
+	s.passedListener("") // closes a passed listener that was not used
 	if s.cfg.Ops != "" {
 		l, err := net.Listen("tcp", s.cfg.Ops)
 		if err != nil {
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// Addresses are those listened on: of the platform's protocol, then of uwsgi, where set up.
+// Addresses returns the addresses listened on: of the frame protocol, then of uwsgi,
+// where configured.
 func (s *Server) Addresses() []string {
 	var addresses []string
 	for _, l := range s.listeners {
@@ -78,15 +79,15 @@
 }
 
 const (
-	finalAcceptWindow   = 10 * time.Millisecond // an accept that waits so long has found the system's queue empty
-	acceptRetryInterval = 10 * time.Millisecond // between two tries to accept while that fails
-	acceptWarnInterval  = time.Second           // between two lines in the log that say so
+	finalAcceptWindow   = 10 * time.Millisecond // an accept that waits this long has found the accept queue empty
+	acceptRetryInterval = 10 * time.Millisecond // between two accepts while they fail
+	acceptWarnInterval  = time.Second           // between two log lines about failing accepts
 )
 
-// drainListeners closes the listeners once what stands in the system's queue has
-// been taken in: a listener that is closed resets what waits there, with the
-// requests that came on it. A socket that another process goes on accepting on
-// keeps its queue.
+// drainListeners closes the listeners once the connections in their accept queues
+// have been accepted: closing a listener resets those that wait there, with the
+// requests they carry. A socket on which another process goes on accepting keeps
+// its queue.
 func (s *Server) drainListeners() {
 	s.closingListeners.Store(true)
 	for i, l := range s.listeners {
@@ -96,8 +97,8 @@
 	}
 }
 
-// acceptLoop takes connections as long as there is a slot for them. It never waits
-// for the loop: what stands in the system's queue is taken in one turn, see
+// acceptLoop accepts connections as long as there are slots for them. It never
+// waits for the loop, so the whole accept queue is emptied at once, see
 // docs/design/door.md.
 func (s *Server) acceptLoop(l frontend) {
 	defer s.onLoop(func() {
@@ -110,7 +111,7 @@
 	warned, off := time.Time{}, false
 	for s.acquireSlot(l) {
 		if s.closingListeners.Load() && !l.admin {
-			setFinalAcceptDeadline(l.Listener) // where that fails the listener is closed already
+			setFinalAcceptDeadline(l.Listener) // where this fails the listener is closed already
 		}
 		c, err := l.Accept()
 		if err == nil {
@@ -127,17 +128,17 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// Guards the queue on a busy machine: the time may have passed before it was looked at.
+			// On a busy machine the deadline may have passed before the queue was checked.
 			if !s.closingListeners.Load() || hasQueuedConnection(l.Listener) {
 				continue
 			}
 			if off || !blockNewConnections(l.Listener) || !hasQueuedConnection(l.Listener) {
 				return
 			}
-			off = true // what has come in between is the last
+			off = true // connections that arrived in between are the last ones
 			continue
 		}
-		// Most likely the system is out of descriptors. Guards the processor and the log against a loop that fails at once.
+		// Most likely the system is out of descriptors. Pauses, as accepts that fail at once would load the processor and fill the log.
 		if time.Since(warned) >= acceptWarnInterval {
 			warned = time.Now()
 			s.log.Warn("accept", zap.Error(err))
@@ -150,9 +151,9 @@
 	}
 }
 
-// blockNewConnections has the system pass over what would open a connection, so that none
-// comes between the last look at the queue and the close: its caller tries again
-// and is refused. false = the system does not.
+// blockNewConnections makes the system drop packets that would open a connection,
+// so that none is queued between the last check of the queue and the close: the
+// caller's system resends them and is refused. false = the system can't do this.
 func blockNewConnections(l net.Listener) bool {
 	nothing := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 	return checkSocket(l, func(fd int) bool {
@@ -161,7 +162,7 @@
 	})
 }
 
-// hasQueuedConnection says whether the system has a connection that waits to be accepted.
+// hasQueuedConnection reports whether a connection waits in the accept queue.
 func hasQueuedConnection(l net.Listener) bool {
 	return checkSocket(l, func(fd int) bool {
 		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
@@ -169,27 +170,28 @@
 	})
 }
 
-// checkSocket asks f about a listener's socket; false where it has none.
-func checkSocket(l net.Listener, f func(fd int) bool) (yes bool) {
+// checkSocket returns the result of f for a listener's socket; false where it has none.
+func checkSocket(l net.Listener, f func(fd int) bool) (result bool) {
 	c, ok := l.(syscall.Conn)
 	if !ok {
 		return false
 	}
 	raw, err := c.SyscallConn()
-	return err == nil && raw.Control(func(fd uintptr) { yes = f(int(fd)) }) == nil && yes
+	return err == nil && raw.Control(func(fd uintptr) { result = f(int(fd)) }) == nil && result
 }
 
-// setFinalAcceptDeadline lets accepts wait only for a last look at the queue; false = the listener has no such time.
+// setFinalAcceptDeadline limits accepts to a final check of the queue; false = the
+// listener has no deadlines or is closed.
 func setFinalAcceptDeadline(l net.Listener) bool {
 	queue, ok := l.(interface{ SetDeadline(time.Time) error })
 	return ok && queue.SetDeadline(time.Now().Add(finalAcceptWindow)) == nil
 }
 
-// A connection that is being handed to the loop has two descriptors for a moment.
+// enrolDescriptors: while a connection is enrolled with the loop it has two descriptors.
 const enrolDescriptors = 2
 
-// acquireSlot waits for a place, and where the front has callers for descriptors;
-// false = the process ends.
+// acquireSlot waits for a connection slot, and on callers' front ends for the
+// descriptors; false = the process ends.
 func (s *Server) acquireSlot(l frontend) bool {
 	select {
 	case l.slots <- struct{}{}:
@@ -206,7 +208,7 @@
 	return true
 }
 
-// releaseSlot gives back what takeSlot took, where no connection came of it.
+// releaseSlot returns what acquireSlot took, where no connection was enrolled.
 func (s *Server) releaseSlot(l frontend) {
 	if !l.admin {
 		s.descriptors.Release(enrolDescriptors)
@@ -214,13 +216,14 @@
 	<-l.slots
 }
 
-// releaseCallerSlot gives back the place of a caller's connection that is gone.
+// releaseCallerSlot returns the slot and descriptor of a caller's connection that
+// has ended.
 func (s *Server) releaseCallerSlot() {
 	s.descriptors.Release(1)
 	<-s.slots
 }
 
-// enrolConn hands an accepted connection to the loop and waits until that has it.
+// enrolConn hands an accepted connection to the loop and waits until the loop has it.
 func (s *Server) enrolConn(c net.Conn, l frontend) {
 	defer s.enrolling.Add(-1)
 	if _, err := s.client.EnrollContext(c, l.newHandler()); err != nil {
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -10,17 +10,17 @@
 	"kiteslip/internal/registry"
 )
 
-// handler is what a connection's bytes are given to.
+// handler handles the events of one connection; all methods are called on the loop.
 type handler interface {
 	opened(c gnet.Conn)
-	feed(b []byte) (int, error) // returns how many bytes were used
+	feed(b []byte) (int, error) // handles input; returns how many bytes were used
 	closed()
 	flush()
-	unsent() int // bytes that were not taken yet
+	unsent() int // bytes of output that the system has not taken yet
 }
 
-// scheduleIteration asks for one round after all that is ready has been read. gnet has
-// no hook at the end of a poll; a task queued on the loop runs there.
+// scheduleIteration queues one loop iteration for after all that is ready has been
+// read. gnet has no hook at the end of a poll, but runs queued tasks there.
 func (s *Server) scheduleIteration() {
 	if !s.scheduled {
 		s.scheduled = true
@@ -28,7 +28,8 @@
 	}
 }
 
-// runIteration hands what is ready to the core in one go and carries out what comes back.
+// runIteration passes all that is ready to the core in one step, carries out the
+// results and does the periodic work.
 func (s *Server) runIteration() {
 	if s.ended.Load() {
 		return
@@ -48,10 +49,10 @@
 	s.advanceShutdown(t)
 	s.report(t)
 	s.armTimer()
-	runtime.Gosched() // what is ready beside the loop (connections to hand over) runs once a round
+	runtime.Gosched() // lets other goroutines (which enrol connections) run once per iteration
 }
 
-// flush writes all that is ready to go.
+// flush writes the queued output of all connections.
 func (s *Server) flush() {
 	for i := 0; i < len(s.unflushed); i++ {
 		s.unflushed[i].flush()
@@ -59,7 +60,7 @@
 	s.unflushed = s.unflushed[:0]
 }
 
-// armTimer sets the timer for the next thing that time brings.
+// armTimer sets the timer for the next periodic work or timeout.
 func (s *Server) armTimer() {
 	next := s.nextReportAt
 	if at := s.core.NextStep(); at != 0 {
@@ -80,7 +81,7 @@
 	}
 }
 
-// report tells the registry, and now and then the log, how things are.
+// report sends the state to the registry and logs the totals, each at its interval.
 func (s *Server) report(t int64) {
 	if t >= s.nextReportAt {
 		s.nextReportAt = t + registry.ReportIntervalUS
@@ -95,8 +96,8 @@
 			s.reconnectRegistry()
 		}
 		if s.heartbeat != nil {
-			// Guards against a socket that has become of no use, as its route or its address has: a registry that is
-			// down turns every second report away, and that many in a row are no registry's doing.
+			// Replaces a socket that can no longer send, for instance after a change of route or address. A registry that
+			// is down makes only every second report fail, so this many failures in a row have another reason.
 			if err := s.heartbeat.Report(s.reportsDraining()); err == nil {
 				s.failedReports = 0
 			} else if s.failedReports++; s.failedReports < maxFailedReports {
@@ -114,14 +115,15 @@
 	}
 }
 
-// reportsDraining says whether reports are to take the server off the callers' list:
-// it leaves, an operator wants it off, or, where the list follows health, the
-// module says that it does no good.
+// reportsDraining says whether reports are to take the server off the callers'
+// list: it shuts down, an operator has withdrawn it, or, where the list follows
+// health, the policy reports it as unhealthy.
 func (s *Server) reportsDraining() bool {
 	good, _ := s.health()
 	return s.core.Draining() || s.core.Withdrawn() || s.cfg.ListFollowsHealth && !good
 }
 
+// logTotals logs the counts since the start.
 func (s *Server) logTotals() {
 	n := s.core.Counts()
 	requests, keys := s.core.Tracked()
@@ -131,13 +133,13 @@
 		zap.Int("calling", s.core.CallsInFlight()), s.rejectedFields())
 }
 
-// writevAll writes the parts in as few system calls as they fit into, and
-// returns the emptied list for the next ones.
+// writevAll writes the parts in as few system calls as possible and returns
+// the emptied list for reuse.
 func writevAll(c answerWriter, parts [][]byte) [][]byte {
 	for rest := parts; len(rest) > 0; {
 		n := min(len(rest), maxIovecs)
 		if _, err := c.Writev(rest[:n]); err != nil {
-			break // the connection is gone
+			break // the connection is broken; its close is reported separately
 		}
 		rest = rest[n:]
 	}
--- a/internal/server/rejects.go
+++ b/internal/server/rejects.go
@@ -9,12 +9,12 @@
 	"kiteslip/internal/reject"
 )
 
-// causeUnreadable is the cause of what is turned away without a word of its own.
+// causeUnreadable is the cause of rejected input whose error names no cause.
 const causeUnreadable = "unreadable"
 
-// reject counts what is turned away before the module hears of it. The first of
-// each cause in a minute is a warning, so that a server that turns all away
-// says so.
+// reject counts input that is rejected before the policy sees it. The first of
+// each cause in a minute is logged as a warning, so that a server that rejects
+// everything is noticed.
 func (s *Server) reject(err error) {
 	cause := causeUnreadable
 	var caused *reject.Error
@@ -28,12 +28,12 @@
 	}
 }
 
-// withCause is an error whose cause has a word.
+// withCause returns an error with a cause word.
 func withCause(cause, format string, args ...any) error {
 	return &reject.Error{Cause: cause, Err: fmt.Errorf(format, args...)}
 }
 
-// rejectedFields are the counts for the line of totals.
+// rejectedFields returns the counts by cause for the log line with totals.
 func (s *Server) rejectedFields() zap.Field {
 	counts := map[string]int{}
 	for _, t := range s.rejections.Counts() {
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -16,10 +16,10 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// versionRequest is a version that is to be taken over.
+// versionRequest asks the reload goroutine to apply a version.
 type versionRequest struct {
 	doc    *document.Document
-	delta  *document.Delta // the step from the version in force; nil = it came whole
+	delta  *document.Delta // from the version in force; nil = the whole document is to be applied
 	result chan error
 }
 
@@ -28,50 +28,50 @@
 	errEnded        = errors.New("server: the run has ended")
 )
 
-// reloads takes in SIGHUP and versions, one after the other, beside the loop and
-// beside the notice to leave: a file that is slow to read holds back neither. All
-// that costs by the whole configuration is done here; the loop gets a ready change,
-// and no other is made before its verdict is known, so that each follows the one
-// in force.
+// reloads handles SIGHUP and versions, one after the other, outside the loop and
+// apart from the shutdown notice, so that a file that is slow to read delays
+// neither. Work that grows with the whole configuration is done here; the loop gets
+// a prepared change. The next one is prepared only after the result of the last is
+// known, so that each is based on the configuration in force.
 func (s *Server) reloads(signals <-chan os.Signal) {
-	places := config.NewUpdater(s.cfg) // until the first change nothing else writes it
+	updater := config.NewUpdater(s.cfg) // nothing else writes s.cfg before the first change
 	for {
 		select {
 		case <-signals:
-			s.reload(places)
+			s.reload(updater)
 		case v := <-s.versionRequests:
-			v.result <- s.handleVersion(places, v)
+			v.result <- s.handleVersion(updater, v)
 		case <-s.runCtx.Done():
 			return
 		}
 	}
 }
 
-// reload reads the configuration anew and takes over what can change while
-// the server runs. Guards against a file that is half written or faulty: it is
-// read and checked as a whole first, and the one in use stays if it fails.
-func (s *Server) reload(places *config.Updater) {
+// reload reads the configuration again and applies what can change while the
+// server runs. The file is read and checked as a whole first; if it is incomplete
+// or invalid, the configuration in use stays.
+func (s *Server) reload(updater *config.Updater) {
 	if s.LoadConfig == nil {
-		s.log.Warn("nothing to reload from")
+		s.log.Warn("reload ignored: the server has no configuration source")
 		return
 	}
 	next, err := s.LoadConfig()
 	var ch *config.Change
 	if err == nil {
-		places.SetTime(now())
-		ch, err = places.PrepareFile(next)
+		updater.SetTime(now())
+		ch, err = updater.PrepareFile(next)
 	}
 	if err != nil {
 		s.onLoop(func() { s.rejectConfig(err) })
 		return
 	}
-	s.submitChange(places, ch) //nolint:errcheck // the loop has logged and counted it
+	s.submitChange(updater, ch) //nolint:errcheck // the loop has logged and counted the error
 }
 
-// applyVersion takes over a version of what the fleet serves by, and returns when
-// it is in force or refused: then the error says why, and the one before is in
-// force. delta is the step from the version in force; nil = it came whole. It is
-// for goroutines beside the loop.
+// applyVersion applies a version of the fleet's configuration and returns when it is
+// in force, or with the reason why it was refused; the previous one then stays in
+// force. delta leads from the version in force to doc; nil = doc came as a
+// snapshot. It must not be called on the loop.
 func (s *Server) applyVersion(ctx context.Context, doc *document.Document, delta *document.Delta) error {
 	v := versionRequest{doc, delta, make(chan error, 1)}
 	select {
@@ -82,35 +82,36 @@
 		return errEnded
 	}
 	select {
-	case err := <-v.result: // it is near, and whoever asks is to know it
+	case err := <-v.result: // not ended by ctx: the result is near, and the caller needs it
 		return err
 	case <-s.runCtx.Done():
 		return errEnded
 	}
 }
 
-func (s *Server) handleVersion(places *config.Updater, v versionRequest) error {
+// handleVersion prepares and applies one version.
+func (s *Server) handleVersion(updater *config.Updater, v versionRequest) error {
 	h := v.doc.Header()
-	places.SetTime(now())
-	ch, err := places.PrepareVersion(v.doc, v.delta)
+	updater.SetTime(now())
+	ch, err := updater.PrepareVersion(v.doc, v.delta)
 	if err == nil {
-		err = s.submitChange(places, ch)
+		err = s.submitChange(updater, ch)
 	}
 	if err != nil {
-		s.log.Error("the version is not used", zap.Uint64("version", h.Number), zap.Stringer("digest", v.doc.Digest()), zap.Error(err))
+		s.log.Error("version rejected", zap.Uint64("version", h.Number), zap.Stringer("digest", v.doc.Digest()), zap.Error(err))
 	}
 	return err
 }
 
-// submitChange has the loop take over a change, and waits for its verdict.
-func (s *Server) submitChange(places *config.Updater, ch *config.Change) error {
-	verdict := make(chan error, 1)
-	s.onLoop(func() { verdict <- s.applyChange(ch) })
+// submitChange has the loop apply a change, and waits for the result.
+func (s *Server) submitChange(updater *config.Updater, ch *config.Change) error {
+	result := make(chan error, 1)
+	s.onLoop(func() { result <- s.applyChange(ch) })
 	select {
-	case err := <-verdict:
+	case err := <-result:
 		if err == nil {
-			places.SetTime(now())
-			places.Commit(ch)
+			updater.SetTime(now())
+			updater.Commit(ch)
 		}
 		return err
 	case <-s.runCtx.Done():
@@ -118,9 +119,9 @@
 	}
 }
 
-// applyChange takes over a checked change between two batches, and changes nothing
-// unless all of it can be used. It costs by what has changed. What is part of how
-// the process was set up (names, addresses, limits) needs a restart.
+// applyChange applies a checked change between two steps of the core, as a whole
+// or not at all. Its cost grows with what has changed, not with the configuration.
+// Names, listen addresses and limits are fixed at the start and need a restart.
 func (s *Server) applyChange(ch *config.Change) error {
 	was, next := s.cfg, ch.Config
 	err := error(nil)
@@ -140,7 +141,7 @@
 	if len(ch.Classes) > 0 {
 		s.restoreUnknownClassKeys()
 		if s.maxBackendCalls == 0 && hasBackend(next.Backends) {
-			s.log.Warn("backends need descriptors set aside at the start; until a restart their classes fail")
+			s.log.Warn("backends configured after the start have no descriptors reserved; their classes fail until a restart")
 		}
 	}
 	if ch.FromFile {
@@ -155,21 +156,21 @@
 	return nil
 }
 
-// applyMachineSettings takes over what a file says beside classes and teams.
+// applyMachineSettings applies the settings of a file other than classes and teams.
 func (s *Server) applyMachineSettings(ch *config.Change, was *config.Config) {
 	next := ch.Config
 	for _, key := range ch.RestartRequired {
-		s.log.Warn("a change that needs a restart is not taken over", zap.String("key", key))
+		s.log.Warn("change ignored: it needs a restart", zap.String("key", key))
 	}
 	if ch.FileContentIgnored {
-		s.log.Warn("the file's own teams, services and pools are passed over: a version is in force",
+		s.log.Warn("the file's teams, services and pools are ignored: a version of the fleet is in force",
 			zap.Uint64("version", next.Version().Header().Number))
 	}
 	if s.killAt != 0 {
 		next.StopTimeoutUS = was.StopTimeoutUS
 	}
 	if next.Engine != was.Engine {
-		s.connectEngine() // the link in use is kept until the new one stands
+		s.connectEngine() // the link in use is kept until the new one is established
 	}
 	if next.Ledger != was.Ledger {
 		s.openLedger()
@@ -182,38 +183,38 @@
 		zap.Int("classes", len(ch.Classes)), zap.Int("teams", len(ch.Tenants)))
 }
 
-// rejectConfig notes a configuration that is not used.
+// rejectConfig counts and logs a configuration that is not used.
 func (s *Server) rejectConfig(err error) {
 	s.reloadsRejected++
 	s.log.Error("the new configuration is not used", zap.Error(err))
 }
 
-// initNames tells the fronts and the engine's link which classes and teams there
-// are at the start.
+// initNames passes the initial names of classes and teams to the front ends and
+// the engine's link.
 func (s *Server) initNames() {
 	s.names = &frame.NameIndex{Classes: make(map[string]int, len(s.cfg.Classes)), Tenants: make(map[string]int, len(s.cfg.Tenants))}
 	s.keyedClasses = map[string]int{}
 	s.uwsgiContracts = &uwsgi.ContractTable{Classes: s.names.Classes, Tenants: s.names.Tenants}
 	all := func(n int) []int {
-		places := make([]int, n)
-		for i := range places {
-			places[i] = i
+		slots := make([]int, n)
+		for i := range slots {
+			slots[i] = i
 		}
-		return places
+		return slots
 	}
 	s.updateNames(all(len(s.cfg.Classes)), all(len(s.cfg.Tenants)))
 }
 
-// updateNames tells them what has changed at these places.
+// updateNames passes on the changes in these class and tenant slots.
 func (s *Server) updateNames(classes, tenants []int) {
 	cfg, names := s.cfg, s.names
-	for _, on := range []bool{false, true} { // of two classes with one name the one in force counts
+	for _, retired := range []bool{false, true} { // a configured class takes precedence over a retired one of the same name
 		for _, i := range classes {
-			if config.IsRetired(cfg.RetiredClasses, i) == on {
+			if config.IsRetired(cfg.RetiredClasses, i) == retired {
 				continue
 			}
-			// One that is no longer in force is still known by its name: it is refused, not an error.
-			if _, known := names.Classes[cfg.Classes[i]]; !known || on {
+			// A retired class is still known by its name: its requests are refused, not malformed.
+			if _, known := names.Classes[cfg.Classes[i]]; !known || retired {
 				names.Classes[cfg.Classes[i]] = i
 			}
 		}
@@ -228,7 +229,7 @@
 	}
 	for _, i := range tenants {
 		if was := s.tenants; i < len(was) && names.Tenants[was[i]] == i {
-			delete(names.Tenants, was[i]) // it is dropped, or another one has its place
+			delete(names.Tenants, was[i]) // it was dropped, or its slot is reused
 		}
 	}
 	for _, i := range tenants {
@@ -241,16 +242,16 @@
 	s.link.SetClasses(cfg.Classes, s.repeatable)
 }
 
-// reconnectRegistry sends the reports to the registry that holds now. It is reached
-// beside the loop: its address may be a name that is slow to be looked up, or
-// cannot be reached for now. Nothing waits for it, and report tries again.
+// reconnectRegistry begins to dial the configured registry and sends later reports
+// there. The dial runs outside the loop, as looking up the address may be slow or
+// fail. Nothing waits for it, and report tries again.
 func (s *Server) reconnectRegistry() {
 	if s.heartbeat != nil {
 		s.heartbeat.Close()
 		s.heartbeat = nil
 	}
 	s.registryDialID++
-	at := s.registryDialID
+	dialID := s.registryDialID
 	if s.cfg.Registry == "" {
 		return
 	}
@@ -260,7 +261,7 @@
 		heartbeat, err := registry.Dial(address, name)
 		s.onLoop(func() {
 			switch {
-			case at != s.registryDialID: // it has moved meanwhile
+			case dialID != s.registryDialID: // the registry's address has changed meanwhile
 				if err == nil {
 					heartbeat.Close()
 				}
@@ -276,7 +277,7 @@
 	}()
 }
 
-// hasBackend says whether any class is served by a backend.
+// hasBackend reports whether any class is served by a backend.
 func hasBackend(backends []string) bool {
 	return slices.ContainsFunc(backends, func(address string) bool { return address != "" })
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,8 +1,11 @@
-// Package server ties the core to the network: one gnet event loop that reads
-// the callers' connections and the engine's link, hands what is ready to the
-// core once a round, and writes what came back. All state belongs to the loop;
-// goroutines beside it only wait (for connections, a dial, a signal) and pass
-// what came to the loop.
+// Package server connects the core to the network. One gnet event loop reads
+// the callers' connections and the engine's link, passes all that is ready to
+// the core once per loop iteration, and writes the results. All state belongs
+// to the loop; other goroutines only wait (for connections, a dial, a signal)
+// and pass the result to the loop.
+//
+// Instants are microseconds since the epoch and durations microseconds, as
+// int64, unless a name or type says otherwise.
 package server
 
 import (
@@ -30,24 +33,24 @@
 )
 
 const (
-	readBufferBytes         = 64 << 10  // of the loop, shared by all connections
-	maxUnsentBytes          = 256 << 10 // what a slow reader may leave unread before its connection is closed
-	maxIovecs               = 512       // slices of one gathered write, under the system's 1,024
-	engineRedialIntervalUS  = 50_000    // between tries to reach the engine
-	registryRetryIntervalUS = 1_000_000 // between tries to reach the registry
-	maxFailedReports        = 4         // reports in a row that the system turns away before the registry is sought anew
-	linkLossLogIntervalUS   = 1_000_000 // between two lines in the log that the engine's link is gone
+	readBufferBytes         = 64 << 10  // of the loop, shared by all connections; in bytes
+	maxUnsentBytes          = 256 << 10 // a connection with more unsent answers is closed
+	maxIovecs               = 512       // slices in one vectored write; the system allows 1,024
+	engineRedialIntervalUS  = 50_000    // between two dials of the engine
+	registryRetryIntervalUS = 1_000_000 // between a failed dial of the registry and the next one
+	maxFailedReports        = 4         // consecutive failed reports after which the registry is dialed again
+	linkLossLogIntervalUS   = 1_000_000 // between two log lines about a lost engine link
 	engineDialTimeout       = time.Second
-	gaugeIntervalUS         = 10_000     // between two questions for the gauges while requests are in hand
-	partialMemoryDivisor    = 8          // part of the memory that half-read frames may take
-	largePartialBytes       = 16 << 10   // ... above which a connection that holds more is closed
-	expiryIntervalUS        = 20_000     // between two looks for what has run out of time
-	deepCheckTimeoutUS      = 2_000_000  // a deep check waits this long for the engine
-	maxPendingChecks        = 16         // deep checks that wait at once
-	statusIntervalUS        = 10_000_000 // between two lines of totals in the log
+	gaugeIntervalUS         = 10_000     // between two requests for the engine's gauges while requests are tracked
+	partialMemoryDivisor    = 8          // partial frames and requests may take this fraction of the memory
+	largePartialBytes       = 16 << 10   // ... once they take more, connections with a larger partial frame are closed
+	expiryIntervalUS        = 20_000     // between two checks of the uwsgi front end's time limits
+	deepCheckTimeoutUS      = 2_000_000  // a deep health check waits this long for the engine
+	maxPendingChecks        = 16         // deep health checks that may wait at the same time
+	statusIntervalUS        = 10_000_000 // between two log lines with totals
 )
 
-// Server is one real server.
+// Server is one process of kiteslip.
 type Server struct {
 	gnet.BuiltinEventEngine
 	cfg          *config.Config
@@ -55,37 +58,37 @@
 	core         *core.Core
 	link         *engine.Link
 	heartbeat    *registry.Heartbeat
-	engine       *engineConn  // the link in use; nil while there is none
-	engineDialID atomic.Int64 // numbers the searches for the engine; only the latest counts
+	engine       *engineConn  // connection of the link in use; nil = none
+	engineDialID atomic.Int64 // number of the latest attempt to connect to the engine; older ones end
 
-	engineDialedAt   atomic.Int64 // when it was last tried to reach the engine
-	linkLossLoggedAt int64        // when it was last logged that the link is gone
+	engineDialedAt   atomic.Int64 // when the engine was last dialed
+	linkLossLoggedAt int64        // when the loss of the engine link was last logged
 
-	// Reload reads the configuration anew, for SIGHUP; nil = what was read at the start stays.
+	// LoadConfig reads the configuration again, for SIGHUP; nil = the one read at the start stays.
 	LoadConfig      func() (*config.Config, error)
 	names           *frame.NameIndex
-	keyedClasses    map[string]int      // keyed classes, those included that are no longer in force
-	repeatable      []bool              // by class: whether a run may be repeated
-	tenants         []string            // that names knows of, by place
-	versionRequests chan versionRequest // to be taken over, see reloads
+	keyedClasses    map[string]int      // slots of the keyed classes by name, including retired ones
+	repeatable      []bool              // by class slot: whether a run may be repeated
+	tenants         []string            // tenants that names knows, by tenant slot
+	versionRequests chan versionRequest // versions to be applied, see reloads
 	client          *gnet.Client
 	loop            gnet.EventLoop
-	started         chan struct{} // closed when the loop runs
-	done            chan error    // the end of the run
+	started         chan struct{} // closed once the loop runs
+	done            chan error    // receives the result of the run when it ends
 
 	listeners       []frontend
-	slots           chan struct{} // one for each connection that may be open
-	closingConns    int           // connections whose end is under way, see closing.go
-	activeListeners int           // listeners of callers that are still accepted on
-	enrolling       atomic.Int64  // connections that were accepted and are not on the loop yet
+	slots           chan struct{} // connection slots of the callers' front ends
+	closingConns    int           // open connections whose write side is shut, see conn_close.go
+	activeListeners int           // callers' listeners on which connections are still accepted
+	enrolling       atomic.Int64  // accepted connections that are not on the loop yet
 
 	descriptors  *semaphore.Weighted // for callers' connections
-	runCtx       context.Context     // of the run
+	runCtx       context.Context     // ends with the run
 	cancelRun    context.CancelFunc
-	admin        *frontend     // for operators; nil = not set up
-	adminSlots   chan struct{} // the places there
+	admin        *frontend     // admin endpoint; nil = not configured
+	adminSlots   chan struct{} // connection slots of the admin endpoint
 	conns        map[handler]struct{}
-	partialBytes int // bytes of half-read frames, over all connections
+	partialBytes int // bytes of partial frames and requests, over all connections
 
 	unflushed    []handler
 	scheduled    bool
@@ -94,19 +97,19 @@
 	nextGaugeAt  int64
 	nextReportAt int64
 
-	registryDialID     int   // numbers the searches for the registry; only the latest counts
-	registryDialing    bool  // one is under way
-	nextRegistryDialAt int64 // not before this
-	failedReports      int   // reports in a row that the system has turned away
+	registryDialID     int   // number of the latest dial of the registry; results of older ones are dropped
+	registryDialing    bool  // a dial is in progress
+	nextRegistryDialAt int64 // the registry is not dialed before this
+	failedReports      int   // consecutive reports that could not be sent
 
 	nextStatusAt int64
 	shutdownState
-	serving          bool // clients are taken
-	backendCalls     int  // runs that were handed to backends
-	reloadsApplied   int  // configuration files taken at SIGHUP
-	reloadsRejected  int  // and turned down
+	serving          bool // callers' connections are accepted
+	backendCalls     int  // requests that were sent to backends
+	reloadsApplied   int  // configuration files applied at SIGHUP
+	reloadsRejected  int  // configuration files rejected at SIGHUP
 	upgrade          upgradeState
-	closingListeners atomic.Bool // listeners are closed on purpose
+	closingListeners atomic.Bool // the listeners are being closed on purpose
 	ended            atomic.Bool // the run has ended
 
 	keys            keyState
@@ -115,9 +118,9 @@
 	control         control
 	rejections      reject.Counter
 	backendConns    map[*backendConn]struct{}
-	maxBackendCalls int    // backends that may be called at once
-	uwsgiConns      int    // open connections of the uwsgi front
-	lastUWSGIID     uint64 // names the requests of the uwsgi front
+	maxBackendCalls int    // backend calls that may be in progress at once
+	uwsgiConns      int    // open connections of the uwsgi front end
+	lastUWSGIID     uint64 // number in the try ID of the latest uwsgi request
 	nextExpiryAt    int64
 	nextReapAt      int64
 
@@ -129,7 +132,7 @@
 // now is the system's Unix clock in microseconds.
 func now() int64 { return time.Now().UnixMicro() }
 
-// New prepares a server; nothing listens until Serve.
+// New prepares a server; nothing listens until Listen or Serve.
 func New(cfg *config.Config, log *zap.Logger) (*Server, error) {
 	s := &Server{
 		cfg: cfg, log: log, started: make(chan struct{}), done: make(chan error, 1),
@@ -137,11 +140,11 @@
 		backendConns: map[*backendConn]struct{}{}, versionRequests: make(chan versionRequest),
 	}
 	s.runCtx, s.cancelRun = context.WithCancel(context.Background())
-	p := NewDescriptorBudget(cfg)
-	s.downstream.resultCounts, s.downstream.maxConns = map[ledger.EndReason]int{}, p.Ledger
-	s.maxBackendCalls = p.BackendCalls
-	s.slots, s.adminSlots = make(chan struct{}, p.CallerConnections), make(chan struct{}, p.Admin)
-	s.descriptors = semaphore.NewWeighted(int64(p.CallerDescriptors))
+	budget := NewDescriptorBudget(cfg)
+	s.downstream.resultCounts, s.downstream.maxConns = map[ledger.EndReason]int{}, budget.Ledger
+	s.maxBackendCalls = budget.BackendCalls
+	s.slots, s.adminSlots = make(chan struct{}, budget.CallerConnections), make(chan struct{}, budget.Admin)
+	s.descriptors = semaphore.NewWeighted(int64(budget.CallerDescriptors))
 	s.link = engine.NewLink(s, now)
 	s.initNames()
 	var err error
@@ -157,7 +160,7 @@
 	return s, nil
 }
 
-// Serve serves until the drain is over or something that it cannot do without fails.
+// Serve serves until the graceful shutdown is complete or something essential fails.
 func (s *Server) Serve(signals Signals) error {
 	var err error
 	if s.client, err = gnet.NewClient(s, gnet.WithReadBufferCap(readBufferBytes), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
@@ -169,7 +172,7 @@
 	}
 	defer func() {
 		s.cancelRun()
-		s.client.Stop() //nolint:errcheck // nothing is left to be done about it
+		s.client.Stop() //nolint:errcheck // the process ends, nothing depends on it
 		if s.heartbeat != nil {
 			s.heartbeat.Close()
 		}
@@ -211,7 +214,8 @@
 	}
 }
 
-// findLoop enrols one end of a socket pair: gnet hands out its loop only with a connection.
+// findLoop enrols one end of a socket pair, since gnet gives access to its loop only
+// through a connection.
 func (s *Server) findLoop() error {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -231,17 +235,17 @@
 	return nil
 }
 
-// onLoop runs f on the loop, after what is under way there.
+// onLoop queues f to run on the loop.
 func (s *Server) onLoop(f func()) {
 	if err := s.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		f()
 		return nil
 	})); err != nil {
-		s.log.Debug("the loop is closed", zap.Error(err))
+		s.log.Debug("task dropped: the event loop is closed", zap.Error(err))
 	}
 }
 
-// OnOpen is called by gnet on the loop.
+// OnOpen is called by gnet on the loop when a connection has been enrolled.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if h, ok := c.Context().(handler); ok {
 		s.conns[h] = struct{}{}
@@ -253,11 +257,11 @@
 	return nil, gnet.None
 }
 
-// OnTraffic is called by gnet on the loop when bytes have come.
+// OnTraffic is called by gnet on the loop when bytes have arrived.
 func (s *Server) OnTraffic(c gnet.Conn) gnet.Action {
 	h, ok := c.Context().(handler)
 	if !ok {
-		c.Discard(-1) //nolint:errcheck // the pair carries nothing
+		c.Discard(-1) //nolint:errcheck // the socket pair carries no data
 		return gnet.None
 	}
 	b, err := c.Peek(-1)
@@ -266,7 +270,7 @@
 	}
 	n, err := h.feed(b)
 	if n > 0 {
-		c.Discard(n) //nolint:errcheck // it cannot fail within what was read
+		c.Discard(n) //nolint:errcheck // it cannot fail for bytes that were peeked
 	}
 	if err != nil {
 		h.flush()
@@ -292,4 +296,4 @@
 	return gnet.None
 }
 
-var errSlowReader = errors.New("the caller does not take its answers")
+var errSlowReader = errors.New("caller does not read its answers")
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -8,23 +8,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Signals are what the platform tells a process. Each kind has a channel of its
-// own with room for one: of several that come while nobody takes them one is
-// enough, and however many of one kind come, none keeps the other kind out.
+// Signals are the signals that the platform sends to a process. Each kind has a
+// channel of its own with room for one: of several that arrive while none is
+// handled one is enough, and no number of one kind keeps out the other kind.
 type Signals struct {
 	Stop   <-chan ShutdownNotice
 	Reload <-chan os.Signal
 }
 
-// ShutdownNotice is the notice to leave, and when it came: the platform counts the time
-// to the kill from then, whatever the process was doing.
+// ShutdownNotice is a signal that begins a graceful shutdown, with the time at which
+// it arrived: the platform counts the time to the kill from then, whatever the
+// process was doing.
 type ShutdownNotice struct {
 	Signal os.Signal
 	At     time.Time
 }
 
-// Notify takes the signals from here on. It is called before anything else: a
-// SIGHUP that nobody takes ends the process.
+// Notify receives the signals from here on. It is called before anything else, as
+// an unhandled SIGHUP ends the process.
 func Notify() Signals {
 	raw, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(raw, unix.SIGTERM, unix.SIGINT)
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -7,25 +7,25 @@
 	"kiteslip/internal/core"
 )
 
-// The words of the answer log, one for each code and cause.
+// The words of the answer log for codes and causes.
 var (
 	codeNames  = [...]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed"}
 	causeNames = [...]string{core.Abandoned: "given_up", core.DeadlineExceeded: "overdue", core.RunFailed: "run_failed",
 		core.InDoubt: "in_doubt", core.OutcomeUnknown: "unknown"}
 )
 
-// nameOf is the name of i in words, or "?" where there is none.
-func nameOf[T ~uint8](words []string, i T) string {
-	if int(i) < len(words) {
-		return words[i]
+// nameOf returns the name of i, or "?" where there is none.
+func nameOf[T ~uint8](names []string, i T) string {
+	if int(i) < len(names) {
+		return names[i]
 	}
 	return "?"
 }
 
-// traceAnswer logs the final answer of one try at debug level, so that whoever
-// is on call can follow a request by its `req` (new with each try) or its
-// `opkey` (the same for all tries) through every server that had it. Times are
-// Unix milliseconds; nothing is built where debug is off.
+// traceAnswer logs the final answer of one try at debug level, so that operators
+// can follow a request by its `req` (new with each try) or its `opkey` (the same
+// for all tries) through every server that received it. Times are Unix
+// milliseconds; no fields are built where debug is off.
 func (s *Server) traceAnswer(front string, r *core.Request, a core.Answer) {
 	if r == nil || !s.log.Core().Enabled(zapcore.DebugLevel) {
 		return
@@ -49,7 +49,7 @@
 	s.log.Debug("answer", fields...)
 }
 
-// className is the name of class i in the settings in use.
+// className is the name of the class in slot i, or "?" where there is none.
 func (s *Server) className(i int) string {
 	if i >= 0 && i < len(s.cfg.Classes) {
 		return s.cfg.Classes[i]
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -18,57 +18,58 @@
 	"kiteslip/internal/handover"
 )
 
-// An upgrade: the next process of this server starts while this one serves,
-// and the two are one server until this one ends. docs/design.md says who may
-// do what when; here the two are tied to the loop.
+// In an upgrade the successor process of this server starts while this one
+// serves, and the two act as one server until this one ends. docs/design.md says
+// which of them may do what at which time; this file connects the two processes
+// to the loop.
 const (
-	greetTimeoutUS         = 1_000_000 // for the old process to greet the new one
-	tableTimeoutUS         = 4_000_000 // from the start, for its keys; clients are taken then, with or without
-	engineReadyTimeoutUS   = 4_500_000 // from the start, for the engine to answer
-	peerTimeoutUS          = 5_000_000 // a process that says nothing for longer has stalled
-	loadReportIntervalUS   = 20_000    // between two words on the load, which also say that we live
-	maxPlatformStopUS      = 3_000_000 // what the platform counts of the longest deadline before it kills
-	platformStopExtraUS    = 700_000   // ... and adds
-	maxPeerUnsentBytes     = 8 << 20   // a process that reads less than that has stalled
-	maxImportedRecords     = 1 << 20   // keys that one process may hand over
-	maxPeerConns           = 4         // connections at the meeting place
-	maxTableBytesInFlight  = 1 << 20   // bytes of the table that are under way at once
-	sharedResourcesDivisor = 2         // processes share the memory and the places
+	greetTimeoutUS         = 1_000_000 // for the predecessor to pass its listener to the new process
+	tableTimeoutUS         = 4_000_000 // from the start, for the predecessor's keys; callers are then accepted with or without them
+	engineReadyTimeoutUS   = 4_500_000 // from the start, for the engine to answer; callers are then accepted without it
+	peerTimeoutUS          = 5_000_000 // a peer that is silent for longer has stalled
+	loadReportIntervalUS   = 20_000    // between two load messages, which also serve as heartbeats
+	maxPlatformStopUS      = 3_000_000 // the platform kills after the longest timeout, of which it counts at most this,
+	platformStopExtraUS    = 700_000   // ... plus this
+	maxPeerUnsentBytes     = 8 << 20   // a peer with more unsent bytes has stalled
+	maxImportedRecords     = 1 << 20   // key records accepted from the peer
+	maxPeerConns           = 4         // connections at the handover endpoint
+	maxTableBytesInFlight  = 1 << 20   // bytes of the key table that may be unsent at once
+	sharedResourcesDivisor = 2         // processes share the memory and the connection slots
 )
 
-// upgradeState is what a server knows of the process before or after it.
+// upgradeState is what a server knows of its predecessor and successor.
 type upgradeState struct {
 	endpoint         *handover.Endpoint
 	listener         *net.UnixListener
-	predecessorConn  *net.UnixConn // to the old process, before the loop has it
-	uwsgiListener    net.Listener  // of the uwsgi front, as passed on; nil = none
+	predecessorConn  *net.UnixConn // to the predecessor, before the loop has it
+	uwsgiListener    net.Listener  // listener of the uwsgi front end passed by the predecessor; nil = none
 	startedAt        int64
-	inDoubtUntil     int64              // at the start, for what an earlier process may have run
-	peer             *peerConn          // in use; nil = there is none
-	waitingSuccessor *peerConn          // has come to take our place and has to wait
-	unknownClassKeys []handover.Message // keys of classes that only the old process has
-	peerConns        int                // connections at the meeting place
-	importedRecords  int                // keys that were handed over to us
-	reservedSlots    int                // places left to the other process
-	dialingOwner     bool               // the owner of the keys is sought
-	acceptingCallers bool               // clients are taken
-	keysHandedOver   bool               // our place was handed over
+	inDoubtUntil     int64              // until when keys are in doubt, as known at the start; 0 = none are
+	peer             *peerConn          // in use; nil = none
+	waitingSuccessor *peerConn          // has connected and waits for the keys
+	unknownClassKeys []handover.Message // keys of classes that are not configured here
+	peerConns        int                // connections of peers at the handover endpoint
+	importedRecords  int                // key records received from the peer
+	reservedSlots    int                // connection slots left to the peer
+	dialingOwner     bool               // a dial of the key owner is in progress
+	acceptingCallers bool               // callers' connections are accepted
+	keysHandedOver   bool               // the keys were handed over to a successor
 	nextLoadAt       int64
 }
 
-// peerConn is the connection between the two processes.
+// peerConn is the connection to the peer, the other process of this server.
 type peerConn struct {
 	s             *Server
 	conn          gnet.Conn
-	successor     bool // it is to take our place
+	successor     bool // the peer is the successor
 	out           []byte
 	disconnected  bool
 	lastContactAt int64
-	sendingTable  bool               // the table is under way
-	storeClosing  bool               // ... once the store of keys is closed
-	table         []core.Record      // keys that are still to be handed over, and then YOURS
-	inDoubtUntil  int64              // ... which says this
-	afterTable    []handover.Message // what is said after that
+	sendingTable  bool               // the key table is being sent
+	storeClosing  bool               // ... once the key store is closed
+	table         []core.Record      // records still to be sent, before the message KeysTransferred
+	inDoubtUntil  int64              // sent with that message
+	afterTable    []handover.Message // messages to send after that one
 }
 
 func (p *peerConn) opened(c gnet.Conn) {
@@ -97,7 +98,7 @@
 	}
 	if u.peer == p {
 		u.peer = nil
-		p.s.log.Info("the other process is gone", zap.Bool("newer", p.successor))
+		p.s.log.Info("peer disconnected", zap.Bool("newer", p.successor))
 		p.s.core.PeerLost()
 		p.s.core.SetPeerLoad(0, 0)
 		p.s.reclaimResources()
@@ -105,7 +106,8 @@
 	}
 }
 
-// feed takes in messages. Guards against what no process of this server says: the link ends.
+// feed handles the peer's messages. One that no process of this server would send
+// ends the connection.
 func (p *peerConn) feed(b []byte) (int, error) {
 	p.lastContactAt = now()
 	used := 0
@@ -125,13 +127,14 @@
 	}
 }
 
-var errUnexpectedMessage = errors.New("a message that does not belong here")
+var errUnexpectedMessage = errors.New("unexpected message from the peer")
 
+// handleMessage handles one message; an error ends the connection.
 func (p *peerConn) handleMessage(m *handover.Message) error {
 	s, u := p.s, &p.s.upgrade
 	if m.Kind == handover.Hello {
 		if !p.successor || m.Text != s.cfg.Name || u.peer == p || u.waitingSuccessor != nil {
-			return fmt.Errorf("%w: %q wants to take the place", errUnexpectedMessage, m.Text)
+			return fmt.Errorf("%w: %q asks for the keys", errUnexpectedMessage, m.Text)
 		}
 		u.waitingSuccessor = p
 		s.handOverKeys()
@@ -143,7 +146,7 @@
 	class, known := -1, false
 	switch m.Kind {
 	case handover.Record, handover.Claim, handover.RunEnded:
-		if class, known = s.keyedClasses[m.Text]; !known { // a class that only the other one has
+		if class, known = s.keyedClasses[m.Text]; !known { // a class that only the peer has
 			switch m.Kind {
 			case handover.Claim:
 				p.Deny(m.ID, kiteslip.Failed, nil)
@@ -186,14 +189,14 @@
 	return nil
 }
 
-// restoreUnknownClassKeys enters the keys of classes that only the old process had, once a new
-// configuration brings their class back; those whose time is up are forgotten.
+// restoreUnknownClassKeys imports the keys of classes that were not configured here,
+// once a new configuration has their class; those whose window has ended are dropped.
 func (s *Server) restoreUnknownClassKeys() {
 	u, t := &s.upgrade, now()
 	u.unknownClassKeys = slices.DeleteFunc(u.unknownClassKeys, func(m handover.Message) bool {
 		class, known := s.keyedClasses[m.Text]
 		if known && m.WindowEnd >= t {
-			if u.peer == nil && !m.Finished { // its end was told to nobody
+			if u.peer == nil && !m.Finished { // nobody received the end of its run
 				m.Finished, m.Outcome = true, uint8(kiteslip.Failed)
 			}
 			s.core.ImportRecord(coreRecord(class, &m))
@@ -202,13 +205,14 @@
 	})
 }
 
-// coreRecord is a key as the old process tells of it.
+// coreRecord converts a key record of the predecessor or the store.
 func coreRecord(class int, m *handover.Message) core.Record {
 	return core.Record{Class: class, Key: m.Key, Arrived: m.Arrived, WindowEnd: m.WindowEnd, BodyHash: m.BodyHash, Finished: m.Finished,
 		Outcome: kiteslip.Outcome(m.Outcome), Result: m.Result}
 }
 
-// send queues a message for the end of the round, behind a table that is under way.
+// send queues a message for the end of the loop iteration, or behind a key table
+// that is being sent.
 func (p *peerConn) send(m *handover.Message) {
 	if p.sendingTable {
 		p.afterTable = append(p.afterTable, *m)
@@ -228,14 +232,16 @@
 	p.s.scheduleIteration()
 }
 
-// expire ends a link that serves nothing; the one in use is watched by tend.
+// expire closes a connection that is not in use and silent; advanceUpgrade watches
+// the one in use.
 func (p *peerConn) expire(t int64) {
 	if p.s.upgrade.peer != p && t-p.lastContactAt > peerTimeoutUS {
 		closeNow(p.conn)
 	}
 }
 
-// flush writes what waits. Guards the memory against a process that reads nothing.
+// flush writes the queued messages. A peer that does not read is disconnected, to
+// bound the memory of unsent ones.
 func (p *peerConn) flush() {
 	if p.disconnected || len(p.out) == 0 {
 		return
@@ -243,34 +249,34 @@
 	writevAll(p.conn, [][]byte{p.out})
 	p.out = p.out[:0]
 	if !p.disconnected && p.conn.OutboundBuffered() > maxPeerUnsentBytes {
-		p.s.log.Warn("the other process has stalled")
+		p.s.log.Warn("peer has stalled; closing its connection")
 		closeNow(p.conn)
 	}
 }
 
 func (p *peerConn) unsent() int { return p.conn.OutboundBuffered() }
 
-// Claim asks the owner for the start of a request.
+// Claim asks the key owner for the start of a run.
 func (p *peerConn) Claim(id uint32, class int, key string, arrived int64, sum uint64) {
 	p.send(&handover.Message{Kind: handover.Claim, ID: id, Text: p.s.cfg.Classes[class], Key: key, Arrived: arrived, BodyHash: sum})
 }
 
-// Grant lets a request of the other process start.
+// Grant lets the peer start a run.
 func (p *peerConn) Grant(id uint32) { p.send(&handover.Message{Kind: handover.Grant, ID: id}) }
 
-// Deny says what became of the key of one that may not.
+// Deny refuses the peer the start of a run and sends the outcome of its key.
 func (p *peerConn) Deny(id uint32, outcome kiteslip.Outcome, result []byte) {
 	p.send(&handover.Message{Kind: handover.Deny, ID: id, Outcome: uint8(outcome), Result: result})
 }
 
-// RunEnded reports the end of a run of which the other process keeps the record.
+// RunEnded reports the end of a run to the peer, which keeps its record.
 func (p *peerConn) RunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
 	p.send(&handover.Message{Kind: handover.RunEnded, Text: p.s.cfg.Classes[class], Key: key, Arrived: arrived,
 		Outcome: uint8(outcome), Result: result})
 }
 
-// findPredecessor looks for a process whose place this one is to take, before anything
-// is listened on. Where there is none, the keys are this one's own at once.
+// findPredecessor looks for a process that this one is to succeed, before any
+// listener is opened. Where there is none, this process owns the keys at once.
 func (s *Server) findPredecessor() error {
 	u := &s.upgrade
 	u.startedAt = now()
@@ -289,7 +295,7 @@
 		}
 		return nil
 	}
-	// Guards the start against an old process that is stuck: what it does is then in doubt, see guard.
+	// The start goes on without a predecessor that is stuck; what that one runs is then in doubt, see watchKeyOwner.
 	if u.uwsgiListener, err = handover.ReceiveListener(u.predecessorConn, time.UnixMicro(u.startedAt+greetTimeoutUS)); err != nil {
 		s.log.Warn("upgrade", zap.Error(err))
 		u.predecessorConn.Close()
@@ -298,12 +304,13 @@
 	return nil
 }
 
-// startLoop starts the loop's work, and the talk with the old process if there is one.
+// startLoop starts the loop iterations, and enrols the connection to the predecessor
+// if there is one.
 func (s *Server) startLoop() {
 	s.timer = time.AfterFunc(time.Hour, func() { s.onLoop(s.runIteration) })
 	u := &s.upgrade
 	if u.predecessorConn == nil && s.core.OwnsKeys() {
-		s.startServing() // there is no old process
+		s.startServing() // there is no predecessor
 	}
 	if u.predecessorConn != nil {
 		u.dialingOwner = true
@@ -315,15 +322,16 @@
 	s.runIteration()
 }
 
-// enrolPeer gives a connection between the two processes to the loop. It waits for
-// the loop, so it runs beside it.
+// enrolPeer hands the connection to a peer to the loop. It waits for the loop, so it
+// must not be called there.
 func (s *Server) enrolPeer(c *net.UnixConn, p *peerConn) {
 	if _, err := s.client.EnrollContext(c, p); err != nil {
 		s.log.Warn("upgrade", zap.Error(err))
 	}
 }
 
-// inDoubtUntil is until when what another process started without our knowledge may still count.
+// inDoubtUntil returns the instant until which keys are in doubt, where another
+// process was last alive at last.
 func (s *Server) inDoubtUntil(last time.Time) int64 {
 	if last.IsZero() {
 		return 0
@@ -331,18 +339,19 @@
 	return last.UnixMicro() + s.core.MaxWindow()
 }
 
-// takeOwnership takes the keys over, if no other process has them.
-func (s *Server) takeOwnership(doubt int64) {
+// takeOwnership acquires the keys, unless another process owns them.
+func (s *Server) takeOwnership(inDoubtUntil int64) {
 	if s.upgrade.endpoint.TryLock() {
-		s.acquireKeys(doubt)
+		s.acquireKeys(inDoubtUntil)
 	}
 	s.scheduleIteration()
 }
 
-// ownershipTaken makes the keys this process's, with the store open if there is one.
-func (s *Server) ownershipTaken(doubt int64) {
-	s.log.Info("the keys are owned here", zap.Int64("doubt_ms", max(0, (doubt-now())/1000)))
-	s.core.AcquireKeys(doubt)
+// ownershipTaken completes the acquisition of the keys; the key store, if there is
+// one, has been opened.
+func (s *Server) ownershipTaken(inDoubtUntil int64) {
+	s.log.Info("key ownership acquired", zap.Int64("doubt_ms", max(0, (inDoubtUntil-now())/1000)))
+	s.core.AcquireKeys(inDoubtUntil)
 	if p := s.upgrade.peer; p != nil {
 		s.core.SetPeer(p)
 	}
@@ -350,8 +359,8 @@
 	s.scheduleIteration()
 }
 
-// handOverKeys hands the keys to the process that has come to take our place, also in a
-// drain. It waits while this one is itself still being handed a place.
+// handOverKeys hands the keys to a successor that waits for them, also during a
+// drain, once this process owns them and has no other peer.
 func (s *Server) handOverKeys() {
 	u := &s.upgrade
 	p := u.waitingSuccessor
@@ -360,20 +369,20 @@
 	}
 	u.waitingSuccessor, u.peer, u.keysHandedOver = nil, p, true
 	s.shareResources()
-	doubt := s.core.ReleaseKeys(p)
+	inDoubtUntil := s.core.ReleaseKeys(p)
 	if err := u.endpoint.Unlock(); err != nil {
 		s.log.Error("upgrade", zap.Error(err))
 	}
 	p.sendingTable, p.storeClosing = true, true
 	s.releaseKeyStore(func() {
-		p.table, p.inDoubtUntil, p.storeClosing = slices.Collect(s.core.Records), doubt, false
-		s.log.Info("the keys are handed over", zap.Int("keys", len(p.table)))
+		p.table, p.inDoubtUntil, p.storeClosing = slices.Collect(s.core.Records), inDoubtUntil, false
+		s.log.Info("keys handed over to the successor", zap.Int("keys", len(p.table)))
 		p.sendTable()
 	})
 }
 
-// sendTable sends as much of the table as the other process keeps up with, so that
-// a large one takes no memory of its own.
+// sendTable sends as much of the key table as the peer keeps up with, so that a
+// large table is never buffered as a whole.
 func (p *peerConn) sendTable() {
 	if !p.sendingTable || p.storeClosing {
 		return
@@ -394,7 +403,8 @@
 	}
 }
 
-// advanceUpgrade keeps an upgrade going; it is called once a round.
+// advanceUpgrade does the periodic work of an upgrade; it is called once per loop
+// iteration.
 func (s *Server) advanceUpgrade(t int64) {
 	u := &s.upgrade
 	if u.endpoint == nil {
@@ -410,7 +420,7 @@
 		u.peer.send(&handover.Message{Kind: handover.Load, Runs: uint32(runs), MemoryKB: uint32(kb)})
 	}
 	if u.peer != nil && t-u.peer.lastContactAt > peerTimeoutUS {
-		s.log.Warn("the other process has stalled")
+		s.log.Warn("peer has stalled; closing its connection")
 		closeNow(u.peer.conn)
 	}
 	s.reserveSlots()
@@ -420,8 +430,8 @@
 	}
 }
 
-// watchKeyOwner keeps the ownership known to be alive, or takes it where the owner has
-// died. It is called as often as the reports.
+// watchKeyOwner shows that this process is alive where it owns the keys, or
+// acquires them where the owner has died. It is called as often as the reports.
 func (s *Server) watchKeyOwner(t int64) {
 	u := &s.upgrade
 	switch {
@@ -431,26 +441,26 @@
 			s.log.Warn("upgrade", zap.Error(err))
 		}
 	case u.peer == nil && s.killAt == 0:
-		// The owner may have started runs until a moment ago.
+		// The owner may have started runs until a moment ago, so keys are in doubt for the longest window from now.
 		if s.keys.opening {
-			return // the keys are ours once the store is open
+			return // the keys are acquired once the store is open
 		}
 		if u.endpoint.TryLock() {
 			u.keysHandedOver = false
 			s.takeOwnership(t + s.core.MaxWindow())
 		} else if !u.keysHandedOver && !u.dialingOwner {
-			u.dialingOwner = true // the owner may hear us by now
+			u.dialingOwner = true // the owner may answer by now
 			go s.redialOwner()
 		}
 	}
 }
 
-// redialOwner tries again to reach the process that owns the keys.
+// redialOwner dials the key owner again.
 func (s *Server) redialOwner() {
 	if c := s.upgrade.endpoint.Dial(); c != nil {
-		web, err := handover.ReceiveListener(c, time.Now().Add(greetTimeoutUS*time.Microsecond))
-		if web != nil {
-			web.Close() // it comes too late to be used
+		uwsgiListener, err := handover.ReceiveListener(c, time.Now().Add(greetTimeoutUS*time.Microsecond))
+		if uwsgiListener != nil {
+			uwsgiListener.Close() // this process has opened its listeners already
 		}
 		if err == nil {
 			s.enrolPeer(c, &peerConn{s: s})
@@ -461,7 +471,7 @@
 	s.onLoop(func() { s.upgrade.dialingOwner = false })
 }
 
-// startServing begins to take clients.
+// startServing begins to accept callers' connections.
 func (s *Server) startServing() {
 	u := &s.upgrade
 	u.acceptingCallers = true
@@ -475,8 +485,9 @@
 		zap.String("uwsgi", s.cfg.UWSGI.Listen), zap.Bool("keys", s.core.OwnsKeys()))
 }
 
-// awaitSuccessor makes this process the one that the next meets, once it takes clients
-// and has keys to hand over; anew, where another has taken the name and died.
+// awaitSuccessor listens on the handover endpoint, once this process accepts callers
+// and owns the keys. It listens again where another process has taken the endpoint
+// over and died.
 func (s *Server) awaitSuccessor() {
 	u := &s.upgrade
 	if u.endpoint == nil || !u.acceptingCallers || !s.core.OwnsKeys() {
@@ -487,24 +498,25 @@
 	}
 	var err error
 	if u.listener, err = u.endpoint.Listen(); err != nil {
-		s.log.Error("upgrade", zap.Error(err)) // this one serves, but cannot be relieved
+		s.log.Error("upgrade", zap.Error(err)) // this process serves, but no successor can connect
 		return
 	}
-	var web *net.TCPListener // to be passed on, beside the one that the platform holds
+	var uwsgiListener *net.TCPListener // to be passed on; the callers' listener is held by the platform
 	if len(s.listeners) > 1 {
-		web, _ = s.listeners[1].Listener.(*net.TCPListener)
+		uwsgiListener, _ = s.listeners[1].Listener.(*net.TCPListener)
 	}
-	go s.acceptSuccessors(u.listener, web)
+	go s.acceptSuccessors(u.listener, uwsgiListener)
 }
 
-// acceptSuccessors lets in processes that come to take our place.
-func (s *Server) acceptSuccessors(l *net.UnixListener, web *net.TCPListener) {
+// acceptSuccessors accepts the connections of successors and passes them the
+// listener of the uwsgi front end.
+func (s *Server) acceptSuccessors(l *net.UnixListener, uwsgiListener *net.TCPListener) {
 	for {
 		c, err := l.AcceptUnix()
 		if err != nil {
 			return
 		}
-		if err = handover.SendListener(c, web); err != nil {
+		if err = handover.SendListener(c, uwsgiListener); err != nil {
 			s.log.Warn("upgrade", zap.Error(err))
 			c.Close()
 			continue
@@ -513,12 +525,12 @@
 	}
 }
 
-// superseded says whether another process has taken our place and lives.
+// superseded reports whether a successor has taken over the keys and has not died.
 func (s *Server) superseded() bool { return s.upgrade.keysHandedOver && !s.core.OwnsKeys() }
 
-// drainSuperseded takes in SIGTERM where another process has our place: it is no
-// notice to drain. Callers are sent to new connections, which the other one
-// takes, and what was read is answered.
+// drainSuperseded handles SIGTERM in a superseded process. The server as a whole
+// does not drain: GOAWAY makes callers open new connections, which the successor
+// accepts, and the requests that were read are answered.
 func (s *Server) drainSuperseded(t int64) {
 	longest := int64(0)
 	for i := range s.cfg.Policy.Classes {
@@ -526,12 +538,13 @@
 	}
 	s.shutdownState = shutdownTimes(t, min(longest, maxPlatformStopUS)+platformStopExtraUS, 0)
 	s.closeListenersAt = t
-	s.log.Info("leaving to the other process", zap.Int64("stop_ms", (s.killAt-t)/1000))
+	s.log.Info("draining after the handover to the successor", zap.Int64("stop_ms", (s.killAt-t)/1000))
 	s.core.HandedOver(s.killAt)
 	s.runIteration()
 }
 
-// handoverComplete says whether nothing is left here that the other process may want, or a caller.
+// handoverComplete reports whether neither the successor nor a caller needs anything
+// more of this process.
 func (s *Server) handoverComplete() bool {
 	if !s.upgrade.keysHandedOver {
 		return true
@@ -543,12 +556,13 @@
 		}
 	}
 	if p := s.upgrade.peer; p != nil && (p.sendingTable || len(p.out) > 0) {
-		return false // the keys are still on their way
+		return false // the key table is still being sent
 	}
 	return s.core.KeyedRuns() == 0
 }
 
-// shareResources leaves half of the memory and of the places to the other process; unshare takes them back.
+// shareResources leaves half of the memory and of the connection slots to the peer;
+// reclaimResources undoes it.
 func (s *Server) shareResources() {
 	debug.SetMemoryLimit(s.cfg.Limits.MaxHeapBytes() / sharedResourcesDivisor)
 	s.reserveSlots()
@@ -561,7 +575,7 @@
 	}
 }
 
-// reserveSlots keeps places free for the other process, as soon as they are.
+// reserveSlots takes connection slots for the peer as they become free.
 func (s *Server) reserveSlots() {
 	for s.upgrade.peer != nil && s.upgrade.reservedSlots < cap(s.slots)/sharedResourcesDivisor {
 		if !s.descriptors.TryAcquire(1) {
@@ -577,8 +591,9 @@
 	}
 }
 
-// passedListener returns the listener that the old process has passed on, if it is the
-// one for this address. Guards callers against one that nobody accepts on.
+// passedListener returns the listener that the predecessor has passed, if it is for
+// this address. Any other is closed, so that no callers wait on a listener on which
+// nobody accepts.
 func (s *Server) passedListener(address string) net.Listener {
 	l := s.upgrade.uwsgiListener
 	if l == nil {
@@ -594,7 +609,7 @@
 	return l
 }
 
-// inheritedListener returns the clients' listener that the platform holds.
+// inheritedListener returns the callers' listener that the platform has passed.
 func (s *Server) inheritedListener() (net.Listener, error) {
 	l, err := handover.Inherit(s.cfg.InheritedFD)
 	if err != nil {
@@ -602,12 +617,12 @@
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		l.Close()
-		return nil, fmt.Errorf("descriptor %d is no TCP socket", s.cfg.InheritedFD)
+		return nil, fmt.Errorf("descriptor %d is not a TCP socket", s.cfg.InheritedFD)
 	}
 	return l, nil
 }
 
-// closeUpgrade frees what an upgrade needs, at the end.
+// closeUpgrade closes the handover endpoint, at the end of the process.
 func (s *Server) closeUpgrade() {
 	u := &s.upgrade
 	if u.listener != nil {
--- a/internal/server/uwsgi.go
+++ b/internal/server/uwsgi.go
@@ -18,14 +18,14 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// uwsgiConn is one caller's connection on the uwsgi protocol. It carries one
+// uwsgiConn is a caller's connection on the uwsgi protocol. It carries one
 // request: variables, body, answer, close.
 type uwsgiConn struct {
 	s            *Server
 	conn         gnet.Conn
-	request      *core.Request // nil until the variables are in
+	request      *core.Request // nil until the variables have been read
 	bodyLen      int           // of the body
-	submitted    bool          // the request is in the core
+	submitted    bool          // the request was submitted to the core
 	answered     bool
 	disconnected bool
 	partialLen   int
@@ -44,8 +44,8 @@
 	f.readDeadline = now() + f.s.cfg.UWSGI.ReadTimeoutUS
 }
 
-// closed frees all; a request whose body never came whole was never entered,
-// and one that was entered has no caller any longer.
+// closed releases what the connection takes. A request whose body never arrived
+// whole was never submitted; one that was submitted has lost its caller.
 func (f *uwsgiConn) closed() {
 	f.disconnected = true
 	f.trackPartial(0)
@@ -58,7 +58,8 @@
 	f.request = nil
 }
 
-// idle counts a connection from its start: what is half sent makes room too.
+// idle counts a connection as idle from its start: one with a partial request can be
+// evicted too.
 func (f *uwsgiConn) idle() idleState {
 	if f.submitted && !f.answered {
 		return idleState{}
@@ -77,7 +78,7 @@
 func (f *uwsgiConn) feed(b []byte) (int, error) {
 	used := 0
 	if f.submitted || f.answered || f.discarding {
-		return len(b), nil // nothing more is owed an ear on this connection
+		return len(b), nil // the connection carries one request; further input is discarded
 	}
 	if f.request == nil {
 		vars, n, err := uwsgi.Split(b)
@@ -108,11 +109,11 @@
 	return len(b), nil
 }
 
-// submit gives the whole request to the core.
+// submit passes the whole request to the core.
 func (f *uwsgiConn) submit(body []byte) {
 	r := f.request
 	f.s.lastUWSGIID++
-	// Not 16 hex digits: guards against a name that a caller of the other front has chosen.
+	// Not 16 hex digits, so that it differs from every try ID that a caller of the frame protocol chooses.
 	r.TryID = fmt.Sprintf("w%015x", f.s.lastUWSGIID)
 	r.Body, r.Stream, r.ReplyTo = body, 1, f
 	f.submitted = true
@@ -122,13 +123,13 @@
 	}
 }
 
-// refuse answers a request that does not enter the core.
+// refuse answers a request that is not submitted to the core.
 func (f *uwsgiConn) refuse(p *uwsgi.RequestError) {
 	f.s.reject(&reject.Error{Cause: "uwsgi_" + strconv.Itoa(p.Status), Err: p})
 	f.respond(p.Status, 0, []byte(p.Reason+"\n"))
 }
 
-// Answer writes the final answer.
+// Answer sends the final answer.
 func (f *uwsgiConn) Answer(_ uint32, a core.Answer) {
 	f.s.traceAnswer("uwsgi", f.request, a)
 	status, retryAfter := uwsgi.Status(&a)
@@ -153,9 +154,8 @@
 	f.s.scheduleIteration()
 }
 
-// flush writes the answer and closes: the protocol carries one request for
-// each connection. What the socket does not take at once is given the time
-// until readBy.
+// flush writes the answer and begins the close: the protocol carries one request
+// per connection. What the socket does not take at once has until readDeadline.
 func (f *uwsgiConn) flush() {
 	if f.disconnected || len(f.out) == 0 {
 		return
@@ -165,9 +165,10 @@
 	f.shutWhenDone()
 }
 
-// shutWhenDone shuts our side of a connection whose answer has gone out. Guards the
-// answer: closing with bytes unread would make the system reset the connection,
-// so the rest is read until the caller closes or readBy comes.
+// shutWhenDone shuts the write side of a connection whose answer has gone out.
+// Closing with unread input would make the system reset the connection, and the
+// answer could be lost, so input is discarded until the caller closes or
+// readDeadline has passed.
 func (f *uwsgiConn) shutWhenDone() {
 	if f.disconnected || f.writeShutAt != 0 || !f.answered && !f.discarding || len(f.out) > 0 || f.conn.OutboundBuffered() > 0 {
 		return
@@ -176,7 +177,8 @@
 	f.s.shutWrite(f, t, max(0, f.readDeadline-t))
 }
 
-// closeGracefully ends the connection, unless a request is in hand or waits unread.
+// closeGracefully begins the close of the connection, unless a request is open or
+// waits unread.
 func (f *uwsgiConn) closeGracefully(int64) {
 	if f.submitted && !f.answered || !f.answered && hasUnread(f.conn) {
 		return
@@ -191,8 +193,8 @@
 	}
 }
 
-// expire closes what has run out of time: callers that send their request too
-// slowly or do not take the answer, and calls of uwsgi servers.
+// expire ends what has exceeded its time limit: callers that send their request
+// or read the answer too slowly, and backend calls.
 func (s *Server) expire(t int64) {
 	if t < s.nextExpiryAt {
 		return
@@ -218,26 +220,26 @@
 	s.flush()
 }
 
-// backendConn is one call of a uwsgi server.
+// backendConn is one backend call, a request sent to a uwsgi server.
 type backendConn struct {
 	s         *Server
 	r         *core.Request
 	conn      gnet.Conn
 	startedAt int64
-	deadline  int64 // when it is given up
+	deadline  int64 // when the call is abandoned
 	in        []byte
 	finished  bool
 }
 
-// callBackend runs r at the uwsgi server at address.
+// callBackend runs r on the uwsgi server at address.
 func (s *Server) callBackend(address string, r *core.Request) {
 	b := &backendConn{s: s, r: r, startedAt: now(), deadline: r.Deadline}
 	if class := &s.cfg.Policy.Classes[r.Class]; class.Effect == kiteslip.Keyed {
-		// Another try may yet want the result, and none may run beside this one.
+		// Until the window ends another try may ask for the result, and none may run at the same time.
 		b.deadline = max(b.deadline, r.Arrived+class.Window)
 	}
 	s.backendConns[b] = struct{}{}
-	if len(s.backendConns) > s.maxBackendCalls { // Guards the limit on sockets, whatever the module runs.
+	if len(s.backendConns) > s.maxBackendCalls { // bounds the sockets in use, whatever the policy starts
 		b.finish(kiteslip.NotStarted, nil)
 		return
 	}
@@ -251,7 +253,7 @@
 		if err != nil {
 			s.log.Debug("backend", zap.String("address", address), zap.Error(err))
 			s.onLoop(func() {
-				if b.conn == nil { // nothing was sent, so nothing ran
+				if b.conn == nil { // nothing was sent, so it did not run
 					b.finish(kiteslip.NotStarted, nil)
 				}
 			})
@@ -295,8 +297,8 @@
 	return len(p), nil
 }
 
-// closed takes in the end of the connection. Guards the meaning of a refusal:
-// the request was sent, so without a whole response it may have run, and has failed.
+// closed handles the end of the connection. The request was sent, so without a
+// whole response it may have run: it has failed and is not refused.
 func (b *backendConn) closed() { b.parse(true) }
 
 func (b *backendConn) flush() {}
@@ -319,7 +321,7 @@
 	}
 }
 
-// finish books the end of the run, once, and frees the connection.
+// finish reports the end of the run to the core, once, and closes the connection.
 func (b *backendConn) finish(outcome kiteslip.Outcome, result []byte) {
 	if b.finished {
 		return
