--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -10,53 +10,54 @@
 )
 
 const (
-	adminPlaces = 32         // connections at the admin endpoint, besides those of callers
-	adminLine   = 10_000_000 // for the line to come
-	adminLinger = 1_000_000  // for the caller to close after its answer
+	maxAdminConns         = 32         // connections of the admin endpoint; callers' connections have their own limit
+	adminRequestTimeoutUS = 10_000_000 // for the command line to arrive
+	adminLingerUS         = 1_000_000  // for the operator to close after the answer
 )
 
-// adminConn is one connection at the admin endpoint: a line, an answer, the end.
+// adminConn is one connection of the admin endpoint: a command line, an answer, close.
 type adminConn struct {
-	s        *Server
-	conn     gnet.Conn
-	openedAt int64
-	endAt    int64 // when it is closed by us
-	answered bool
-	shut     bool // our side is closed
-	gone     bool
+	s            *Server
+	conn         gnet.Conn
+	openedAt     int64
+	deadline     int64 // when the server closes it
+	answered     bool
+	writeShut    bool // the write side is shut
+	disconnected bool
 }
 
 func newAdminConn(s *Server) *adminConn { return &adminConn{s: s} }
 
-// opened takes the connection in. Guards against callers that hold on: the
-// last place goes to the newcomer, and the one that has waited longest is closed.
+// opened starts the connection's timeout. Where it takes the last slot, the
+// connection open for longest is closed, answered ones first, so that idle
+// connections never keep an operator out.
 func (d *adminConn) opened(c gnet.Conn) {
 	d.conn = c
 	d.openedAt = now()
-	d.endAt = d.openedAt + adminLine
+	d.deadline = d.openedAt + adminRequestTimeoutUS
 	if len(d.s.adminSlots) < cap(d.s.adminSlots) {
 		return
 	}
 	var oldest *adminConn
-	for h := range d.s.sessions {
+	for h := range d.s.conns {
 		if o, ok := h.(*adminConn); ok && o != d && (oldest == nil || o.answered && !oldest.answered ||
 			o.answered == oldest.answered && o.openedAt < oldest.openedAt) {
 			oldest = o
 		}
 	}
 	if oldest != nil {
-		hangUp(oldest.conn)
+		closeNow(oldest.conn)
 	}
 }
 
 func (d *adminConn) closed() {
-	d.gone = true
+	d.disconnected = true
 	<-d.s.adminSlots
 }
 
-// feed answers a whole line at once, ahead of the round. Guards the answer: a
-// close with bytes unread would make the system reset the connection, so only
-// our side is shut, and what follows the line is passed over.
+// feed answers a whole line at once, before the loop iteration. Closing with unread
+// input would make the system reset the connection, and the answer could be
+// lost, so only the write side is shut, and further input is discarded.
 func (d *adminConn) feed(b []byte) (int, error) {
 	if d.answered {
 		return len(b), nil
@@ -69,21 +70,21 @@
 	if err != nil {
 		answer = ops.ErrorReply(err.Error())
 	} else {
-		answer = d.s.operate(line)
+		answer = d.s.runAdminCommand(line)
 	}
-	d.answered, d.endAt = true, now()+adminLinger
+	d.answered, d.deadline = true, now()+adminLingerUS
 	if _, err := d.conn.Write(answer); err == nil {
-		d.settle()
+		d.shutWhenDone()
 	}
 	return len(b), nil
 }
 
-// settle shuts our side once the answer has gone out.
-func (d *adminConn) settle() {
-	if d.answered && !d.shut && !d.gone && d.conn.OutboundBuffered() == 0 {
-		d.shut = true
+// shutWhenDone shuts the write side once the answer has gone out.
+func (d *adminConn) shutWhenDone() {
+	if d.answered && !d.writeShut && !d.disconnected && d.conn.OutboundBuffered() == 0 {
+		d.writeShut = true
 		if err := unix.Shutdown(d.conn.Fd(), unix.SHUT_WR); err != nil {
-			hangUp(d.conn)
+			closeNow(d.conn)
 		}
 	}
 }
@@ -91,39 +92,39 @@
 func (d *adminConn) flush()      {}
 func (d *adminConn) unsent() int { return 0 }
 
-// expire closes what has had its time.
+// expire closes the connection at its deadline.
 func (d *adminConn) expire(t int64) {
-	if t >= d.endAt {
-		hangUp(d.conn)
+	if t >= d.deadline {
+		closeNow(d.conn)
 		return
 	}
-	d.settle()
+	d.shutWhenDone()
 }
 
-// operate carries out one call at the door.
-func (s *Server) operate(line []byte) []byte {
-	call, err := ops.Parse(line)
+// runAdminCommand carries out one admin command and returns the reply.
+func (s *Server) runAdminCommand(line []byte) []byte {
+	command, err := ops.Parse(line)
 	if err != nil {
 		return ops.ErrorReply(err.Error())
 	}
-	switch call {
+	switch command {
 	case ops.ShowStat:
-		f := s.figures()
+		f := s.metrics()
 		return ops.StatReply(f.Append(nil))
 	case ops.ShowVersion:
 		return s.showVersion()
 	case ops.Drain:
-		s.withdraw(true)
+		s.setWithdrawn(true)
 		return ops.DoneReply("drain")
 	case ops.Resume:
-		if s.stopAt != 0 {
+		if s.killAt != 0 {
 			return ops.ErrorReply("stopping: nothing takes back the notice to leave")
 		}
-		s.withdraw(false)
+		s.setWithdrawn(false)
 		return ops.DoneReply("resume")
 	}
 	switch {
-	case s.stopAt != 0:
+	case s.killAt != 0:
 		return ops.ErrorReply("stopping")
 	case s.core.Withdrawn():
 		return ops.ErrorReply("draining")
@@ -133,20 +134,20 @@
 	return ops.DoneReply("ready")
 }
 
-// withdraw takes the server off the callers' list, or puts it back. Nothing
-// that runs or still comes is touched.
-func (s *Server) withdraw(on bool) {
+// setWithdrawn takes the server off the callers' list, or puts it back. Requests
+// that run or still arrive are not affected.
+func (s *Server) setWithdrawn(on bool) {
 	if s.core.Withdrawn() != on {
 		s.log.Info("operator", zap.Bool("drain", on))
 		s.core.SetWithdrawn(on)
-		s.reportAt = 0
-		s.schedule()
+		s.nextReportAt = 0
+		s.scheduleIteration()
 	}
 }
 
-// figures gathers what is counted where each event ends.
-func (s *Server) figures() metrics.Snapshot {
-	f := metrics.Snapshot{Tries: s.link.Tries() + s.called, Active: s.core.Outstanding(), ConfigsApplied: s.applied, ConfigsRejected: s.rejected}
+// metrics collects the metrics of all components.
+func (s *Server) metrics() metrics.Snapshot {
+	f := metrics.Snapshot{Tries: s.link.Tries() + s.backendCalls, Active: s.core.Outstanding(), ConfigsApplied: s.reloadsApplied, ConfigsRejected: s.reloadsRejected}
 	for i, n := range s.core.AnswersByClass() {
 		f.Classes = append(f.Classes, metrics.Class{Name: s.cfg.Classes[i], OK: n.Served, Shed: n.Refused, Errors: n.Failed})
 	}
@@ -154,15 +155,15 @@
 		f.Pools = append(f.Pools, metrics.Pool{Name: p.Name, Limit: p.Limit, Running: p.Running, Waiting: p.Waiting, Guaranteed: p.Guaranteed,
 			Borrowed: p.Borrowed, Lent: p.Lent, MaxQueued: p.MaxQueued, SavedRuns: p.SavedRuns, Refused: p.Refused, BookedKB: int(p.BookedKB), HasCheapest: p.HasCheapest})
 	}
-	f.RejectedBy = s.rejects.Counts()
-	f.Ledger = s.ledgerFigures()
-	f.Control = s.controlFigures()
+	f.RejectedBy = s.rejections.Counts()
+	f.Ledger = s.ledgerMetrics()
+	f.Control = s.controlMetrics()
 	if w := s.keys.worker; w != nil {
 		k := w.Stats()
-		f.Keys = &metrics.Keys{Restored: s.keys.restored, UnknownOutcome: s.keys.unknown, Commits: int(k.Commits), Records: int(k.Operations),
+		f.Keys = &metrics.Keys{Restored: s.keys.restored, UnknownOutcome: s.keys.unknownOutcome, Commits: int(k.Commits), Records: int(k.Operations),
 			Errors: int(k.Errors), MaxCommitMS: int(k.MaxCommitUS / 1000), Waiting: k.Waiting, DiskKB: int(k.DiskBytes / 1024),
 			UnrecordedRuns: s.core.UnrecordedRuns()}
-	} else if s.keys.failed != nil {
+	} else if s.keys.openErr != nil {
 		f.Keys = &metrics.Keys{Errors: 1}
 	}
 	return f
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -9,60 +9,61 @@
 	"kiteslip/internal/ops"
 )
 
-// partingMost is how long the end of the process waits for the follower's: its
-// last word was said at the notice to leave, and the file it writes is replaced
-// as a whole, so that nothing is lost with it.
-const partingMost = 100 * time.Millisecond
+// followerExitTimeout is how long the process waits for the follower at its end.
+// Nothing is lost if the follower does not finish: it sent its last message after
+// the shutdown notice, and the file that it writes is replaced as a whole.
+const followerExitTimeout = 100 * time.Millisecond
 
-// control is what a server has of the fleet's versions: a follower that runs
-// beside the loop. Without one there is no goroutine, and nothing on the loop asks for it.
+// control holds the follower that receives the fleet's configuration versions. It
+// runs outside the loop; without one there is no goroutine and no work on the loop.
 type control struct {
 	follower *follow.Follower
-	end      context.CancelFunc
-	ended    chan struct{}
+	cancel   context.CancelFunc
+	done     chan struct{}
 }
 
-// Follow has the server take over the versions that f brings, from Serve on until
-// the notice to leave. The server was made with the document that f.First returned.
+// Follow makes the server apply the versions that f receives, from Serve on until
+// the shutdown notice. The server must have been created with the document that
+// f.InitialVersion returned.
 func (s *Server) Follow(f *follow.Follower) { s.control.follower = f }
 
-// beginFollowing runs the follower beside the loop.
-func (s *Server) beginFollowing() {
+// startFollower runs the follower outside the loop.
+func (s *Server) startFollower() {
 	c := &s.control
 	if c.follower == nil {
 		return
 	}
-	ctx, end := context.WithCancel(s.life)
-	c.end, c.ended = end, make(chan struct{})
+	ctx, end := context.WithCancel(s.runCtx)
+	c.cancel, c.done = end, make(chan struct{})
 	go func() {
-		defer close(c.ended)
-		c.follower.Run(ctx, s.takeVersion)
+		defer close(c.done)
+		c.follower.Run(ctx, s.applyVersion)
 	}()
 }
 
-// endFollowing takes no version from here on, and has the follower say that the
-// server leaves.
-func (s *Server) endFollowing() {
-	if s.control.end != nil {
-		s.control.end()
+// stopFollower ends the follower, which then announces that the server leaves; no
+// version is applied from here on.
+func (s *Server) stopFollower() {
+	if s.control.cancel != nil {
+		s.control.cancel()
 	}
 }
 
-// parted waits for the follower's end, for a moment.
-func (c *control) parted() {
-	if c.end == nil {
+// waitForFollower ends the follower and waits for it for a limited time.
+func (c *control) waitForFollower() {
+	if c.cancel == nil {
 		return
 	}
-	c.end()
-	late := time.NewTimer(partingMost)
+	c.cancel()
+	late := time.NewTimer(followerExitTimeout)
 	defer late.Stop()
 	select {
-	case <-c.ended:
+	case <-c.done:
 	case <-late.C:
 	}
 }
 
-// showVersion answers the operators' door.
+// showVersion answers the admin command that asks for the version in force.
 func (s *Server) showVersion() []byte {
 	if s.control.follower == nil {
 		return ops.ErrorReply("no [control]: the file's own teams and services are in force")
@@ -73,8 +74,9 @@
 		Snapshots: st.Snapshots, Switches: st.Switches, SentBytes: st.SentBytes, ReceivedBytes: st.ReceivedBytes})
 }
 
-// controlFigures are those of the version in force; nil = control is off.
-func (s *Server) controlFigures() *metrics.Control {
+// controlMetrics returns the metrics of the version in force; nil = the server
+// follows no versions.
+func (s *Server) controlMetrics() *metrics.Control {
 	if s.control.follower == nil {
 		return nil
 	}
--- a/internal/server/trace.go
+++ b/internal/server/trace.go
@@ -7,32 +7,32 @@
 	"kiteslip/internal/core"
 )
 
-// The words of the answer log, one for each code and cause.
+// The words of the answer log for codes and causes.
 var (
-	codeWords  = [...]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed"}
-	causeWords = [...]string{core.Abandoned: "given_up", core.DeadlineExceeded: "overdue", core.RunFailed: "run_failed",
+	codeNames  = [...]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed"}
+	causeNames = [...]string{core.Abandoned: "given_up", core.DeadlineExceeded: "overdue", core.RunFailed: "run_failed",
 		core.InDoubt: "in_doubt", core.OutcomeUnknown: "unknown"}
 )
 
-// word is the name of i in words, or "?" where there is none.
-func word[T ~uint8](words []string, i T) string {
-	if int(i) < len(words) {
-		return words[i]
+// nameOf returns the name of i, or "?" where there is none.
+func nameOf[T ~uint8](names []string, i T) string {
+	if int(i) < len(names) {
+		return names[i]
 	}
 	return "?"
 }
 
-// traceAnswer logs the final answer of one try at debug level, so that whoever
-// is on call can follow a request by its `req` (new with each try) or its
-// `opkey` (the same for all tries) through every server that had it. Times are
-// Unix milliseconds; nothing is built where debug is off.
+// traceAnswer logs the final answer of one try at debug level, so that operators
+// can follow a request by its `req` (new with each try) or its `opkey` (the same
+// for all tries) through every server that received it. Times are Unix
+// milliseconds; no fields are built where debug is off.
 func (s *Server) traceAnswer(front string, r *core.Request, a core.Answer) {
 	if r == nil || !s.log.Core().Enabled(zapcore.DebugLevel) {
 		return
 	}
 	fields := make([]zap.Field, 0, 14)
 	fields = append(fields, zap.String("front", front), zap.String("req", r.TryID), zap.String("class", s.className(r.Class)),
-		zap.String("code", word(codeWords[:], a.Code)), zap.Int64("arrived", r.Arrived/1000), zap.Int64("due", r.Deadline/1000),
+		zap.String("code", nameOf(codeNames[:], a.Code)), zap.Int64("arrived", r.Arrived/1000), zap.Int64("due", r.Deadline/1000),
 		zap.Int64("at", now()/1000), zap.Int("via", r.Caller), zap.Int("team", r.Tenant))
 	if r.Key != "" {
 		fields = append(fields, zap.String("opkey", r.Key))
@@ -44,12 +44,12 @@
 	case core.Refused:
 		fields = append(fields, zap.Int64("hold_off_ms", a.RetryAfter/1000), zap.Bool("no_more", a.NoFailover))
 	case core.Failed:
-		fields = append(fields, zap.String("cause", word(causeWords[:], a.Cause)))
+		fields = append(fields, zap.String("cause", nameOf(causeNames[:], a.Cause)))
 	}
 	s.log.Debug("answer", fields...)
 }
 
-// className is the name of class i in the settings in use.
+// className is the name of the class in slot i, or "?" where there is none.
 func (s *Server) className(i int) string {
 	if i >= 0 && i < len(s.cfg.Classes) {
 		return s.cfg.Classes[i]
