--- a/internal/control/document/bench_test.go
+++ b/internal/control/document/bench_test.go
@@ -38,7 +38,7 @@
 func version(t testing.TB, c Content) *Document {
 	t.Helper()
 	d := Empty()
-	delta, err := d.Draft(d.Diff(&c), by)
+	delta, err := d.Draft(d.Diff(&c), testMeta)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,16 +57,16 @@
 		now, _ := d.Team(name)
 		changes = append(changes, Change{Team: &Team{Name: name, Quota: now.Quota + 1}})
 	}
-	delta, err := d.Draft(changes, by)
+	delta, err := d.Draft(changes, testMeta)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return delta
 }
 
-// processor returns what the process has used of processors, in nanoseconds: on a
+// cpuTime returns what the process has used of processors, in nanoseconds: on a
 // busy machine that says more than the time that passed.
-func processor() float64 {
+func cpuTime() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -74,23 +74,23 @@
 	return float64(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// loop runs f, with its garbage collected, and reports the processor time as well.
-func loop(b *testing.B, f func() error) {
+// benchmarkLoop runs f, with its garbage collected, and reports the processor time as well.
+func benchmarkLoop(b *testing.B, f func() error) {
 	runtime.GC()
 	b.ReportAllocs()
-	start := processor()
+	start := cpuTime()
 	for b.Loop() {
 		if err := f(); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric((processor()-start)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric((cpuTime()-start)/float64(b.N), "cpu-ns/op")
 }
 
 func benchmarkApply(b *testing.B, n int) {
 	d := version(b, fleet(fleetTeams, fleetServices))
 	delta := step(b, d, n)
-	loop(b, func() error { _, err := d.Apply(delta); return err })
+	benchmarkLoop(b, func() error { _, err := d.Apply(delta); return err })
 }
 
 func BenchmarkApplyOne(b *testing.B)  { benchmarkApply(b, 1) }
@@ -102,20 +102,20 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	loop(b, func() error { _, err := DecodeDelta(words); return err })
+	benchmarkLoop(b, func() error { _, err := DecodeDelta(words); return err })
 	b.ReportMetric(float64(len(words)), "bytes")
 }
 
 func BenchmarkSnapshot(b *testing.B) {
 	d := version(b, fleet(fleetTeams, fleetServices))
 	size := 0
-	loop(b, func() error {
+	benchmarkLoop(b, func() error {
 		words, err := d.Snapshot()
 		size = len(words)
 		return err
 	})
 	b.ReportMetric(float64(size), "bytes")
-	b.ReportMetric(float64(len(encode(&snapshot{d.header, d.state.contents()}))), "bytes-unpacked")
+	b.ReportMetric(float64(len(encode(&snapshot{d.header, d.state.sharedContent()}))), "bytes-unpacked")
 }
 
 func BenchmarkOpen(b *testing.B) {
@@ -123,10 +123,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	loop(b, func() error { _, err := DecodeSnapshot(words); return err })
+	benchmarkLoop(b, func() error { _, err := DecodeSnapshot(words); return err })
 }
 
-func heap() (live, total uint64) {
+func heapBytes() (live, total uint64) {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -140,12 +140,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, _ := heap()
+	before, _ := heapBytes()
 	d, err := DecodeSnapshot(words)
 	if err != nil {
 		t.Fatal(err)
 	}
-	after, total := heap()
+	after, total := heapBytes()
 	if size := int64(after) - int64(before); size > 20<<20 {
 		t.Errorf("a document takes %d bytes, want at most %d", size, 20<<20)
 	} else {
@@ -159,7 +159,7 @@
 		}
 		d = next
 	}
-	_, made := heap()
+	_, made := heapBytes()
 	if each := (made - total) / rounds; each > 80<<10 {
 		t.Errorf("Draft and Apply of one team make %d bytes of garbage, want at most %d", each, 80<<10)
 	} else {
--- a/internal/control/document/concurrent_test.go
+++ b/internal/control/document/concurrent_test.go
@@ -8,7 +8,7 @@
 // TestConcurrent: versions are read, changed into others, worded and opened by
 // several goroutines at a time. It says something under the race detector alone.
 func TestConcurrent(t *testing.T) {
-	d, delta := larger(t)
+	d, delta := compressedVersion(t)
 	words, err := delta.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/document/config_test.go
+++ b/internal/control/document/config_test.go
@@ -13,11 +13,11 @@
 	"kiteslip/internal/control/document"
 )
 
-// TestAsConfig draws operator's files about the bounds of each figure: what a
+// TestSameAsConfig draws operator's files about the bounds of each figure: what a
 // server refuses of a file that leaves nothing to the platform, the originator
 // refuses of a version, and the other way round. Else a version would be made
 // that no server takes. Figures without end are left out: only a version refuses those.
-func TestAsConfig(t *testing.T) {
+func TestSameAsConfig(t *testing.T) {
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		// One figure, or two, are other than usual: one fault would hide another.
--- a/internal/control/document/content.go
+++ b/internal/control/document/content.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// plain is v, and 0 for -0, so that equal figures have equal words.
-func plain(v float64) float64 {
+// normalizeZero is v, and 0 for -0, so that equal figures have equal words.
+func normalizeZero(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
 	return v
 }
 
-func plainPointer(v *float64) *float64 {
+func normalizeZeroPointer(v *float64) *float64 {
 	if v == nil {
 		return nil
 	}
-	w := plain(*v)
+	w := normalizeZero(*v)
 	return &w
 }
 
@@ -26,7 +26,7 @@
 // later, nor the text of a file that its strings lie in.
 
 func cloneTeam(t *Team) *Team {
-	return &Team{Name: strings.Clone(t.Name), Quota: plain(t.Quota)}
+	return &Team{Name: strings.Clone(t.Name), Quota: normalizeZero(t.Quota)}
 }
 
 func cloneService(s *Service) *Service {
@@ -35,9 +35,9 @@
 	for i := range c.Contracts {
 		t := &c.Contracts[i]
 		t.Class, t.Path, t.Effect = strings.Clone(t.Class), strings.Clone(t.Path), strings.Clone(t.Effect)
-		t.TargetTimeMS, t.DeadlineMS, t.WindowMS = plainPointer(t.TargetTimeMS), plainPointer(t.DeadlineMS), plainPointer(t.WindowMS)
-		t.Worth, t.LateWorth, t.SkipWorth = plainPointer(t.Worth), plainPointer(t.LateWorth), plainPointer(t.SkipWorth)
-		t.RequestMemoryKB = plain(t.RequestMemoryKB)
+		t.TargetTimeMS, t.DeadlineMS, t.WindowMS = normalizeZeroPointer(t.TargetTimeMS), normalizeZeroPointer(t.DeadlineMS), normalizeZeroPointer(t.WindowMS)
+		t.Worth, t.LateWorth, t.SkipWorth = normalizeZeroPointer(t.Worth), normalizeZeroPointer(t.LateWorth), normalizeZeroPointer(t.SkipWorth)
+		t.RequestMemoryKB = normalizeZero(t.RequestMemoryKB)
 		if t.CallsDownstream != nil {
 			calls := *t.CallsDownstream
 			t.CallsDownstream = &calls
@@ -52,14 +52,14 @@
 	for i := range c.Classes {
 		c.Classes[i] = strings.Clone(c.Classes[i])
 	}
-	c.Share, c.MaxShare, c.Reserve = plain(p.Share), plain(p.MaxShare), plain(p.Reserve)
-	c.Memory, c.MaxMemoryShare = plain(p.Memory), plain(p.MaxMemoryShare)
+	c.Share, c.MaxShare, c.Reserve = normalizeZero(p.Share), normalizeZero(p.MaxShare), normalizeZero(p.Reserve)
+	c.Memory, c.MaxMemoryShare = normalizeZero(p.Memory), normalizeZero(p.MaxMemoryShare)
 	return &c
 }
 
 // Content returns all that the version holds, as a copy: it costs by all.
 func (d *Document) Content() Content {
-	c := d.state.contents()
+	c := d.state.sharedContent()
 	for i := range c.Services {
 		c.Services[i] = *cloneService(&c.Services[i])
 	}
@@ -69,10 +69,10 @@
 	return c
 }
 
-// contents is Content that shares memory with the state.
-func (s *state) contents() Content {
+// sharedContent is Content that shares memory with the state.
+func (s *state) sharedContent() Content {
 	c := Content{Teams: make([]Team, 0, s.teams), Services: make([]Service, 0, s.services)}
-	each(s.tree.Root(), []byte{inEntries}, func(_ []byte, value any) {
+	forEach(s.tree.Root(), []byte{prefixEntries}, func(_ []byte, value any) {
 		switch v := value.(type) {
 		case *Team:
 			c.Teams = append(c.Teams, *v)
@@ -142,7 +142,7 @@
 			kept = append(kept, entry{kind: k, name: name, drop: true})
 		}
 	}
-	each(d.state.tree.Root(), []byte{inEntries}, func(_ []byte, value any) {
+	forEach(d.state.tree.Root(), []byte{prefixEntries}, func(_ []byte, value any) {
 		switch v := value.(type) {
 		case *Team:
 			drop(kindTeam, v.Name)
--- a/internal/control/document/edit.go
+++ b/internal/control/document/edit.go
@@ -10,8 +10,8 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// mostChanges bounds a delta: all that may be there dropped, and as much set.
-const mostChanges = 2 * (MaxTeams + MaxServices + MaxPools + 1)
+// maxChanges bounds a delta: all that may be there dropped, and as much set.
+const maxChanges = 2 * (MaxTeams + MaxServices + MaxPools + 1)
 
 // entry is a Change as it is worked on.
 type entry struct {
@@ -93,7 +93,7 @@
 		e.kind, e.name, e.value, set = kindPool, c.Pool.Name, clonePool(c.Pool), set+1
 	}
 	if c.CheapReserve != nil {
-		v := plain(*c.CheapReserve)
+		v := normalizeZero(*c.CheapReserve)
 		e.kind, e.name, e.value, set = kindReserve, "", &v, set+1
 	}
 	if set != 1 {
@@ -114,30 +114,30 @@
 	if len(changes) == 0 {
 		return nil, nil, errors.New("the delta is empty")
 	}
-	if len(changes) > mostChanges {
-		f.add("the delta has %d changes, want at most %d", len(changes), mostChanges)
+	if len(changes) > maxChanges {
+		f.add("the delta has %d changes, want at most %d", len(changes), maxChanges)
 		return nil, nil, f.join()
 	}
 	entries := readChanges(changes, &f)
 	next := *s
 	txn := s.tree.Txn()
 	for i := range entries {
-		giveWay(i)
-		next.takeOut(txn, &entries[i], &f)
+		maybeYield(i)
+		next.removeOld(txn, &entries[i], &f)
 	}
 	// The tree copies a node once for a run of changes near it, not once for each,
 	// as long as they are not too many: so the entries go in by bucket.
 	for n, i := range byBucket(entries) {
-		giveWay(n)
-		entries[i].putIn(txn)
+		maybeYield(n)
+		entries[i].insert(txn)
 	}
 	for i := range entries {
-		giveWay(i)
-		if e := &entries[i]; e.kept() {
-			next.index(txn, e, e.value, &f)
+		maybeYield(i)
+		if e := &entries[i]; e.isInserted() {
+			next.updateIndexes(txn, e, e.value, &f)
 		}
 	}
-	next.check(txn.Root(), entries, &f)
+	next.checkReferences(txn.Root(), entries, &f)
 	if len(f) > 0 {
 		return nil, nil, f.join()
 	}
@@ -151,7 +151,7 @@
 		return nil, nil, errors.New("the delta changes nothing")
 	}
 	next.tree = txn.CommitOnly()
-	next.digestAgain(touched)
+	next.rehash(touched)
 	return &next, effective, nil
 }
 
@@ -163,13 +163,13 @@
 	}
 	entries, seen := make([]entry, 0, len(changes)), make(map[id]bool, len(changes))
 	for i := range changes {
-		giveWay(i)
+		maybeYield(i)
 		e, err := entryOf(&changes[i])
 		if err != nil {
 			f.add("change[%d] %w", i, err)
 			continue
 		}
-		if e.kind != kindReserve && !(about{f: f, entry: &e}).text("name", e.name, MaxNameBytes) {
+		if e.kind != kindReserve && !(validator{f: f, entry: &e}).requiredText("name", e.name, MaxNameBytes) {
 			continue
 		}
 		if seen[id{e.kind, e.name}] {
@@ -182,8 +182,8 @@
 	}
 	slices.SortStableFunc(entries, byRank)
 	for i := range entries {
-		giveWay(i)
-		about{f: f, entry: &entries[i]}.value()
+		maybeYield(i)
+		validator{f: f, entry: &entries[i]}.checkValue()
 	}
 	return entries
 }
@@ -201,17 +201,17 @@
 	return order
 }
 
-// zero says that the entry is a reserve of 0, which is not kept.
-func (e *entry) zero() bool {
+// isZeroReserve says that the entry is a reserve of 0, which is not kept.
+func (e *entry) isZeroReserve() bool {
 	v, ok := e.value.(*float64)
 	return ok && *v == 0
 }
 
-// kept says that the entry is to be in the tree and is not there as it is.
-func (e *entry) kept() bool { return !e.skip && !e.drop && !e.zero() }
+// isInserted says that the entry is to be in the tree and is not there as it is.
+func (e *entry) isInserted() bool { return !e.skip && !e.drop && !e.isZeroReserve() }
 
-// takeOut looks up what the entry is now, and takes it, or what the indexes say of it, out.
-func (s *state) takeOut(txn *iradix.Txn[any], e *entry, f *faults) {
+// removeOld looks up what the entry is now, and takes it, or what the indexes say of it, out.
+func (s *state) removeOld(txn *iradix.Txn[any], e *entry, f *faults) {
 	key := entryKey(e.kind, e.name, e.bucket)
 	old, there := txn.Get(key)
 	switch {
@@ -222,31 +222,31 @@
 	case there:
 		e.skip = reflect.DeepEqual(old, e.value)
 	default:
-		e.skip = e.zero()
+		e.skip = e.isZeroReserve()
 	}
 	if e.skip || !there {
 		return
 	}
-	s.index(txn, nil, old, nil)
-	if !e.kept() {
+	s.updateIndexes(txn, nil, old, nil)
+	if !e.isInserted() {
 		txn.Delete(key)
 	}
 }
 
-func (e *entry) putIn(txn *iradix.Txn[any]) {
-	if e.kept() {
+func (e *entry) insert(txn *iradix.Txn[any]) {
+	if e.isInserted() {
 		txn.Insert(entryKey(e.kind, e.name, e.bucket), e.value)
 	}
 }
 
-// index enters the value of e in the indexes and sums, or, where e is nil, takes a
+// updateIndexes enters the value of e in the indexes and sums, or, where e is nil, takes a
 // value out. A name that another entry has is a fault.
-func (s *state) index(txn *iradix.Txn[any], e *entry, value any, f *faults) {
+func (s *state) updateIndexes(txn *iradix.Txn[any], e *entry, value any, f *faults) {
 	n := 1
 	if e == nil {
 		n = -1
 	}
-	own := func(a about, index byte, key, name, field, other string) {
+	own := func(a validator, index byte, key, name, field, other string) {
 		switch {
 		case key == "" || len(key) > MaxNameBytes: // named as a fault already, or not there
 		case e == nil:
@@ -264,11 +264,11 @@
 		s.teams += n
 	case *Service:
 		s.services += n
-		s.routes += n * len(v.Contracts)
+		s.contracts += n * len(v.Contracts)
 		for i := range v.Contracts {
-			a := about{f, e, &v.Contracts[i], i}
-			own(a, inClasses, a.contract.Class, v.Name, "class", "service")
-			own(a, inPaths, a.contract.Path, v.Name, "path", "service")
+			a := validator{f, e, &v.Contracts[i], i}
+			own(a, prefixClasses, a.contract.Class, v.Name, "class", "service")
+			own(a, prefixPaths, a.contract.Path, v.Name, "path", "service")
 		}
 		switch key := ownerKey(v.Owner, v.Name); {
 		case v.Owner == "" || len(v.Owner) > MaxNameBytes:
@@ -279,28 +279,28 @@
 		}
 	case *Pool:
 		s.pools += n
-		s.pooled += n * len(v.Classes)
+		s.pooledClasses += n * len(v.Classes)
 		for _, class := range v.Classes {
-			own(about{f: f, entry: e}, inPooled, class, v.Name, "class", "pool")
+			own(validator{f: f, entry: e}, prefixPooled, class, v.Name, "class", "pool")
 		}
 		if e == nil {
-			txn.Delete(indexKey(inPools, v.Name))
+			txn.Delete(indexKey(prefixPools, v.Name))
 		} else {
-			txn.Insert(indexKey(inPools, v.Name), v)
+			txn.Insert(indexKey(prefixPools, v.Name), v)
 		}
 	}
 }
 
-// check looks at the outcome: who refers to whom, and the sums.
-func (s *state) check(root *iradix.Node[any], entries []entry, f *faults) {
+// checkReferences looks at the outcome: who refers to whom, and the sums.
+func (s *state) checkReferences(root *iradix.Node[any], entries []entry, f *faults) {
 	pools := false
 	for i := range entries {
-		giveWay(i)
+		maybeYield(i)
 		e := &entries[i]
 		switch {
 		case e.kind == kindTeam && e.drop:
 			first, n := "", 0
-			each(root, ownerKey(e.name, ""), func(_ []byte, service any) {
+			forEach(root, ownerKey(e.name, ""), func(_ []byte, service any) {
 				if n++; n == 1 {
 					first = service.(string)
 				}
@@ -327,9 +327,9 @@
 	}
 	bound("teams", s.teams, MaxTeams)
 	bound("services", s.services, MaxServices)
-	bound("contracts", s.routes, MaxContracts)
+	bound("contracts", s.contracts, MaxContracts)
 	bound("pools", s.pools, MaxPools)
-	bound("classes in pools", s.pooled, MaxContracts)
+	bound("classes in pools", s.pooledClasses, MaxContracts)
 	if pools {
 		s.checkPools(root, f)
 	}
@@ -338,15 +338,15 @@
 // checkPools looks at all pools: they are few.
 func (s *state) checkPools(root *iradix.Node[any], f *faults) {
 	share, memory := 0.0, 0.0
-	each(root, []byte{inPools}, func(_ []byte, value any) {
+	forEach(root, []byte{prefixPools}, func(_ []byte, value any) {
 		p := value.(*Pool)
 		share += p.Share
 		memory += ownMemory(p)
 	})
-	if share > 1+rounding {
+	if share > 1+shareTolerance {
 		f.add("share adds up to %.3f over all pools, want 1 at most", share)
 	}
-	if memory > 1+rounding {
+	if memory > 1+shareTolerance {
 		f.add("memory adds up to %.3f over all pools, want 1 at most", memory)
 	}
 	if _, ok := root.Get(entryKey(kindReserve, "", bucketOf(kindReserve, ""))); ok && s.pools == 0 {
--- a/internal/control/document/faults_test.go
+++ b/internal/control/document/faults_test.go
@@ -126,8 +126,8 @@
 		t.Run(c.want, func(t *testing.T) {
 			d := small(t)
 			before := d.Content()
-			delta, err := d.Draft(c.changes, by)
-			if delta != nil || err == nil || !named(err, c.want) {
+			delta, err := d.Draft(c.changes, testMeta)
+			if delta != nil || err == nil || !namesFault(err, c.want) {
 				t.Errorf("Draft: %v", err)
 			}
 			lie := &Delta{Header: Header{Number: 2, Parent: d.Digest(), Author: "a", Reason: "r"}, Changes: c.changes}
@@ -135,7 +135,7 @@
 			if next != nil || err == nil || errors.Is(err, ErrDigestMismatch) {
 				t.Fatalf("Apply: %v", err)
 			}
-			if !named(err, c.want) {
+			if !namesFault(err, c.want) {
 				t.Errorf("Apply: %v", err)
 			}
 			if !reflect.DeepEqual(d.Content(), before) || d.Digest() != small(t).Digest() {
@@ -145,8 +145,8 @@
 	}
 }
 
-// named says whether one line of the error is that fault.
-func named(err error, fault string) bool {
+// namesFault says whether one line of the error is that fault.
+func namesFault(err error, fault string) bool {
 	for line := range strings.Lines(err.Error()) {
 		if strings.TrimSuffix(line, "\n") == fault {
 			return true
@@ -200,7 +200,7 @@
 		if delta, err := d.Draft([]Change{team("x", 1)}, c.by); delta != nil || err == nil || err.Error() != c.want {
 			t.Errorf("Draft: %v, want %s", err, c.want)
 		}
-		delta, err := d.Draft([]Change{team("x", 1)}, by)
+		delta, err := d.Draft([]Change{team("x", 1)}, testMeta)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -215,7 +215,7 @@
 }
 
 // TestOutcomeCounts: a delta is checked as a whole, not step by step.
-func TestOutcomeCounts(t *testing.T) {
+func TestDeltaCheckedAsWhole(t *testing.T) {
 	d := small(t)
 	for name, changes := range map[string][]Change{
 		"classes swapped": {service("maps", Contract{Class: "pay", Path: "/pay"}), service("till", Contract{Class: "draw", Path: "/draw"})},
@@ -229,7 +229,7 @@
 		"pool and reserve go, worded": {{Drop: true, CheapReserve: ref(0.0)}, {Drop: true, Pool: &Pool{Name: "quick"}}},
 		"a share goes over":           {{Pool: &Pool{Name: "quick", Classes: []string{"pay"}, Share: 0.1}}, {Pool: &Pool{Name: "p", Classes: []string{"draw"}, Share: 0.9}}},
 	} {
-		delta, err := d.Draft(changes, by)
+		delta, err := d.Draft(changes, testMeta)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -242,9 +242,9 @@
 
 // TestOrder: who is known as the parent, what is a fork, and what merely lacks
 // something between.
-func TestOrder(t *testing.T) {
+func TestParentAndFork(t *testing.T) {
 	draft := func(d *Document, quota float64) *Delta {
-		delta, err := d.Draft([]Change{team("ana", quota)}, by)
+		delta, err := d.Draft([]Change{team("ana", quota)}, testMeta)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -312,12 +312,12 @@
 	reversed := []Change{changes[3], changes[2], changes[1], changes[0]}
 	negative := []Change{changes[0], changes[1], changes[2], {Pool: &Pool{Name: "p", Classes: []string{"c"}, Share: math.Copysign(0, -1)}},
 		{CheapReserve: ref(math.Copysign(0, -1))}}
-	first, err := Empty().Draft(changes, by)
+	first, err := Empty().Draft(changes, testMeta)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, other := range [][]Change{reversed, negative} {
-		if delta, err := Empty().Draft(other, by); err != nil || !reflect.DeepEqual(delta, first) {
+		if delta, err := Empty().Draft(other, testMeta); err != nil || !reflect.DeepEqual(delta, first) {
 			t.Errorf("%+v, want %+v (%v)", delta, first, err)
 		}
 	}
@@ -331,7 +331,7 @@
 		service("s", Contract{Class: "c", CallsDownstream: ref(false)}), service("t", Contract{Class: "d"}), {CheapReserve: ref(0.5)},
 		{Pool: &Pool{Name: "p", Classes: []string{"c", "d"}}}, {Pool: &Pool{Name: "p", Classes: []string{"d", "c"}}},
 		{Drop: true, Pool: &Pool{Name: "p"}}, {Drop: true, Team: &Team{Name: "a"}}} {
-		delta, err := version(t, content(t, changes)).Draft([]Change{c}, by)
+		delta, err := version(t, content(t, changes)).Draft([]Change{c}, testMeta)
 		if err != nil {
 			t.Fatal(i, err)
 		}
@@ -344,7 +344,7 @@
 
 // content is what the changes make of nothing.
 func content(t testing.TB, changes []Change) Content {
-	delta, err := Empty().Draft(changes, by)
+	delta, err := Empty().Draft(changes, testMeta)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -362,7 +362,7 @@
 	s := &Service{Name: "s", Contracts: []Contract{{Class: "a", TargetTimeMS: ref(1.0), CallsDownstream: ref(true)}}}
 	p := &Pool{Name: "p", Classes: []string{"a"}}
 	changes := []Change{{Service: s}, {Pool: p}, {CheapReserve: ref(0.25)}}
-	delta, err := d.Draft(changes, by)
+	delta, err := d.Draft(changes, testMeta)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -410,7 +410,7 @@
 
 func mustDraft(t testing.TB, d *Document, changes ...Change) *Delta {
 	t.Helper()
-	delta, err := d.Draft(changes, by)
+	delta, err := d.Draft(changes, testMeta)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -426,7 +426,7 @@
 		t.Errorf("no difference comes as %+v", changes)
 	}
 	c.Teams = append(c.Teams, c.Teams[0])
-	if _, err := d.Draft(d.Diff(&c), by); err == nil || !named(err, `team "ana" is named twice`) {
+	if _, err := d.Draft(d.Diff(&c), testMeta); err == nil || !namesFault(err, `team "ana" is named twice`) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/control/document/model_test.go
+++ b/internal/control/document/model_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-var by = Meta{Author: "ana", Reason: "because", Time: 1_790_000_000_000_000}
+var testMeta = Meta{Author: "ana", Reason: "because", Time: 1_790_000_000_000_000}
 
 // ref returns a pointer to v.
 func ref[T any](v T) *T { return &v }
@@ -75,11 +75,11 @@
 			m.reserve = *c.CheapReserve
 		}
 	}
-	return m.whole() && !reflect.DeepEqual(before, m.content())
+	return m.isConsistent() && !reflect.DeepEqual(before, m.content())
 }
 
-// whole says whether all hangs together.
-func (m *model) whole() bool {
+// isConsistent says whether all hangs together.
+func (m *model) isConsistent() bool {
 	taken := map[string]bool{}
 	own := func(name string) bool {
 		twice := taken[name]
@@ -184,7 +184,7 @@
 	return fmt.Sprintf("%s%d", what, rapid.IntRange(0, n-1).Draw(t, what))
 }
 
-func drawFigure(t *rapid.T, name string, values ...float64) *float64 {
+func drawNumber(t *rapid.T, name string, values ...float64) *float64 {
 	return rapid.SampledFrom(append([]*float64{nil}, refs(values)...)).Draw(t, name)
 }
 
@@ -199,9 +199,9 @@
 	c := Contract{
 		Class:           drawName(t, "class", 12),
 		Effect:          rapid.SampledFrom([]string{"", "repeatable", "once"}).Draw(t, "effect"),
-		TargetTimeMS:    drawFigure(t, "aim", 0, 2.5),
-		DeadlineMS:      drawFigure(t, "deadline", 50, 1e5),
-		Worth:           drawFigure(t, "worth", 0, 1, 0.3),
+		TargetTimeMS:    drawNumber(t, "aim", 0, 2.5),
+		DeadlineMS:      drawNumber(t, "deadline", 50, 1e5),
+		Worth:           drawNumber(t, "worth", 0, 1, 0.3),
 		MaxBody:         rapid.SampledFrom([]int{0, 1 << 10}).Draw(t, "max body"),
 		RequestMemoryKB: rapid.SampledFrom([]float64{0, 17.25}).Draw(t, "held"),
 		CallsDownstream: rapid.SampledFrom([]*bool{nil, ref(true), ref(false)}).Draw(t, "calls"),
@@ -259,7 +259,7 @@
 			changes := rapid.SliceOfN(rapid.Custom(drawChange), 1, 3).Draw(t, "changes")
 			next := m.clone()
 			want := next.apply(changes)
-			delta, err := d.Draft(changes, by)
+			delta, err := d.Draft(changes, testMeta)
 			if (err == nil) != want {
 				t.Fatalf("version %d: Draft says %v, the model %v: %+v", i, err, want, changes)
 			}
@@ -322,7 +322,7 @@
 				}
 				continue
 			}
-			delta, err := v.doc.Draft(changes, by)
+			delta, err := v.doc.Draft(changes, testMeta)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -351,7 +351,7 @@
 			t.Fatalf("Service(%q) = %+v, %v", want.Name, got, ok)
 		}
 	}
-	if a.state.teams != b.state.teams || a.state.routes != b.state.routes || a.state.pooled != b.state.pooled ||
+	if a.state.teams != b.state.teams || a.state.contracts != b.state.contracts || a.state.pooledClasses != b.state.pooledClasses ||
 		a.state.tree.Len() != b.state.tree.Len() {
 		t.Fatal("the sums or the indexes differ")
 	}
--- a/internal/control/document/state.go
+++ b/internal/control/document/state.go
@@ -24,10 +24,10 @@
 //	l class                           the name of its pool
 //	p pool                            *Pool
 type state struct {
-	tree                                   *iradix.Tree[any]
-	teams, services, routes, pools, pooled int // pooled: classes named by pools
-	pages                                  [pageCount]*page
-	content                                Digest
+	tree                                             *iradix.Tree[any]
+	teams, services, contracts, pools, pooledClasses int // pooled: classes named by pools
+	pages                                            [pageCount]*page
+	contentDigest                                    Digest
 }
 
 // page holds the digests of neighbouring buckets and one over them, so that for a
@@ -67,12 +67,12 @@
 }
 
 const (
-	inEntries = 'e'
-	inClasses = 'c'
-	inPaths   = 'h'
-	inOwners  = 'o'
-	inPooled  = 'l'
-	inPools   = 'p'
+	prefixEntries = 'e'
+	prefixClasses = 'c'
+	prefixPaths   = 'h'
+	prefixOwners  = 'o'
+	prefixPooled  = 'l'
+	prefixPools   = 'p'
 )
 
 // bucketOf is a hash of kind and name.
@@ -83,12 +83,12 @@
 }
 
 func bucketKey(bucket int) []byte {
-	return []byte{inEntries, byte(bucket / pageSize), byte(bucket % pageSize)}
+	return []byte{prefixEntries, byte(bucket / pageSize), byte(bucket % pageSize)}
 }
 
 func entryKey(k kind, name string, bucket int) []byte {
 	b := make([]byte, 0, 4+len(name))
-	return append(append(b, inEntries, byte(bucket/pageSize), byte(bucket%pageSize), byte(k)), name...)
+	return append(append(b, prefixEntries, byte(bucket/pageSize), byte(bucket%pageSize), byte(k)), name...)
 }
 
 func indexKey(index byte, name string) []byte {
@@ -99,7 +99,7 @@
 // hence over 255, in a tree; what is longer finds nothing.
 func ownerKey(owner, service string) []byte {
 	b := make([]byte, 0, 2+len(owner)+len(service))
-	return append(append(append(b, inOwners, byte(len(owner))), owner...), service...)
+	return append(append(append(b, prefixOwners, byte(len(owner))), owner...), service...)
 }
 
 // emptyState has nothing in it. All versions of a process begin with one.
@@ -109,11 +109,11 @@
 	for i := range none.buckets {
 		none.buckets[i] = bucketDigest(s.tree.Root(), i) // all alike: nothing lies in any
 	}
-	none.close()
+	none.computeDigest()
 	for i := range s.pages {
 		s.pages[i] = none
 	}
-	s.content = s.rootDigest()
+	s.contentDigest = s.rootDigest()
 	return s
 })
 
@@ -127,8 +127,8 @@
 	return none, false
 }
 
-// each calls f with all entries of a bucket, in order; nil = of all buckets.
-func each(root *iradix.Node[any], prefix []byte, f func(key []byte, value any)) {
+// forEach calls f with all entries of a bucket, in order; nil = of all buckets.
+func forEach(root *iradix.Node[any], prefix []byte, f func(key []byte, value any)) {
 	it := root.Iterator()
 	it.SeekPrefix(prefix)
 	for key, value, ok := it.Next(); ok; key, value, ok = it.Next() {
@@ -150,7 +150,7 @@
 	h.Write([]byte{hashBucket})
 	words := bytes.NewBuffer(make([]byte, 0, 1024))
 	prefix := bucketKey(bucket)
-	each(root, prefix, func(key []byte, value any) {
+	forEach(root, prefix, func(key []byte, value any) {
 		words.Reset()
 		words.Write([]byte{key[len(prefix)], 0, 0, 0, 0})
 		encodeTo(words, value)
@@ -160,8 +160,8 @@
 	return Digest(h.Sum(nil))
 }
 
-// close makes the page's digest: SHA-256 over those of its buckets, in order.
-func (p *page) close() {
+// computeDigest makes the page's digest: SHA-256 over those of its buckets, in order.
+func (p *page) computeDigest() {
 	h := sha256.New()
 	h.Write([]byte{hashPage})
 	for i := range p.buckets {
@@ -180,13 +180,13 @@
 	return Digest(h.Sum(nil))
 }
 
-// digestAgain makes the digests of the touched buckets anew, from s.tree.
-func (s *state) digestAgain(touched map[int]bool) {
+// rehash makes the digests of the touched buckets anew, from s.tree.
+func (s *state) rehash(touched map[int]bool) {
 	var own [pageCount]bool
 	n := 0
 	for bucket := range touched {
-		n += giveWayEvery / 4 // a bucket has some twenty entries
-		giveWay(n - 1)
+		n += entriesPerYield / 4 // a bucket has some twenty entries
+		maybeYield(n - 1)
 		at := bucket / pageSize
 		if !own[at] {
 			p := *s.pages[at]
@@ -196,10 +196,10 @@
 	}
 	for at := range own {
 		if own[at] {
-			s.pages[at].close()
+			s.pages[at].computeDigest()
 		}
 	}
-	s.content = s.rootDigest()
+	s.contentDigest = s.rootDigest()
 }
 
 func sum(b []byte) Digest { return sha256.Sum256(b) }
--- a/internal/control/document/version.go
+++ b/internal/control/document/version.go
@@ -17,7 +17,7 @@
 // digest of no content and nothing else, the same everywhere.
 func Empty() *Document {
 	s := emptyState()
-	h := Header{Content: s.content}
+	h := Header{Content: s.contentDigest}
 	return &Document{header: h, digest: h.Digest(), state: s}
 }
 
@@ -49,9 +49,9 @@
 	if err := errors.Join(h.check(), err); err != nil {
 		return nil, err
 	}
-	h.Content = next.content
+	h.Content = next.contentDigest
 	delta := &Delta{Header: h, Changes: effective}
-	if _, err := delta.words(); err != nil {
+	if _, err := delta.encodeRecord(); err != nil {
 		return nil, err
 	}
 	return delta, nil
@@ -68,22 +68,22 @@
 	}
 	h := delta.Header
 	digest := h.Digest()
-	if err := d.followedBy(&h, digest); err != nil {
+	if err := d.checkSuccessor(&h, digest); err != nil {
 		return nil, err
 	}
 	next, _, err := d.state.edit(delta.Changes)
 	if err := errors.Join(h.check(), err); err != nil {
 		return nil, err
 	}
-	if next.content != h.Content {
-		return nil, fmt.Errorf("%w: version %d has %v, its header %v", ErrDigestMismatch, h.Number, next.content, h.Content)
+	if next.contentDigest != h.Content {
+		return nil, fmt.Errorf("%w: version %d has %v, its header %v", ErrDigestMismatch, h.Number, next.contentDigest, h.Content)
 	}
 	return &Document{header: h, digest: digest, state: next}, nil
 }
 
-// followedBy says whether a version with that header may come after d. Of the
+// checkSuccessor says whether a version with that header may come after d. Of the
 // versions before, the one in force and its parent are known.
-func (d *Document) followedBy(h *Header, digest Digest) error {
+func (d *Document) checkSuccessor(h *Header, digest Digest) error {
 	var known Digest
 	switch {
 	case h.Number == d.header.Number:
@@ -105,11 +105,11 @@
 // check names the faults of a header's own figures and texts.
 func (h *Header) check() error {
 	var f faults
-	a := about{f: &f}
+	a := validator{f: &f}
 	if h.Number == 0 || h.Number > math.MaxInt64 {
 		a.add("number", "is %d, want 1 to %d", h.Number, int64(math.MaxInt64))
 	}
-	a.text("author", h.Author, MaxTextBytes)
-	a.text("reason", h.Reason, MaxTextBytes)
+	a.requiredText("author", h.Author, MaxTextBytes)
+	a.requiredText("reason", h.Reason, MaxTextBytes)
 	return f.join()
 }
--- a/internal/control/document/wire.go
+++ b/internal/control/document/wire.go
@@ -12,12 +12,12 @@
 // The forms of encoded deltas and snapshots. The first byte tells them apart; the
 // version's digest follows, then the record in CBOR, compressed or not.
 const (
-	formDelta          = 0x11
-	formDeltaPacked    = 0x12
-	formSnapshot       = 0x21
-	formSnapshotPacked = 0x22
-	formBytes          = 1 + len(Digest{})
-	packFrom           = 1 << 10 // bytes of a record up to which it is not compressed
+	formDelta              = 0x11
+	formDeltaCompressed    = 0x12
+	formSnapshot           = 0x21
+	formSnapshotCompressed = 0x22
+	formPrefixBytes        = 1 + len(Digest{})
+	maxUncompressedBytes   = 1 << 10 // bytes of a record up to which it is not compressed
 )
 
 // snapshot is the record of a whole version.
@@ -45,7 +45,7 @@
 	}
 )
 
-func decoder(elements int) cbor.DecMode {
+func newDecoder(elements int) cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxMapPairs: 16, MaxArrayElements: elements,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
@@ -57,20 +57,20 @@
 
 // Records are read by the first, entries by the second.
 var (
-	recordDecoder = sync.OnceValue(func() cbor.DecMode { return decoder(mostChanges) })
-	entryDecoder  = sync.OnceValue(func() cbor.DecMode { return decoder(MaxContracts) })
+	recordDecoder = sync.OnceValue(func() cbor.DecMode { return newDecoder(maxChanges) })
+	entryDecoder  = sync.OnceValue(func() cbor.DecMode { return newDecoder(MaxContracts) })
 )
 
 // Both are safe for use by several goroutines at a time: these take turns.
 var (
-	packer = sync.OnceValue(func() *zstd.Encoder {
+	compressor = sync.OnceValue(func() *zstd.Encoder {
 		e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20), zstd.WithLowerEncoderMem(true))
 		if err != nil {
 			panic(err) // the options are constants
 		}
 		return e
 	})
-	unpacker = sync.OnceValue(func() *zstd.Decoder {
+	decompressor = sync.OnceValue(func() *zstd.Decoder {
 		d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(MaxRecordBytes), zstd.WithDecoderLowmem(true))
 		if err != nil {
 			panic(err) // the options are constants
@@ -79,21 +79,21 @@
 	})
 )
 
-// pack puts form and digest before a record.
-func pack(plain, packed byte, digest Digest, record []byte) []byte {
-	if len(record) > packFrom {
-		b := append(append(make([]byte, 0, formBytes+len(record)/2), packed), digest[:]...)
-		return packer().EncodeAll(record, b)
+// encodeForm puts form and digest before a record.
+func encodeForm(plain, packed byte, digest Digest, record []byte) []byte {
+	if len(record) > maxUncompressedBytes {
+		b := append(append(make([]byte, 0, formPrefixBytes+len(record)/2), packed), digest[:]...)
+		return compressor().EncodeAll(record, b)
 	}
-	return append(append(append(make([]byte, 0, formBytes+len(record)), plain), digest[:]...), record...)
+	return append(append(append(make([]byte, 0, formPrefixBytes+len(record)), plain), digest[:]...), record...)
 }
 
-// unpack returns the digest and the record.
-func unpack(plain, packed byte, b []byte) (digest Digest, record []byte, err error) {
-	if len(b) < formBytes || len(b) > formBytes+MaxRecordBytes {
-		return digest, nil, fmt.Errorf("document: %d bytes, want %d to %d", len(b), formBytes, formBytes+MaxRecordBytes)
+// decodeForm returns the digest and the record.
+func decodeForm(plain, packed byte, b []byte) (digest Digest, record []byte, err error) {
+	if len(b) < formPrefixBytes || len(b) > formPrefixBytes+MaxRecordBytes {
+		return digest, nil, fmt.Errorf("document: %d bytes, want %d to %d", len(b), formPrefixBytes, formPrefixBytes+MaxRecordBytes)
 	}
-	digest, record = Digest(b[1:formBytes]), b[formBytes:]
+	digest, record = Digest(b[1:formPrefixBytes]), b[formPrefixBytes:]
 	switch b[0] {
 	case plain:
 		return digest, record, nil
@@ -101,7 +101,7 @@
 	default:
 		return digest, nil, fmt.Errorf("document: form %#02x, want %#02x or %#02x", b[0], plain, packed)
 	}
-	if record, err = unpacker().DecodeAll(record, nil); err != nil {
+	if record, err = decompressor().DecodeAll(record, nil); err != nil {
 		return digest, nil, fmt.Errorf("document: %w", err)
 	}
 	if len(record) > MaxRecordBytes {
@@ -110,10 +110,10 @@
 	return digest, record, nil
 }
 
-// words is the delta as a record.
-func (d *Delta) words() ([]byte, error) { return bounded(encode(d)) }
+// encodeRecord is the delta as a record.
+func (d *Delta) encodeRecord() ([]byte, error) { return checkSize(encode(d)) }
 
-func bounded(record []byte) ([]byte, error) {
+func checkSize(record []byte) ([]byte, error) {
 	if len(record) > MaxRecordBytes {
 		return nil, fmt.Errorf("document: %d bytes, want at most %d", len(record), MaxRecordBytes)
 	}
@@ -126,18 +126,18 @@
 	if d == nil {
 		return nil, errors.New("document: there is no delta")
 	}
-	record, err := d.words()
+	record, err := d.encodeRecord()
 	if err != nil {
 		return nil, err
 	}
-	return pack(formDelta, formDeltaPacked, d.Header.Digest(), record), nil
+	return encodeForm(formDelta, formDeltaCompressed, d.Header.Digest(), record), nil
 }
 
 // DecodeDelta reads what Encode worded. It is bounded by MostBytes unpacked. The
 // error is ErrDigest where the header is not the one that was worded; the changes
 // are checked by Apply.
 func DecodeDelta(b []byte) (*Delta, error) {
-	digest, record, err := unpack(formDelta, formDeltaPacked, b)
+	digest, record, err := decodeForm(formDelta, formDeltaCompressed, b)
 	if err != nil {
 		return nil, err
 	}
@@ -149,30 +149,30 @@
 		return nil, fmt.Errorf("%w: the delta's header has %v, it names %v", ErrDigestMismatch, got, digest)
 	}
 	d := &Delta{Header: raw.Header, Changes: make([]Change, len(raw.Changes))}
-	var room room
+	var room listBudget
 	for i, words := range raw.Changes {
 		c := &d.Changes[i]
 		if err := entryDecoder().Unmarshal(words, c); err != nil {
 			return nil, fmt.Errorf("document: delta: change[%d]: %w", i, err)
 		}
-		if err := room.take(c.Service, c.Pool); err != nil {
+		if err := room.spend(c.Service, c.Pool); err != nil {
 			return nil, fmt.Errorf("document: delta: change[%d]: %w", i, err)
 		}
 	}
 	return d, nil
 }
 
-// room bounds what the lists in entries hold together: a few bytes can word many of them.
-type room struct{ routes, pooled int }
+// listBudget bounds what the lists in entries hold together: a few bytes can word many of them.
+type listBudget struct{ contracts, pooledClasses int }
 
-func (r *room) take(s *Service, p *Pool) error {
+func (r *listBudget) spend(s *Service, p *Pool) error {
 	if s != nil {
-		r.routes += len(s.Contracts)
+		r.contracts += len(s.Contracts)
 	}
 	if p != nil {
-		r.pooled += len(p.Classes)
+		r.pooledClasses += len(p.Classes)
 	}
-	if r.routes > MaxContracts || r.pooled > MaxContracts {
+	if r.contracts > MaxContracts || r.pooledClasses > MaxContracts {
 		return fmt.Errorf("over %d contracts, or classes in pools", MaxContracts)
 	}
 	return nil
@@ -180,17 +180,17 @@
 
 // Snapshot words the whole version, compressed over 1 KB: it costs by all.
 func (d *Document) Snapshot() ([]byte, error) {
-	record, err := bounded(encode(&snapshot{Header: d.header, Content: d.state.contents()}))
+	record, err := checkSize(encode(&snapshot{Header: d.header, Content: d.state.sharedContent()}))
 	if err != nil {
 		return nil, err
 	}
-	return pack(formSnapshot, formSnapshotPacked, d.digest, record), nil
+	return encodeForm(formSnapshot, formSnapshotCompressed, d.digest, record), nil
 }
 
 // DecodeSnapshot reads what Snapshot worded, and checks it whole: all entries as Apply does,
 // and both digests (ErrDigest). It is bounded by MostBytes unpacked.
 func DecodeSnapshot(b []byte) (*Document, error) {
-	digest, record, err := unpack(formSnapshot, formSnapshotPacked, b)
+	digest, record, err := decodeForm(formSnapshot, formSnapshotCompressed, b)
 	if err != nil {
 		return nil, err
 	}
@@ -212,8 +212,8 @@
 			return nil, fmt.Errorf("document: snapshot: %w", err)
 		}
 	}
-	if s.content != h.Content {
-		return nil, fmt.Errorf("%w: the snapshot has %v, its header %v", ErrDigestMismatch, s.content, h.Content)
+	if s.contentDigest != h.Content {
+		return nil, fmt.Errorf("%w: the snapshot has %v, its header %v", ErrDigestMismatch, s.contentDigest, h.Content)
 	}
 	if h.Number == 0 {
 		if empty := Empty(); digest == empty.digest {
@@ -229,7 +229,7 @@
 // changes reads the entries.
 func (r *rawContent) changes() ([]Change, error) {
 	changes := make([]Change, 0, len(r.Teams)+len(r.Services)+len(r.Pools)+1)
-	var room room
+	var room listBudget
 	for i, words := range r.Teams {
 		t := new(Team)
 		if err := entryDecoder().Unmarshal(words, t); err != nil {
@@ -242,7 +242,7 @@
 		if err := entryDecoder().Unmarshal(words, s); err != nil {
 			return nil, fmt.Errorf("service[%d]: %w", i, err)
 		}
-		if err := room.take(s, nil); err != nil {
+		if err := room.spend(s, nil); err != nil {
 			return nil, fmt.Errorf("service[%d]: %w", i, err)
 		}
 		changes = append(changes, Change{Service: s})
@@ -252,7 +252,7 @@
 		if err := entryDecoder().Unmarshal(words, p); err != nil {
 			return nil, fmt.Errorf("pool[%d]: %w", i, err)
 		}
-		if err := room.take(nil, p); err != nil {
+		if err := room.spend(nil, p); err != nil {
 			return nil, fmt.Errorf("pool[%d]: %w", i, err)
 		}
 		changes = append(changes, Change{Pool: p})
--- a/internal/control/document/wire_test.go
+++ b/internal/control/document/wire_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// larger is a version whose snapshot, and a delta on it that, are compressed.
-func larger(t testing.TB) (*Document, *Delta) {
+// compressedVersion is a version whose snapshot, and a delta on it that, are compressed.
+func compressedVersion(t testing.TB) (*Document, *Delta) {
 	d := version(t, fleet(60, 12))
 	var changes []Change
 	for i := range 50 {
@@ -71,13 +71,13 @@
 
 // TestFlippedDelta: whatever byte of a delta changes on its way, the outcome is an
 // error or the version that was meant, in all its parts.
-func TestFlippedDelta(t *testing.T) {
-	big, bigDelta := larger(t)
+func TestCorruptDelta(t *testing.T) {
+	big, bigDelta := compressedVersion(t)
 	for _, c := range []struct {
 		d     *Document
 		delta *Delta
 		form  byte
-	}{{small(t), goldenDelta(t), formDelta}, {big, bigDelta, formDeltaPacked}} {
+	}{{small(t), goldenDelta(t), formDelta}, {big, bigDelta, formDeltaCompressed}} {
 		want, err := c.d.Apply(c.delta)
 		if err != nil {
 			t.Fatal(err)
@@ -98,22 +98,22 @@
 				t.Errorf("%s: another version was made", what)
 			}
 		}
-		everyFlip(words, try)
+		forEachCorruption(words, try)
 	}
 }
 
-// TestFlippedSnapshot does the same for snapshots.
-func TestFlippedSnapshot(t *testing.T) {
-	big, _ := larger(t)
+// TestCorruptSnapshot does the same for snapshots.
+func TestCorruptSnapshot(t *testing.T) {
+	big, _ := compressedVersion(t)
 	for _, c := range []struct {
 		d    *Document
 		form byte
-	}{{small(t), formSnapshot}, {big, formSnapshotPacked}} {
+	}{{small(t), formSnapshot}, {big, formSnapshotCompressed}} {
 		words, err := c.d.Snapshot()
 		if err != nil || words[0] != c.form {
 			t.Fatalf("form %#x, want %#x (%v)", words[0], c.form, err)
 		}
-		everyFlip(words, func(what string, words []byte) {
+		forEachCorruption(words, func(what string, words []byte) {
 			if got, err := DecodeSnapshot(words); err == nil && !sameVersion(got, c.d) || (err != nil) == (got != nil) {
 				t.Errorf("%s: another version was opened (%v)", what, err)
 			}
@@ -121,9 +121,9 @@
 	}
 }
 
-// everyFlip tries the words with each bit of each byte turned, each byte made 0
+// forEachCorruption tries the words with each bit of each byte turned, each byte made 0
 // and 255, cut after each byte, and with one more.
-func everyFlip(words []byte, try func(what string, words []byte)) {
+func forEachCorruption(words []byte, try func(what string, words []byte)) {
 	for i, was := range words {
 		for _, now := range []byte{was ^ 1, was ^ 2, was ^ 4, was ^ 8, was ^ 16, was ^ 32, was ^ 64, was ^ 128, 0, 255} {
 			if now != was {
@@ -138,11 +138,11 @@
 }
 
 // TestLie: a record whose own digests agree is checked entry by entry all the same.
-func TestLie(t *testing.T) {
+func TestForgedSnapshot(t *testing.T) {
 	d := small(t)
 	h := d.Header()
 	snapshotOf := func(h Header, c Content) []byte {
-		return pack(formSnapshot, formSnapshotPacked, h.Digest(), encode(&snapshot{h, c}))
+		return encodeForm(formSnapshot, formSnapshotCompressed, h.Digest(), encode(&snapshot{h, c}))
 	}
 	if _, err := DecodeSnapshot(snapshotOf(h, d.Content())); err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 }
 
 // TestForms: a delta is no snapshot, and a snapshot no delta.
-func TestForms(t *testing.T) {
+func TestWrongForm(t *testing.T) {
 	snapshot, err := small(t).Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -228,32 +228,32 @@
 
 // TestBombs: a few bytes that unpack into many, or that word many small things,
 // are refused before they take memory.
-func TestBombs(t *testing.T) {
+func TestDecodeMemoryBounded(t *testing.T) {
 	h := small(t).Header()
 	list := func(n int, element byte) []byte { // of n elements of a byte each
 		return append([]byte{0x9a, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, bytes.Repeat([]byte{element}, n)...)
 	}
 	deltaOf := func(changes []byte) []byte {
 		record := append(append([]byte{0xa2, 0x01}, encode(&h)...), 0x02)
-		return pack(formDelta, formDeltaPacked, h.Digest(), append(record, changes...))
+		return encodeForm(formDelta, formDeltaCompressed, h.Digest(), append(record, changes...))
 	}
 	repeat := func(n int, element []byte) []byte {
 		return append([]byte{0x9a, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, bytes.Repeat(element, n)...)
 	}
-	contracts := append([]byte{0xa1, 0x03, 0xa1, 0x04}, list(MaxContracts, 0xa0)...)              // a service with 8,192 of nothing
-	classes := append([]byte{0xa1, 0x04, 0xa1, 0x02}, list(MaxContracts, 0x60)...)                // a pool with 8,192 empty ones
-	deep := append(bytes.Repeat([]byte{0x81}, 1<<20), 0x80)                                       // lists in lists
-	zeros := packer().EncodeAll(make([]byte, MaxRecordBytes+1), make([]byte, formBytes))          // too many
-	two := packer().EncodeAll(make([]byte, MaxRecordBytes), packer().EncodeAll([]byte("x"), nil)) // frames, together too many
+	contracts := append([]byte{0xa1, 0x03, 0xa1, 0x04}, list(MaxContracts, 0xa0)...)                      // a service with 8,192 of nothing
+	classes := append([]byte{0xa1, 0x04, 0xa1, 0x02}, list(MaxContracts, 0x60)...)                        // a pool with 8,192 empty ones
+	deep := append(bytes.Repeat([]byte{0x81}, 1<<20), 0x80)                                               // lists in lists
+	zeros := compressor().EncodeAll(make([]byte, MaxRecordBytes+1), make([]byte, formPrefixBytes))        // too many
+	two := compressor().EncodeAll(make([]byte, MaxRecordBytes), compressor().EncodeAll([]byte("x"), nil)) // frames, together too many
 	for name, words := range map[string][]byte{
 		"over the bound":         zeros,
-		"frames over the bound":  append(make([]byte, formBytes), two...),
+		"frames over the bound":  append(make([]byte, formPrefixBytes), two...),
 		"many contracts":         deltaOf(repeat(200, contracts)),
 		"many classes":           deltaOf(repeat(1200, classes)),
-		"many changes":           deltaOf(list(mostChanges+1, 0xa0)),
+		"many changes":           deltaOf(list(maxChanges+1, 0xa0)),
 		"changes cut short":      deltaOf([]byte{0x9a, 0x00, 0x02, 0x00, 0x00, 0xa0}),
 		"deep":                   deltaOf(deep),
-		"longer than any delta":  make([]byte, formBytes+MaxRecordBytes+1),
+		"longer than any delta":  make([]byte, formPrefixBytes+MaxRecordBytes+1),
 		"an endless list":        deltaOf([]byte{0x9f, 0xa0, 0xff}),
 		"a tag":                  deltaOf([]byte{0xc1, 0x80}),
 		"a field twice":          deltaOf(repeat(1, []byte{0xa2, 0x01, 0xf4, 0x01, 0xf4})),
@@ -262,11 +262,11 @@
 		"a number that is large": deltaOf(repeat(1, []byte{0xa1, 0x04, 0xa1, 0x08, 0x1b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})),
 	} {
 		if words[0] == 0 {
-			words[0] = formDeltaPacked
+			words[0] = formDeltaCompressed
 		}
-		_, before := heap()
+		_, before := heapBytes()
 		delta, err := DecodeDelta(words)
-		_, after := heap()
+		_, after := heapBytes()
 		if err == nil || delta != nil {
 			t.Errorf("%s: taken", name)
 		}
@@ -276,8 +276,8 @@
 	}
 }
 
-// largest is the longest content that passes all checks.
-func largest() Content {
+// maxContent is the longest content that passes all checks.
+func maxContent() Content {
 	name := func(what string, i int) string { return fmt.Sprintf("%s%0*d", what, MaxNameBytes-len(what), i) }
 	var c Content
 	for i := range MaxTeams {
@@ -286,7 +286,7 @@
 	for i := range MaxServices {
 		c.Services = append(c.Services, Service{Name: name("s", i), Owner: c.Teams[i].Name, Backend: name("", i)[:MaxNameBytes-3] + ":99",
 			Contracts: []Contract{{Class: name("c", i), Path: name("/", i), Effect: "repeatable", TargetTimeMS: ref(0.1), DeadlineMS: ref(0.2),
-				WindowMS: ref(0.3), Worth: ref(0.1), LateWorth: ref(0.1), MaxBody: mostBody, MaxResult: mostBody, RequestMemoryKB: 1025.1,
+				WindowMS: ref(0.3), Worth: ref(0.1), LateWorth: ref(0.1), MaxBody: maxBodyBytes, MaxResult: maxBodyBytes, RequestMemoryKB: 1025.1,
 				CallsDownstream: ref(true), SkipWorth: ref(0.1)}}})
 	}
 	for i := range MaxPools {
@@ -304,13 +304,13 @@
 // of anything is a fault that names the bound; and a delta that would not go into a
 // message is refused when it is drafted.
 func TestBounds(t *testing.T) {
-	c := largest()
+	c := maxContent()
 	s, _, err := emptyState().edit(c.changes())
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := strings.Repeat("x", MaxTextBytes)
-	h := Header{Number: 1 << 40, Parent: Empty().Digest(), Content: s.content, Author: text, Reason: text, Time: 1 << 50}
+	h := Header{Number: 1 << 40, Parent: Empty().Digest(), Content: s.contentDigest, Author: text, Reason: text, Time: 1 << 50}
 	d := &Document{header: h, digest: h.Digest(), state: s}
 	words, err := d.Snapshot()
 	if err != nil {
@@ -319,7 +319,7 @@
 	if got, err := DecodeSnapshot(words); err != nil || got.Digest() != d.Digest() {
 		t.Error(err)
 	}
-	_, err = d.Draft([]Change{team("more", 1), service("more", Contract{Class: "more"}), {Pool: &Pool{Name: "more", Classes: []string{"more"}}}}, by)
+	_, err = d.Draft([]Change{team("more", 1), service("more", Contract{Class: "more"}), {Pool: &Pool{Name: "more", Classes: []string{"more"}}}}, testMeta)
 	want := "there are 65537 teams, want at most 65536\nthere are 8193 services, want at most 8192\n" +
 		"there are 8193 contracts, want at most 8192\nthere are 65 pools, want at most 64\n" +
 		"there are 8193 classes in pools, want at most 8192"
@@ -336,10 +336,10 @@
 		c.Services[i].Owner = c.Teams[i].Name
 		all = append(all, Change{Service: &c.Services[i]})
 	}
-	if _, err := d.Draft(all, by); err == nil || !strings.Contains(err.Error(), "want at most 16777216") {
+	if _, err := d.Draft(all, testMeta); err == nil || !strings.Contains(err.Error(), "want at most 16777216") {
 		t.Errorf("a delta that no message can hold: %v", err)
 	}
-	if _, err := Empty().Draft(make([]Change, mostChanges+1), by); err == nil || err.Error() != "the delta has 147587 changes, want at most 147586" {
+	if _, err := Empty().Draft(make([]Change, maxChanges+1), testMeta); err == nil || err.Error() != "the delta has 147587 changes, want at most 147586" {
 		t.Errorf("a delta of too many changes: %v", err)
 	}
 }
@@ -358,22 +358,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
 		if len(words) > 0 && rapid.Bool().Draw(t, "of a form") {
-			words[0] = rapid.SampledFrom([]byte{formDelta, formDeltaPacked, formSnapshot, formSnapshotPacked}).Draw(t, "form")
+			words[0] = rapid.SampledFrom([]byte{formDelta, formDeltaCompressed, formSnapshot, formSnapshotCompressed}).Draw(t, "form")
 		}
 		// Or a valid one with a piece replaced, whose header is left as it is, so
 		// that the entries are reached.
 		if rapid.Bool().Draw(t, "spliced") {
 			whole := rapid.SampledFrom([][]byte{delta, snapshot}).Draw(t, "whole")
-			from := rapid.IntRange(formBytes, len(whole)).Draw(t, "from")
+			from := rapid.IntRange(formPrefixBytes, len(whole)).Draw(t, "from")
 			to := rapid.IntRange(from, len(whole)).Draw(t, "to")
 			words = append(append(bytes.Clone(whole[:from]), words...), whole[to:]...)
 		}
-		tryAll(t, d, words)
+		checkDecoders(t, d, words)
 	})
 }
 
-// tryAll reads the words as all that they may be.
-func tryAll(t interface{ Fatalf(string, ...any) }, d *Document, words []byte) {
+// checkDecoders reads the words as all that they may be.
+func checkDecoders(t interface{ Fatalf(string, ...any) }, d *Document, words []byte) {
 	if delta, err := DecodeDelta(words); err == nil {
 		if next, err := d.Apply(delta); err == nil && (next.Header() != delta.Header || next.Digest() != delta.Header.Digest()) {
 			t.Fatalf("%x makes another version than it names", words)
@@ -397,7 +397,7 @@
 		}
 		f.Add(words)
 	}
-	big, _ := larger(f)
+	big, _ := compressedVersion(f)
 	for _, d := range []*Document{Empty(), d, big} {
 		words, err := d.Snapshot()
 		if err != nil {
@@ -405,14 +405,14 @@
 		}
 		f.Add(words)
 	}
-	f.Fuzz(func(t *testing.T, words []byte) { tryAll(t, d, words) })
+	f.Fuzz(func(t *testing.T, words []byte) { checkDecoders(t, d, words) })
 }
 
 // TestHandMade: a delta made by hand, with whatever in it, is worded or refused.
-func TestHandMade(t *testing.T) {
+func TestUncheckedDelta(t *testing.T) {
 	for _, delta := range []*Delta{{}, {Changes: []Change{{}}}, {Changes: []Change{{Team: &Team{Name: "\xff"}, Pool: &Pool{}, Service: &Service{}}}}} {
 		if words, err := delta.Encode(); err == nil {
-			tryAll(t, Empty(), words)
+			checkDecoders(t, Empty(), words)
 		}
 		if _, err := Empty().Apply(delta); err == nil {
 			t.Errorf("%+v is taken", delta)
--- a/internal/control/follow/fake_test.go
+++ b/internal/control/follow/fake_test.go
@@ -19,11 +19,11 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// patience bounds every wait: what does not come fails the test and does not hang it.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait: what does not come fails the test and does not hang it.
+const waitTimeout = 20 * time.Second
 
-// fake is a publisher that says what the test says.
-type fake struct {
+// fakePublisher is a publisher that says what the test says.
+type fakePublisher struct {
 	t       *testing.T
 	address string
 	streams chan *fakeStream
@@ -32,28 +32,28 @@
 
 // fakeStream is one follower's stream at a fake.
 type fakeStream struct {
-	t     *testing.T
-	hello protocol.Hello
-	acks  chan protocol.Ack
-	gone  chan struct{} // closed when the follower has ended it
-	w     http.ResponseWriter
-	over  chan struct{}
-	once  sync.Once
-	mu    sync.Mutex // held while the stream is written to
-	ended bool       // ... which nobody may any more
+	t        *testing.T
+	hello    protocol.Hello
+	acks     chan protocol.Ack
+	closed   chan struct{} // closed when the follower has ended it
+	w        http.ResponseWriter
+	finished chan struct{}
+	once     sync.Once
+	mu       sync.Mutex // held while the stream is written to
+	ended    bool       // ... which nobody may any more
 }
 
-func newFake(t *testing.T) *fake {
+func newFakePublisher(t *testing.T) *fakePublisher {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return serveFake(t, l)
+	return serveFakePublisher(t, l)
 }
 
-func serveFake(t *testing.T, l net.Listener) *fake {
-	f := &fake{t: t, address: l.Addr().String(), streams: make(chan *fakeStream, 64)}
+func serveFakePublisher(t *testing.T, l net.Listener) *fakePublisher {
+	f := &fakePublisher{t: t, address: l.Addr().String(), streams: make(chan *fakeStream, 64)}
 	f.server = &http.Server{Protocols: new(http.Protocols), Handler: http.HandlerFunc(f.serve)}
 	f.server.Protocols.SetUnencryptedHTTP2(true)
 	go f.server.Serve(l) //nolint:errcheck // it ends with Close
@@ -61,14 +61,14 @@
 	return f
 }
 
-func (f *fake) close() { f.server.Close() }
+func (f *fakePublisher) close() { f.server.Close() }
 
-func (f *fake) serve(w http.ResponseWriter, r *http.Request) {
+func (f *fakePublisher) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != protocol.PathFollow || r.Method != http.MethodPost {
 		http.NotFound(w, r)
 		return
 	}
-	s := &fakeStream{t: f.t, acks: make(chan protocol.Ack, 4096), gone: make(chan struct{}), w: w, over: make(chan struct{})}
+	s := &fakeStream{t: f.t, acks: make(chan protocol.Ack, 4096), closed: make(chan struct{}), w: w, finished: make(chan struct{})}
 	w.WriteHeader(http.StatusOK)
 	w.(http.Flusher).Flush()
 	from := protocol.NewReader(r.Body)
@@ -78,7 +78,7 @@
 	}
 	s.hello = *first.Hello
 	go func() {
-		defer close(s.gone)
+		defer close(s.closed)
 		for {
 			var m protocol.FollowerMessage
 			if err := from.Read(&m); err != nil || m.Ack == nil {
@@ -89,28 +89,28 @@
 	}()
 	f.streams <- s
 	select {
-	case <-s.over:
-	case <-s.gone:
+	case <-s.finished:
+	case <-s.closed:
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
 }
 
-// stream waits for the next follower's stream.
-func (f *fake) stream() *fakeStream {
+// nextStream waits for the next follower's stream.
+func (f *fakePublisher) nextStream() *fakeStream {
 	f.t.Helper()
 	select {
 	case s := <-f.streams:
 		return s
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		f.t.Fatal("nobody follows")
 		return nil
 	}
 }
 
-// none fails the test if somebody has turned to this publisher.
-func (f *fake) none() {
+// expectNoStream fails the test if somebody has turned to this publisher.
+func (f *fakePublisher) expectNoStream() {
 	f.t.Helper()
 	select {
 	case s := <-f.streams:
@@ -131,7 +131,7 @@
 	}
 }
 
-func (s *fakeStream) beat(doc *document.Document, unheard time.Duration) {
+func (s *fakeStream) heartbeat(doc *document.Document, unheard time.Duration) {
 	s.t.Helper()
 	b := protocol.Heartbeat{OriginatorSilenceMS: unheard.Milliseconds()}
 	if doc != nil {
@@ -154,17 +154,17 @@
 	s.send(protocol.PublisherMessage{Snapshot: b})
 }
 
-// beats says that the publisher is there, about as often as it is due, until the test ends.
-func (s *fakeStream) beats(doc *document.Document, unheard time.Duration) (stop func()) {
+// heartbeats says that the publisher is there, about as often as it is due, until the test ends.
+func (s *fakeStream) heartbeats(doc *document.Document, unheard time.Duration) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		for {
-			s.beat(doc, unheard)
+			s.heartbeat(doc, unheard)
 			select {
 			case <-done:
 				return
-			case <-s.gone:
+			case <-s.closed:
 				return
 			case <-time.After(protocol.HeartbeatInterval / 4):
 			}
@@ -177,7 +177,7 @@
 }
 
 // end ends the stream at the publisher's side.
-func (s *fakeStream) end() { s.once.Do(func() { close(s.over) }) }
+func (s *fakeStream) end() { s.once.Do(func() { close(s.finished) }) }
 
 // ack waits for the next word.
 func (s *fakeStream) ack() protocol.Ack {
@@ -185,18 +185,18 @@
 	select {
 	case a := <-s.acks:
 		return a
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		s.t.Fatal("no ack")
 		return protocol.Ack{}
 	}
 }
 
-// left waits until the follower has left the stream.
-func (s *fakeStream) left() {
+// waitClosed waits until the follower has left the stream.
+func (s *fakeStream) waitClosed() {
 	s.t.Helper()
 	select {
-	case <-s.gone:
-	case <-time.After(patience):
+	case <-s.closed:
+	case <-time.After(waitTimeout):
 		s.t.Fatal("the stream is not left")
 	}
 }
@@ -225,8 +225,8 @@
 	return next, d
 }
 
-// chain makes versions 1 to n: docs[i] is version i, deltas[i] the step to it.
-func chain(t *testing.T, n int) (docs []*document.Document, deltas []*document.Delta) {
+// makeVersions makes versions 1 to n: docs[i] is version i, deltas[i] the step to it.
+func makeVersions(t *testing.T, n int) (docs []*document.Document, deltas []*document.Delta) {
 	t.Helper()
 	docs, deltas = []*document.Document{document.Empty()}, []*document.Delta{nil}
 	for i := 1; i <= n; i++ {
@@ -236,8 +236,8 @@
 	return docs, deltas
 }
 
-// taken is what a server was told to take over.
-type taken struct {
+// appliedVersion is what a server was told to take over.
+type appliedVersion struct {
 	doc   *document.Document
 	delta *document.Delta
 }
@@ -248,11 +248,11 @@
 	t       *testing.T
 	mu      sync.Mutex
 	inForce *document.Document // nil = the file
-	all     []taken
+	all     []appliedVersion
 	refuse  map[uint64]error
 }
 
-var errNoGood = errors.New("class x: no good here")
+var errUnusable = errors.New("class x: no good here")
 
 func (s *server) apply(_ context.Context, doc *document.Document, delta *document.Delta) error {
 	s.mu.Lock()
@@ -263,7 +263,7 @@
 	if s.inForce != nil && doc.Header().Number <= s.inForce.Header().Number {
 		s.t.Errorf("version %d after %d", doc.Header().Number, s.inForce.Header().Number)
 	}
-	s.all = append(s.all, taken{doc, delta})
+	s.all = append(s.all, appliedVersion{doc, delta})
 	if err := s.refuse[doc.Header().Number]; err != nil {
 		return err
 	}
@@ -271,8 +271,8 @@
 	return nil
 }
 
-// following is a follower under test, with its server.
-type following struct {
+// testFollower is a follower under test, with its server.
+type testFollower struct {
 	*Follower
 	server *server
 	logs   *observer.ObservedLogs
@@ -281,17 +281,17 @@
 }
 
 // settings of a follower of these publishers, all of its region.
-func settings(publishers ...*fake) Settings {
-	set := Settings{Name: "server-1", Region: "north", Seed: 7, InitialWait: patience}
+func settings(publishers ...*fakePublisher) Settings {
+	set := Settings{Name: "server-1", Region: "north", Seed: 7, InitialWait: waitTimeout}
 	for _, p := range publishers {
 		set.Publishers = append(set.Publishers, Endpoint{p.address, "north"})
 	}
 	return set
 }
 
-// prefer puts the publishers in the order that the follower has.
-func prefer(set *Settings, publishers ...*fake) (ranked []*fake) {
-	for _, p := range newSeeker(set).order {
+// rankPublishers puts the publishers in the order that the follower has.
+func rankPublishers(set *Settings, publishers ...*fakePublisher) (ranked []*fakePublisher) {
+	for _, p := range newSelector(set).order {
 		for _, f := range publishers {
 			if f.address == set.Publishers[p].Address {
 				ranked = append(ranked, f)
@@ -301,8 +301,8 @@
 	return ranked
 }
 
-// newFollowing makes a follower that does not follow yet.
-func newFollowing(t *testing.T, set Settings) *following {
+// newTestFollower makes a follower that does not follow yet.
+func newTestFollower(t *testing.T, set Settings) *testFollower {
 	t.Helper()
 	core, logs := observer.New(zapcore.DebugLevel)
 	set.Log = zap.New(core)
@@ -310,7 +310,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fo := &following{Follower: f, server: &server{t: t, refuse: map[uint64]error{}}, logs: logs}
+	fo := &testFollower{Follower: f, server: &server{t: t, refuse: map[uint64]error{}}, logs: logs}
 	t.Cleanup(func() {
 		fo.stop()
 		if t.Failed() {
@@ -323,7 +323,7 @@
 }
 
 // run follows beside the test.
-func (f *following) run() *following {
+func (f *testFollower) run() *testFollower {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel, f.ended = cancel, make(chan struct{})
 	go func() {
@@ -333,21 +333,21 @@
 	return f
 }
 
-// follows makes a follower and runs it.
-func follows(t *testing.T, set Settings) *following {
+// startFollower makes a follower and runs it.
+func startFollower(t *testing.T, set Settings) *testFollower {
 	t.Helper()
-	return newFollowing(t, set).run()
+	return newTestFollower(t, set).run()
 }
 
 // stop ends the follower and waits for its end.
-func (f *following) stop() {
+func (f *testFollower) stop() {
 	if f.cancel != nil {
 		f.cancel()
 		<-f.ended
 	}
 }
 
-func (f *following) said(text string) int {
+func (f *testFollower) logCount(text string) int {
 	n := 0
 	for _, e := range f.logs.All() {
 		if strings.Contains(e.Message, text) {
@@ -361,8 +361,8 @@
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatalf("%s: not within %v", what, patience)
+		if time.Since(began) > waitTimeout {
+			t.Fatalf("%s: not within %v", what, waitTimeout)
 		}
 	}
 }
--- a/internal/control/follow/follower.go
+++ b/internal/control/follow/follower.go
@@ -17,40 +17,40 @@
 // Follower is one server's side. New, First, Reject and Run are called by one
 // goroutine, State by any.
 type Follower struct {
-	set   Settings
-	log   *zap.Logger
-	began time.Time
-	seek  *seeker
-	keep  shelf
-	count traffic
+	set      Settings
+	log      *zap.Logger
+	began    time.Time
+	selector *selector
+	store    asyncStore
+	count    traffic
 
 	// What the goroutine of First and Run has.
-	inForce  *document.Document // Empty = nothing is
-	head     *document.Document // what came last: inForce, or what is refused
-	kept     *document.Document // as it was read at the start; nil = none
-	cur      *stream            // the stream that stands or is being opened; nil = none
-	probe    *stream            // ... beside it, to one that may do better
-	sought   *try               // what comes next while there is none
-	seekAt   time.Duration
-	timer    *time.Timer
-	apply    Apply // nil in First
-	current  bool  // the publisher has said that nothing newer is there
-	told     uint64
-	gaps     int           // deltas on another parent, since a version was taken over
-	shoutAt  time.Duration // not before then is a fork logged again
-	alone    bool          // it was logged that no publisher is followed
-	detached func() bool   // stops the watch on First's context
+	inForce          *document.Document // Empty = nothing is
+	latest           *document.Document // what came last: inForce, or what is refused
+	stored           *document.Document // as it was read at the start; nil = none
+	active           *stream            // the stream that stands or is being opened; nil = none
+	probe            *stream            // ... beside it, to one that may do better
+	attempt          *attempt           // what comes next while there is none
+	attemptAt        time.Duration
+	timer            *time.Timer
+	apply            Apply // nil in First
+	current          bool  // the publisher has said that nothing newer is there
+	announced        uint64
+	gaps             int           // deltas on another parent, since a version was taken over
+	nextForkLog      time.Duration // not before then is a fork logged again
+	disconnectLogged bool          // it was logged that no publisher is followed
+	stopWatch        func() bool   // stops the watch on First's context
 
-	mu     sync.Mutex
-	state  State
-	heard  time.Time // when the originator was last heard, by what publishers say
-	unsure bool      // nobody has said so yet: heard is the start of the process
-	since  time.Time // when a version that is not in force here was first told of
+	mu                sync.Mutex
+	state             State
+	originatorHeard   time.Time // when the originator was last heard, by what publishers say
+	originatorUnknown bool      // nobody has said so yet: heard is the start of the process
+	laggingSince      time.Time // when a version that is not in force here was first told of
 }
 
 const (
-	shoutEvery = time.Minute // between two lines in the log on one fork
-	startTries = 3           // publishers that a start can try while all are silent
+	forkLogInterval = time.Minute // between two lines in the log on one fork
+	startAttempts   = 3           // publishers that a start can try while all are silent
 )
 
 // New returns a Follower that has read what its folder keeps. An error names
@@ -62,19 +62,19 @@
 	if set.Log == nil {
 		set.Log = zap.NewNop()
 	}
-	f := &Follower{set: set, log: set.Log, began: time.Now(), seek: newSeeker(&set),
-		keep: shelf{keeper: keeper{folder: set.Folder, log: set.Log}}, inForce: document.Empty(), timer: time.NewTimer(time.Hour)}
-	f.heard, f.unsure = f.began, true
+	f := &Follower{set: set, log: set.Log, began: time.Now(), selector: newSelector(&set),
+		store: asyncStore{versionStore: versionStore{folder: set.Folder, log: set.Log}}, inForce: document.Empty(), timer: time.NewTimer(time.Hour)}
+	f.originatorHeard, f.originatorUnknown = f.began, true
 	f.state.Source = SourceNone
-	kept, at := f.keep.load()
+	kept, at := f.store.load()
 	switch {
 	case set.InForce != nil && set.InForce.Header().Number > 0:
-		f.adopt(set.InForce, SourceFolder)
+		f.noteInForce(set.InForce, SourceFolder)
 	case kept != nil:
-		f.kept, f.heard, f.unsure = kept, at, false
-		f.adopt(kept, SourceFolder)
+		f.stored, f.originatorHeard, f.originatorUnknown = kept, at, false
+		f.noteInForce(kept, SourceFolder)
 	}
-	f.head = f.inForce
+	f.latest = f.inForce
 	return f, nil
 }
 
@@ -118,8 +118,8 @@
 	if f.set.InitialWait > 0 {
 		f.follow(wait)
 	}
-	if f.cur != nil {
-		f.detached = context.AfterFunc(ctx, f.cur.cancel)
+	if f.active != nil {
+		f.stopWatch = context.AfterFunc(ctx, f.active.cancel)
 	}
 	if f.inForce.Header().Number == 0 {
 		return nil, SourceNone
@@ -133,12 +133,12 @@
 	refused := f.inForce
 	f.log.Error("control: the version is refused", zap.Uint64("version", refused.Header().Number),
 		zap.Stringer("digest", refused.Digest()), zap.Error(why))
-	next := f.kept
+	next := f.stored
 	if next == nil || next.Digest() == refused.Digest() {
-		next, f.kept = document.Empty(), nil
+		next, f.stored = document.Empty(), nil
 	}
-	if f.head.Header().Number < refused.Header().Number {
-		f.head = refused
+	if f.latest.Header().Number < refused.Header().Number {
+		f.latest = refused
 	}
 	origin := SourceFolder
 	if next.Header().Number == 0 {
@@ -147,8 +147,8 @@
 	f.mu.Lock()
 	f.inForce = next
 	f.state.Number, f.state.Digest, f.state.Source, f.state.RefusalReason = next.Header().Number, next.Digest(), origin, why.Error()
-	if f.since.IsZero() {
-		f.since = time.Now()
+	if f.laggingSince.IsZero() {
+		f.laggingSince = time.Now()
 	}
 	f.mu.Unlock()
 	if origin == SourceNone {
@@ -160,33 +160,33 @@
 // Run follows until ctx ends, then says that the server leaves. It applies each
 // version that comes after the one that First returned.
 func (f *Follower) Run(ctx context.Context, apply Apply) {
-	if f.detached != nil {
-		f.detached()
-		f.detached = nil
+	if f.stopWatch != nil {
+		f.stopWatch()
+		f.stopWatch = nil
 	}
 	f.apply = apply
-	if f.inForce.Header().Number > 0 && f.set.InForce == nil && (f.kept == nil || f.kept.Digest() != f.inForce.Digest()) {
-		f.keep.save(f.now(), f.inForce, false, nil)
+	if f.inForce.Header().Number > 0 && f.set.InForce == nil && (f.stored == nil || f.stored.Digest() != f.inForce.Digest()) {
+		f.store.save(f.now(), f.inForce, false, nil)
 	}
-	f.kept = nil
-	if f.cur != nil {
-		f.say(f.cur)
+	f.stored = nil
+	if f.active != nil {
+		f.sendAck(f.active)
 	}
 	f.follow(ctx)
-	for _, s := range []*stream{f.probe, f.cur} {
+	for _, s := range []*stream{f.probe, f.active} {
 		if s == nil {
 			continue
 		}
-		if s == f.cur {
-			word := f.word()
+		if s == f.active {
+			word := f.currentAck()
 			word.Leaving = true
 			s.end(&word)
 		} else {
 			s.end(nil)
 		}
 	}
-	f.cur, f.probe = nil, nil
-	f.keep.close()
+	f.active, f.probe = nil, nil
+	f.store.close()
 	f.mu.Lock()
 	f.state.Publisher = ""
 	f.mu.Unlock()
@@ -198,9 +198,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state
-	s.OriginatorSilence = max(0, time.Since(f.heard))
-	if !f.since.IsZero() {
-		s.Lag = max(time.Since(f.since), 1)
+	s.OriginatorSilence = max(0, time.Since(f.originatorHeard))
+	if !f.laggingSince.IsZero() {
+		s.Lag = max(time.Since(f.laggingSince), 1)
 	}
 	s.SentBytes, s.ReceivedBytes = f.count.sent.Load(), f.count.received.Load()
 	return s
@@ -211,82 +211,82 @@
 func (f *Follower) follow(ctx context.Context) {
 	for ctx.Err() == nil && (f.apply != nil || !f.current) {
 		now := f.now()
-		next := f.tend(now)
+		next := f.tick(now)
 		f.timer.Reset(max(next-f.now(), 0))
 		var came, asked <-chan protocol.PublisherMessage
 		var ended, refused <-chan struct{}
-		if f.cur != nil {
-			came, ended = f.cur.came, f.cur.ended
+		if f.active != nil {
+			came, ended = f.active.messages, f.active.ended
 		}
 		if f.probe != nil {
-			asked, refused = f.probe.came, f.probe.ended
+			asked, refused = f.probe.messages, f.probe.ended
 		}
 		select {
 		case <-ctx.Done():
 		case r := <-came:
-			s := f.cur
-			f.take(ctx, &r)
-			s.tookAt = f.now()
+			s := f.active
+			f.handleMessage(ctx, &r)
+			s.handledAt = f.now()
 		case <-ended:
-			f.leave(f.cur.why(), false)
+			f.disconnect(f.active.reason(), false)
 		case r := <-asked:
-			f.answered(ctx, &r)
+			f.probeAnswered(ctx, &r)
 		case <-refused:
-			f.noBetter()
+			f.probeFailed()
 		case <-f.timer.C:
 		}
 	}
 }
 
-// tend does what time brings, and says when to look again.
-func (f *Follower) tend(now time.Duration) (next time.Duration) {
+// tick does what time brings, and says when to look again.
+func (f *Follower) tick(now time.Duration) (next time.Duration) {
 	next = now + time.Hour
 	sooner := func(at time.Duration) { next = min(next, at) }
-	if f.cur != nil && now >= f.cur.silent() {
-		f.leave("the publisher is silent", false)
+	if f.active != nil && now >= f.active.timeoutAt() {
+		f.disconnect("the publisher is silent", false)
 	}
-	if f.cur == nil {
-		if f.sought == nil {
-			t := f.seek.next(now)
-			f.sought, f.seekAt = &t, now+t.wait
+	if f.active == nil {
+		if f.attempt == nil {
+			t := f.selector.next(now)
+			f.attempt, f.attemptAt = &t, now+t.wait
 		}
-		if now >= f.seekAt {
-			f.cur, f.sought = f.open(f.sought.publisher), nil
+		if now >= f.attemptAt {
+			f.active, f.attempt = f.connect(f.attempt.publisher), nil
 		} else {
-			sooner(f.seekAt)
+			sooner(f.attemptAt)
 		}
 	}
-	if f.cur != nil {
-		sooner(f.cur.silent())
+	if f.active != nil {
+		sooner(f.active.timeoutAt())
 	}
-	if f.probe != nil && now >= f.probe.silent() {
-		f.noBetter()
+	if f.probe != nil && now >= f.probe.timeoutAt() {
+		f.probeFailed()
 	}
 	if f.probe != nil {
-		sooner(f.probe.silent())
-	} else if p, at, any := f.seek.probe(); any && f.apply != nil && f.cur != nil {
+		sooner(f.probe.timeoutAt())
+	} else if p, at, any := f.selector.probe(); any && f.apply != nil && f.active != nil {
 		if now >= at {
-			f.probe = f.open(p)
-			sooner(f.probe.silent())
+			f.probe = f.connect(p)
+			sooner(f.probe.timeoutAt())
 		} else {
 			sooner(at)
 		}
 	}
-	f.keep.tend(now)
-	if at := f.keep.due(); at != 0 {
+	f.store.writeIfDue(now)
+	if at := f.store.nextWrite(); at != 0 {
 		sooner(at)
 	}
 	return next
 }
 
-// open turns to a publisher.
-func (f *Follower) open(p int) *stream {
+// connect turns to a publisher.
+func (f *Follower) connect(p int) *stream {
 	h := f.inForce.Header()
-	within := answerMost
+	within := responseTimeout
 	if f.apply == nil { // a start gives more than one a chance within its wait
-		within = min(within, f.set.InitialWait/startTries)
+		within = min(within, f.set.InitialWait/startAttempts)
 	}
-	return open(p, f.set.Publishers[p].Address, &protocol.Hello{Name: f.set.Name, Region: f.set.Region, Publisher: f.set.Relay,
+	return openStream(p, f.set.Publishers[p].Address, &protocol.Hello{Name: f.set.Name, Region: f.set.Region, Publisher: f.set.Relay,
 		Number: h.Number, Digest: f.digest()}, &f.count, f.now, within)
 }
 
@@ -298,45 +298,45 @@
 	return f.inForce.Digest()
 }
 
-// leave ends the stream, or the try. faulty says that what came could be acted on by nobody.
-func (f *Follower) leave(why string, faulty bool) {
-	s := f.cur
-	f.cur = nil
+// disconnect ends the stream, or the try. faulty says that what came could be acted on by nobody.
+func (f *Follower) disconnect(why string, faulty bool) {
+	s := f.active
+	f.active = nil
 	if faulty {
-		word := f.word()
+		word := f.currentAck()
 		s.end(&word)
 	} else {
 		s.end(nil)
 	}
-	f.seek.failed(f.now(), s.to, faulty)
-	f.gone(s, why)
-	f.cur, f.probe = f.probe, nil // one that was asked meanwhile is on the way already
+	f.selector.failed(f.now(), s.publisher, faulty)
+	f.noteDisconnected(s, why)
+	f.active, f.probe = f.probe, nil // one that was asked meanwhile is on the way already
 }
 
-// gone notes that no publisher is followed any more, and logs it once.
-func (f *Follower) gone(s *stream, why string) {
+// noteDisconnected notes that no publisher is followed any more, and logs it once.
+func (f *Follower) noteDisconnected(s *stream, why string) {
 	f.mu.Lock()
 	f.state.Publisher = ""
 	f.mu.Unlock()
-	address := zap.String("publisher", f.set.Publishers[s.to].Address)
+	address := zap.String("publisher", f.set.Publishers[s.publisher].Address)
 	switch {
-	case s.spoke:
-		f.alone = true
+	case s.established:
+		f.disconnectLogged = true
 		f.log.Warn("control: the publisher is left", address, zap.String("why", why))
-	case !f.alone:
-		f.alone = true
+	case !f.disconnectLogged:
+		f.disconnectLogged = true
 		f.log.Warn("control: no publisher is followed", address, zap.String("why", why))
 	default:
 		f.log.Debug("control: a publisher is not reached", address, zap.String("why", why))
 	}
 }
 
-// stood notes that the publisher has begun to speak.
-func (f *Follower) stood(s *stream) {
-	s.spoke = true
-	f.seek.stood(f.now(), s.to)
-	f.alone = false
-	p := f.set.Publishers[s.to]
+// noteEstablished notes that the publisher has begun to speak.
+func (f *Follower) noteEstablished(s *stream) {
+	s.established = true
+	f.selector.established(f.now(), s.publisher)
+	f.disconnectLogged = false
+	p := f.set.Publishers[s.publisher]
 	f.mu.Lock()
 	if f.state.Publisher != p.Address {
 		f.state.Publisher = p.Address
@@ -346,25 +346,25 @@
 	f.log.Info("control: a publisher is followed", zap.String("publisher", p.Address), zap.String("region", p.Region))
 }
 
-// answered takes in the first word of a publisher that may do better than the
+// probeAnswered takes in the first word of a publisher that may do better than the
 // one that is followed: it is followed from here on, or left again.
-func (f *Follower) answered(ctx context.Context, r *protocol.PublisherMessage) {
+func (f *Follower) probeAnswered(ctx context.Context, r *protocol.PublisherMessage) {
 	if b := r.Heartbeat; b != nil && (time.Duration(b.OriginatorSilenceMS)*time.Millisecond >= protocol.OriginatorTimeout ||
 		b.Number < f.inForce.Header().Number || b.OriginatorSilenceMS < 0) {
-		f.noBetter()
+		f.probeFailed()
 		return
 	}
-	was := f.cur
-	f.cur, f.probe = f.probe, nil
+	was := f.active
+	f.active, f.probe = f.probe, nil
 	was.end(nil)
-	f.log.Info("control: the publisher is left for a better one", zap.String("publisher", f.set.Publishers[was.to].Address))
-	f.take(ctx, r)
+	f.log.Info("control: the publisher is left for a better one", zap.String("publisher", f.set.Publishers[was.publisher].Address))
+	f.handleMessage(ctx, r)
 }
 
-// noBetter notes that the one that was asked does no better.
-func (f *Follower) noBetter() {
+// probeFailed notes that the one that was asked does no better.
+func (f *Follower) probeFailed() {
 	p := f.probe
 	f.probe = nil
 	p.end(nil)
-	f.seek.probed(f.now(), p.to)
+	f.selector.probeFailed(f.now(), p.publisher)
 }
--- a/internal/control/follow/follower_test.go
+++ b/internal/control/follow/follower_test.go
@@ -14,13 +14,13 @@
 
 // First returns what the publisher says is newest, follows on from there, and
 // says so only once the server runs by it.
-func TestFirst(t *testing.T) {
-	p := newFake(t)
-	docs, deltas := chain(t, 4)
-	f := newFollowing(t, settings(p))
+func TestInitialVersion(t *testing.T) {
+	p := newFakePublisher(t)
+	docs, deltas := makeVersions(t, 4)
+	f := newTestFollower(t, settings(p))
 	go func() {
 		s := <-p.streams
-		s.beat(docs[3], 0)
+		s.heartbeat(docs[3], 0)
 		s.snapshot(docs[2])
 		s.delta(deltas[3])
 		p.streams <- s
@@ -29,7 +29,7 @@
 	if doc == nil || doc.Digest() != docs[3].Digest() || origin != SourcePublisher {
 		t.Fatalf("%v, %v", doc, origin)
 	}
-	s := p.stream()
+	s := p.nextStream()
 	select {
 	case a := <-s.acks:
 		t.Errorf("%+v before the server runs", a)
@@ -49,25 +49,25 @@
 }
 
 // Where nobody answers a start ends its wait, and says what it starts by.
-func TestFirstAlone(t *testing.T) {
+func TestInitialVersionWithoutPublisher(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // it takes connections and says nothing
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	docs, _ := chain(t, 2)
+	docs, _ := makeVersions(t, 2)
 	set := Settings{Name: "server-1", Region: "north", InitialWait: 200 * time.Millisecond, Folder: t.TempDir(),
 		Publishers: []Endpoint{{l.Addr().String(), "north"}}}
-	f := newFollowing(t, set)
+	f := newTestFollower(t, set)
 	if doc, origin := f.InitialVersion(context.Background()); doc != nil || origin != SourceNone {
 		t.Errorf("%v, %v", doc, origin)
 	}
 	f.run()
 	f.stop()
-	k := keeper{folder: set.Folder, log: f.log}
+	k := versionStore{folder: set.Folder, log: f.log}
 	k.save(0, docs[2], false, nil)
 	k.close()
-	f = newFollowing(t, set)
+	f = newTestFollower(t, set)
 	began := time.Now()
 	doc, origin := f.InitialVersion(context.Background())
 	if doc == nil || doc.Digest() != docs[2].Digest() || origin != SourceFolder {
@@ -84,22 +84,22 @@
 
 // What was kept and is still in force ends the wait of a start, as does the
 // originator's word that there is nothing.
-func TestFirstConfirmed(t *testing.T) {
-	docs, _ := chain(t, 2)
+func TestInitialVersionConfirmed(t *testing.T) {
+	docs, _ := makeVersions(t, 2)
 	for name, kept := range map[string]*document.Document{"kept": docs[2], "nothing": nil} {
 		t.Run(name, func(t *testing.T) {
-			p := newFake(t)
+			p := newFakePublisher(t)
 			set := settings(p)
 			set.Folder = t.TempDir()
 			if kept != nil {
-				k := newKeeper(set.Folder)
+				k := newTestStore(set.Folder)
 				k.save(0, kept, false, nil)
 				k.close()
 			}
-			f := newFollowing(t, set)
+			f := newTestFollower(t, set)
 			go func() {
 				s := <-p.streams
-				s.beat(kept, 0)
+				s.heartbeat(kept, 0)
 			}()
 			doc, origin := f.InitialVersion(context.Background())
 			if kept == nil && (doc != nil || origin != SourceNone) || kept != nil && (doc.Digest() != kept.Digest() || origin != SourcePublisher) {
@@ -113,17 +113,17 @@
 // A document that the server cannot start by leaves the one kept, else the file;
 // the publisher is told, and the next version comes whole.
 func TestReject(t *testing.T) {
-	p := newFake(t)
-	docs, deltas := chain(t, 4)
+	p := newFakePublisher(t)
+	docs, deltas := makeVersions(t, 4)
 	set := settings(p)
 	set.Folder = t.TempDir()
-	k := newKeeper(set.Folder)
+	k := newTestStore(set.Folder)
 	k.save(0, docs[1], false, nil)
 	k.close()
-	f := newFollowing(t, set)
+	f := newTestFollower(t, set)
 	go func() {
 		s := <-p.streams
-		s.beat(docs[3], 0)
+		s.heartbeat(docs[3], 0)
 		s.delta(deltas[2])
 		s.delta(deltas[3])
 		p.streams <- s
@@ -131,15 +131,15 @@
 	if doc, _ := f.InitialVersion(context.Background()); doc.Digest() != docs[3].Digest() {
 		t.Fatal("not the publisher's")
 	}
-	if doc, origin := f.Reject(errNoGood); doc == nil || doc.Digest() != docs[1].Digest() || origin != SourceFolder {
+	if doc, origin := f.Reject(errUnusable); doc == nil || doc.Digest() != docs[1].Digest() || origin != SourceFolder {
 		t.Fatalf("%v, %v", doc, origin)
 	}
-	if doc, origin := f.Reject(errNoGood); doc != nil || origin != SourceNone {
+	if doc, origin := f.Reject(errUnusable); doc != nil || origin != SourceNone {
 		t.Fatalf("%v, %v", doc, origin)
 	}
 	f.run()
-	s := p.stream()
-	if a := s.ack(); a.Number != 0 || a.RefusalReason != errNoGood.Error() {
+	s := p.nextStream()
+	if a := s.ack(); a.Number != 0 || a.RefusalReason != errUnusable.Error() {
 		t.Errorf("%+v", a)
 	}
 	s.delta(deltas[4])
@@ -152,7 +152,7 @@
 // A publisher that ends the stream, one that refuses, one that says nothing and
 // one that takes no stream are each left for another.
 func TestNextPublisher(t *testing.T) {
-	docs, deltas := chain(t, 3)
+	docs, deltas := makeVersions(t, 3)
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -163,18 +163,18 @@
 		t.Fatal(err)
 	}
 	gone.Close()
-	a, b := newFake(t), newFake(t)
+	a, b := newFakePublisher(t), newFakePublisher(t)
 	set := settings(a, b)
 	set.Publishers = append(set.Publishers, Endpoint{mute.Addr().String(), "north"}, Endpoint{gone.Addr().String(), "north"})
-	f := follows(t, set)
-	next := func() (*fake, *fakeStream) {
+	f := startFollower(t, set)
+	next := func() (*fakePublisher, *fakeStream) {
 		t.Helper()
 		select {
 		case s := <-a.streams:
 			return a, s
 		case s := <-b.streams:
 			return b, s
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			t.Fatal("nobody follows")
 			return nil, nil
 		}
@@ -203,22 +203,22 @@
 
 // A publisher that has lost the originator is kept while another is asked, and
 // left for it where that hears the originator; where all say the same it stays.
-func TestOrphan(t *testing.T) {
-	docs, _ := chain(t, 1)
+func TestOriginatorLost(t *testing.T) {
+	docs, _ := makeVersions(t, 1)
 	const lost = 10 * time.Second
-	a, b := newFake(t), newFake(t)
+	a, b := newFakePublisher(t), newFakePublisher(t)
 	set := settings(a, b)
-	ranked := prefer(&set, a, b)
-	f := follows(t, set)
-	s := ranked[0].stream()
+	ranked := rankPublishers(&set, a, b)
+	f := startFollower(t, set)
+	s := ranked[0].nextStream()
 	s.snapshot(docs[1])
 	wantAck(t, s.ack(), docs[1])
-	stop := s.beats(docs[1], lost)
-	asked := ranked[1].stream()
-	asked.beat(docs[1], lost)
-	asked.left()
+	stop := s.heartbeats(docs[1], lost)
+	asked := ranked[1].nextStream()
+	asked.heartbeat(docs[1], lost)
+	asked.waitClosed()
 	select {
-	case <-s.gone:
+	case <-s.closed:
 		t.Fatal("the first was left though all say the same")
 	default:
 	}
@@ -227,53 +227,53 @@
 	}
 	stop()
 	// The first hears the originator and loses it again: the other is asked again.
-	s.beat(docs[1], 0)
-	s.beats(docs[1], lost)
-	asked = ranked[1].stream()
-	asked.beat(docs[1], 0)
-	s.left()
-	asked.beats(docs[1], 0)
+	s.heartbeat(docs[1], 0)
+	s.heartbeats(docs[1], lost)
+	asked = ranked[1].nextStream()
+	asked.heartbeat(docs[1], 0)
+	s.waitClosed()
+	asked.heartbeats(docs[1], 0)
 	eventually(t, "the other is followed", func() bool {
 		return f.State().Publisher == ranked[1].address && f.State().OriginatorSilence < protocol.OriginatorTimeout
 	})
 }
 
 // The preferred publisher is returned to once it is back, without a gap.
-func TestReturn(t *testing.T) {
-	docs, deltas := chain(t, 2)
-	a, b := newFake(t), newFake(t)
+func TestReturnToPreferredPublisher(t *testing.T) {
+	docs, deltas := makeVersions(t, 2)
+	a, b := newFakePublisher(t), newFakePublisher(t)
 	set := settings(a, b)
-	ranked := prefer(&set, a, b)
-	f := newFollowing(t, set)
-	f.seek.pauses = func(time.Duration) time.Duration { return 0 }
+	ranked := rankPublishers(&set, a, b)
+	f := newTestFollower(t, set)
+	f.selector.adjustPause = func(time.Duration) time.Duration { return 0 }
 	f.run()
-	s := ranked[0].stream()
+	s := ranked[0].nextStream()
 	s.snapshot(docs[1])
 	wantAck(t, s.ack(), docs[1])
 	s.end()
-	s = ranked[1].stream()
-	s.beat(docs[1], 0)
-	back := ranked[0].stream()
+	s = ranked[1].nextStream()
+	s.heartbeat(docs[1], 0)
+	back := ranked[0].nextStream()
 	select {
-	case <-s.gone:
+	case <-s.closed:
 		t.Error("the second was left before the first had spoken")
 	default:
 	}
-	back.beat(docs[1], 0)
-	s.left()
+	back.heartbeat(docs[1], 0)
+	s.waitClosed()
 	back.delta(deltas[2])
 	wantAck(t, back.ack(), docs[2])
 }
 
 // A publisher that reads nothing holds up nobody here, and what waits for it is bounded.
-func TestWordsBounded(t *testing.T) {
-	w := &words{}
-	w.some.L = &w.mu
-	w.say(&protocol.FollowerMessage{Hello: &protocol.Hello{Name: "first"}})
-	for i := range 10 * wordsMost {
-		w.say(&protocol.FollowerMessage{Ack: &protocol.Ack{Number: uint64(i)}})
-	}
-	w.last()
+func TestOutgoingMessagesBounded(t *testing.T) {
+	w := &messageQueue{}
+	w.notEmpty.L = &w.mu
+	w.send(&protocol.FollowerMessage{Hello: &protocol.Hello{Name: "first"}})
+	for i := range 10 * maxQueuedMessages {
+		w.send(&protocol.FollowerMessage{Ack: &protocol.Ack{Number: uint64(i)}})
+	}
+	w.finish()
 	r := protocol.NewReader(w)
 	var m protocol.FollowerMessage
 	if err := r.Read(&m); err != nil || m.Hello == nil {
@@ -287,37 +287,37 @@
 		}
 		n, newest = n+1, m.Ack.Number
 	}
-	if n != wordsMost-1 || newest != 10*wordsMost-1 {
+	if n != maxQueuedMessages-1 || newest != 10*maxQueuedMessages-1 {
 		t.Errorf("%d words, the newest %d", n, newest)
 	}
 }
 
 // Nothing is left of a follower that has ended, wherever it stood: no goroutine and no connection.
-func TestNothingLeft(t *testing.T) {
+func TestNoLeaks(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	docs, _ := chain(t, 1)
+	docs, _ := makeVersions(t, 1)
 	mute := Settings{Name: "server-1", Region: "north", Publishers: []Endpoint{{l.Addr().String(), "north"}}, InitialWait: 50 * time.Millisecond}
 	round := func() {
 		for range 5 {
-			f := newFollowing(t, mute)
+			f := newTestFollower(t, mute)
 			ctx, cancel := context.WithCancel(context.Background())
 			f.InitialVersion(ctx)
 			cancel() // a start that was broken off
-			f = newFollowing(t, mute)
+			f = newTestFollower(t, mute)
 			f.InitialVersion(context.Background())
 			f.run()
 			f.stop()
-			p := newFake(t)
-			f = follows(t, settings(p))
-			s := p.stream()
+			p := newFakePublisher(t)
+			f = startFollower(t, settings(p))
+			s := p.nextStream()
 			s.snapshot(docs[1])
 			s.ack()
 			f.stop()
-			s.left()
+			s.waitClosed()
 			p.close()
 		}
 	}
@@ -355,7 +355,7 @@
 		}
 	}()
 	count, began := &traffic{}, time.Now()
-	s := open(0, l.Addr().String(), &protocol.Hello{Name: "server-1"}, count, func() time.Duration { return time.Since(began) }, answerMost)
+	s := openStream(0, l.Addr().String(), &protocol.Hello{Name: "server-1"}, count, func() time.Duration { return time.Since(began) }, responseTimeout)
 	defer (<-taken).Close()
 	eventually(t, "the preface is written", func() bool { return count.sent.Load() > 0 })
 	s.mu.Lock()
--- a/internal/control/follow/take_test.go
+++ b/internal/control/follow/handle_test.go
@@ -19,14 +19,14 @@
 // Deltas come one after the other, the first on nothing whole; each is
 // acknowledged, and the last word is that the server leaves.
 func TestDeltas(t *testing.T) {
-	p := newFake(t)
-	docs, deltas := chain(t, 4)
-	f := follows(t, settings(p))
-	s := p.stream()
+	p := newFakePublisher(t)
+	docs, deltas := makeVersions(t, 4)
+	f := startFollower(t, settings(p))
+	s := p.nextStream()
 	if h := s.hello; h.Name != "server-1" || h.Region != "north" || h.Number != 0 || h.Digest != (document.Digest{}) || h.Publisher {
 		t.Errorf("%+v", h)
 	}
-	s.beat(docs[4], 0)
+	s.heartbeat(docs[4], 0)
 	for i := 1; i <= 4; i++ {
 		s.delta(deltas[i])
 		wantAck(t, s.ack(), docs[i])
@@ -36,17 +36,17 @@
 			t.Errorf("%d: %+v", i, k)
 		}
 	}
-	s.beat(docs[4], 100*time.Millisecond)
+	s.heartbeat(docs[4], 100*time.Millisecond)
 	eventually(t, "the state", func() bool {
 		st := f.State()
 		return st.Number == 4 && st.Digest == docs[4].Digest() && st.Source == SourcePublisher && st.Publisher == p.address && st.Lag == 0 &&
-			st.Applied == 4 && st.Switches == 1 && st.SentBytes > 0 && st.ReceivedBytes > 0 && st.RefusalReason == "" && st.OriginatorSilence < patience
+			st.Applied == 4 && st.Switches == 1 && st.SentBytes > 0 && st.ReceivedBytes > 0 && st.RefusalReason == "" && st.OriginatorSilence < waitTimeout
 	})
 	f.stop()
 	if a := s.ack(); !a.Leaving || a.Number != 4 {
 		t.Errorf("the last word is %+v", a)
 	}
-	s.left()
+	s.waitClosed()
 	if st := f.State(); st.Publisher != "" || st.Number != 4 {
 		t.Errorf("%+v", st)
 	}
@@ -54,10 +54,10 @@
 
 // A snapshot is taken over whole, and deltas follow on it; an older one is passed over.
 func TestSnapshot(t *testing.T) {
-	p := newFake(t)
-	docs, deltas := chain(t, 4)
-	f := follows(t, settings(p))
-	s := p.stream()
+	p := newFakePublisher(t)
+	docs, deltas := makeVersions(t, 4)
+	f := startFollower(t, settings(p))
+	s := p.nextStream()
 	s.snapshot(docs[3])
 	wantAck(t, s.ack(), docs[3])
 	s.snapshot(docs[2])
@@ -74,25 +74,25 @@
 // next comes whole and is taken over, also over a new stream, where the refused
 // one is sent again.
 func TestRefused(t *testing.T) {
-	p := newFake(t)
-	docs, deltas := chain(t, 6)
-	f := follows(t, settings(p))
+	p := newFakePublisher(t)
+	docs, deltas := makeVersions(t, 6)
+	f := startFollower(t, settings(p))
 	f.server.mu.Lock()
-	f.server.refuse[2], f.server.refuse[3], f.server.refuse[5] = errNoGood, errNoGood, errNoGood
+	f.server.refuse[2], f.server.refuse[3], f.server.refuse[5] = errUnusable, errUnusable, errUnusable
 	f.server.mu.Unlock()
-	s := p.stream()
+	s := p.nextStream()
 	s.delta(deltas[1])
 	wantAck(t, s.ack(), docs[1])
 	for i := 2; i <= 3; i++ {
 		s.delta(deltas[i])
-		if a := s.ack(); a.Number != 1 || a.Digest != docs[1].Digest() || a.RefusalReason != errNoGood.Error() {
+		if a := s.ack(); a.Number != 1 || a.Digest != docs[1].Digest() || a.RefusalReason != errUnusable.Error() {
 			t.Errorf("%+v", a)
 		}
 	}
-	if st := f.State(); st.Number != 1 || st.RefusalReason != errNoGood.Error() || st.Lag == 0 {
+	if st := f.State(); st.Number != 1 || st.RefusalReason != errUnusable.Error() || st.Lag == 0 {
 		t.Errorf("%+v", st)
 	}
-	s.beat(docs[3], 0)
+	s.heartbeat(docs[3], 0)
 	s.delta(deltas[4])
 	wantAck(t, s.ack(), docs[4])
 	if st := f.State(); st.RefusalReason != "" || st.Lag != 0 {
@@ -103,7 +103,7 @@
 		t.Errorf("%+v", a)
 	}
 	s.end()
-	s = p.stream()
+	s = p.nextStream()
 	if s.hello.Number != 4 {
 		t.Errorf("%+v", s.hello)
 	}
@@ -128,18 +128,18 @@
 // Another version with our number is never taken over, however it comes; it is
 // shouted about, told to the publisher, and what comes after is followed.
 func TestFork(t *testing.T) {
-	docs, deltas := chain(t, 3)
+	docs, deltas := makeVersions(t, 3)
 	other, otherDelta := step(t, docs[1], "elsewhere", 9)
 	after, afterDelta := step(t, other, "elsewhere", 10)
 	for name, say := range map[string]func(s *fakeStream){
-		"beat":     func(s *fakeStream) { s.beat(other, 0) },
+		"beat":     func(s *fakeStream) { s.heartbeat(other, 0) },
 		"delta":    func(s *fakeStream) { s.delta(otherDelta) },
 		"snapshot": func(s *fakeStream) { s.snapshot(other) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newFake(t)
-			f := follows(t, settings(p))
-			s := p.stream()
+			p := newFakePublisher(t)
+			f := startFollower(t, settings(p))
+			s := p.nextStream()
 			s.snapshot(docs[1])
 			s.delta(deltas[2])
 			s.ack()
@@ -155,27 +155,27 @@
 			}
 			s.delta(deltas[3])
 			wantAck(t, s.ack(), docs[3])
-			if f.State().Fork || f.said("FORK") != 1 || len(f.server.all) != 3 {
-				t.Errorf("%+v, shouted %d times, %d versions", f.State(), f.said("FORK"), len(f.server.all))
+			if f.State().Fork || f.logCount("FORK") != 1 || len(f.server.all) != 3 {
+				t.Errorf("%+v, shouted %d times, %d versions", f.State(), f.logCount("FORK"), len(f.server.all))
 			}
 		})
 	}
 	// The other line goes on: its delta has another parent, what lies between is
 	// asked for, and it is the publisher that knows of the fork.
 	t.Run("the other line", func(t *testing.T) {
-		p := newFake(t)
-		f := follows(t, settings(p))
-		s := p.stream()
+		p := newFakePublisher(t)
+		f := startFollower(t, settings(p))
+		s := p.nextStream()
 		s.snapshot(docs[2])
 		s.ack()
 		s.delta(afterDelta)
-		s.left()
-		s = p.stream()
+		s.waitClosed()
+		s = p.nextStream()
 		if s.hello.Number != 2 || s.hello.Digest != docs[2].Digest() {
 			t.Errorf("%+v", s.hello)
 		}
 		for range 3 { // as to any whose version it takes for one of two
-			s.beat(after, 0)
+			s.heartbeat(after, 0)
 		}
 		if a := s.ack(); !a.Fork || a.Number != 2 {
 			t.Errorf("%+v", a)
@@ -188,7 +188,7 @@
 
 // A wrong digest is refused and shouted about, and another publisher is turned to.
 func TestWrongDigest(t *testing.T) {
-	docs, deltas := chain(t, 3)
+	docs, deltas := makeVersions(t, 3)
 	bad := *deltas[3]
 	bad.Header.Content[0]++
 	forged := encode(t, &bad) // its header is sound in itself and names a content that is not the one
@@ -204,23 +204,23 @@
 		"two parts": {Delta: encode(t, deltas[3]), Heartbeat: &protocol.Heartbeat{}}, "no part": {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := newFake(t), newFake(t)
+			a, b := newFakePublisher(t), newFakePublisher(t)
 			set := settings(a, b)
-			ranked := prefer(&set, a, b)
-			f := follows(t, set)
-			s := ranked[0].stream()
+			ranked := rankPublishers(&set, a, b)
+			f := startFollower(t, set)
+			s := ranked[0].nextStream()
 			s.snapshot(docs[2])
 			wantAck(t, s.ack(), docs[2])
 			s.send(record)
 			if a := s.ack(); a.Number != 2 || a.RefusalReason == "" {
 				t.Errorf("%+v", a)
 			}
-			s.left()
-			s = ranked[1].stream()
+			s.waitClosed()
+			s = ranked[1].nextStream()
 			if s.hello.Number != 2 {
 				t.Errorf("%+v", s.hello)
 			}
-			if f.said("what came is refused") != 1 || f.State().RefusalReason == "" {
+			if f.logCount("what came is refused") != 1 || f.State().RefusalReason == "" {
 				t.Errorf("%+v", f.State())
 			}
 			s.delta(deltas[3])
@@ -228,7 +228,7 @@
 			if st := f.State(); st.RefusalReason != "" || st.Switches != 2 {
 				t.Errorf("%+v", st)
 			}
-			ranked[0].none()
+			ranked[0].expectNoStream()
 		})
 	}
 }
@@ -236,28 +236,28 @@
 // A delta on another parent: what lies between is asked for at once; where the
 // same comes again, of another publisher.
 func TestGap(t *testing.T) {
-	docs, deltas := chain(t, 5)
-	a, b := newFake(t), newFake(t)
+	docs, deltas := makeVersions(t, 5)
+	a, b := newFakePublisher(t), newFakePublisher(t)
 	set := settings(a, b)
-	ranked := prefer(&set, a, b)
-	f := follows(t, set)
-	s := ranked[0].stream()
+	ranked := rankPublishers(&set, a, b)
+	f := startFollower(t, set)
+	s := ranked[0].nextStream()
 	s.snapshot(docs[1])
 	wantAck(t, s.ack(), docs[1])
 	s.delta(deltas[3])
-	s.left()
-	s = ranked[0].stream()
+	s.waitClosed()
+	s = ranked[0].nextStream()
 	if s.hello.Number != 1 || s.hello.Digest != docs[1].Digest() {
 		t.Errorf("%+v", s.hello)
 	}
 	s.delta(deltas[2])
 	wantAck(t, s.ack(), docs[2])
 	s.delta(deltas[4])
-	s.left()
-	s = ranked[0].stream()
+	s.waitClosed()
+	s = ranked[0].nextStream()
 	s.delta(deltas[5])
-	s.left()
-	s = ranked[1].stream()
+	s.waitClosed()
+	s = ranked[1].nextStream()
 	s.snapshot(docs[4])
 	wantAck(t, s.ack(), docs[4])
 	if len(f.server.all) != 3 {
@@ -268,9 +268,9 @@
 // A server that takes long over a version does not take its publisher for silent,
 // and nothing is lost meanwhile.
 func TestSlowServer(t *testing.T) {
-	docs, deltas := chain(t, 300)
-	p := newFake(t)
-	f := newFollowing(t, settings(p))
+	docs, deltas := makeVersions(t, 300)
+	p := newFakePublisher(t)
+	f := newTestFollower(t, settings(p))
 	hold := make(chan struct{})
 	apply := f.server.apply
 	ctx, cancel := context.WithCancel(context.Background())
@@ -283,7 +283,7 @@
 		})
 	}()
 	defer func() { cancel(); <-ended }()
-	s := p.stream()
+	s := p.nextStream()
 	for i := 1; i <= 300; i++ {
 		s.delta(deltas[i])
 	}
@@ -294,7 +294,7 @@
 			t.Fatalf("%+v", a)
 		}
 	}
-	p.none()
+	p.expectNoStream()
 	if st := f.State(); st.Number != 300 || st.Digest != docs[300].Digest() || st.Switches != 1 {
 		t.Errorf("%+v", st)
 	}
@@ -302,21 +302,21 @@
 
 // A version that one publisher tells of, and that another which hears the
 // originator does not know, is no lag any longer.
-func TestToldOfNothing(t *testing.T) {
-	docs, _ := chain(t, 5)
-	a, b := newFake(t), newFake(t)
+func TestAnnouncedVersionNeverArrives(t *testing.T) {
+	docs, _ := makeVersions(t, 5)
+	a, b := newFakePublisher(t), newFakePublisher(t)
 	set := settings(a, b)
-	ranked := prefer(&set, a, b)
-	f := follows(t, set)
-	s := ranked[0].stream()
+	ranked := rankPublishers(&set, a, b)
+	f := startFollower(t, set)
+	s := ranked[0].nextStream()
 	s.snapshot(docs[2])
 	wantAck(t, s.ack(), docs[2])
-	s.beat(docs[5], 0)
+	s.heartbeat(docs[5], 0)
 	eventually(t, "it lags", func() bool { return f.State().Lag > 0 })
 	s.end()
-	s = ranked[1].stream()
-	s.beat(docs[2], protocol.OriginatorTimeout)
+	s = ranked[1].nextStream()
+	s.heartbeat(docs[2], protocol.OriginatorTimeout)
 	eventually(t, "the other is followed", func() bool { return f.State().Publisher == ranked[1].address })
-	s.beat(docs[2], 0)
+	s.heartbeat(docs[2], 0)
 	eventually(t, "it is current", func() bool { return f.State().Lag == 0 })
 }
--- a/internal/control/follow/choose_test.go
+++ b/internal/control/follow/selector_test.go
@@ -15,10 +15,10 @@
 
 var update = flag.Bool("update", false, "write what the scripts under testdata say now")
 
-// The scripts under testdata/seek: what happens, and behind each question, with an
+// The scripts under testdata/selector: what happens, and behind each question, with an
 // arrow, what the seeker says.
-func TestSeeker(t *testing.T) {
-	files, err := filepath.Glob("testdata/seek/*.txt")
+func TestSelector(t *testing.T) {
+	files, err := filepath.Glob("testdata/selector/*.txt")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
@@ -28,7 +28,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := play(t, string(want))
+			got := runScript(t, string(want))
 			if *update {
 				if err := os.WriteFile(file, []byte(got), 0o600); err != nil {
 					t.Fatal(err)
@@ -40,12 +40,12 @@
 	}
 }
 
-// play runs a script and returns it with what the seeker says.
-func play(t *testing.T, script string) string {
+// runScript runs a script and returns it with what the seeker says.
+func runScript(t *testing.T, script string) string {
 	t.Helper()
 	var out strings.Builder
 	set := Settings{Seed: 1}
-	var s *seeker
+	var s *selector
 	place := func(name string) int {
 		i := slices.IndexFunc(set.Publishers, func(p Endpoint) bool { return p.Address == name })
 		if i < 0 {
@@ -72,7 +72,7 @@
 				address, region, _ := strings.Cut(w, "/")
 				set.Publishers = append(set.Publishers, Endpoint{address, region})
 			}
-			s = newSeeker(&set)
+			s = newSelector(&set)
 			continue
 		}
 		now, err := time.ParseDuration(word[0])
@@ -84,18 +84,18 @@
 			n := s.next(now)
 			last = n.publisher
 			said := "at once"
-			switch barred := s.states[n.publisher].barred; {
+			switch barred := s.publishers[n.publisher].excludedUntil; {
 			case barred > now:
 				said = "once its bar ends"
-				if n.wait < barred-now || n.wait > barred-now+n.within {
+				if n.wait < barred-now || n.wait > barred-now+n.maxWait {
 					t.Errorf("%q: waits %v, its bar ends in %v", line, n.wait, barred-now)
 				}
-			case n.within > 0:
-				said = fmt.Sprintf("within %v", n.within)
+			case n.maxWait > 0:
+				said = fmt.Sprintf("within %v", n.maxWait)
 				fallthrough
 			default:
-				if n.wait < 0 || n.wait > n.within {
-					t.Errorf("%q: waits %v of %v", line, n.wait, n.within)
+				if n.wait < 0 || n.wait > n.maxWait {
+					t.Errorf("%q: waits %v of %v", line, n.wait, n.maxWait)
 				}
 			}
 			fmt.Fprintf(&out, "  -> %s, %s\n", set.Publishers[n.publisher].Address, said)
@@ -107,15 +107,15 @@
 			s.retry(place(word[2]))
 		case "stood":
 			last = place(word[2])
-			s.stood(now, last)
+			s.established(now, last)
 		case "heard":
 			unheard, err := time.ParseDuration(word[2])
 			if err != nil {
 				t.Fatalf("%q: %v", line, err)
 			}
-			s.heard(now, unheard)
+			s.originatorSilence(now, unheard)
 		case "probed":
-			s.probed(now, place(word[2]))
+			s.probeFailed(now, place(word[2]))
 		case "probe":
 			p, at, any := s.probe()
 			said := "none"
@@ -123,10 +123,10 @@
 			case !any:
 			case left < 0:
 				t.Errorf("%q: %v ago", line, -left)
-			case left <= mostJitter:
-				said = fmt.Sprintf("%s, within %v", set.Publishers[p].Address, mostJitter)
-			case left >= returnLeast && left <= returnMost:
-				said = fmt.Sprintf("%s, in %v to %v", set.Publishers[p].Address, returnLeast, returnMost)
+			case left <= maxJitter:
+				said = fmt.Sprintf("%s, within %v", set.Publishers[p].Address, maxJitter)
+			case left >= minReturnPause && left <= maxReturnPause:
+				said = fmt.Sprintf("%s, in %v to %v", set.Publishers[p].Address, minReturnPause, maxReturnPause)
 			default:
 				said = fmt.Sprintf("%s, in %v", set.Publishers[p].Address, left)
 			}
@@ -147,7 +147,7 @@
 	first, second := map[int]int{}, map[int]int{}
 	for i := range servers {
 		set.Name = fmt.Sprintf("server-%d", i)
-		s := newSeeker(&set)
+		s := newSelector(&set)
 		first[s.order[0]]++
 		if s.order[0] == 0 {
 			second[s.order[1]]++
@@ -176,17 +176,17 @@
 	quarters := [4]int{}
 	for i := range 400 {
 		set.Name = fmt.Sprintf("server-%d", i)
-		s := newSeeker(&set)
+		s := newSelector(&set)
 		for range 6 {
 			s.failed(0, 0, false)
 			s.next(0)
 		}
 		s.failed(0, 0, false)
 		n := s.next(0)
-		if n.within != mostJitter {
-			t.Fatalf("within %v", n.within)
+		if n.maxWait != maxJitter {
+			t.Fatalf("within %v", n.maxWait)
 		}
-		quarters[min(3, n.wait*4/n.within)]++
+		quarters[min(3, n.wait*4/n.maxWait)]++
 	}
 	for i, n := range quarters {
 		if n < 60 || n > 140 {
--- a/internal/control/follow/keep.go
+++ b/internal/control/follow/store.go
@@ -17,40 +17,40 @@
 
 // The files of the folder, and how much is written.
 const (
-	wholeFile   = "version"
-	deltasFile  = "version.deltas"
-	lockFile    = "version.lock"
-	deltasMost  = 256     // that follow the whole version in the folder
-	deltasBytes = 1 << 20 // ... and their bytes
-	wholeEvery  = 5 * time.Second
-	folderMode  = 0o700
-	fileMode    = 0o600
+	snapshotFile     = "version"
+	deltasFile       = "version.deltas"
+	lockFile         = "version.lock"
+	maxDeltas        = 256     // that follow the whole version in the folder
+	maxDeltaBytes    = 1 << 20 // ... and their bytes
+	snapshotInterval = 5 * time.Second
+	folderMode       = 0o700
+	fileMode         = 0o600
 )
 
-// keeper keeps the version in force in a folder: one version whole, replaced as
+// versionStore keeps the version in force in a folder: one version whole, replaced as
 // a whole, and a bounded list of deltas behind it. What stands there after a
 // crash is the version in force or, where the system itself has crashed, one
 // that was in force shortly before. Its digest is checked when it is read. Of two
 // processes with one folder, as in an upgrade, one writes: the other does when
 // the first has ended. The zero value keeps nothing.
-type keeper struct {
+type versionStore struct {
 	folder string
 	log    *zap.Logger
 
-	lock   *os.File
-	deltas *os.File           // to append to; nil = a whole version is written next
-	last   document.Digest    // of the version that the files stand at
-	count  int                // deltas there
-	bytes  int                // of them
-	want   *document.Document // to be written whole; nil = the files are current
-	whole  []byte             // ... as it was sent, if it was
-	after  time.Duration      // not before then
-	fails  bool               // the last write failed, and it was said
+	lock            *os.File
+	deltas          *os.File           // to append to; nil = a whole version is written next
+	lastDigest      document.Digest    // of the version that the files stand at
+	deltaCount      int                // deltas there
+	deltaBytes      int                // of them
+	pending         *document.Document // to be written whole; nil = the files are current
+	pendingSnapshot []byte             // ... as it was sent, if it was
+	notBefore       time.Duration      // not before then
+	failing         bool               // the last write failed, and it was said
 }
 
 // load reads what the folder keeps, and since when. What is damaged is named in
 // the log and passed over.
-func (k *keeper) load() (*document.Document, time.Time) {
+func (k *versionStore) load() (*document.Document, time.Time) {
 	if k.folder == "" {
 		return nil, time.Time{}
 	}
@@ -59,13 +59,13 @@
 		return nil, time.Time{}
 	}
 	// The deltas first: a whole version that another process writes meanwhile is newer than they are.
-	deltas, err := k.read(deltasFile)
+	deltas, err := k.readFile(deltasFile)
 	if err != nil {
-		k.damaged(deltasFile, err)
+		k.logCorrupt(deltasFile, err)
 	}
-	whole, err := k.read(wholeFile)
+	whole, err := k.readFile(snapshotFile)
 	if err != nil {
-		k.damaged(wholeFile, err)
+		k.logCorrupt(snapshotFile, err)
 		return nil, time.Time{}
 	}
 	if whole == nil {
@@ -73,14 +73,14 @@
 	}
 	doc, err := document.DecodeSnapshot(whole)
 	if err != nil {
-		k.damaged(wholeFile, err)
+		k.logCorrupt(snapshotFile, err)
 		return nil, time.Time{}
 	}
 	doc, err = replay(doc, deltas)
 	if err != nil {
-		k.damaged(deltasFile, err)
+		k.logCorrupt(deltasFile, err)
 	}
-	return doc, k.written()
+	return doc, k.modTime()
 }
 
 // replay applies the deltas that stand behind a whole version, as far as they are sound.
@@ -121,8 +121,8 @@
 	return n, nil
 }
 
-// read returns a file's bytes, nil where there is none.
-func (k *keeper) read(name string) ([]byte, error) {
+// readFile returns a file's bytes, nil where there is none.
+func (k *versionStore) readFile(name string) ([]byte, error) {
 	f, err := os.Open(filepath.Join(k.folder, name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -139,13 +139,13 @@
 	return b, err
 }
 
-func (k *keeper) damaged(name string, err error) {
+func (k *versionStore) logCorrupt(name string, err error) {
 	k.log.Error("control: a file of the kept version is passed over", zap.String("file", filepath.Join(k.folder, name)), zap.Error(err))
 }
 
-// written is when the files were last written to.
-func (k *keeper) written() (at time.Time) {
-	for _, name := range []string{wholeFile, deltasFile} {
+// modTime is when the files were last written to.
+func (k *versionStore) modTime() (at time.Time) {
+	for _, name := range []string{snapshotFile, deltasFile} {
 		if info, err := os.Stat(filepath.Join(k.folder, name)); err == nil && info.ModTime().After(at) {
 			at = info.ModTime()
 		}
@@ -155,80 +155,80 @@
 
 // save notes that doc is in force. text is what it was sent as: a delta on the
 // version before, or the whole.
-func (k *keeper) save(now time.Duration, doc *document.Document, delta bool, text []byte) {
+func (k *versionStore) save(now time.Duration, doc *document.Document, delta bool, text []byte) {
 	if k.folder == "" {
 		return
 	}
-	if delta && k.deltas != nil && k.want == nil && k.last == doc.Header().Parent && k.count < deltasMost && k.bytes+len(text) <= deltasBytes {
+	if delta && k.deltas != nil && k.pending == nil && k.lastDigest == doc.Header().Parent && k.deltaCount < maxDeltas && k.deltaBytes+len(text) <= maxDeltaBytes {
 		if err := protocol.NewWriter(k.deltas).Write(&protocol.PublisherMessage{Delta: text}); err == nil {
-			k.last, k.count, k.bytes = doc.Digest(), k.count+1, k.bytes+len(text)
+			k.lastDigest, k.deltaCount, k.deltaBytes = doc.Digest(), k.deltaCount+1, k.deltaBytes+len(text)
 			return
 		} else { //nolint:revive // what was written in part is replaced with the whole
-			k.failed(err)
+			k.noteFailure(err)
 		}
 	}
-	k.want, k.whole = doc, nil
+	k.pending, k.pendingSnapshot = doc, nil
 	if !delta {
-		k.whole = text
+		k.pendingSnapshot = text
 	}
-	k.tend(now)
+	k.writeIfDue(now)
 }
 
-// tend writes the newest version whole if that is due.
-func (k *keeper) tend(now time.Duration) {
-	if k.want == nil || now < k.after {
+// writeIfDue writes the newest version whole if that is due.
+func (k *versionStore) writeIfDue(now time.Duration) {
+	if k.pending == nil || now < k.notBefore {
 		return
 	}
-	k.after = now + wholeEvery
-	switch err := k.replace(); {
-	case errors.Is(err, errHeld): // another process of this server writes there
+	k.notBefore = now + snapshotInterval
+	switch err := k.writeSnapshot(); {
+	case errors.Is(err, errLocked): // another process of this server writes there
 	case err != nil:
-		k.failed(err)
+		k.noteFailure(err)
 	default:
-		if k.fails {
-			k.fails = false
+		if k.failing {
+			k.failing = false
 			k.log.Info("control: the version in force is kept again", zap.String("folder", k.folder))
 		}
-		k.last, k.count, k.bytes = k.want.Digest(), 0, 0
-		k.want, k.whole = nil, nil
+		k.lastDigest, k.deltaCount, k.deltaBytes = k.pending.Digest(), 0, 0
+		k.pending, k.pendingSnapshot = nil, nil
 	}
 }
 
-// due says when tend has something to do; 0 = never.
-func (k *keeper) due() time.Duration {
-	if k.want == nil {
+// nextWrite says when tend has something to do; 0 = never.
+func (k *versionStore) nextWrite() time.Duration {
+	if k.pending == nil {
 		return 0
 	}
-	return k.after
+	return k.notBefore
 }
 
-func (k *keeper) failed(err error) {
+func (k *versionStore) noteFailure(err error) {
 	if k.deltas != nil {
 		k.deltas.Close()
 		k.deltas = nil
 	}
-	if !k.fails {
-		k.fails = true
+	if !k.failing {
+		k.failing = true
 		k.log.Error("control: the version in force cannot be kept; the server goes on", zap.String("folder", k.folder), zap.Error(err))
 	}
 }
 
-var errHeld = errors.New("follow: another process holds the folder")
+var errLocked = errors.New("follow: another process holds the folder")
 
-// replace writes the version that is wanted in place of the one that stands there.
-func (k *keeper) replace() error {
-	if err := k.own(); err != nil {
+// writeSnapshot writes the version that is wanted in place of the one that stands there.
+func (k *versionStore) writeSnapshot() error {
+	if err := k.acquireLock(); err != nil {
 		return err
 	}
-	if k.whole == nil {
-		text, err := k.want.Snapshot()
+	if k.pendingSnapshot == nil {
+		text, err := k.pending.Snapshot()
 		if err != nil {
 			return err
 		}
-		k.whole = text
+		k.pendingSnapshot = text
 	}
-	path := filepath.Join(k.folder, wholeFile)
-	if err := writeSynced(path+".new", k.whole); err != nil {
+	path := filepath.Join(k.folder, snapshotFile)
+	if err := writeSynced(path+".new", k.pendingSnapshot); err != nil {
 		return err
 	}
 	if err := os.Rename(path+".new", path); err != nil {
@@ -245,8 +245,8 @@
 	return err
 }
 
-// own makes this process the one that writes there.
-func (k *keeper) own() error {
+// acquireLock makes this process the one that writes there.
+func (k *versionStore) acquireLock() error {
 	if k.lock != nil {
 		return nil
 	}
@@ -260,7 +260,7 @@
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return errHeld
+			return errLocked
 		}
 		return err
 	}
@@ -269,10 +269,10 @@
 }
 
 // close writes what still waits, and lets another process write.
-func (k *keeper) close() {
-	if k.want != nil {
-		k.after = 0
-		k.tend(0)
+func (k *versionStore) close() {
+	if k.pending != nil {
+		k.notBefore = 0
+		k.writeIfDue(0)
 	}
 	for _, f := range []*os.File{k.deltas, k.lock} {
 		if f != nil {
--- a/internal/control/follow/stream.go
+++ b/internal/control/follow/stream.go
@@ -17,12 +17,12 @@
 
 // The bounds of one stream.
 const (
-	answerMost  = time.Second            // for a publisher to take the stream
-	partWithin  = 250 * time.Millisecond // for the last word to be taken
-	receiveMost = 64 << 10               // bytes that wait in the transport
-	frameMost   = 16 << 10
-	wordsMost   = 64  // words that wait to be sent: the oldest goes for the newest
-	answerText  = 256 // bytes of a publisher's refusal that are told
+	responseTimeout    = time.Second            // for a publisher to take the stream
+	lastAckTimeout     = 250 * time.Millisecond // for the last word to be taken
+	receiveBufferBytes = 64 << 10               // bytes that wait in the transport
+	maxFrameBytes      = 16 << 10
+	maxQueuedMessages  = 64  // words that wait to be sent: the oldest goes for the newest
+	maxRefusalBytes    = 256 // bytes of a publisher's refusal that are told
 )
 
 // traffic counts the bytes of all streams, HTTP/2's own included.
@@ -31,39 +31,39 @@
 // stream is one standing request to a publisher. It has a connection of its own,
 // which ends with it: one that has fallen silent is never used again.
 type stream struct {
-	to     int // the publisher's place
-	came   chan protocol.PublisherMessage
-	words  words
-	cancel context.CancelFunc
-	ended  chan struct{} // closed when nothing of it runs any more
-	err    error         // why it ended; to be read once ended is closed
+	publisher int // the publisher's place
+	messages  chan protocol.PublisherMessage
+	outgoing  messageQueue
+	cancel    context.CancelFunc
+	ended     chan struct{} // closed when nothing of it runs any more
+	err       error         // why it ended; to be read once ended is closed
 
-	clock    func() time.Duration
-	openedAt time.Duration
-	within   time.Duration // for the publisher to answer
-	tookAt   time.Duration // when the owner had done with a record; the owner's
-	heardAt  atomic.Int64  // when bytes last came, by the clock; 0 = never
-	spoke    bool          // a record has come; the owner's
-	retold   bool          // what is refused here was said on it; the owner's
+	clock           func() time.Duration
+	openedAt        time.Duration
+	responseTimeout time.Duration // for the publisher to answer
+	handledAt       time.Duration // when the owner had done with a record; the owner's
+	receivedAt      atomic.Int64  // when bytes last came, by the clock; 0 = never
+	established     bool          // a record has come; the owner's
+	refusalSent     bool          // what is refused here was said on it; the owner's
 
 	ahead int // beats in a row that tell of a version of which nothing comes; the owner's
 
 	mu     sync.Mutex
 	conn   net.Conn
-	hungUp bool
+	closed bool
 }
 
-// open begins a stream, beside the caller.
-func open(to int, address string, hello *protocol.Hello, count *traffic, clock func() time.Duration, within time.Duration) *stream {
+// openStream begins a stream, beside the caller.
+func openStream(to int, address string, hello *protocol.Hello, count *traffic, clock func() time.Duration, within time.Duration) *stream {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &stream{to: to, came: make(chan protocol.PublisherMessage), ended: make(chan struct{}), clock: clock, openedAt: clock(), within: within}
+	s := &stream{publisher: to, messages: make(chan protocol.PublisherMessage), ended: make(chan struct{}), clock: clock, openedAt: clock(), responseTimeout: within}
 	s.cancel = func() {
 		cancel()
-		s.words.Close() //nolint:errcheck // it has none; the transport waits in Read for what we say, whatever becomes of the request
-		s.hangUp()      // or in a write that a publisher which has stopped does not take
+		s.outgoing.Close() //nolint:errcheck // it has none; the transport waits in Read for what we say, whatever becomes of the request
+		s.closeConn()      // or in a write that a publisher which has stopped does not take
 	}
-	s.words.some.L = &s.words.mu
-	s.words.say(&protocol.FollowerMessage{Hello: hello})
+	s.outgoing.notEmpty.L = &s.outgoing.mu
+	s.outgoing.send(&protocol.FollowerMessage{Hello: hello})
 	go func() {
 		defer close(s.ended)
 		s.err = s.run(ctx, address, count)
@@ -77,22 +77,22 @@
 func (s *stream) run(ctx context.Context, address string, count *traffic) error {
 	transport := &http.Transport{
 		Protocols: new(http.Protocols), DisableCompression: true, DisableKeepAlives: true,
-		HTTP2: &http.HTTP2Config{MaxReceiveBufferPerConnection: receiveMost, MaxReceiveBufferPerStream: receiveMost,
-			MaxReadFrameSize: frameMost, MaxDecoderHeaderTableSize: 4 << 10, MaxEncoderHeaderTableSize: 4 << 10},
+		HTTP2: &http.HTTP2Config{MaxReceiveBufferPerConnection: receiveBufferBytes, MaxReceiveBufferPerStream: receiveBufferBytes,
+			MaxReadFrameSize: maxFrameBytes, MaxDecoderHeaderTableSize: 4 << 10, MaxEncoderHeaderTableSize: 4 << 10},
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			c, err := (&net.Dialer{Timeout: answerMost}).DialContext(ctx, network, address)
+			c, err := (&net.Dialer{Timeout: responseTimeout}).DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			if !s.dialed(c) {
+			if !s.setConn(c) {
 				return nil, net.ErrClosed
 			}
-			return &counted{c, count}, nil
+			return &countingConn{c, count}, nil
 		},
 	}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	defer transport.CloseIdleConnections()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+protocol.PathFollow, &s.words)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+protocol.PathFollow, &s.outgoing)
 	if err != nil {
 		return err
 	}
@@ -101,62 +101,62 @@
 		return err
 	}
 	defer answer.Body.Close()
-	s.heardAt.Store(int64(s.clock()))
+	s.receivedAt.Store(int64(s.clock()))
 	if answer.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(answer.Body, answerText))
-		return fmt.Errorf("the publisher answers %s: %.*q", answer.Status, answerText, text)
+		text, _ := io.ReadAll(io.LimitReader(answer.Body, maxRefusalBytes))
+		return fmt.Errorf("the publisher answers %s: %.*q", answer.Status, maxRefusalBytes, text)
 	}
-	from := protocol.NewReader(&noted{answer.Body, s})
+	from := protocol.NewReader(&activityReader{answer.Body, s})
 	for {
 		var r protocol.PublisherMessage
 		if err := from.Read(&r); err != nil {
 			return err
 		}
 		select {
-		case s.came <- r:
+		case s.messages <- r:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// dialed notes the stream's connection; false = the stream has ended meanwhile.
-func (s *stream) dialed(c net.Conn) bool {
+// setConn notes the stream's connection; false = the stream has ended meanwhile.
+func (s *stream) setConn(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.conn = c; s.hungUp {
+	if s.conn = c; s.closed {
 		c.Close()
 	}
-	return !s.hungUp
+	return !s.closed
 }
 
-func (s *stream) hangUp() {
+func (s *stream) closeConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hungUp = true; s.conn != nil {
+	if s.closed = true; s.conn != nil {
 		s.conn.Close()
 	}
 }
 
-// silent says when the stream is to be left unless something comes before.
-func (s *stream) silent() time.Duration {
-	if at := s.heardAt.Load(); at != 0 {
-		return max(time.Duration(at), s.tookAt) + protocol.PublisherTimeout // what the owner takes time for is no silence
+// timeoutAt says when the stream is to be left unless something comes before.
+func (s *stream) timeoutAt() time.Duration {
+	if at := s.receivedAt.Load(); at != 0 {
+		return max(time.Duration(at), s.handledAt) + protocol.PublisherTimeout // what the owner takes time for is no silence
 	}
-	return s.openedAt + s.within
+	return s.openedAt + s.responseTimeout
 }
 
 // end ends the stream, after a last word if there is one, and returns when
 // nothing of it is left.
 func (s *stream) end(word *protocol.Ack) {
 	if word != nil {
-		s.words.say(&protocol.FollowerMessage{Ack: word})
-		s.words.last()
-		late := time.NewTimer(partWithin)
+		s.outgoing.send(&protocol.FollowerMessage{Ack: word})
+		s.outgoing.finish()
+		late := time.NewTimer(lastAckTimeout)
 		defer late.Stop()
 		for waits := true; waits; {
 			select {
-			case <-s.came: // it comes too late
+			case <-s.messages: // it comes too late
 			case <-s.ended:
 				waits = false
 			case <-late.C:
@@ -168,8 +168,8 @@
 	<-s.ended
 }
 
-// why is what the stream ended by, in words for the log.
-func (s *stream) why() string {
+// reason is what the stream ended by, in words for the log.
+func (s *stream) reason() string {
 	switch {
 	case errors.Is(s.err, io.EOF):
 		return "the publisher ended the stream"
@@ -179,75 +179,75 @@
 	return s.err.Error()
 }
 
-// noted notes when bytes come, so that a large record that is on its way is no silence.
-type noted struct {
+// activityReader notes when bytes come, so that a large record that is on its way is no silence.
+type activityReader struct {
 	io.Reader
 	s *stream
 }
 
-func (n *noted) Read(p []byte) (int, error) {
+func (n *activityReader) Read(p []byte) (int, error) {
 	k, err := n.Reader.Read(p)
 	if k > 0 {
-		n.s.heardAt.Store(int64(n.s.clock()))
+		n.s.receivedAt.Store(int64(n.s.clock()))
 	}
 	return k, err
 }
 
-// counted counts the bytes of a connection.
-type counted struct {
+// countingConn counts the bytes of a connection.
+type countingConn struct {
 	net.Conn
 	count *traffic
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count.received.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count.sent.Add(int64(n))
 	return n, err
 }
 
-// words are what the follower says: the request's body. Saying never waits: a
+// messageQueue are what the follower says: the request's body. Saying never waits: a
 // publisher that takes nothing holds up nobody here.
-type words struct {
-	mu     sync.Mutex
-	some   sync.Cond
-	queue  [][]byte // the first may have gone in part
-	done   bool     // the body ends behind what is queued
-	closed bool
+type messageQueue struct {
+	mu       sync.Mutex
+	notEmpty sync.Cond
+	queue    [][]byte // the first may have gone in part
+	finished bool     // the body ends behind what is queued
+	closed   bool
 }
 
-func (w *words) say(word *protocol.FollowerMessage) {
+func (w *messageQueue) send(word *protocol.FollowerMessage) {
 	var b bytes.Buffer
 	if err := protocol.NewWriter(&b).Write(word); err != nil {
 		return // the word is ours: it cannot be too long
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.queue) >= wordsMost {
+	if len(w.queue) >= maxQueuedMessages {
 		w.queue = append(w.queue[:1], w.queue[2:]...)
 	}
 	w.queue = append(w.queue, b.Bytes())
-	w.some.Broadcast()
+	w.notEmpty.Broadcast()
 }
 
-func (w *words) last() {
+func (w *messageQueue) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.done = true
-	w.some.Broadcast()
+	w.finished = true
+	w.notEmpty.Broadcast()
 }
 
 // Read is called by the transport.
-func (w *words) Read(p []byte) (int, error) {
+func (w *messageQueue) Read(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for len(w.queue) == 0 && !w.done && !w.closed {
-		w.some.Wait()
+	for len(w.queue) == 0 && !w.finished && !w.closed {
+		w.notEmpty.Wait()
 	}
 	switch {
 	case w.closed:
@@ -263,10 +263,10 @@
 }
 
 // Close is called by the transport, and at the end.
-func (w *words) Close() error {
+func (w *messageQueue) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed = true
-	w.some.Broadcast()
+	w.notEmpty.Broadcast()
 	return nil
 }
--- a/internal/control/protocol/records.go
+++ b/internal/control/protocol/records.go
@@ -8,12 +8,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// recordOver is what a record holds at most besides one message of MostMessage bytes.
-const recordOver = 4 << 10
+// recordOverheadBytes is what a record holds at most besides one message of MostMessage bytes.
+const recordOverheadBytes = 4 << 10
 
-// keepBuffer is the most bytes that a Reader keeps room for between two records:
+// maxIdleBufferBytes is the most bytes that a Reader keeps room for between two records:
 // one that has read a snapshot gives its room back.
-const keepBuffer = 32 << 10
+const maxIdleBufferBytes = 32 << 10
 
 // ErrTooLong is returned for a record of over MostMessage bytes.
 var ErrTooLong = errors.New("protocol: a record is too long")
@@ -31,14 +31,14 @@
 // have come, up to MostMessage, never by what a record claims to hold. It
 // belongs to one goroutine.
 type Reader struct {
-	from bounded
-	dec  *cbor.Decoder
-	read int // bytes of records that the decoder has returned
+	from     boundedReader
+	dec      *cbor.Decoder
+	consumed int // bytes of records that the decoder has returned
 }
 
 // NewReader returns a Reader of what r carries.
 func NewReader(r io.Reader) *Reader {
-	s := &Reader{from: bounded{r: r}}
+	s := &Reader{from: boundedReader{r: r}}
 	s.dec = decoder.NewDecoder(&s.from)
 	return s
 }
@@ -47,7 +47,7 @@
 // ends between two records, io.ErrUnexpectedEOF where it ends within one, and
 // ErrTooLong, after which nothing more can be read.
 func (s *Reader) Read(record any) error {
-	s.from.left = MaxMessageBytes + recordOver
+	s.from.left = MaxMessageBytes + recordOverheadBytes
 	if err := s.dec.Decode(record); err != nil {
 		if errors.Is(err, ErrTooLong) {
 			return ErrTooLong
@@ -55,8 +55,8 @@
 		return err
 	}
 	n := s.dec.NumBytesRead()
-	if n-s.read <= keepBuffer {
-		s.read = n
+	if n-s.consumed <= maxIdleBufferBytes {
+		s.consumed = n
 		return nil
 	}
 	rest, err := io.ReadAll(s.dec.Buffered())
@@ -64,18 +64,18 @@
 		return fmt.Errorf("protocol: %w", err)
 	}
 	s.from.ahead = rest
-	s.dec, s.read = decoder.NewDecoder(&s.from), 0
+	s.dec, s.consumed = decoder.NewDecoder(&s.from), 0
 	return nil
 }
 
-// bounded reads at most left bytes more; ahead comes first, and is not counted again.
-type bounded struct {
+// boundedReader reads at most left bytes more; ahead comes first, and is not counted again.
+type boundedReader struct {
 	r     io.Reader
 	ahead []byte
 	left  int
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *boundedReader) Read(p []byte) (int, error) {
 	if len(b.ahead) > 0 {
 		n := copy(p, b.ahead)
 		if b.ahead = b.ahead[n:]; len(b.ahead) == 0 {
@@ -104,7 +104,7 @@
 	if err != nil {
 		return fmt.Errorf("protocol: %w", err)
 	}
-	if len(b) > MaxMessageBytes+recordOver {
+	if len(b) > MaxMessageBytes+recordOverheadBytes {
 		return fmt.Errorf("%w: %d bytes", ErrTooLong, len(b))
 	}
 	_, err = s.to.Write(b)
--- a/internal/control/protocol/records_test.go
+++ b/internal/control/protocol/records_test.go
@@ -26,7 +26,7 @@
 			case 1:
 				in = append(in, PublisherMessage{Delta: rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "delta")})
 			default:
-				in = append(in, PublisherMessage{Snapshot: bytes.Repeat([]byte{7}, rapid.IntRange(1, 4*keepBuffer).Draw(t, "bytes"))})
+				in = append(in, PublisherMessage{Snapshot: bytes.Repeat([]byte{7}, rapid.IntRange(1, 4*maxIdleBufferBytes).Draw(t, "bytes"))})
 			}
 		}
 		var wire bytes.Buffer
@@ -57,7 +57,7 @@
 }
 
 // A sequence that ends within a record says so, wherever that is.
-func TestRecordHalf(t *testing.T) {
+func TestRecordTruncated(t *testing.T) {
 	whole, err := cbor.Marshal(FollowerMessage{Hello: &Hello{Name: "a", Region: "b", Number: 3, Digest: document.Digest{9}}})
 	if err != nil {
 		t.Fatal(err)
@@ -90,10 +90,10 @@
 	if err := NewReader(huge).Read(new(PublisherMessage)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("%v", err)
 	}
-	if huge.read > MaxMessageBytes+recordOver {
+	if huge.read > MaxMessageBytes+recordOverheadBytes {
 		t.Errorf("%d bytes were read", huge.read)
 	}
-	if err := NewWriter(io.Discard).Write(&PublisherMessage{Snapshot: make([]byte, MaxMessageBytes+recordOver)}); !errors.Is(err, ErrTooLong) {
+	if err := NewWriter(io.Discard).Write(&PublisherMessage{Snapshot: make([]byte, MaxMessageBytes+recordOverheadBytes)}); !errors.Is(err, ErrTooLong) {
 		t.Errorf("%v", err)
 	}
 	most := &PublisherMessage{Snapshot: make([]byte, MaxMessageBytes)}
@@ -113,7 +113,7 @@
 }
 
 // What is no record is an error, never a panic.
-func TestRecordNoise(t *testing.T) {
+func TestRecordInvalid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReader(bytes.NewReader(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")))
 		for range 300 {
--- a/internal/control/publish/client.go
+++ b/internal/control/publish/client.go
@@ -92,17 +92,17 @@
 		}
 		return nil
 	}
-	return refusal(a.StatusCode, text)
+	return errorFromResponse(a.StatusCode, text)
 }
 
-// refusal makes an error of an answer.
-func refusal(status int, text []byte) error {
+// errorFromResponse makes an error of an answer.
+func errorFromResponse(status int, text []byte) error {
 	var r protocol.ErrorResponse
 	if json.Unmarshal(text, &r) != nil || len(r.Faults) == 0 {
 		return fmt.Errorf("publish: status %d: %.200s", status, text)
 	}
 	faults := strings.Join(r.Faults, "\n")
-	for _, c := range codes {
+	for _, c := range errorCodes {
 		if c.code == r.Code {
 			return fmt.Errorf("%w:\n%s", c.err, strings.TrimPrefix(faults, c.err.Error()+": "))
 		}
--- a/internal/control/publish/helpers_test.go
+++ b/internal/control/publish/helpers_test.go
@@ -21,10 +21,10 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// patience bounds every wait: far longer than anything takes.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait: far longer than anything takes.
+const waitTimeout = 20 * time.Second
 
-var byTest = document.Meta{Author: "test", Reason: "a test"}
+var testMeta = document.Meta{Author: "test", Reason: "a test"}
 
 // team is the change that gives a team its budget.
 func team(name string, quota float64) document.Change {
@@ -34,8 +34,8 @@
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatalf("%s: not within %v", what, patience)
+		if time.Since(began) > waitTimeout {
+			t.Fatalf("%s: not within %v", what, waitTimeout)
 		}
 	}
 }
@@ -44,8 +44,8 @@
 type machine struct {
 	*Publisher
 	*Client
-	logs  *observer.ObservedLogs
-	leave func()
+	logs     *observer.ObservedLogs
+	shutDown func()
 }
 
 func freeAddress(t testing.TB) string {
@@ -86,7 +86,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- p.Serve(ctx) }()
 	m := &machine{Publisher: p, Client: &Client{Address: set.Listen}, logs: logs}
-	m.leave = sync.OnceFunc(func() {
+	m.shutDown = sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
 			t.Errorf("Serve: %v", err)
@@ -95,15 +95,15 @@
 			t.Errorf("Close: %v", err)
 		}
 	})
-	t.Cleanup(m.leave)
+	t.Cleanup(m.shutDown)
 	eventually(t, "it serves", func() bool { return logs.FilterMessage("serving").Len() == 1 })
 	return m
 }
 
-// must publishes changes.
-func (m *machine) must(t testing.TB, changes ...document.Change) document.Header {
+// mustPublish publishes changes.
+func (m *machine) mustPublish(t testing.TB, changes ...document.Change) document.Header {
 	t.Helper()
-	h, err := m.Publish(changes, byTest, document.Digest{})
+	h, err := m.Publish(changes, testMeta, document.Digest{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,12 +114,12 @@
 func (m *machine) versionsUpTo(t testing.TB, number uint64) {
 	t.Helper()
 	for n := m.Document().Header().Number + 1; n <= number; n++ {
-		m.must(t, team(fmt.Sprint("t", n%50), float64(n)))
+		m.mustPublish(t, team(fmt.Sprint("t", n%50), float64(n)))
 	}
 }
 
-// peer is a follower by hand: it says what a test wants, and keeps what it hears.
-type peer struct {
+// testFollower is a follower by hand: it says what a test wants, and keeps what it hears.
+type testFollower struct {
 	t         testing.TB
 	out       *io.PipeWriter
 	in        io.ReadCloser
@@ -127,16 +127,16 @@
 	transport *http.Transport
 }
 
-func h2() *http.Transport {
+func http2Transport() *http.Transport {
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	return &http.Transport{Protocols: &p}
 }
 
 // dial opens a stream without a word.
-func dial(t testing.TB, address string) (*peer, error) {
+func dial(t testing.TB, address string) (*testFollower, error) {
 	r, w := io.Pipe()
-	p := &peer{t: t, out: w, transport: h2()}
+	p := &testFollower{t: t, out: w, transport: http2Transport()}
 	t.Cleanup(p.close)
 	q, err := http.NewRequest(http.MethodPost, "http://"+address+protocol.PathFollow, r)
 	if err != nil {
@@ -155,8 +155,8 @@
 	return p, err
 }
 
-// hello opens a stream and says who it is.
-func hello(t testing.TB, address string, h protocol.Hello) *peer {
+// connectFollower opens a stream and says who it is.
+func connectFollower(t testing.TB, address string, h protocol.Hello) *testFollower {
 	t.Helper()
 	p, err := dial(t, address)
 	if err != nil {
@@ -165,11 +165,11 @@
 	if h.Name == "" {
 		h.Name = "s0"
 	}
-	p.say(protocol.FollowerMessage{Hello: &h})
+	p.send(protocol.FollowerMessage{Hello: &h})
 	return p
 }
 
-func (p *peer) close() {
+func (p *testFollower) close() {
 	p.out.CloseWithError(errors.New("over"))
 	if p.in != nil {
 		p.in.Close()
@@ -177,30 +177,30 @@
 	p.transport.CloseIdleConnections()
 }
 
-func (p *peer) say(m protocol.FollowerMessage) {
+func (p *testFollower) send(m protocol.FollowerMessage) {
 	p.t.Helper()
 	b, err := cbor.Marshal(&m)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.raw(b)
+	p.sendRaw(b)
 }
 
-func (p *peer) raw(b []byte) {
+func (p *testFollower) sendRaw(b []byte) {
 	p.out.Write(b) //nolint:errcheck // an end shows where it is read
 }
 
-func (p *peer) ack(doc *document.Document) {
-	p.say(protocol.FollowerMessage{Ack: &protocol.Ack{Number: doc.Header().Number, Digest: doc.Digest()}})
+func (p *testFollower) ack(doc *document.Document) {
+	p.send(protocol.FollowerMessage{Ack: &protocol.Ack{Number: doc.Header().Number, Digest: doc.Digest()}})
 }
 
 // next is the next record, whatever it is; an error is the stream's end.
-func (p *peer) next() (m protocol.PublisherMessage, err error) {
+func (p *testFollower) next() (m protocol.PublisherMessage, err error) {
 	return m, p.dec.Decode(&m)
 }
 
-// version is the next record that is no beat.
-func (p *peer) version() (m protocol.PublisherMessage, err error) {
+// nextVersion is the next record that is no beat.
+func (p *testFollower) nextVersion() (m protocol.PublisherMessage, err error) {
 	for m.Delta == nil && m.Snapshot == nil && err == nil {
 		m = protocol.PublisherMessage{}
 		err = p.dec.Decode(&m)
@@ -208,8 +208,8 @@
 	return m, err
 }
 
-// beat is the next record, which must be a beat.
-func (p *peer) beat() *protocol.Heartbeat {
+// nextHeartbeat is the next record, which must be a beat.
+func (p *testFollower) nextHeartbeat() *protocol.Heartbeat {
 	p.t.Helper()
 	m, err := p.next()
 	if err != nil || m.Heartbeat == nil {
@@ -218,12 +218,12 @@
 	return m.Heartbeat
 }
 
-// reach applies what comes until that version is in force, and returns it with
+// applyUpTo applies what comes until that version is in force, and returns it with
 // the number of snapshots and deltas it took.
-func (p *peer) reach(doc *document.Document, number uint64) (_ *document.Document, snapshots, deltas int) {
+func (p *testFollower) applyUpTo(doc *document.Document, number uint64) (_ *document.Document, snapshots, deltas int) {
 	p.t.Helper()
 	for doc.Header().Number < number {
-		m, err := p.version()
+		m, err := p.nextVersion()
 		if err != nil {
 			p.t.Fatalf("on version %d: %v", doc.Header().Number, err)
 		}
--- a/internal/control/publish/load_test.go
+++ b/internal/control/publish/load_test.go
@@ -15,8 +15,8 @@
 	"kiteslip/internal/faultnet"
 )
 
-// many are changes of n teams with names that do not compress.
-func many(rng *rand.Rand, n int) []document.Change {
+// randomTeams are changes of n teams with names that do not compress.
+func randomTeams(rng *rand.Rand, n int) []document.Change {
 	list := make([]document.Change, n)
 	for i := range list {
 		list[i] = team(fmt.Sprintf("%016x%016x%016x%016x", rng.Uint64(), rng.Uint64(), rng.Uint64(), rng.Uint64()), 1+rng.Float64())
@@ -38,16 +38,16 @@
 	const stuck, warm, versions, teams, bytes = 8, 10, 40, 4000, 1 << 20
 	m := serve(t, Settings{MaxBytes: bytes})
 	rng := rand.New(rand.NewPCG(1, 1))
-	m.must(t, many(rng, 1)...)
-	good := hello(t, m.Address, protocol.Hello{Name: "good"})
-	doc, _, _ := good.reach(document.Empty(), 1)
+	m.mustPublish(t, randomTeams(rng, 1)...)
+	good := connectFollower(t, m.Address, protocol.Hello{Name: "good"})
+	doc, _, _ := good.applyUpTo(document.Empty(), 1)
 	link, err := faultnet.New(m.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(link.Close)
 	for i := range stuck {
-		hello(t, link.Address, protocol.Hello{Name: fmt.Sprint("stuck", i), Number: 1, Digest: doc.Digest()}).beat()
+		connectFollower(t, link.Address, protocol.Hello{Name: fmt.Sprint("stuck", i), Number: 1, Digest: doc.Digest()}).nextHeartbeat()
 	}
 	link.Silence(faultnet.Back)
 	before, sent, beside := uint64(0), 0, 0
@@ -56,21 +56,21 @@
 		if n == 2+warm { // what the machine needs anyhow is there: log, tables, buffers
 			before, sent = heap(), 0
 		}
-		changes := many(rng, teams)
+		changes := randomTeams(rng, teams)
 		if n%2 == 1 { // it does not grow without end itself
 			changes = nil
 			for _, e := range doc.Content().Teams {
 				changes = append(changes, document.Change{Drop: true, Team: &document.Team{Name: e.Name}})
 			}
 		}
-		m.must(t, changes...)
+		m.mustPublish(t, changes...)
 		began := time.Now()
-		doc, _, _ = good.reach(doc, n)
+		doc, _, _ = good.applyUpTo(doc, n)
 		longest = max(longest, time.Since(began))
-		if n, _ := m.book.counts(); n == 1+stuck {
+		if n, _ := m.registry.counts(); n == 1+stuck {
 			beside++
 		}
-		sent += len(m.versions.entries[len(m.versions.entries)-1].record)
+		sent += len(m.versions.entries[len(m.versions.entries)-1].message)
 	}
 	after := heap()
 	t.Logf("%d bytes of versions; the good one waits %v at most; the heap grows by %d KB", sent, longest, (int64(after)-int64(before))/1024)
@@ -86,19 +86,19 @@
 	if doc.Digest() != m.Document().Digest() {
 		t.Error("the good one is on another version")
 	}
-	eventually(t, "those that are stuck are cut off", func() bool { n, _ := m.book.counts(); return n == 1 })
+	eventually(t, "those that are stuck are cut off", func() bool { n, _ := m.registry.counts(); return n == 1 })
 	if lines := lagging(t, m); len(lines) != stuck || lines[0].Connected || lines[0].LagMS == 0 {
 		t.Errorf("%+v", lines)
 	}
 }
 
-// once opens the same bytes once for all who have them.
-type once struct {
+// headerCache opens the same bytes once for all who have them.
+type headerCache struct {
 	mu      sync.Mutex
 	headers map[[32]byte]document.Header
 }
 
-func (o *once) header(text []byte) (document.Header, error) {
+func (o *headerCache) header(text []byte) (document.Header, error) {
 	sum := sha256.Sum256(text)
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -114,8 +114,8 @@
 	return h, err
 }
 
-// hollow follows without applying, and notes how far it has come, until over.
-func hollow(t *testing.T, address string, at *protocol.Hello, latest *atomic.Uint64, opened *once, over <-chan struct{}) error {
+// followWithoutApplying follows without applying, and notes how far it has come, until over.
+func followWithoutApplying(t *testing.T, address string, at *protocol.Hello, latest *atomic.Uint64, opened *headerCache, over <-chan struct{}) error {
 	p, err := dial(t, address)
 	if err != nil {
 		return err
@@ -130,9 +130,9 @@
 		case <-stop:
 		}
 	}()
-	p.say(protocol.FollowerMessage{Hello: at})
+	p.send(protocol.FollowerMessage{Hello: at})
 	for {
-		r, err := p.version()
+		r, err := p.nextVersion()
 		select {
 		case <-over:
 			return nil
@@ -159,7 +159,7 @@
 			}
 			at.Number, at.Digest = delta.Header.Number, delta.Header.Digest()
 		}
-		p.say(protocol.FollowerMessage{Ack: &protocol.Ack{Number: at.Number, Digest: at.Digest}})
+		p.send(protocol.FollowerMessage{Ack: &protocol.Ack{Number: at.Number, Digest: at.Digest}})
 		latest.Store(at.Number)
 	}
 }
@@ -173,11 +173,11 @@
 	for i := range teams {
 		changes = append(changes, team(fmt.Sprintf("team-%05d", i), float64(1+i%97)))
 	}
-	m.must(t, changes...)
+	m.mustPublish(t, changes...)
 	var latest [fleet]atomic.Uint64
 	var again atomic.Int64
 	var done sync.WaitGroup
-	opened := once{headers: map[[32]byte]document.Header{}}
+	opened := headerCache{headers: map[[32]byte]document.Header{}}
 	over := make(chan struct{})
 	defer func() { close(over); done.Wait() }()
 	began := time.Now()
@@ -186,7 +186,7 @@
 			at := protocol.Hello{Name: fmt.Sprintf("s%03d", i), Region: "north"}
 			// One that is cut off on a machine that is very busy comes again, as a server does.
 			for ; !t.Failed(); again.Add(1) {
-				err := hollow(t, m.Address, &at, &latest[i], &opened, over)
+				err := followWithoutApplying(t, m.Address, &at, &latest[i], &opened, over)
 				if err == nil {
 					return
 				}
@@ -209,19 +209,19 @@
 	}
 	eventually(t, "all have the first version", all(1))
 	start := time.Since(began)
-	if m.versions.made != 1 {
-		t.Errorf("%d snapshots were made for %d followers", m.versions.made, fleet)
+	if m.versions.snapshotsMade != 1 {
+		t.Errorf("%d snapshots were made for %d followers", m.versions.snapshotsMade, fleet)
 	}
 	least, most := time.Hour, time.Duration(0)
 	for n := range rounds {
-		m.must(t, team("team-00007", float64(1000+n)))
+		m.mustPublish(t, team("team-00007", float64(1000+n)))
 		began := time.Now()
 		eventually(t, "all have the next version", all(uint64(2+n)))
 		took := time.Since(began)
 		least, most = min(least, took), max(most, took)
 	}
 	eventually(t, "the machine knows that all are current", func() bool { return len(lagging(t, m)) == 0 })
-	if n, forks := m.book.counts(); forks != 0 || n > fleet {
+	if n, forks := m.registry.counts(); forks != 0 || n > fleet {
 		t.Errorf("%d followers, %d forks", n, forks)
 	}
 	t.Logf("%d followers: whole after %v, a new version after %v to %v; %d streams opened again", fleet, start, least, most, again.Load())
--- a/internal/control/publish/publish.go
+++ b/internal/control/publish/publish.go
@@ -46,24 +46,24 @@
 
 // The bounds on what is served at once and on what is kept of those that are gone.
 const (
-	MaxFollowers  = 2_048            // streams; one more is answered 503
-	keepFollowers = 10 * time.Minute // how long one that is gone is still told of
-	mostGone      = 4_096            // ... and how many of them
-	mostConns     = MaxFollowers + 256
-	mostWholes    = 64 // snapshots written at once: where all start together each is taken quickly, in its turn
-	mostBodies    = 4  // bodies of versions read at once, each of protocol.MostMessage at most
+	MaxFollowers          = 2_048            // streams; one more is answered 503
+	disconnectedRetention = 10 * time.Minute // how long one that is gone is still told of
+	maxDisconnected       = 4_096            // ... and how many of them
+	maxConns              = MaxFollowers + 256
+	maxSnapshotWrites     = 64 // snapshots written at once: where all start together each is taken quickly, in its turn
+	maxBodyReads          = 4  // bodies of versions read at once, each of protocol.MostMessage at most
 )
 
 // The times that a Publisher keeps to, besides those of the protocol.
 const (
-	helloWithin  = 5 * time.Second  // a stream that has not said who it is by then is cut off
-	ackWithin    = 30 * time.Second // ... as is one that says nothing to what it was sent for so long
-	pingAfter    = 5 * time.Second  // a connection that is silent for so long is asked whether it is there
-	pingWithin   = 5 * time.Second  // ... and closed without an answer
-	bodyWithin   = 30 * time.Second // a version is read whole by then
-	answerWithin = 10 * time.Second // a page is taken by whoever asked for it by then
-	leaveWithin  = 2 * time.Second  // answers under way have this long to end when the machine leaves
-	retryAfter   = 2                // seconds, to those who are turned away
+	helloTimeout    = 5 * time.Second  // a stream that has not said who it is by then is cut off
+	ackTimeout      = 30 * time.Second // ... as is one that says nothing to what it was sent for so long
+	pingIdleTime    = 5 * time.Second  // a connection that is silent for so long is asked whether it is there
+	pingTimeout     = 5 * time.Second  // ... and closed without an answer
+	bodyTimeout     = 30 * time.Second // a version is read whole by then
+	responseTimeout = 10 * time.Second // a page is taken by whoever asked for it by then
+	shutdownTimeout = 2 * time.Second  // answers under way have this long to end when the machine leaves
+	retryAfterS     = 2                // seconds, to those who are turned away
 )
 
 // Errors of Open, Publish and the Client, to be compared with errors.Is.
--- a/internal/control/publish/publish_test.go
+++ b/internal/control/publish/publish_test.go
@@ -16,7 +16,7 @@
 	"kiteslip/internal/control/document"
 )
 
-func set(folder string) Settings {
+func testSettings(folder string) Settings {
 	return Settings{Name: "c0", Region: "north", Listen: "127.0.0.1:0", Folder: folder}
 }
 
@@ -27,7 +27,7 @@
 	m.versionsUpTo(t, number)
 }
 
-func closed(t testing.TB, p *Publisher) {
+func mustClose(t testing.TB, p *Publisher) {
 	t.Helper()
 	if err := p.Close(); err != nil {
 		t.Fatal(err)
@@ -38,30 +38,30 @@
 func TestReopen(t *testing.T) {
 	fs := vfs.NewMem()
 	for _, number := range []uint64{0, 1, 3, 255, 256, 257, 600} {
-		p, err := open(set("log"), fs)
+		p, err := open(testSettings("log"), fs)
 		if err != nil {
 			t.Fatal(err)
 		}
 		publishN(t, p, number)
 		doc := p.Document()
-		closed(t, p)
-		if p, err = open(set("log"), fs); err != nil {
+		mustClose(t, p)
+		if p, err = open(testSettings("log"), fs); err != nil {
 			t.Fatal(err)
 		}
 		if got := p.Document(); got.Digest() != doc.Digest() || got.Header() != doc.Header() || p.versions.oldest() != 0 {
 			t.Errorf("version %d: after a start %d %v, reaching back to %d", number, got.Header().Number, got.Digest(), p.versions.oldest())
 		}
-		if p.since >= snapshotEvery {
-			t.Errorf("version %d: a start applies %d deltas, want under %d", number, p.since, snapshotEvery)
+		if p.deltasSinceSnapshot >= maxReplayDeltas {
+			t.Errorf("version %d: a start applies %d deltas, want under %d", number, p.deltasSinceSnapshot, maxReplayDeltas)
 		}
-		closed(t, p)
+		mustClose(t, p)
 	}
 }
 
 // The log keeps to both bounds, in memory and on disk, and a start finds the same.
 func TestBounds(t *testing.T) {
 	for _, bound := range []struct{ deltas, bytes int }{{16, 0}, {1000, 4000}, {1, 0}, {1000, 1}} {
-		s, fs := set("log"), vfs.NewMem()
+		s, fs := testSettings("log"), vfs.NewMem()
 		s.MaxDeltas, s.MaxBytes = bound.deltas, bound.bytes
 		p, err := open(s, fs)
 		if err != nil {
@@ -74,23 +74,23 @@
 			}
 		}
 		oldest, digest := p.versions.oldest(), p.Document().Digest()
-		closed(t, p)
+		mustClose(t, p)
 		if p, err = open(s, fs); err != nil {
 			t.Fatalf("%+v: %v", bound, err)
 		}
 		if p.versions.oldest() != oldest || p.Document().Digest() != digest {
 			t.Errorf("%+v: after a start it reaches back to %d, want %d", bound, p.versions.oldest(), oldest)
 		}
-		closed(t, p)
+		mustClose(t, p)
 	}
 }
 
 func TestPublishRefuses(t *testing.T) {
-	p, err := open(set("log"), vfs.NewMem())
+	p, err := open(testSettings("log"), vfs.NewMem())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closed(t, p)
+	defer mustClose(t, p)
 	publishN(t, p, 2)
 	doc := p.Document()
 	for _, c := range []struct {
@@ -105,7 +105,7 @@
 		{[]document.Change{team("", 1), team("b", -1)}, document.Digest{}, ErrInvalidChanges, nil},
 		{[]document.Change{{Drop: true, Team: &document.Team{Name: "nobody"}}, team("b", -1)}, document.Digest{}, ErrInvalidChanges, []string{"nobody", "b"}},
 	} {
-		_, err := p.Publish(c.changes, byTest, c.base)
+		_, err := p.Publish(c.changes, testMeta, c.base)
 		if !errors.Is(err, c.want) {
 			t.Errorf("%+v: %v, want %v", c.changes, err, c.want)
 		}
@@ -122,14 +122,14 @@
 
 // Time never goes back, whatever clock the next originator has.
 func TestTimeNeverGoesBack(t *testing.T) {
-	p, err := open(set("log"), vfs.NewMem())
+	p, err := open(testSettings("log"), vfs.NewMem())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closed(t, p)
+	defer mustClose(t, p)
 	late := time.Now().Add(time.Hour).UnixMicro()
 	for i, at := range []int64{late, 5, 0} {
-		by := byTest
+		by := testMeta
 		by.Time = at
 		h, err := p.Publish([]document.Change{team("a", float64(i+1))}, by, document.Digest{})
 		if err != nil || h.Time != late {
@@ -152,29 +152,29 @@
 			return errors.Join(db.Delete([]byte(snapshotKey), pebble.Sync), db.DeleteRange(deltaKey(1), deltaKey(1000), pebble.Sync))
 		}},
 		{"the head gone", "ends with version 300", func(db *pebble.DB) error { return db.Delete([]byte(headKey), pebble.Sync) }},
-		{"another delta in its place", "version 290 says that it is 289", func(db *pebble.DB) error { return swap(db, deltaKey(289), deltaKey(290)) }},
-		{"a bit turned in a delta", "version 290", func(db *pebble.DB) error { return turn(db, deltaKey(290)) }},
-		{"a bit turned before the snapshot", "version 9", func(db *pebble.DB) error { return turn(db, deltaKey(9)) }},
-		{"a bit turned in the snapshot", "the snapshot", func(db *pebble.DB) error { return turn(db, []byte(snapshotKey)) }},
+		{"another delta in its place", "version 290 says that it is 289", func(db *pebble.DB) error { return copyValue(db, deltaKey(289), deltaKey(290)) }},
+		{"a bit turned in a delta", "version 290", func(db *pebble.DB) error { return flipBit(db, deltaKey(290)) }},
+		{"a bit turned before the snapshot", "version 9", func(db *pebble.DB) error { return flipBit(db, deltaKey(9)) }},
+		{"a bit turned in the snapshot", "the snapshot", func(db *pebble.DB) error { return flipBit(db, []byte(snapshotKey)) }},
 		{"a strange entry", "an entry", func(db *pebble.DB) error { return db.Set([]byte{deltaPrefix, 1}, nil, pebble.Sync) }},
 		{"no log of ours", "no log of versions", func(db *pebble.DB) error { return db.Set([]byte(formatKey), []byte("kiteslip keys 1"), pebble.Sync) }},
 		{"no word of what it is", "no log of versions", func(db *pebble.DB) error { return db.Delete([]byte(formatKey), pebble.Sync) }},
 	} {
 		fs := vfs.NewMem()
-		p, err := open(set("log"), fs)
+		p, err := open(testSettings("log"), fs)
 		if err != nil {
 			t.Fatal(err)
 		}
 		publishN(t, p, 300)
-		closed(t, p)
-		db, err := pebble.Open("log", &pebble.Options{FS: fs, Logger: quiet{}, FormatMajorVersion: pebble.FormatNewest})
+		mustClose(t, p)
+		db, err := pebble.Open("log", &pebble.Options{FS: fs, Logger: pebbleLogger{}, FormatMajorVersion: pebble.FormatNewest})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := errors.Join(c.harm(db), db.Close()); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := open(set("log"), fs); err == nil || !strings.Contains(err.Error(), c.want) ||
+		if _, err := open(testSettings("log"), fs); err == nil || !strings.Contains(err.Error(), c.want) ||
 			!errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrUnknownFormat) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
@@ -183,19 +183,19 @@
 
 // A bit that turned in a file on the disk is an error that says so, wherever it
 // is met, or it lies where nothing is read. The process stays.
-func TestBitTurnedOnDisk(t *testing.T) {
+func TestBitFlipOnDisk(t *testing.T) {
 	found := 0
 	for seed := range uint64(24) {
 		fs, rng := vfs.NewMem(), rand.New(rand.NewPCG(seed, 5))
 		var digest document.Digest
 		for life := range uint64(4) { // the log of each goes into a table of its own
-			p, err := open(set("log"), fs)
+			p, err := open(testSettings("log"), fs)
 			if err != nil {
 				t.Fatal(err)
 			}
 			publishN(t, p, 75*(life+1))
 			digest = p.Document().Digest()
-			closed(t, p)
+			mustClose(t, p)
 		}
 		names, err := fs.List("log")
 		if err != nil {
@@ -235,7 +235,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := store.apart(func() error {
+		if err := store.runIsolated(func() error {
 			return store.db.Compact(context.Background(), []byte("a"), []byte("z"), false)
 		}); err != nil && !errors.Is(store.failure(), ErrCorrupt) {
 			t.Errorf("seed %d: %v, want ErrDamage", seed, store.failure())
@@ -247,7 +247,7 @@
 		if err := store.close(); err != nil {
 			t.Fatal(err)
 		}
-		p, err := open(set("log"), fs)
+		p, err := open(testSettings("log"), fs)
 		switch {
 		case errors.Is(err, ErrCorrupt):
 			found++
@@ -268,7 +268,7 @@
 	t.Logf("%d of 24 are met", found)
 }
 
-func turn(db *pebble.DB, key []byte) error {
+func flipBit(db *pebble.DB, key []byte) error {
 	value, closer, err := db.Get(key)
 	if err != nil {
 		return err
@@ -278,7 +278,7 @@
 	return errors.Join(closer.Close(), db.Set(key, value, pebble.Sync))
 }
 
-func swap(db *pebble.DB, from, to []byte) error {
+func copyValue(db *pebble.DB, from, to []byte) error {
 	value, closer, err := db.Get(from)
 	if err != nil {
 		return err
@@ -287,14 +287,14 @@
 	return errors.Join(closer.Close(), db.Set(to, value, pebble.Sync))
 }
 
-func TestFolderBelongsToOne(t *testing.T) {
+func TestFolderLocked(t *testing.T) {
 	folder := t.TempDir()
-	p, err := Open(set(folder))
+	p, err := Open(testSettings(folder))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closed(t, p)
-	if _, err := Open(set(folder)); !errors.Is(err, ErrInUse) {
+	defer mustClose(t, p)
+	if _, err := Open(testSettings(folder)); !errors.Is(err, ErrInUse) {
 		t.Errorf("%v, want ErrInUse", err)
 	}
 }
@@ -305,7 +305,7 @@
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		mem := vfs.NewCrashableMem()
-		s := set("log")
+		s := testSettings("log")
 		s.MaxDeltas = 1 + rng.IntN(40)
 		p, err := open(s, mem)
 		if err != nil {
@@ -314,7 +314,7 @@
 		publishN(t, p, uint64(rng.IntN(60)))
 		doc := p.Document()
 		after := mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: rng.IntN(101), RNG: rng})
-		closed(t, p)
+		mustClose(t, p)
 		if p, err = open(s, after); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -322,7 +322,7 @@
 			t.Errorf("seed %d: version %d after the loss, want %d", seed, got.Header().Number, doc.Header().Number)
 		}
 		publishN(t, p, doc.Header().Number+1)
-		closed(t, p)
+		mustClose(t, p)
 	}
 }
 
@@ -341,7 +341,7 @@
 			}
 			return nil
 		}))
-		s := set("log")
+		s := testSettings("log")
 		s.MaxDeltas = 8
 		p, err := open(s, fs)
 		if err != nil {
@@ -352,7 +352,7 @@
 		var refused error
 		for n := 0; n < 40 && refused == nil; n++ {
 			before := p.Document()
-			if _, refused = p.Publish([]document.Change{team("x", float64(n+1))}, byTest, document.Digest{}); refused == nil {
+			if _, refused = p.Publish([]document.Change{team("x", float64(n+1))}, testMeta, document.Digest{}); refused == nil {
 				continue
 			}
 			if !errors.Is(refused, ErrDiskFailed) {
@@ -364,16 +364,16 @@
 		}
 		if refused == nil {
 			t.Errorf("write %d: no version is refused", at)
-			closed(t, p)
+			mustClose(t, p)
 			continue
 		}
 		failed++
 		left.Store(1 << 40) // the disk is well again: the machine does not know
-		if _, err := p.Publish([]document.Change{team("y", 1)}, byTest, document.Digest{}); !errors.Is(err, ErrDiskFailed) {
+		if _, err := p.Publish([]document.Change{team("y", 1)}, testMeta, document.Digest{}); !errors.Is(err, ErrDiskFailed) {
 			t.Errorf("write %d: after the failure: %v, want ErrDisk", at, err)
 		}
 		doc := p.Document()
-		closed(t, p)
+		mustClose(t, p)
 		again, err := open(s, mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: int(at) * 100 / 39, RNG: rand.New(rand.NewPCG(uint64(at), 2))}))
 		if err != nil {
 			t.Errorf("write %d: after a start: %v", at, err)
@@ -384,7 +384,7 @@
 			t.Errorf("write %d: after a start version %d, want %d or the one refused", at, got.Header().Number, doc.Header().Number)
 		}
 		publishN(t, again, got.Header().Number+1)
-		closed(t, again)
+		mustClose(t, again)
 	}
 	if failed < 40 {
 		t.Errorf("%d of 40 disks failed", failed)
--- a/internal/control/publish/publisher.go
+++ b/internal/control/publish/publisher.go
@@ -20,25 +20,25 @@
 
 // Publisher is one control machine.
 type Publisher struct {
-	set      Settings
-	log      *zap.Logger
-	store    *store
-	versions *versions
-	book     *book
-	relay    *follow.Follower // nil = this machine originates
-	places   chan struct{}    // ... for streams
-	wholes   chan struct{}    // ... for snapshots that are written
-	bodies   chan struct{}    // ... for versions that are read
-	ending   context.Context  // ends when the machine leaves
-	end      context.CancelFunc
+	set           Settings
+	log           *zap.Logger
+	store         *store
+	versions      *versionLog
+	registry      *followerRegistry
+	relay         *follow.Follower // nil = this machine originates
+	streamSlots   chan struct{}    // ... for streams
+	snapshotSlots chan struct{}    // ... for snapshots that are written
+	bodySlots     chan struct{}    // ... for versions that are read
+	shutdown      context.Context  // ends when the machine leaves
+	beginShutdown context.CancelFunc
 
-	helloWithin, ackWithin, pingAfter, pingWithin time.Duration
+	helloTimeout, ackTimeout, pingIdleTime, pingTimeout time.Duration
 
-	mu       sync.Mutex // held while a version is made: one at a time
-	kept     uint64     // the version that the snapshot on disk is of
-	since    int        // deltas written after it
-	sinceB   int        // bytes of them
-	diskSaid bool
+	mu                  sync.Mutex // held while a version is made: one at a time
+	snapshotNumber      uint64     // the version that the snapshot on disk is of
+	deltasSinceSnapshot int        // deltas written after it
+	bytesSinceSnapshot  int        // bytes of them
+	diskErrorLogged     bool
 }
 
 // Open reads the log that the folder keeps, and checks it whole. What was
@@ -57,11 +57,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", set.Folder, err)
 	}
-	p := &Publisher{set: set, log: set.Log, store: s, book: newBook(),
-		places: make(chan struct{}, MaxFollowers), wholes: make(chan struct{}, mostWholes),
-		bodies:      make(chan struct{}, mostBodies),
-		helloWithin: helloWithin, ackWithin: ackWithin, pingAfter: pingAfter, pingWithin: pingWithin}
-	p.ending, p.end = context.WithCancel(context.Background())
+	p := &Publisher{set: set, log: set.Log, store: s, registry: newFollowerRegistry(),
+		streamSlots: make(chan struct{}, MaxFollowers), snapshotSlots: make(chan struct{}, maxSnapshotWrites),
+		bodySlots:    make(chan struct{}, maxBodyReads),
+		helloTimeout: helloTimeout, ackTimeout: ackTimeout, pingIdleTime: pingIdleTime, pingTimeout: pingTimeout}
+	p.shutdown, p.beginShutdown = context.WithCancel(context.Background())
 	if err := p.restore(); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", set.Folder, err), s.close())
 	}
@@ -103,8 +103,8 @@
 	if err != nil {
 		return err
 	}
-	p.kept = kept
-	p.versions = newVersions(doc)
+	p.snapshotNumber = kept
+	p.versions = newVersionLog(doc)
 	if len(deltas) == 0 {
 		return nil
 	}
@@ -115,17 +115,17 @@
 			return err
 		}
 		if r.number > kept {
-			p.since++
-			p.sinceB += len(r.delta)
+			p.deltasSinceSnapshot++
+			p.bytesSinceSnapshot += len(r.delta)
 		}
 	}
 	p.versions.restore(doc, deltas[0].parent, list)
 	return nil
 }
 
-func newEntry(r record, now time.Time) (entry, error) {
+func newEntry(r storedDelta, now time.Time) (entry, error) {
 	b, err := cbor.Marshal(&protocol.PublisherMessage{Delta: r.delta})
-	return entry{number: r.number, digest: r.digest, record: b, since: now}, err
+	return entry{number: r.number, digest: r.digest, message: b, since: now}, err
 }
 
 // Close gives the folder back. It is called after Serve, or without it.
@@ -171,7 +171,7 @@
 	}
 	by.Time = max(cmp.Or(by.Time, time.Now().UnixMicro()), doc.Header().Time)
 	delta, err := doc.Draft(list, by)
-	if err != nil && err.Error() == sameText {
+	if err != nil && err.Error() == noChangeText {
 		return document.Header{}, fmt.Errorf("%w: %d %v", ErrNoChange, doc.Header().Number, doc.Digest())
 	}
 	if err != nil {
@@ -182,7 +182,7 @@
 		return document.Header{}, fmt.Errorf("%w:\n%w", ErrInvalidChanges, err)
 	}
 	if err := p.append(next, delta); err != nil {
-		p.sayDisk(err)
+		p.logDiskError(err)
 		return document.Header{}, err
 	}
 	h := next.Header()
@@ -191,8 +191,8 @@
 	return h, nil
 }
 
-// sameText is what document.Draft says of changes that leave all as it is.
-const sameText = "the delta changes nothing"
+// noChangeText is what document.Draft says of changes that leave all as it is.
+const noChangeText = "the delta changes nothing"
 
 // append writes a version to the log on disk, then puts it in force.
 func (p *Publisher) append(next *document.Document, delta *document.Delta) error {
@@ -200,16 +200,16 @@
 	if err != nil {
 		return err
 	}
-	r := newRecord(delta, text)
+	r := newStoredDelta(delta, text)
 	e, err := newEntry(r, time.Now())
 	if err != nil {
 		return err
 	}
-	drop := p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.record))
+	drop := p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.message))
 	from := p.versions.oldest() + 1
-	w := &write{add: &r, from: from, to: from + uint64(drop), number: r.number, digest: r.digest}
+	w := &logWrite{added: &r, dropFrom: from, dropTo: from + uint64(drop), number: r.number, digest: r.digest}
 	// The deltas that stay must reach back to the snapshot, and be few after it.
-	if w.to > p.kept+1 || p.since+1 >= snapshotEvery || p.sinceB+len(text) >= snapshotBytes {
+	if w.dropTo > p.snapshotNumber+1 || p.deltasSinceSnapshot+1 >= maxReplayDeltas || p.bytesSinceSnapshot+len(text) >= maxReplayBytes {
 		if w.snapshot, err = next.Snapshot(); err != nil {
 			return err
 		}
@@ -217,21 +217,21 @@
 	if err := p.store.commit(w); err != nil {
 		return err
 	}
-	p.since, p.sinceB = p.since+1, p.sinceB+len(text)
+	p.deltasSinceSnapshot, p.bytesSinceSnapshot = p.deltasSinceSnapshot+1, p.bytesSinceSnapshot+len(text)
 	if w.snapshot != nil {
-		p.kept, p.since, p.sinceB = r.number, 0, 0
+		p.snapshotNumber, p.deltasSinceSnapshot, p.bytesSinceSnapshot = r.number, 0, 0
 	}
 	p.versions.add(next, e, drop)
 	return nil
 }
 
-// take puts a version in force that the relay's follower was sent. Where it
+// applyRelayed puts a version in force that the relay's follower was sent. Where it
 // cannot be written it is served from memory: the originator has it on disk.
-func (p *Publisher) take(_ context.Context, doc *document.Document, delta *document.Delta) error {
+func (p *Publisher) applyRelayed(_ context.Context, doc *document.Document, delta *document.Delta) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if delta == nil {
-		return p.takeWhole(doc)
+		return p.applySnapshot(doc)
 	}
 	text, err := delta.Encode()
 	if err != nil {
@@ -241,51 +241,51 @@
 		if !errors.Is(err, ErrDiskFailed) {
 			return err
 		}
-		p.sayDisk(err)
-		e, err := newEntry(newRecord(delta, text), time.Now())
+		p.logDiskError(err)
+		e, err := newEntry(newStoredDelta(delta, text), time.Now())
 		if err != nil {
 			return err
 		}
-		p.versions.add(doc, e, p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.record)))
+		p.versions.add(doc, e, p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.message)))
 	}
-	p.logTaken(doc, false)
+	p.logInForce(doc, false)
 	return nil
 }
 
-func (p *Publisher) takeWhole(doc *document.Document) error {
+func (p *Publisher) applySnapshot(doc *document.Document) error {
 	text, err := doc.Snapshot()
 	if err != nil {
 		return err
 	}
 	from, to := p.versions.oldest()+1, p.versions.inForce().Header().Number+1
-	err = p.store.commit(&write{snapshot: text, from: from, to: to, number: doc.Header().Number, digest: doc.Digest()})
+	err = p.store.commit(&logWrite{snapshot: text, dropFrom: from, dropTo: to, number: doc.Header().Number, digest: doc.Digest()})
 	switch {
 	case errors.Is(err, ErrDiskFailed):
-		p.sayDisk(err)
+		p.logDiskError(err)
 	case err != nil:
 		return err
 	default:
-		p.kept, p.since, p.sinceB = doc.Header().Number, 0, 0
+		p.snapshotNumber, p.deltasSinceSnapshot, p.bytesSinceSnapshot = doc.Header().Number, 0, 0
 	}
 	p.versions.reset(doc)
-	p.logTaken(doc, true)
+	p.logInForce(doc, true)
 	return nil
 }
 
-func (p *Publisher) logTaken(doc *document.Document, whole bool) {
+func (p *Publisher) logInForce(doc *document.Document, whole bool) {
 	p.log.Info("version in force", zap.Uint64("version", doc.Header().Number), zap.Stringer("digest", doc.Digest()), zap.Bool("snapshot", whole))
 }
 
-// sayDisk logs the first failure of the disk: there is no way back but a start.
-func (p *Publisher) sayDisk(err error) {
-	if errors.Is(err, ErrDiskFailed) && !p.diskSaid {
-		p.diskSaid = true
+// logDiskError logs the first failure of the disk: there is no way back but a start.
+func (p *Publisher) logDiskError(err error) {
+	if errors.Is(err, ErrDiskFailed) && !p.diskErrorLogged {
+		p.diskErrorLogged = true
 		p.log.Error("the log cannot be written: nothing more is kept until the next start", zap.Error(err))
 	}
 }
 
-// unheard is how long ago the originator was heard.
-func (p *Publisher) unheard() time.Duration {
+// originatorSilence is how long ago the originator was heard.
+func (p *Publisher) originatorSilence() time.Duration {
 	if p.relay == nil {
 		return 0
 	}
--- a/internal/control/publish/relay_test.go
+++ b/internal/control/publish/relay_test.go
@@ -12,7 +12,7 @@
 	"kiteslip/internal/faultnet"
 )
 
-func (m *machine) on(number uint64) func() bool {
+func (m *machine) reached(number uint64) func() bool {
 	return func() bool { return m.Document().Header().Number >= number }
 }
 
@@ -25,24 +25,24 @@
 	set := relayOf("c1", a.Address)
 	set.Folder = folder
 	b := serve(t, set)
-	eventually(t, "the relay is on 3", b.on(3))
-	server := hello(t, b.Address, protocol.Hello{Name: "s0", Region: "south"})
-	doc, _, _ := server.reach(document.Empty(), 3)
+	eventually(t, "the relay is on 3", b.reached(3))
+	server := connectFollower(t, b.Address, protocol.Hello{Name: "s0", Region: "south"})
+	doc, _, _ := server.applyUpTo(document.Empty(), 3)
 	a.versionsUpTo(t, 8)
-	if doc, _, _ = server.reach(doc, 8); doc.Digest() != a.Document().Digest() {
+	if doc, _, _ = server.applyUpTo(doc, 8); doc.Digest() != a.Document().Digest() {
 		t.Errorf("by the relay: %v, want %v", doc.Digest(), a.Document().Digest())
 	}
-	if _, err := b.Publish([]document.Change{team("x", 1)}, byTest, document.Digest{}); !errors.Is(err, ErrNotOriginator) {
+	if _, err := b.Publish([]document.Change{team("x", 1)}, testMeta, document.Digest{}); !errors.Is(err, ErrNotOriginator) {
 		t.Errorf("%v", err)
 	}
-	if _, err := b.PublishChanges(within(t), []document.Change{team("x", 1)}, byTest, document.Digest{}); !errors.Is(err, ErrNotOriginator) || !strings.Contains(err.Error(), a.Address) {
+	if _, err := b.PublishChanges(testContext(t), []document.Change{team("x", 1)}, testMeta, document.Digest{}); !errors.Is(err, ErrNotOriginator) || !strings.Contains(err.Error(), a.Address) {
 		t.Errorf("%v does not name %s", err, a.Address)
 	}
-	if lines, err := a.Followers(within(t), false); err != nil || len(lines) != 1 || lines[0].Name != "c1" || !lines[0].Publisher || lines[0].Number != 8 {
+	if lines, err := a.Followers(testContext(t), false); err != nil || len(lines) != 1 || lines[0].Name != "c1" || !lines[0].Publisher || lines[0].Number != 8 {
 		t.Errorf("%+v, %v", lines, err)
 	}
-	a.leave()
-	late := hello(t, b.Address, protocol.Hello{Name: "s1"})
+	a.shutDown()
+	late := connectFollower(t, b.Address, protocol.Hello{Name: "s1"})
 	for number := uint64(0); ; {
 		m, err := late.next()
 		if err != nil {
@@ -55,14 +55,14 @@
 			break
 		}
 	}
-	b.leave()
+	b.shutDown()
 	c := serve(t, Settings{Name: "c1", Listen: b.set.Listen, Folder: folder}) // as the originator, from the relay's folder
 	if c.Document().Digest() != doc.Digest() {
 		t.Errorf("from the relay's folder: version %d", c.Document().Header().Number)
 	}
-	again := hello(t, c.Address, protocol.Hello{Name: "s0", Number: 8, Digest: doc.Digest()})
+	again := connectFollower(t, c.Address, protocol.Hello{Name: "s0", Number: 8, Digest: doc.Digest()})
 	c.versionsUpTo(t, 9)
-	if _, snapshots, steps := again.reach(doc, 9); snapshots != 0 || steps != 1 {
+	if _, snapshots, steps := again.applyUpTo(doc, 9); snapshots != 0 || steps != 1 {
 		t.Errorf("%d snapshots, %d deltas", snapshots, steps)
 	}
 }
@@ -79,7 +79,7 @@
 	}{{3, 1}, {3, 0}, {10, 0}, {40, 1}, {41, 0}} {
 		a.versionsUpTo(t, c.number)
 		b := serve(t, set)
-		eventually(t, "the relay has caught up", b.on(c.number))
+		eventually(t, "the relay has caught up", b.reached(c.number))
 		eventually(t, "its follower says so", func() bool { return b.relay.State().Number == c.number })
 		if got := b.relay.State().Snapshots; got != c.snapshots {
 			t.Errorf("version %d: %d snapshots, want %d", c.number, got, c.snapshots)
@@ -87,7 +87,7 @@
 		if got := b.versions.oldest(); c.number == 41 && got != 40 {
 			t.Errorf("after a snapshot its log reaches back to %d, want 40", got)
 		}
-		b.leave()
+		b.shutDown()
 	}
 }
 
@@ -110,19 +110,19 @@
 	set1, set2 := relayOf("c1", links[0].Address, b2), relayOf("c2", links[1].Address, b1)
 	set1.Listen, set2.Listen = b1, b2
 	b, c := serve(t, set1), serve(t, set2)
-	eventually(t, "both are on 2", func() bool { return b.on(2)() && c.on(2)() })
+	eventually(t, "both are on 2", func() bool { return b.reached(2)() && c.reached(2)() })
 	links[0].Cut()
 	links[1].Cut()
 	a.versionsUpTo(t, 5)
 	const long = 2 * protocol.OriginatorTimeout
-	eventually(t, "both tell that the originator was not heard", func() bool { return b.unheard() > long && c.unheard() > long })
+	eventually(t, "both tell that the originator was not heard", func() bool { return b.originatorSilence() > long && c.originatorSilence() > long })
 	if b.Document().Header().Number != 2 || c.Document().Header().Number != 2 {
 		t.Error("there are versions that nobody published")
 	}
 	if err := links[1].Heal(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "both are on 5", func() bool { return b.on(5)() && c.on(5)() })
+	eventually(t, "both are on 5", func() bool { return b.reached(5)() && c.reached(5)() })
 	if b.Document().Digest() != a.Document().Digest() || c.Document().Digest() != a.Document().Digest() {
 		t.Error("not the same version 5")
 	}
@@ -133,11 +133,11 @@
 	a := serve(t, Settings{Name: "c0"})
 	b := serve(t, relayOf("c1", a.Address))
 	a.versionsUpTo(t, 2)
-	eventually(t, "the relay is on 2", b.on(2))
+	eventually(t, "the relay is on 2", b.reached(2))
 	b.store.fail(errors.New("no space left on device"))
 	a.versionsUpTo(t, 4)
-	eventually(t, "the relay is on 4", b.on(4))
-	if _, _, steps := hello(t, b.Address, protocol.Hello{Number: 2, Digest: a.at(t, 2).Digest()}).reach(a.at(t, 2), 4); steps != 2 {
+	eventually(t, "the relay is on 4", b.reached(4))
+	if _, _, steps := connectFollower(t, b.Address, protocol.Hello{Number: 2, Digest: a.documentAt(t, 2).Digest()}).applyUpTo(a.documentAt(t, 2), 4); steps != 2 {
 		t.Errorf("%d deltas", steps)
 	}
 	v, err := b.Version(context.Background())
@@ -147,7 +147,7 @@
 	if n := b.logs.FilterMessageSnippet("cannot be written").Len(); n != 1 {
 		t.Errorf("logged %d times", n)
 	}
-	if _, err := a.Publish([]document.Change{team("a", 1)}, byTest, document.Digest{}); err != nil {
+	if _, err := a.Publish([]document.Change{team("a", 1)}, testMeta, document.Digest{}); err != nil {
 		t.Error(fmt.Errorf("the originator: %w", err))
 	}
 }
--- a/internal/control/publish/serve.go
+++ b/internal/control/publish/serve.go
@@ -34,15 +34,15 @@
 	var both http.Protocols
 	both.SetHTTP1(true)
 	both.SetUnencryptedHTTP2(true)
-	server := &http.Server{Handler: p.handler(), Protocols: &both, ReadHeaderTimeout: helloWithin, IdleTimeout: time.Minute,
-		MaxHeaderBytes: mostWord, ErrorLog: zap.NewStdLog(p.log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
-		HTTP2: &http.HTTP2Config{SendPingTimeout: p.pingAfter, PingTimeout: p.pingWithin, MaxConcurrentStreams: MaxFollowers + 1}}
+	server := &http.Server{Handler: p.handler(), Protocols: &both, ReadHeaderTimeout: helloTimeout, IdleTimeout: time.Minute,
+		MaxHeaderBytes: maxFollowerMessageBytes, ErrorLog: zap.NewStdLog(p.log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
+		HTTP2: &http.HTTP2Config{SendPingTimeout: p.pingIdleTime, PingTimeout: p.pingTimeout, MaxConcurrentStreams: MaxFollowers + 1}}
 	var relay sync.WaitGroup
 	if p.relay != nil {
-		relay.Go(func() { p.relay.Run(ctx, p.take) })
+		relay.Go(func() { p.relay.Run(ctx, p.applyRelayed) })
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(netutil.LimitListener(l, mostConns)) }()
+	go func() { ended <- server.Serve(netutil.LimitListener(l, maxConns)) }()
 	doc := p.Document()
 	p.log.Info("serving", zap.String("name", p.set.Name), zap.String("region", p.set.Region), zap.String("listen", l.Addr().String()),
 		zap.Bool("originates", p.relay == nil), zap.Uint64("version", doc.Header().Number), zap.Stringer("digest", doc.Digest()),
@@ -50,14 +50,14 @@
 	select {
 	case err = <-ended:
 	case <-ctx.Done():
-		p.end()
-		late, cancel := context.WithTimeout(context.Background(), leaveWithin)
+		p.beginShutdown()
+		late, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if server.Shutdown(late) != nil {
 			server.Close() //nolint:errcheck // whoever is still there is cut off
 		}
 	}
-	p.end()
+	p.beginShutdown()
 	relay.Wait()
 	p.log.Info("left")
 	return err
@@ -65,18 +65,20 @@
 
 func (p *Publisher) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+protocol.PathFollow, p.follow)
-	mux.HandleFunc("POST "+protocol.PathVersions, p.publishes)
-	mux.HandleFunc("GET "+protocol.PathVersion, func(w http.ResponseWriter, _ *http.Request) { answer(w, http.StatusOK, p.version(p.Document())) })
-	mux.HandleFunc("GET "+protocol.PathFollowers, p.followers)
+	mux.HandleFunc("POST "+protocol.PathFollow, p.handleFollow)
+	mux.HandleFunc("POST "+protocol.PathVersions, p.handlePublish)
+	mux.HandleFunc("GET "+protocol.PathVersion, func(w http.ResponseWriter, _ *http.Request) {
+		respond(w, http.StatusOK, p.describeVersion(p.Document()))
+	})
+	mux.HandleFunc("GET "+protocol.PathFollowers, p.handleFollowers)
 	return mux
 }
 
-// version words a version as it stands here.
-func (p *Publisher) version(doc *document.Document) *protocol.Version {
+// describeVersion words a version as it stands here.
+func (p *Publisher) describeVersion(doc *document.Document) *protocol.Version {
 	v := versionOf(doc.Header(), doc.Digest())
-	v.PublisherName, v.PublisherRegion, v.OriginatorSilenceMS, v.Oldest = p.set.Name, p.set.Region, p.unheard().Milliseconds(), p.versions.oldest()
-	v.Followers, v.Forks = p.book.counts()
+	v.PublisherName, v.PublisherRegion, v.OriginatorSilenceMS, v.Oldest = p.set.Name, p.set.Region, p.originatorSilence().Milliseconds(), p.versions.oldest()
+	v.Followers, v.Forks = p.registry.counts()
 	if p.relay != nil {
 		v.Originator = p.set.Upstreams[0].Address
 	}
@@ -86,9 +88,9 @@
 	return v
 }
 
-// followers answers who follows; with lagging=1 those alone that need a look.
-func (p *Publisher) followers(w http.ResponseWriter, r *http.Request) {
-	lines := p.book.list(p.versions, time.Now())
+// handleFollowers answers who follows; with lagging=1 those alone that need a look.
+func (p *Publisher) handleFollowers(w http.ResponseWriter, r *http.Request) {
+	lines := p.registry.list(p.versions, time.Now())
 	if r.URL.Query().Get("lagging") == "1" {
 		some := make([]protocol.Follower, 0)
 		for _, f := range lines {
@@ -98,7 +100,7 @@
 		}
 		lines = some
 	}
-	answer(w, http.StatusOK, lines)
+	respond(w, http.StatusOK, lines)
 }
 
 // The types of what is published.
@@ -107,17 +109,17 @@
 	typeChanges = "application/cbor" // a list of document.Change
 )
 
-// publishes takes a version from an operator.
-func (p *Publisher) publishes(w http.ResponseWriter, r *http.Request) {
+// handlePublish takes a version from an operator.
+func (p *Publisher) handlePublish(w http.ResponseWriter, r *http.Request) {
 	if p.relay != nil {
-		p.refuse(w, http.StatusConflict, protocol.CodeNotOriginator, fmt.Sprintf("versions are published at %s", p.set.Upstreams[0].Address))
+		p.respondError(w, http.StatusConflict, protocol.CodeNotOriginator, fmt.Sprintf("versions are published at %s", p.set.Upstreams[0].Address))
 		return
 	}
 	select {
-	case p.bodies <- struct{}{}:
-		defer func() { <-p.bodies }()
+	case p.bodySlots <- struct{}{}:
+		defer func() { <-p.bodySlots }()
 	default:
-		p.refuse(w, http.StatusServiceUnavailable, protocol.CodeBusy, fmt.Sprintf("%d versions are being read", mostBodies))
+		p.respondError(w, http.StatusServiceUnavailable, protocol.CodeBusy, fmt.Sprintf("%d versions are being read", maxBodyReads))
 		return
 	}
 	query := r.URL.Query()
@@ -138,13 +140,13 @@
 		}
 	}
 	if len(faults) > 0 {
-		p.refuse(w, http.StatusBadRequest, protocol.CodeInvalid, faults...)
+		p.respondError(w, http.StatusBadRequest, protocol.CodeInvalid, faults...)
 		return
 	}
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyWithin)) //nolint:errcheck // a connection that has ended shows below
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout)) //nolint:errcheck // a connection that has ended shows below
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxMessageBytes))
 	if err != nil {
-		p.refuse(w, http.StatusBadRequest, protocol.CodeInvalid, err.Error())
+		p.respondError(w, http.StatusBadRequest, protocol.CodeInvalid, err.Error())
 		return
 	}
 	var h document.Header
@@ -158,27 +160,27 @@
 		}
 	case typeChanges:
 		var changes []document.Change
-		if err = lists.Unmarshal(body, &changes); err != nil {
+		if err = changeListDecoder.Unmarshal(body, &changes); err != nil {
 			err = fmt.Errorf("%w:\n%w", ErrInvalidChanges, err)
 		} else {
 			h, err = p.Publish(changes, by, base)
 		}
 	default:
-		p.refuse(w, http.StatusUnsupportedMediaType, protocol.CodeInvalid, fmt.Sprintf("Content-Type is %q, want %s or %s", kind, typeFile, typeChanges))
+		p.respondError(w, http.StatusUnsupportedMediaType, protocol.CodeInvalid, fmt.Sprintf("Content-Type is %q, want %s or %s", kind, typeFile, typeChanges))
 		return
 	}
 	if err != nil {
-		p.refuseError(w, err)
+		p.respondErr(w, err)
 		return
 	}
 	// Another version may have come since: what is answered is the one made here.
-	v := p.version(p.Document())
+	v := p.describeVersion(p.Document())
 	made := versionOf(h, h.Digest())
 	made.PublisherName, made.PublisherRegion, made.Oldest, made.Followers, made.Forks = v.PublisherName, v.PublisherRegion, v.Oldest, v.Followers, v.Forks
-	answer(w, http.StatusOK, made)
+	respond(w, http.StatusOK, made)
 }
 
-var lists = func() cbor.DecMode {
+var changeListDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxMapPairs: 64, MaxArrayElements: 2 * (document.MaxTeams + document.MaxServices + document.MaxPools),
 		DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
@@ -187,8 +189,8 @@
 	return m
 }()
 
-// codes are what errors are answered with, and what the client makes of it.
-var codes = []struct {
+// errorCodes are what errors are answered with, and what the client makes of it.
+var errorCodes = []struct {
 	err    error
 	code   string
 	status int
@@ -201,32 +203,32 @@
 	{ErrBusy, protocol.CodeBusy, http.StatusServiceUnavailable},
 }
 
-func (p *Publisher) refuseError(w http.ResponseWriter, err error) {
-	for _, c := range codes {
+func (p *Publisher) respondErr(w http.ResponseWriter, err error) {
+	for _, c := range errorCodes {
 		if errors.Is(err, c.err) {
 			text := strings.TrimPrefix(err.Error(), c.err.Error()+":\n")
-			p.refuse(w, c.status, c.code, strings.Split(text, "\n")...)
+			p.respondError(w, c.status, c.code, strings.Split(text, "\n")...)
 			return
 		}
 	}
 	p.log.Error("a version could not be made", zap.Error(err))
-	p.refuse(w, http.StatusInternalServerError, protocol.CodeInvalid, err.Error())
+	p.respondError(w, http.StatusInternalServerError, protocol.CodeInvalid, err.Error())
 }
 
-func (p *Publisher) refuse(w http.ResponseWriter, status int, code string, faults ...string) {
+func (p *Publisher) respondError(w http.ResponseWriter, status int, code string, faults ...string) {
 	r := &protocol.ErrorResponse{Code: code, Faults: faults}
 	if p.relay != nil {
 		r.Originator = p.set.Upstreams[0].Address
 	}
 	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", strconv.Itoa(retryAfter))
+		w.Header().Set("Retry-After", strconv.Itoa(retryAfterS))
 	}
-	answer(w, status, r)
+	respond(w, status, r)
 }
 
-func answer(w http.ResponseWriter, status int, value any) {
+func respond(w http.ResponseWriter, status int, value any) {
 	// One who asks and does not read holds a connection no longer than that.
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWithin)) //nolint:errcheck // as below
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout)) //nolint:errcheck // as below
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(value) //nolint:errcheck // whoever asked may have gone
