--- a/internal/control/publish/serve_test.go
+++ b/internal/control/publish/serve_test.go
@@ -16,19 +16,19 @@
 	"kiteslip/internal/faultnet"
 )
 
-func within(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// at returns the document of a version that m published, as a follower has it.
-func (m *machine) at(t testing.TB, number uint64) *document.Document {
+// documentAt returns the document of a version that m published, as a follower has it.
+func (m *machine) documentAt(t testing.TB, number uint64) *document.Document {
 	t.Helper()
 	doc := document.Empty()
 	for _, e := range m.versions.entries[:number] {
 		var err error
-		doc, err = applyRecord(doc, e.record)
+		doc, err = applyRecord(doc, e.message)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 
 func lagging(t testing.TB, m *machine) []protocol.Follower {
 	t.Helper()
-	lines, err := m.Followers(within(t), true)
+	lines, err := m.Followers(testContext(t), true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,16 +48,16 @@
 // What a follower is sent goes by the version that it names.
 func TestHello(t *testing.T) {
 	m := serve(t, Settings{MaxDeltas: 16})
-	empty := hello(t, m.Address, protocol.Hello{})
-	if b := empty.beat(); b.Number != 0 || b.OriginatorSilenceMS != 0 {
+	empty := connectFollower(t, m.Address, protocol.Hello{})
+	if b := empty.nextHeartbeat(); b.Number != 0 || b.OriginatorSilenceMS != 0 {
 		t.Errorf("before the first version: %+v", b)
 	}
 	m.versionsUpTo(t, 10)
 	docs := map[uint64]*document.Document{}
 	for n := uint64(1); n <= 10; n++ {
-		docs[n] = m.at(t, n)
+		docs[n] = m.documentAt(t, n)
 	}
-	if doc, snapshots, _ := empty.reach(document.Empty(), 10); doc.Digest() != m.Document().Digest() || snapshots != 1 {
+	if doc, snapshots, _ := empty.applyUpTo(document.Empty(), 10); doc.Digest() != m.Document().Digest() || snapshots != 1 {
 		t.Errorf("one with nothing: version %d after %d snapshots", doc.Header().Number, snapshots)
 	}
 	m.versionsUpTo(t, 20) // the log reaches back to version 4
@@ -70,58 +70,58 @@
 		if c.on > 0 {
 			doc = docs[c.on]
 		}
-		p := hello(t, m.Address, protocol.Hello{Name: "s-" + c.name, Number: c.on, Digest: doc.Digest()})
-		if b := p.beat(); b.Number != 20 || b.Digest != m.Document().Digest() {
+		p := connectFollower(t, m.Address, protocol.Hello{Name: "s-" + c.name, Number: c.on, Digest: doc.Digest()})
+		if b := p.nextHeartbeat(); b.Number != 20 || b.Digest != m.Document().Digest() {
 			t.Errorf("%s: first a beat of %+v", c.name, b)
 		}
-		doc, snapshots, steps := p.reach(doc, 20)
+		doc, snapshots, steps := p.applyUpTo(doc, 20)
 		if doc.Digest() != m.Document().Digest() || snapshots != c.snapshots || steps != c.steps {
 			t.Errorf("%s: %d snapshots and %d deltas, want %d and %d", c.name, snapshots, steps, c.snapshots, c.steps)
 		}
 	}
 	in := m.Document()
-	p := hello(t, m.Address, protocol.Hello{Name: "current", Number: 20, Digest: in.Digest()})
-	p.beat()
+	p := connectFollower(t, m.Address, protocol.Hello{Name: "current", Number: 20, Digest: in.Digest()})
+	p.nextHeartbeat()
 	m.versionsUpTo(t, 21)
-	if doc, snapshots, steps := p.reach(in, 21); doc.Digest() != m.Document().Digest() || snapshots != 0 || steps != 1 {
+	if doc, snapshots, steps := p.applyUpTo(in, 21); doc.Digest() != m.Document().Digest() || snapshots != 0 || steps != 1 {
 		t.Errorf("a current one: %d snapshots, %d deltas", snapshots, steps)
 	}
 }
 
 // Two versions with one number: the follower gets beats alone, it is logged as an
 // error and listed; all others go on.
-func TestForkIsShoutedAbout(t *testing.T) {
+func TestForkIsLogged(t *testing.T) {
 	m := serve(t, Settings{})
 	m.versionsUpTo(t, 5)
 	for i, h := range []protocol.Hello{{Name: "on-5", Number: 5, Digest: document.Digest{9}}, {Name: "on-3", Number: 3, Digest: document.Digest{9}}} {
-		p := hello(t, m.Address, h)
-		p.beat()
+		p := connectFollower(t, m.Address, h)
+		p.nextHeartbeat()
 		eventually(t, "the fork is logged", func() bool {
 			return m.logs.FilterMessageSnippet("fork").Len() == i+1
 		})
-		m.must(t, team("z", float64(i+1)))
+		m.mustPublish(t, team("z", float64(i+1)))
 		for range 2 {
-			if b := p.beat(); b.Digest == h.Digest {
+			if b := p.nextHeartbeat(); b.Digest == h.Digest {
 				t.Errorf("%+v", b)
 			}
 		}
 	}
-	other := hello(t, m.Address, protocol.Hello{Name: "sound"})
-	other.reach(document.Empty(), 7)
+	other := connectFollower(t, m.Address, protocol.Hello{Name: "sound"})
+	other.applyUpTo(document.Empty(), 7)
 	eventually(t, "the sound one is current", func() bool { return len(lagging(t, m)) == 2 })
-	lines, err := m.Followers(within(t), true)
+	lines, err := m.Followers(testContext(t), true)
 	if err != nil || len(lines) != 2 || !lines[0].Fork || !lines[1].Fork || lines[0].Name != "on-3" || lines[0].LagMS == 0 {
 		t.Errorf("%+v, %v", lines, err)
 	}
-	if v, err := m.Version(within(t)); err != nil || v.Forks != 2 {
+	if v, err := m.Version(testContext(t)); err != nil || v.Forks != 2 {
 		t.Errorf("%+v, %v", v, err)
 	}
 	// One that says so itself, and one whose word shows it.
 	for _, a := range []protocol.Ack{{Number: 7, Digest: m.Document().Digest(), Fork: true}, {Number: 6, Digest: document.Digest{3}}} {
-		_, before := m.book.counts()
-		p := hello(t, m.Address, protocol.Hello{Name: "late", Number: 7, Digest: m.Document().Digest()})
-		p.say(protocol.FollowerMessage{Ack: &a})
-		eventually(t, "the fork is counted", func() bool { _, n := m.book.counts(); return n == before+1 })
+		_, before := m.registry.counts()
+		p := connectFollower(t, m.Address, protocol.Hello{Name: "late", Number: 7, Digest: m.Document().Digest()})
+		p.send(protocol.FollowerMessage{Ack: &a})
+		eventually(t, "the fork is counted", func() bool { _, n := m.registry.counts(); return n == before+1 })
 	}
 }
 
@@ -132,7 +132,7 @@
 	b := serve(t, Settings{Name: "c1"})
 	for _, m := range []*machine{a, b} {
 		for n := range 3 {
-			by := byTest
+			by := testMeta
 			by.Time = int64(1e18) + int64(n) // the same versions on both
 			if _, err := m.Publish([]document.Change{team("a", float64(n+1))}, by, document.Digest{}); err != nil {
 				t.Fatal(err)
@@ -141,7 +141,7 @@
 	}
 	step := func(m *machine, n int) {
 		t.Helper()
-		by := byTest
+		by := testMeta
 		by.Time = int64(1e18) + int64(n)
 		if _, err := m.Publish([]document.Change{team("a", float64(n+1))}, by, document.Digest{}); err != nil {
 			t.Fatal(err)
@@ -151,16 +151,16 @@
 		step(a, n)
 	}
 	doc := a.Document()
-	p := hello(t, b.Address, protocol.Hello{Number: 6, Digest: doc.Digest()})
+	p := connectFollower(t, b.Address, protocol.Hello{Number: 6, Digest: doc.Digest()})
 	for range 2 {
-		if got := p.beat(); got.Number != 3 {
+		if got := p.nextHeartbeat(); got.Number != 3 {
 			t.Errorf("%+v", got)
 		}
 	}
 	for n := 3; n < 7; n++ {
 		step(b, n)
 	}
-	if doc, _, steps := p.reach(doc, 7); doc.Digest() != b.Document().Digest() || steps != 1 {
+	if doc, _, steps := p.applyUpTo(doc, 7); doc.Digest() != b.Document().Digest() || steps != 1 {
 		t.Errorf("after %d deltas on %d", steps, doc.Header().Number)
 	}
 	if n := b.logs.FilterMessageSnippet("fork").Len(); n != 0 {
@@ -171,34 +171,39 @@
 // Streams that say nothing, nonsense, too much or too little end; none holds a
 // place for long, and others are served.
 func TestBadStreamsEnd(t *testing.T) {
-	m := serve(t, Settings{}, func(p *Publisher) { p.helloWithin = 50 * time.Millisecond })
+	m := serve(t, Settings{}, func(p *Publisher) { p.helloTimeout = 50 * time.Millisecond })
 	m.versionsUpTo(t, 1)
 	long := strings.Repeat("x", 200)
-	for name, say := range map[string]func(p *peer){
-		"nothing":       func(p *peer) {},
-		"half a record": func(p *peer) { p.raw([]byte{0xa1, 0x01}) },
-		"no CBOR":       func(p *peer) { p.raw([]byte("GET / HTTP/1.1\r\n")) },
-		"endless": func(p *peer) {
-			p.raw(append([]byte{0xa1, 0x01, 0x9b, 0, 0, 0, 0, 0x7f, 0, 0, 0}, make([]byte, 64<<10)...))
+	for name, say := range map[string]func(p *testFollower){
+		"nothing":       func(p *testFollower) {},
+		"half a record": func(p *testFollower) { p.sendRaw([]byte{0xa1, 0x01}) },
+		"no CBOR":       func(p *testFollower) { p.sendRaw([]byte("GET / HTTP/1.1\r\n")) },
+		"endless": func(p *testFollower) {
+			p.sendRaw(append([]byte{0xa1, 0x01, 0x9b, 0, 0, 0, 0, 0x7f, 0, 0, 0}, make([]byte, 64<<10)...))
 		},
-		"a long text": func(p *peer) {
-			p.raw(append([]byte{0xa1, 0x01, 0xa1, 0x01, 0x7a, 0, 1, 0, 0}, bytes.Repeat([]byte("x"), 64<<10)...))
+		"a long text": func(p *testFollower) {
+			p.sendRaw(append([]byte{0xa1, 0x01, 0xa1, 0x01, 0x7a, 0, 1, 0, 0}, bytes.Repeat([]byte("x"), 64<<10)...))
 		},
-		"deep":            func(p *peer) { p.raw(bytes.Repeat([]byte{0x81}, 5000)) },
-		"no part":         func(p *peer) { p.say(protocol.FollowerMessage{}) },
-		"no name":         func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{}}) },
-		"a long name":     func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: long}}) },
-		"a long region":   func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a", Region: long}}) },
-		"an ack at first": func(p *peer) { p.say(protocol.FollowerMessage{Ack: &protocol.Ack{}}) },
-		"both parts": func(p *peer) {
-			p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}, Ack: &protocol.Ack{}})
+		"deep":        func(p *testFollower) { p.sendRaw(bytes.Repeat([]byte{0x81}, 5000)) },
+		"no part":     func(p *testFollower) { p.send(protocol.FollowerMessage{}) },
+		"no name":     func(p *testFollower) { p.send(protocol.FollowerMessage{Hello: &protocol.Hello{}}) },
+		"a long name": func(p *testFollower) { p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: long}}) },
+		"a long region": func(p *testFollower) {
+			p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a", Region: long}})
 		},
-		"hello twice": func(p *peer) {
+		"an ack at first": func(p *testFollower) { p.send(protocol.FollowerMessage{Ack: &protocol.Ack{}}) },
+		"both parts": func(p *testFollower) {
+			p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}, Ack: &protocol.Ack{}})
+		},
+		"hello twice": func(p *testFollower) {
 			for range 2 {
-				p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}})
+				p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}})
 			}
 		},
-		"nonsense after hello": func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}}); p.raw([]byte{0xff}) },
+		"nonsense after hello": func(p *testFollower) {
+			p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}})
+			p.sendRaw([]byte{0xff})
+		},
 	} {
 		p, err := dial(t, m.Address)
 		if err != nil {
@@ -212,18 +217,18 @@
 			t.Errorf("%s: the stream goes on", name)
 		}
 	}
-	eventually(t, "all places are free", func() bool { n, _ := m.book.counts(); return n == 0 && len(m.places) == 0 })
-	hello(t, m.Address, protocol.Hello{}).reach(document.Empty(), 1)
+	eventually(t, "all places are free", func() bool { n, _ := m.registry.counts(); return n == 0 && len(m.streamSlots) == 0 })
+	connectFollower(t, m.Address, protocol.Hello{}).applyUpTo(document.Empty(), 1)
 }
 
 // One that takes what it is sent and never says what became of it is cut off; one
 // that answers stays.
 func TestSilentFollowerIsCutOff(t *testing.T) {
-	m := serve(t, Settings{}, func(p *Publisher) { p.ackWithin = 100 * time.Millisecond })
+	m := serve(t, Settings{}, func(p *Publisher) { p.ackTimeout = 100 * time.Millisecond })
 	m.versionsUpTo(t, 1)
-	good := hello(t, m.Address, protocol.Hello{Name: "good"})
-	good.reach(document.Empty(), 1)
-	silent := hello(t, m.Address, protocol.Hello{Name: "silent"})
+	good := connectFollower(t, m.Address, protocol.Hello{Name: "good"})
+	good.applyUpTo(document.Empty(), 1)
+	silent := connectFollower(t, m.Address, protocol.Hello{Name: "silent"})
 	for {
 		if _, err := silent.next(); err != nil {
 			break
@@ -232,7 +237,7 @@
 	var lines []protocol.Follower
 	eventually(t, "it is listed as gone", func() (gone bool) {
 		var err error
-		if lines, err = m.Followers(within(t), false); err != nil {
+		if lines, err = m.Followers(testContext(t), false); err != nil {
 			t.Fatal(err)
 		}
 		return len(lines) == 2 && !lines[1].Connected
@@ -244,31 +249,31 @@
 
 // One whose machine or link has died without a word is cut off, though the system
 // still takes the few bytes that it is sent.
-func TestDeadLinkIsCutOff(t *testing.T) {
-	m := serve(t, Settings{}, func(p *Publisher) { p.pingAfter, p.pingWithin = 100*time.Millisecond, 500*time.Millisecond })
+func TestDeadConnectionClosed(t *testing.T) {
+	m := serve(t, Settings{}, func(p *Publisher) { p.pingIdleTime, p.pingTimeout = 100*time.Millisecond, 500*time.Millisecond })
 	m.versionsUpTo(t, 1)
 	link, err := faultnet.New(m.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(link.Close)
-	p := hello(t, link.Address, protocol.Hello{Name: "dead"})
-	p.reach(document.Empty(), 1)
+	p := connectFollower(t, link.Address, protocol.Hello{Name: "dead"})
+	p.applyUpTo(document.Empty(), 1)
 	link.Silence(faultnet.There)
 	link.Silence(faultnet.Back)
 	eventually(t, "it is listed as gone", func() bool {
-		lines, err := m.Followers(within(t), false)
+		lines, err := m.Followers(testContext(t), false)
 		return err == nil && len(lines) == 1 && !lines[0].Connected
 	})
 }
 
 // One more than the places is told to come back, and comes in when one is free.
-func TestPlacesAreBounded(t *testing.T) {
-	m := serve(t, Settings{}, func(p *Publisher) { p.places = make(chan struct{}, 2) })
-	a := hello(t, m.Address, protocol.Hello{Name: "a"})
-	a.beat()
-	b := hello(t, m.Address, protocol.Hello{Name: "b"})
-	b.beat()
+func TestStreamsAreBounded(t *testing.T) {
+	m := serve(t, Settings{}, func(p *Publisher) { p.streamSlots = make(chan struct{}, 2) })
+	a := connectFollower(t, m.Address, protocol.Hello{Name: "a"})
+	a.nextHeartbeat()
+	b := connectFollower(t, m.Address, protocol.Hello{Name: "b"})
+	b.nextHeartbeat()
 	if _, err := dial(t, m.Address); err == nil || !strings.Contains(err.Error(), `status 503, Retry-After "2"`) {
 		t.Errorf("%v", err)
 	}
@@ -278,24 +283,24 @@
 
 // Those that are gone are told of for a while, as many as are allowed, and one
 // that came back once.
-func TestThoseThatAreGone(t *testing.T) {
-	b, v := newBook(), newVersions(document.Empty())
+func TestDisconnectedFollowers(t *testing.T) {
+	b, v := newFollowerRegistry(), newVersionLog(document.Empty())
 	now := time.Now()
-	for i := range mostGone + 10 {
+	for i := range maxDisconnected + 10 {
 		b.leave(b.join(&protocol.Hello{Name: fmt.Sprintf("s%05d", i)}, now), now.Add(time.Duration(i)))
 	}
 	lines := b.list(v, now.Add(time.Second))
-	if len(lines) != mostGone || lines[0].Name != "s00010" || !slices.IsSortedFunc(lines, func(a, b protocol.Follower) int { return strings.Compare(a.Name, b.Name) }) {
+	if len(lines) != maxDisconnected || lines[0].Name != "s00010" || !slices.IsSortedFunc(lines, func(a, b protocol.Follower) int { return strings.Compare(a.Name, b.Name) }) {
 		t.Errorf("%d lines, the first %+v", len(lines), lines[0])
 	}
 	back := b.join(&protocol.Hello{Name: "s00100"}, now)
 	twin := b.join(&protocol.Hello{Name: "s00100"}, now)
 	b.leave(back, now)
-	if lines = b.list(v, now); len(lines) != mostGone {
+	if lines = b.list(v, now); len(lines) != maxDisconnected {
 		t.Errorf("%d lines with one that came back", len(lines))
 	}
 	b.leave(twin, now)
-	if lines = b.list(v, now.Add(2*keepFollowers)); len(lines) != 0 {
+	if lines = b.list(v, now.Add(2*disconnectedRetention)); len(lines) != 0 {
 		t.Errorf("%d lines long after", len(lines))
 	}
 }
@@ -304,7 +309,7 @@
 // are named, and each refusal is the error that it was.
 func TestClient(t *testing.T) {
 	m := serve(t, Settings{})
-	ctx := within(t)
+	ctx := testContext(t)
 	const file = "[machine]\ncores = 2\n[[team]]\nname = \"red\"\nrequests_per_s = 5\n[[service]]\nname = \"maps\"\nowner = \"red\"\n" +
 		"[[service.contract]]\nclass = \"draw\"\neffect = \"repeatable\"\ndeadline_ms = 900\n"
 	h, err := m.PublishFile(ctx, []byte(file), document.Meta{Author: "ana ö", Reason: "line\nline"}, document.Digest{})
@@ -319,7 +324,7 @@
 		t.Errorf("%+v, %v", v, err)
 	}
 	in := m.Document().Digest()
-	if h, err = m.PublishChanges(ctx, []document.Change{team("blue", 3)}, byTest, in); err != nil || h.Number != 2 || h.Parent != in {
+	if h, err = m.PublishChanges(ctx, []document.Change{team("blue", 3)}, testMeta, in); err != nil || h.Number != 2 || h.Parent != in {
 		t.Errorf("%+v, %v", h, err)
 	}
 	for _, c := range []struct {
@@ -329,21 +334,21 @@
 		texts []string
 	}{
 		{"the same file", func() error {
-			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"blue\"\nrequests_per_s = 3\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"blue\"\nrequests_per_s = 3\n"), testMeta, document.Digest{})
 			return err
 		}, ErrNoChange, nil},
-		{"another base", func() error { _, err := m.PublishFile(ctx, []byte(file), byTest, in); return err }, ErrBaseMismatch, []string{"in force is 2"}},
+		{"another base", func() error { _, err := m.PublishFile(ctx, []byte(file), testMeta, in); return err }, ErrBaseMismatch, []string{"in force is 2"}},
 		{"faults in the file", func() error {
-			_, err := m.PublishFile(ctx, []byte(strings.ReplaceAll(file, "requests_per_s", "quota")+"[[teem]]\nname = \"a\"\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(strings.ReplaceAll(file, "requests_per_s", "quota")+"[[teem]]\nname = \"a\"\n"), testMeta, document.Digest{})
 			return err
 		}, ErrInvalidChanges, []string{"team.quota", "teem"}},
 		{"names twice", func() error {
-			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"red\"\nrequests_per_s = 1\n[[team]]\nrequests_per_s = 1\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"red\"\nrequests_per_s = 1\n[[team]]\nrequests_per_s = 1\n"), testMeta, document.Digest{})
 			return err
 		}, ErrInvalidChanges, []string{"team[1].name", "team[2].name"}},
-		{"no TOML", func() error { _, err := m.PublishFile(ctx, []byte("]"), byTest, document.Digest{}); return err }, ErrInvalidChanges, nil},
+		{"no TOML", func() error { _, err := m.PublishFile(ctx, []byte("]"), testMeta, document.Digest{}); return err }, ErrInvalidChanges, nil},
 		{"faulty changes", func() error {
-			_, err := m.PublishChanges(ctx, []document.Change{team("a", -1), {Drop: true, Team: &document.Team{Name: "nobody"}}}, byTest, document.Digest{})
+			_, err := m.PublishChanges(ctx, []document.Change{team("a", -1), {Drop: true, Team: &document.Team{Name: "nobody"}}}, testMeta, document.Digest{})
 			return err
 		}, ErrInvalidChanges, []string{"a", "nobody"}},
 		{"no author or reason", func() error {
@@ -401,8 +406,8 @@
 			t.Errorf("%s %s %.20q: %d, want %d", c.path, c.kind, c.body, got, c.want)
 		}
 	}
-	for range mostBodies {
-		m.bodies <- struct{}{}
+	for range maxBodyReads {
+		m.bodySlots <- struct{}{}
 	}
 	if got := post(protocol.PathVersions+meta, typeFile, ""); got != 503 {
 		t.Errorf("%d, want 503", got)
@@ -410,19 +415,19 @@
 }
 
 // A machine that leaves ends its streams at once and is gone.
-func TestLeave(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	m := serve(t, Settings{})
 	m.versionsUpTo(t, 1)
-	p := hello(t, m.Address, protocol.Hello{})
-	p.reach(document.Empty(), 1)
+	p := connectFollower(t, m.Address, protocol.Hello{})
+	p.applyUpTo(document.Empty(), 1)
 	began := time.Now()
-	m.leave()
+	m.shutDown()
 	for {
 		if _, err := p.next(); err != nil {
 			break
 		}
 	}
-	if took := time.Since(began); took > leaveWithin {
+	if took := time.Since(began); took > shutdownTimeout {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/internal/control/publish/store.go
+++ b/internal/control/publish/store.go
@@ -18,30 +18,30 @@
 // The log on disk. Below one letter each: the format, the head (number and
 // digest of the version in force), a snapshot, and the deltas by number.
 const (
-	cacheBytes  = 1 << 20
-	memTable    = 1 << 20
-	openFiles   = 64
-	formatKey   = "f"
-	headKey     = "h"
-	snapshotKey = "s"
-	deltaPrefix = 'd'
-	formatWord  = "kiteslip versions 1"
+	cacheBytes    = 1 << 20
+	memTableBytes = 1 << 20
+	maxOpenFiles  = 64
+	formatKey     = "f"
+	headKey       = "h"
+	snapshotKey   = "s"
+	deltaPrefix   = 'd'
+	formatVersion = "kiteslip versions 1"
 
-	snapshotEvery = 256     // deltas that Open applies at most ...
-	snapshotBytes = 4 << 20 // ... or bytes of them
+	maxReplayDeltas = 256     // deltas that Open applies at most ...
+	maxReplayBytes  = 4 << 20 // ... or bytes of them
 )
 
-// record is a delta as it is stored: one version.
-type record struct {
+// storedDelta is a delta as it is stored: one version.
+type storedDelta struct {
 	number uint64
 	parent document.Digest
 	digest document.Digest
 	delta  []byte // by Delta.Encode
 }
 
-func newRecord(delta *document.Delta, text []byte) record {
+func newStoredDelta(delta *document.Delta, text []byte) storedDelta {
 	h := &delta.Header
-	return record{h.Number, h.Parent, h.Digest(), text}
+	return storedDelta{h.Number, h.Parent, h.Digest(), text}
 }
 
 // store is an open folder. Writes come from one goroutine at a time.
@@ -49,18 +49,18 @@
 	db    *pebble.DB
 	cache *pebble.Cache
 
-	mu     sync.Mutex
-	failed error
-	broken chan struct{} // closed when it has failed
+	mu       sync.Mutex
+	failed   error
+	failedCh chan struct{} // closed when it has failed
 }
 
-// quiet is the log of the database: what it calls fatal fails the store, in
+// pebbleLogger is the log of the database: what it calls fatal fails the store, in
 // the goroutine that met it, and not the process.
-type quiet struct{ s *store }
+type pebbleLogger struct{ s *store }
 
-func (q quiet) Infof(string, ...any)  {}
-func (q quiet) Errorf(string, ...any) {}
-func (q quiet) Fatalf(format string, args ...any) {
+func (q pebbleLogger) Infof(string, ...any)  {}
+func (q pebbleLogger) Errorf(string, ...any) {}
+func (q pebbleLogger) Fatalf(format string, args ...any) {
 	q.s.fail(fmt.Errorf(format, args...))
 	runtime.Goexit()
 }
@@ -70,7 +70,7 @@
 	defer s.mu.Unlock()
 	if s.failed == nil {
 		s.failed = fmt.Errorf("%w: %w", ErrDiskFailed, err)
-		close(s.broken)
+		close(s.failedCh)
 	}
 }
 
@@ -81,8 +81,8 @@
 	return s.failed
 }
 
-// apart runs f where a failure of the database may end the goroutine.
-func (s *store) apart(f func() error) error {
+// runIsolated runs f where a failure of the database may end the goroutine.
+func (s *store) runIsolated(f func() error) error {
 	if err := s.failure(); err != nil {
 		return err
 	}
@@ -98,36 +98,36 @@
 	select {
 	case err := <-done:
 		return err
-	case <-s.broken:
+	case <-s.failedCh:
 		return s.failure()
 	}
 }
 
 func openStore(folder string, fs vfs.FS) (*store, error) {
-	s := &store{broken: make(chan struct{}), cache: pebble.NewCache(cacheBytes)}
-	o := &pebble.Options{FS: fs, Cache: s.cache, MemTableSize: memTable, MaxOpenFiles: openFiles, Logger: quiet{s},
+	s := &store{failedCh: make(chan struct{}), cache: pebble.NewCache(cacheBytes)}
+	o := &pebble.Options{FS: fs, Cache: s.cache, MemTableSize: memTableBytes, MaxOpenFiles: maxOpenFiles, Logger: pebbleLogger{s},
 		FormatMajorVersion: pebble.FormatNewest}
 	// What the database would do by itself ends the goroutine that read the damage, in
 	// the middle of a compaction, which takes the process with it.
 	o.EventListener = &pebble.EventListener{DataCorruption: func(i pebble.DataCorruptionInfo) {
 		s.fail(fmt.Errorf("%w: %s: %w", ErrCorrupt, i.Path, i.Details))
 	}}
-	err := s.apart(func() (err error) {
+	err := s.runIsolated(func() (err error) {
 		s.db, err = pebble.Open(folder, o)
 		return err
 	})
 	if err != nil {
 		s.cache.Unref()
-		return nil, named(err)
+		return nil, classifyError(err)
 	}
-	if err := s.apart(s.greet); err != nil {
-		return nil, errors.Join(named(err), s.close())
+	if err := s.runIsolated(s.checkFormat); err != nil {
+		return nil, errors.Join(classifyError(err), s.close())
 	}
 	return s, nil
 }
 
-// named gives the database's errors the names of this package.
-func named(err error) error {
+// classifyError gives the database's errors the names of this package.
+func classifyError(err error) error {
 	text := err.Error()
 	switch {
 	case errors.Is(err, ErrCorrupt), errors.Is(err, ErrUnknownFormat):
@@ -140,16 +140,16 @@
 	return err
 }
 
-// greet looks whether the folder holds a log of versions; an empty one becomes one.
-func (s *store) greet() error {
+// checkFormat looks whether the folder holds a log of versions; an empty one becomes one.
+func (s *store) checkFormat() error {
 	format, err := s.get(formatKey)
 	switch {
 	case err != nil:
 		return err
-	case string(format) == formatWord:
+	case string(format) == formatVersion:
 		return nil
 	case format != nil:
-		return fmt.Errorf("%w: it says %.40q, want %q", ErrUnknownFormat, format, formatWord)
+		return fmt.Errorf("%w: it says %.40q, want %q", ErrUnknownFormat, format, formatVersion)
 	}
 	it, err := s.db.NewIter(nil)
 	if err != nil {
@@ -162,7 +162,7 @@
 	if strange {
 		return ErrUnknownFormat
 	}
-	return s.db.Set([]byte(formatKey), []byte(formatWord), pebble.Sync)
+	return s.db.Set([]byte(formatKey), []byte(formatVersion), pebble.Sync)
 }
 
 // get returns nil where there is nothing.
@@ -181,8 +181,8 @@
 // load reads the log and checks it whole. It returns the version in force, the
 // deltas that lead to it in order, and the number of the version that the
 // snapshot on disk is of.
-func (s *store) load() (doc *document.Document, deltas []record, snapshot uint64, err error) {
-	err = s.apart(func() error {
+func (s *store) load() (doc *document.Document, deltas []storedDelta, snapshot uint64, err error) {
+	err = s.runIsolated(func() error {
 		if doc, err = s.snapshot(); err != nil {
 			return err
 		}
@@ -193,7 +193,7 @@
 		}
 		defer it.Close()
 		for it.First(); it.Valid(); it.Next() {
-			r, delta, err := decodeRecord(it.Key(), it.Value())
+			r, delta, err := decodeStoredDelta(it.Key(), it.Value())
 			if err != nil {
 				return err
 			}
@@ -226,7 +226,7 @@
 		return s.checkHead(doc)
 	})
 	if err != nil {
-		return nil, nil, 0, named(err)
+		return nil, nil, 0, classifyError(err)
 	}
 	return doc, deltas, snapshot, nil
 }
@@ -266,36 +266,36 @@
 	return binary.BigEndian.AppendUint64([]byte{deltaPrefix}, number)
 }
 
-func decodeRecord(key, value []byte) (record, *document.Delta, error) {
+func decodeStoredDelta(key, value []byte) (storedDelta, *document.Delta, error) {
 	if len(key) != 9 {
-		return record{}, nil, fmt.Errorf("%w: an entry %x", ErrCorrupt, key)
+		return storedDelta{}, nil, fmt.Errorf("%w: an entry %x", ErrCorrupt, key)
 	}
 	number, text := binary.BigEndian.Uint64(key[1:]), bytes.Clone(value)
 	delta, err := document.DecodeDelta(text)
 	if err != nil {
-		return record{}, nil, fmt.Errorf("%w: version %d: %w", ErrCorrupt, number, err)
+		return storedDelta{}, nil, fmt.Errorf("%w: version %d: %w", ErrCorrupt, number, err)
 	}
 	if delta.Header.Number != number {
-		return record{}, nil, fmt.Errorf("%w: version %d says that it is %d", ErrCorrupt, number, delta.Header.Number)
+		return storedDelta{}, nil, fmt.Errorf("%w: version %d says that it is %d", ErrCorrupt, number, delta.Header.Number)
 	}
-	return newRecord(delta, text), delta, nil
+	return newStoredDelta(delta, text), delta, nil
 }
 
-// write is one step of the log.
-type write struct {
-	add      *record // nil where the version came whole
-	snapshot []byte  // nil = the one on disk stays
-	from, to uint64  // deltas from ... to, without the last, are dropped
-	number   uint64  // of the head
-	digest   document.Digest
+// logWrite is one step of the log.
+type logWrite struct {
+	added            *storedDelta // nil where the version came whole
+	snapshot         []byte       // nil = the one on disk stays
+	dropFrom, dropTo uint64       // deltas from ... to, without the last, are dropped
+	number           uint64       // of the head
+	digest           document.Digest
 }
 
 // commit makes a step durable, whole or not at all.
-func (s *store) commit(w *write) error {
-	return s.apart(func() error {
+func (s *store) commit(w *logWrite) error {
+	return s.runIsolated(func() error {
 		b := s.db.NewBatch()
-		if w.from < w.to {
-			if err := b.DeleteRange(deltaKey(w.from), deltaKey(w.to), nil); err != nil {
+		if w.dropFrom < w.dropTo {
+			if err := b.DeleteRange(deltaKey(w.dropFrom), deltaKey(w.dropTo), nil); err != nil {
 				return err
 			}
 		}
@@ -304,8 +304,8 @@
 				return err
 			}
 		}
-		if w.add != nil {
-			if err := b.Set(deltaKey(w.add.number), w.add.delta, nil); err != nil {
+		if w.added != nil {
+			if err := b.Set(deltaKey(w.added.number), w.added.delta, nil); err != nil {
 				return err
 			}
 		}
@@ -328,7 +328,7 @@
 	if s.failure() != nil {
 		return nil
 	}
-	err := s.apart(s.db.Close)
+	err := s.runIsolated(s.db.Close)
 	s.cache.Unref()
 	return err
 }
