--- a/internal/control/follow/asyncstore.go
+++ b/internal/control/follow/asyncstore.go
@@ -8,19 +8,19 @@
 	"kiteslip/internal/control/document"
 )
 
-// diskTimeout is how long a version waits for the disk before it is acknowledged all the same.
+// diskTimeout is how long an acknowledgement waits for a version to be written.
 const diskTimeout = 300 * time.Millisecond
 
-// asyncStore is a keeper whose disk may hang: what a version is written by is waited
-// for, but not for long. While it hangs the newest version alone is remembered.
-// At most one write is under way; it belongs to the follower's goroutine.
+// asyncStore is a versionStore whose disk may hang: a write is waited for at most
+// diskTimeout. While one hangs, only the newest version is remembered. At most one
+// write is under way; the store belongs to the follower's goroutine.
 type asyncStore struct {
 	versionStore
-	hungWrite chan struct{}      // closed when the write that hangs has ended; nil = none hangs
-	newest    *document.Document // in force since; nil = none
+	hungWrite chan struct{}      // closed when the hung write has ended; nil = none hangs
+	newest    *document.Document // put in force while a write hung; nil = none
 }
 
-// hung says whether a write is under way still.
+// hung reports whether a write is still under way.
 func (s *asyncStore) hung() bool {
 	if s.hungWrite == nil {
 		return false
@@ -28,42 +28,43 @@
 	select {
 	case <-s.hungWrite:
 		s.hungWrite = nil
-		s.log.Info("control: the disk of the kept version goes on", zap.String("folder", s.folder))
+		s.log.Info("control: the disk of the stored version responds again", zap.String("folder", s.folder))
 		return false
 	default:
 		return true
 	}
 }
 
-// runWithTimeout has the disk do a thing, and waits for a moment.
+// runWithTimeout runs do in a goroutine, and waits for it at most diskTimeout.
 func (s *asyncStore) runWithTimeout(do func()) {
-	done, late := make(chan struct{}), time.NewTimer(diskTimeout)
-	defer late.Stop()
+	done, timeout := make(chan struct{}), time.NewTimer(diskTimeout)
+	defer timeout.Stop()
 	go func() {
 		defer close(done)
 		do()
 	}()
 	select {
 	case <-done:
-	case <-late.C:
+	case <-timeout.C:
 		s.hungWrite = done
-		s.log.Warn("control: the disk of the kept version hangs; the server goes on", zap.String("folder", s.folder))
+		s.log.Warn("control: the disk of the stored version hangs; the server goes on", zap.String("folder", s.folder))
 	}
 }
 
-// save is keeper's, see there.
-func (s *asyncStore) save(now time.Duration, doc *document.Document, delta bool, text []byte) {
+// save is versionStore.save; while the disk hangs it only remembers doc.
+func (s *asyncStore) save(now time.Duration, doc *document.Document, delta bool, encoded []byte) {
 	switch {
 	case s.folder == "":
 	case s.hung():
 		s.newest = doc
 	default:
 		s.newest = nil
-		s.runWithTimeout(func() { s.versionStore.save(now, doc, delta, text) })
+		s.runWithTimeout(func() { s.versionStore.save(now, doc, delta, encoded) })
 	}
 }
 
-// writeIfDue is keeper's, see there.
+// writeIfDue is versionStore.writeIfDue, and saves the newest version after the disk
+// hung.
 func (s *asyncStore) writeIfDue(now time.Duration) {
 	switch {
 	case s.folder == "" || s.hung():
@@ -74,7 +75,8 @@
 	}
 }
 
-// nextWrite is keeper's, see there; while the disk hangs the next beat looks again.
+// nextWrite is versionStore.nextWrite; while the disk hangs the next heartbeat
+// checks again.
 func (s *asyncStore) nextWrite() time.Duration {
 	if s.hung() {
 		return 0
@@ -82,7 +84,7 @@
 	return s.versionStore.nextWrite()
 }
 
-// close is keeper's, see there. What hangs is left to the end of the process.
+// close is versionStore.close. A hung write is left to the end of the process.
 func (s *asyncStore) close() {
 	if !s.hung() {
 		s.runWithTimeout(s.versionStore.close)
--- a/internal/control/follow/fake_test.go
+++ b/internal/control/follow/fake_test.go
@@ -19,10 +19,11 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// waitTimeout bounds every wait: what does not come fails the test and does not hang it.
+// waitTimeout bounds every wait, so that what never happens fails the test instead
+// of hanging it.
 const waitTimeout = 20 * time.Second
 
-// fakePublisher is a publisher that says what the test says.
+// fakePublisher is a publisher whose messages are sent by the test.
 type fakePublisher struct {
 	t       *testing.T
 	address string
@@ -30,7 +31,7 @@
 	server  *http.Server
 }
 
-// fakeStream is one follower's stream at a fake.
+// fakeStream is one follower's stream at a fakePublisher.
 type fakeStream struct {
 	t        *testing.T
 	hello    protocol.Hello
@@ -40,9 +41,10 @@
 	finished chan struct{}
 	once     sync.Once
 	mu       sync.Mutex // held while the stream is written to
-	ended    bool       // ... which nobody may any more
+	ended    bool       // the stream must not be written to any more
 }
 
+// newFakePublisher starts a publisher on a free port.
 func newFakePublisher(t *testing.T) *fakePublisher {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,17 +106,17 @@
 	case s := <-f.streams:
 		return s
 	case <-time.After(waitTimeout):
-		f.t.Fatal("nobody follows")
+		f.t.Fatal("no follower connects")
 		return nil
 	}
 }
 
-// expectNoStream fails the test if somebody has turned to this publisher.
+// expectNoStream fails the test if a follower has connected.
 func (f *fakePublisher) expectNoStream() {
 	f.t.Helper()
 	select {
 	case s := <-f.streams:
-		f.t.Errorf("%s turned here", s.hello.Name)
+		f.t.Errorf("%s has connected", s.hello.Name)
 	default:
 	}
 }
@@ -124,16 +126,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
-		return // the follower has left
+		return // the follower has disconnected
 	}
-	if err := protocol.NewWriter(s.w).Write(&m); err == nil { // else it leaves at this moment
+	if err := protocol.NewWriter(s.w).Write(&m); err == nil { // else it is disconnecting
 		s.w.(http.Flusher).Flush()
 	}
 }
 
-func (s *fakeStream) heartbeat(doc *document.Document, unheard time.Duration) {
+func (s *fakeStream) heartbeat(doc *document.Document, silence time.Duration) {
 	s.t.Helper()
-	b := protocol.Heartbeat{OriginatorSilenceMS: unheard.Milliseconds()}
+	b := protocol.Heartbeat{OriginatorSilenceMS: silence.Milliseconds()}
 	if doc != nil {
 		b.Number, b.Digest = doc.Header().Number, doc.Digest()
 	}
@@ -154,13 +156,14 @@
 	s.send(protocol.PublisherMessage{Snapshot: b})
 }
 
-// heartbeats says that the publisher is there, about as often as it is due, until the test ends.
-func (s *fakeStream) heartbeats(doc *document.Document, unheard time.Duration) (stop func()) {
+// heartbeats sends heartbeats, more often than needed, until stop is called or the
+// test ends.
+func (s *fakeStream) heartbeats(doc *document.Document, silence time.Duration) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		for {
-			s.heartbeat(doc, unheard)
+			s.heartbeat(doc, silence)
 			select {
 			case <-done:
 				return
@@ -176,10 +179,10 @@
 	return stop
 }
 
-// end ends the stream at the publisher's side.
+// end ends the stream on the publisher's side.
 func (s *fakeStream) end() { s.once.Do(func() { close(s.finished) }) }
 
-// ack waits for the next word.
+// ack waits for the next acknowledgement.
 func (s *fakeStream) ack() protocol.Ack {
 	s.t.Helper()
 	select {
@@ -191,13 +194,13 @@
 	}
 }
 
-// waitClosed waits until the follower has left the stream.
+// waitClosed waits until the follower has ended the stream.
 func (s *fakeStream) waitClosed() {
 	s.t.Helper()
 	select {
 	case <-s.closed:
 	case <-time.After(waitTimeout):
-		s.t.Fatal("the stream is not left")
+		s.t.Fatal("the follower does not end the stream")
 	}
 }
 
@@ -210,7 +213,7 @@
 	return b
 }
 
-// step makes the version after doc, which sets a team's quota.
+// step makes a version on top of doc which sets a team's quota.
 func step(t *testing.T, doc *document.Document, team string, quota float64) (*document.Document, *document.Delta) {
 	t.Helper()
 	d, err := doc.Draft([]document.Change{{Team: &document.Team{Name: team, Quota: quota}}},
@@ -225,7 +228,8 @@
 	return next, d
 }
 
-// makeVersions makes versions 1 to n: docs[i] is version i, deltas[i] the step to it.
+// makeVersions makes versions 1 to n: docs[i] is version i, deltas[i] the step to
+// it.
 func makeVersions(t *testing.T, n int) (docs []*document.Document, deltas []*document.Delta) {
 	t.Helper()
 	docs, deltas = []*document.Document{document.Empty()}, []*document.Delta{nil}
@@ -236,20 +240,20 @@
 	return docs, deltas
 }
 
-// appliedVersion is what a server was told to take over.
+// appliedVersion is one call of server.apply.
 type appliedVersion struct {
 	doc   *document.Document
 	delta *document.Delta
 }
 
-// server is what stands behind a follower in a test: it checks that versions
-// come in order, each delta on the version in force.
+// server stands in for a follower's server: it checks that versions come in order,
+// each delta on the version in force.
 type server struct {
 	t       *testing.T
 	mu      sync.Mutex
-	inForce *document.Document // nil = the file
-	all     []appliedVersion
-	refuse  map[uint64]error
+	inForce *document.Document // nil = the server's own file
+	all     []appliedVersion   // every version it was given
+	refuse  map[uint64]error   // versions that it refuses, by number
 }
 
 var errUnusable = errors.New("class x: no good here")
@@ -258,7 +262,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if delta != nil && (s.inForce == nil || delta.Header.Parent != s.inForce.Digest() || delta.Header.Digest() != doc.Digest()) {
-		s.t.Errorf("version %d came as a delta on another than the one in force", doc.Header().Number)
+		s.t.Errorf("version %d came as a delta on another version than the one in force", doc.Header().Number)
 	}
 	if s.inForce != nil && doc.Header().Number <= s.inForce.Header().Number {
 		s.t.Errorf("version %d after %d", doc.Header().Number, s.inForce.Header().Number)
@@ -280,7 +284,7 @@
 	ended  chan struct{}
 }
 
-// settings of a follower of these publishers, all of its region.
+// settings are those of a follower of these publishers, all in its region.
 func settings(publishers ...*fakePublisher) Settings {
 	set := Settings{Name: "server-1", Region: "north", Seed: 7, InitialWait: waitTimeout}
 	for _, p := range publishers {
@@ -289,7 +293,7 @@
 	return set
 }
 
-// rankPublishers puts the publishers in the order that the follower has.
+// rankPublishers returns the publishers in the follower's order of preference.
 func rankPublishers(set *Settings, publishers ...*fakePublisher) (ranked []*fakePublisher) {
 	for _, p := range newSelector(set).order {
 		for _, f := range publishers {
@@ -301,7 +305,7 @@
 	return ranked
 }
 
-// newTestFollower makes a follower that does not follow yet.
+// newTestFollower makes a follower that is not running yet.
 func newTestFollower(t *testing.T, set Settings) *testFollower {
 	t.Helper()
 	core, logs := observer.New(zapcore.DebugLevel)
@@ -322,7 +326,7 @@
 	return fo
 }
 
-// run follows beside the test.
+// run runs the follower in the background.
 func (f *testFollower) run() *testFollower {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel, f.ended = cancel, make(chan struct{})
@@ -339,7 +343,7 @@
 	return newTestFollower(t, set).run()
 }
 
-// stop ends the follower and waits for its end.
+// stop ends the follower and waits for it.
 func (f *testFollower) stop() {
 	if f.cancel != nil {
 		f.cancel()
@@ -347,6 +351,7 @@
 	}
 }
 
+// logCount counts the log lines that contain text.
 func (f *testFollower) logCount(text string) int {
 	n := 0
 	for _, e := range f.logs.All() {
@@ -357,7 +362,7 @@
 	return n
 }
 
-// eventually waits until ok.
+// eventually waits until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(time.Millisecond) {
--- a/internal/control/follow/follower.go
+++ b/internal/control/follow/follower.go
@@ -14,8 +14,8 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// Follower is one server's side. New, First, Reject and Run are called by one
-// goroutine, State by any.
+// Follower receives versions on behalf of one server. New, InitialVersion, Reject
+// and Run are called by one goroutine, State by any.
 type Follower struct {
 	set      Settings
 	log      *zap.Logger
@@ -24,37 +24,38 @@
 	store    asyncStore
 	count    traffic
 
-	// What the goroutine of First and Run has.
+	// The fields below belong to the goroutine of InitialVersion and Run.
 	inForce          *document.Document // Empty = nothing is
-	latest           *document.Document // what came last: inForce, or what is refused
-	stored           *document.Document // as it was read at the start; nil = none
-	active           *stream            // the stream that stands or is being opened; nil = none
-	probe            *stream            // ... beside it, to one that may do better
-	attempt          *attempt           // what comes next while there is none
+	latest           *document.Document // the newest version received: inForce, or one that was refused
+	stored           *document.Document // as read from the folder by New; nil = none
+	active           *stream            // the established stream, or the one that is being opened; nil = none
+	probe            *stream            // a second stream, to a publisher that may be better; nil = none
+	attempt          *attempt           // the next attempt while there is no active stream
 	attemptAt        time.Duration
 	timer            *time.Timer
-	apply            Apply // nil in First
-	current          bool  // the publisher has said that nothing newer is there
-	announced        uint64
-	gaps             int           // deltas on another parent, since a version was taken over
-	nextForkLog      time.Duration // not before then is a fork logged again
+	apply            Apply         // nil in InitialVersion
+	current          bool          // the publisher has reported that there is nothing newer
+	announced        uint64        // the highest version number that a publisher has announced
+	gaps             int           // deltas with an unknown parent since a version was applied
+	nextForkLog      time.Duration // a fork is not logged again before then
 	disconnectLogged bool          // it was logged that no publisher is followed
-	stopWatch        func() bool   // stops the watch on First's context
+	stopWatch        func() bool   // stops the watch on InitialVersion's context
 
 	mu                sync.Mutex
 	state             State
-	originatorHeard   time.Time // when the originator was last heard, by what publishers say
-	originatorUnknown bool      // nobody has said so yet: heard is the start of the process
-	laggingSince      time.Time // when a version that is not in force here was first told of
+	originatorHeard   time.Time // when the originator was last heard, as publishers report it
+	originatorUnknown bool      // no publisher has reported yet: originatorHeard is the time of New
+	laggingSince      time.Time // when a version that is not in force here was first announced; zero = current
 }
 
 const (
-	forkLogInterval = time.Minute // between two lines in the log on one fork
-	startAttempts   = 3           // publishers that a start can try while all are silent
+	forkLogInterval = time.Minute // between two log lines about a fork
+	startAttempts   = 3           // publishers that InitialVersion can try when none of them answers
 )
 
-// New returns a Follower that has read what its folder keeps. An error names
-// all settings at fault; a folder that cannot be read is none: it is logged and told.
+// New returns a Follower that has read its folder. An error names all invalid
+// settings; a folder that cannot be read is no error, but is logged and treated as
+// empty.
 func New(set Settings) (*Follower, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -66,19 +67,19 @@
 		store: asyncStore{versionStore: versionStore{folder: set.Folder, log: set.Log}}, inForce: document.Empty(), timer: time.NewTimer(time.Hour)}
 	f.originatorHeard, f.originatorUnknown = f.began, true
 	f.state.Source = SourceNone
-	kept, at := f.store.load()
+	stored, at := f.store.load()
 	switch {
 	case set.InForce != nil && set.InForce.Header().Number > 0:
 		f.noteInForce(set.InForce, SourceFolder)
-	case kept != nil:
-		f.stored, f.originatorHeard, f.originatorUnknown = kept, at, false
-		f.noteInForce(kept, SourceFolder)
+	case stored != nil:
+		f.stored, f.originatorHeard, f.originatorUnknown = stored, at, false
+		f.noteInForce(stored, SourceFolder)
 	}
 	f.latest = f.inForce
 	return f, nil
 }
 
-// check reports all faults at once.
+// check reports all invalid settings at once.
 func (s *Settings) check() error {
 	var errs []error
 	fail := func(format string, args ...any) { errs = append(errs, fmt.Errorf("follow: "+format, args...)) }
@@ -107,11 +108,11 @@
 // now is the time since New.
 func (f *Follower) now() time.Duration { return time.Since(f.began) }
 
-// InitialVersion waits for the first version, for Settings.Wait at most, and returns the
-// document to start by: the publisher's, else the one kept, else nil. One that
-// was kept and that a publisher confirms is the publisher's. Where nobody has
-// published anything yet the originator's word for that ends the wait. The stream
-// stays open for Run, and ends with ctx.
+// InitialVersion waits at most Settings.InitialWait for the first version, and
+// returns the document to start with: the publisher's, else the stored one, else
+// nil. A stored version that a publisher confirms has the source SourcePublisher. If
+// nothing has been published yet, the originator's report of that ends the wait. The
+// stream stays open for Run, and ends with ctx.
 func (f *Follower) InitialVersion(ctx context.Context) (*document.Document, Source) {
 	wait, cancel := context.WithTimeout(ctx, f.set.InitialWait)
 	defer cancel()
@@ -127,38 +128,40 @@
 	return f.inForce, f.State().Source
 }
 
-// Reject notes that the document that First returned, or Reject before, cannot
-// be used, and returns the next to start by: the one kept, else nil.
+// Reject records that the document returned by InitialVersion, or by the previous
+// call of Reject, cannot be used, and returns the next one to start with: the stored
+// one, else nil.
 func (f *Follower) Reject(why error) (*document.Document, Source) {
-	refused := f.inForce
-	f.log.Error("control: the version is refused", zap.Uint64("version", refused.Header().Number),
-		zap.Stringer("digest", refused.Digest()), zap.Error(why))
+	rejected := f.inForce
+	f.log.Error("control: the version is refused", zap.Uint64("version", rejected.Header().Number),
+		zap.Stringer("digest", rejected.Digest()), zap.Error(why))
 	next := f.stored
-	if next == nil || next.Digest() == refused.Digest() {
+	if next == nil || next.Digest() == rejected.Digest() {
 		next, f.stored = document.Empty(), nil
 	}
-	if f.latest.Header().Number < refused.Header().Number {
-		f.latest = refused
+	if f.latest.Header().Number < rejected.Header().Number {
+		f.latest = rejected
 	}
-	origin := SourceFolder
+	source := SourceFolder
 	if next.Header().Number == 0 {
-		origin = SourceNone
+		source = SourceNone
 	}
 	f.mu.Lock()
 	f.inForce = next
-	f.state.Number, f.state.Digest, f.state.Source, f.state.RefusalReason = next.Header().Number, next.Digest(), origin, why.Error()
+	f.state.Number, f.state.Digest, f.state.Source, f.state.RefusalReason = next.Header().Number, next.Digest(), source, why.Error()
 	if f.laggingSince.IsZero() {
 		f.laggingSince = time.Now()
 	}
 	f.mu.Unlock()
-	if origin == SourceNone {
+	if source == SourceNone {
 		return nil, SourceNone
 	}
-	return next, origin
+	return next, source
 }
 
-// Run follows until ctx ends, then says that the server leaves. It applies each
-// version that comes after the one that First returned.
+// Run follows publishers until ctx ends, then tells the publisher that the server is
+// shutting down. It applies each version that comes after the one that
+// InitialVersion returned.
 func (f *Follower) Run(ctx context.Context, apply Apply) {
 	if f.stopWatch != nil {
 		f.stopWatch()
@@ -178,9 +181,9 @@
 			continue
 		}
 		if s == f.active {
-			word := f.currentAck()
-			word.Leaving = true
-			s.end(&word)
+			ack := f.currentAck()
+			ack.Leaving = true
+			s.end(&ack)
 		} else {
 			s.end(nil)
 		}
@@ -190,10 +193,10 @@
 	f.mu.Lock()
 	f.state.Publisher = ""
 	f.mu.Unlock()
-	f.log.Info("control: nobody is followed any longer", zap.Uint64("version", f.inForce.Header().Number))
+	f.log.Info("control: shutting down, no publisher is followed any more", zap.Uint64("version", f.inForce.Header().Number))
 }
 
-// State tells how things are.
+// State returns the current state.
 func (f *Follower) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -206,44 +209,44 @@
 	return s
 }
 
-// follow turns to publishers and takes what they send until ctx ends; in First,
-// until there is nothing newer.
+// follow connects to publishers and handles their messages until ctx ends; in
+// InitialVersion also until there is nothing newer.
 func (f *Follower) follow(ctx context.Context) {
 	for ctx.Err() == nil && (f.apply != nil || !f.current) {
 		now := f.now()
 		next := f.tick(now)
 		f.timer.Reset(max(next-f.now(), 0))
-		var came, asked <-chan protocol.PublisherMessage
-		var ended, refused <-chan struct{}
+		var messages, probeMessages <-chan protocol.PublisherMessage
+		var ended, probeEnded <-chan struct{}
 		if f.active != nil {
-			came, ended = f.active.messages, f.active.ended
+			messages, ended = f.active.messages, f.active.ended
 		}
 		if f.probe != nil {
-			asked, refused = f.probe.messages, f.probe.ended
+			probeMessages, probeEnded = f.probe.messages, f.probe.ended
 		}
 		select {
 		case <-ctx.Done():
-		case r := <-came:
+		case r := <-messages:
 			s := f.active
 			f.handleMessage(ctx, &r)
 			s.handledAt = f.now()
 		case <-ended:
 			f.disconnect(f.active.reason(), false)
-		case r := <-asked:
+		case r := <-probeMessages:
 			f.probeAnswered(ctx, &r)
-		case <-refused:
+		case <-probeEnded:
 			f.probeFailed()
 		case <-f.timer.C:
 		}
 	}
 }
 
-// tick does what time brings, and says when to look again.
+// tick does what is due at the time now, and returns when it must be called again.
 func (f *Follower) tick(now time.Duration) (next time.Duration) {
 	next = now + time.Hour
 	sooner := func(at time.Duration) { next = min(next, at) }
 	if f.active != nil && now >= f.active.timeoutAt() {
-		f.disconnect("the publisher is silent", false)
+		f.disconnect("the publisher timed out", false)
 	}
 	if f.active == nil {
 		if f.attempt == nil {
@@ -264,7 +267,7 @@
 	}
 	if f.probe != nil {
 		sooner(f.probe.timeoutAt())
-	} else if p, at, any := f.selector.probe(); any && f.apply != nil && f.active != nil {
+	} else if p, at, ok := f.selector.probe(); ok && f.apply != nil && f.active != nil {
 		if now >= at {
 			f.probe = f.connect(p)
 			sooner(f.probe.timeoutAt())
@@ -279,18 +282,18 @@
 	return next
 }
 
-// connect turns to a publisher.
+// connect opens a stream to publisher p.
 func (f *Follower) connect(p int) *stream {
 	h := f.inForce.Header()
-	within := responseTimeout
-	if f.apply == nil { // a start gives more than one a chance within its wait
-		within = min(within, f.set.InitialWait/startAttempts)
+	timeout := responseTimeout
+	if f.apply == nil { // InitialVersion tries several publishers within its wait
+		timeout = min(timeout, f.set.InitialWait/startAttempts)
 	}
 	return openStream(p, f.set.Publishers[p].Address, &protocol.Hello{Name: f.set.Name, Region: f.set.Region, Publisher: f.set.Relay,
-		Number: h.Number, Digest: f.digest()}, &f.count, f.now, within)
+		Number: h.Number, Digest: f.digest()}, &f.count, f.now, timeout)
 }
 
-// digest is that of the version in force; zero where none is.
+// digest is that of the version in force, or zero where none is.
 func (f *Follower) digest() document.Digest {
 	if f.inForce.Header().Number == 0 {
 		return document.Digest{}
@@ -298,22 +301,23 @@
 	return f.inForce.Digest()
 }
 
-// disconnect ends the stream, or the try. faulty says that what came could be acted on by nobody.
-func (f *Follower) disconnect(why string, faulty bool) {
+// disconnect ends the active stream or attempt. invalid says that the publisher sent
+// data that no follower can use.
+func (f *Follower) disconnect(why string, invalid bool) {
 	s := f.active
 	f.active = nil
-	if faulty {
-		word := f.currentAck()
-		s.end(&word)
+	if invalid {
+		ack := f.currentAck()
+		s.end(&ack)
 	} else {
 		s.end(nil)
 	}
-	f.selector.failed(f.now(), s.publisher, faulty)
+	f.selector.failed(f.now(), s.publisher, invalid)
 	f.noteDisconnected(s, why)
-	f.active, f.probe = f.probe, nil // one that was asked meanwhile is on the way already
+	f.active, f.probe = f.probe, nil // a probe that is under way becomes the next attempt
 }
 
-// noteDisconnected notes that no publisher is followed any more, and logs it once.
+// noteDisconnected records that no publisher is followed any more, and logs it once.
 func (f *Follower) noteDisconnected(s *stream, why string) {
 	f.mu.Lock()
 	f.state.Publisher = ""
@@ -322,16 +326,16 @@
 	switch {
 	case s.established:
 		f.disconnectLogged = true
-		f.log.Warn("control: the publisher is left", address, zap.String("why", why))
+		f.log.Warn("control: disconnected from the publisher", address, zap.String("why", why))
 	case !f.disconnectLogged:
 		f.disconnectLogged = true
 		f.log.Warn("control: no publisher is followed", address, zap.String("why", why))
 	default:
-		f.log.Debug("control: a publisher is not reached", address, zap.String("why", why))
+		f.log.Debug("control: a publisher cannot be reached", address, zap.String("why", why))
 	}
 }
 
-// noteEstablished notes that the publisher has begun to speak.
+// noteEstablished records that the first message of the publisher has arrived.
 func (f *Follower) noteEstablished(s *stream) {
 	s.established = true
 	f.selector.established(f.now(), s.publisher)
@@ -343,25 +347,25 @@
 		f.state.Switches++
 	}
 	f.mu.Unlock()
-	f.log.Info("control: a publisher is followed", zap.String("publisher", p.Address), zap.String("region", p.Region))
+	f.log.Info("control: following a publisher", zap.String("publisher", p.Address), zap.String("region", p.Region))
 }
 
-// probeAnswered takes in the first word of a publisher that may do better than the
-// one that is followed: it is followed from here on, or left again.
+// probeAnswered handles the first message on the probe: if that publisher is better
+// than the active one, it becomes the active one, else the probe is closed.
 func (f *Follower) probeAnswered(ctx context.Context, r *protocol.PublisherMessage) {
 	if b := r.Heartbeat; b != nil && (time.Duration(b.OriginatorSilenceMS)*time.Millisecond >= protocol.OriginatorTimeout ||
 		b.Number < f.inForce.Header().Number || b.OriginatorSilenceMS < 0) {
 		f.probeFailed()
 		return
 	}
-	was := f.active
+	previous := f.active
 	f.active, f.probe = f.probe, nil
-	was.end(nil)
-	f.log.Info("control: the publisher is left for a better one", zap.String("publisher", f.set.Publishers[was.publisher].Address))
+	previous.end(nil)
+	f.log.Info("control: switched from the publisher to a better one", zap.String("publisher", f.set.Publishers[previous.publisher].Address))
 	f.handleMessage(ctx, r)
 }
 
-// probeFailed notes that the one that was asked does no better.
+// probeFailed closes the probe: its publisher is no better than the active one.
 func (f *Follower) probeFailed() {
 	p := f.probe
 	f.probe = nil
--- a/internal/control/follow/follower_test.go
+++ b/internal/control/follow/follower_test.go
@@ -12,8 +12,9 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// First returns what the publisher says is newest, follows on from there, and
-// says so only once the server runs by it.
+// TestInitialVersion: InitialVersion returns the newest version of the publisher. It
+// is acknowledged only once the server runs with it, and the next delta applies to
+// it.
 func TestInitialVersion(t *testing.T) {
 	p := newFakePublisher(t)
 	docs, deltas := makeVersions(t, 4)
@@ -25,9 +26,9 @@
 		s.delta(deltas[3])
 		p.streams <- s
 	}()
-	doc, origin := f.InitialVersion(context.Background())
-	if doc == nil || doc.Digest() != docs[3].Digest() || origin != SourcePublisher {
-		t.Fatalf("%v, %v", doc, origin)
+	doc, source := f.InitialVersion(context.Background())
+	if doc == nil || doc.Digest() != docs[3].Digest() || source != SourcePublisher {
+		t.Fatalf("%v, %v", doc, source)
 	}
 	s := p.nextStream()
 	select {
@@ -48,9 +49,10 @@
 	}
 }
 
-// Where nobody answers a start ends its wait, and says what it starts by.
+// TestInitialVersionWithoutPublisher: if no publisher answers, InitialVersion
+// returns after its wait, with the stored version or none.
 func TestInitialVersionWithoutPublisher(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // it takes connections and says nothing
+	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,19 +61,19 @@
 	set := Settings{Name: "server-1", Region: "north", InitialWait: 200 * time.Millisecond, Folder: t.TempDir(),
 		Publishers: []Endpoint{{l.Addr().String(), "north"}}}
 	f := newTestFollower(t, set)
-	if doc, origin := f.InitialVersion(context.Background()); doc != nil || origin != SourceNone {
-		t.Errorf("%v, %v", doc, origin)
+	if doc, source := f.InitialVersion(context.Background()); doc != nil || source != SourceNone {
+		t.Errorf("%v, %v", doc, source)
 	}
 	f.run()
 	f.stop()
-	k := versionStore{folder: set.Folder, log: f.log}
-	k.save(0, docs[2], false, nil)
-	k.close()
+	store := versionStore{folder: set.Folder, log: f.log}
+	store.save(0, docs[2], false, nil)
+	store.close()
 	f = newTestFollower(t, set)
 	began := time.Now()
-	doc, origin := f.InitialVersion(context.Background())
-	if doc == nil || doc.Digest() != docs[2].Digest() || origin != SourceFolder {
-		t.Errorf("%v, %v", doc, origin)
+	doc, source := f.InitialVersion(context.Background())
+	if doc == nil || doc.Digest() != docs[2].Digest() || source != SourceFolder {
+		t.Errorf("%v, %v", doc, source)
 	}
 	if took := time.Since(began); took < set.InitialWait {
 		t.Errorf("it waited %v", took)
@@ -82,36 +84,37 @@
 	f.run()
 }
 
-// What was kept and is still in force ends the wait of a start, as does the
-// originator's word that there is nothing.
+// TestInitialVersionConfirmed: a heartbeat that confirms the stored version ends the
+// wait at the start, as does the originator's report that no version exists.
 func TestInitialVersionConfirmed(t *testing.T) {
 	docs, _ := makeVersions(t, 2)
-	for name, kept := range map[string]*document.Document{"kept": docs[2], "nothing": nil} {
+	for name, stored := range map[string]*document.Document{"stored": docs[2], "nothing": nil} {
 		t.Run(name, func(t *testing.T) {
 			p := newFakePublisher(t)
 			set := settings(p)
 			set.Folder = t.TempDir()
-			if kept != nil {
+			if stored != nil {
 				k := newTestStore(set.Folder)
-				k.save(0, kept, false, nil)
+				k.save(0, stored, false, nil)
 				k.close()
 			}
 			f := newTestFollower(t, set)
 			go func() {
 				s := <-p.streams
-				s.heartbeat(kept, 0)
+				s.heartbeat(stored, 0)
 			}()
-			doc, origin := f.InitialVersion(context.Background())
-			if kept == nil && (doc != nil || origin != SourceNone) || kept != nil && (doc.Digest() != kept.Digest() || origin != SourcePublisher) {
-				t.Errorf("%v, %v", doc, origin)
+			doc, source := f.InitialVersion(context.Background())
+			if stored == nil && (doc != nil || source != SourceNone) || stored != nil && (doc.Digest() != stored.Digest() || source != SourcePublisher) {
+				t.Errorf("%v, %v", doc, source)
 			}
 			f.run()
 		})
 	}
 }
 
-// A document that the server cannot start by leaves the one kept, else the file;
-// the publisher is told, and the next version comes whole.
+// TestReject: if the server cannot start with a document, the next one is the stored
+// version, then the server's own file. The publisher is told, and the next version
+// is applied as a whole.
 func TestReject(t *testing.T) {
 	p := newFakePublisher(t)
 	docs, deltas := makeVersions(t, 4)
@@ -129,13 +132,13 @@
 		p.streams <- s
 	}()
 	if doc, _ := f.InitialVersion(context.Background()); doc.Digest() != docs[3].Digest() {
-		t.Fatal("not the publisher's")
+		t.Fatal("not the publisher's version")
 	}
-	if doc, origin := f.Reject(errUnusable); doc == nil || doc.Digest() != docs[1].Digest() || origin != SourceFolder {
-		t.Fatalf("%v, %v", doc, origin)
+	if doc, source := f.Reject(errUnusable); doc == nil || doc.Digest() != docs[1].Digest() || source != SourceFolder {
+		t.Fatalf("%v, %v", doc, source)
 	}
-	if doc, origin := f.Reject(errUnusable); doc != nil || origin != SourceNone {
-		t.Fatalf("%v, %v", doc, origin)
+	if doc, source := f.Reject(errUnusable); doc != nil || source != SourceNone {
+		t.Fatalf("%v, %v", doc, source)
 	}
 	f.run()
 	s := p.nextStream()
@@ -149,23 +152,23 @@
 	}
 }
 
-// A publisher that ends the stream, one that refuses, one that says nothing and
-// one that takes no stream are each left for another.
+// TestNextPublisher: the follower switches to another publisher when one ends the
+// stream, refuses it, sends nothing, or does not accept connections.
 func TestNextPublisher(t *testing.T) {
 	docs, deltas := makeVersions(t, 3)
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	defer unresponsive.Close()
+	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
+	refusing.Close()
 	a, b := newFakePublisher(t), newFakePublisher(t)
 	set := settings(a, b)
-	set.Publishers = append(set.Publishers, Endpoint{mute.Addr().String(), "north"}, Endpoint{gone.Addr().String(), "north"})
+	set.Publishers = append(set.Publishers, Endpoint{unresponsive.Addr().String(), "north"}, Endpoint{refusing.Addr().String(), "north"})
 	f := startFollower(t, set)
 	next := func() (*fakePublisher, *fakeStream) {
 		t.Helper()
@@ -175,7 +178,7 @@
 		case s := <-b.streams:
 			return b, s
 		case <-time.After(waitTimeout):
-			t.Fatal("nobody follows")
+			t.Fatal("no follower connects")
 			return nil, nil
 		}
 	}
@@ -189,7 +192,7 @@
 	}
 	s.delta(deltas[2])
 	wantAck(t, s.ack(), docs[2])
-	// It says nothing more, and is left for the first.
+	// The second publisher sends nothing more, and times out.
 	third, s := next()
 	if third != first || s.hello.Number != 2 {
 		t.Errorf("%+v", s.hello)
@@ -201,11 +204,12 @@
 	}
 }
 
-// A publisher that has lost the originator is kept while another is asked, and
-// left for it where that hears the originator; where all say the same it stays.
+// TestOriginatorLost: a publisher that has lost the originator is kept while another
+// one is probed. The follower switches if that one hears the originator, and stays
+// if all have lost it.
 func TestOriginatorLost(t *testing.T) {
 	docs, _ := makeVersions(t, 1)
-	const lost = 10 * time.Second
+	const silence = 10 * time.Second
 	a, b := newFakePublisher(t), newFakePublisher(t)
 	set := settings(a, b)
 	ranked := rankPublishers(&set, a, b)
@@ -213,32 +217,34 @@
 	s := ranked[0].nextStream()
 	s.snapshot(docs[1])
 	wantAck(t, s.ack(), docs[1])
-	stop := s.heartbeats(docs[1], lost)
-	asked := ranked[1].nextStream()
-	asked.heartbeat(docs[1], lost)
-	asked.waitClosed()
+	stop := s.heartbeats(docs[1], silence)
+	probed := ranked[1].nextStream()
+	probed.heartbeat(docs[1], silence)
+	probed.waitClosed()
 	select {
 	case <-s.closed:
-		t.Fatal("the first was left though all say the same")
+		t.Fatal("the first publisher was dropped though both have lost the originator")
 	default:
 	}
-	if f.State().OriginatorSilence < lost {
+	if f.State().OriginatorSilence < silence {
 		t.Errorf("%+v", f.State())
 	}
 	stop()
-	// The first hears the originator and loses it again: the other is asked again.
+	// The first publisher hears the originator and loses it again: the other is
+	// probed again.
 	s.heartbeat(docs[1], 0)
-	s.heartbeats(docs[1], lost)
-	asked = ranked[1].nextStream()
-	asked.heartbeat(docs[1], 0)
+	s.heartbeats(docs[1], silence)
+	probed = ranked[1].nextStream()
+	probed.heartbeat(docs[1], 0)
 	s.waitClosed()
-	asked.heartbeats(docs[1], 0)
+	probed.heartbeats(docs[1], 0)
 	eventually(t, "the other is followed", func() bool {
 		return f.State().Publisher == ranked[1].address && f.State().OriginatorSilence < protocol.OriginatorTimeout
 	})
 }
 
-// The preferred publisher is returned to once it is back, without a gap.
+// TestReturnToPreferredPublisher: the follower returns to the preferred publisher
+// once that is available again, without a gap.
 func TestReturnToPreferredPublisher(t *testing.T) {
 	docs, deltas := makeVersions(t, 2)
 	a, b := newFakePublisher(t), newFakePublisher(t)
@@ -256,7 +262,7 @@
 	back := ranked[0].nextStream()
 	select {
 	case <-s.closed:
-		t.Error("the second was left before the first had spoken")
+		t.Error("the second publisher was dropped before the first had sent a message")
 	default:
 	}
 	back.heartbeat(docs[1], 0)
@@ -265,7 +271,8 @@
 	wantAck(t, back.ack(), docs[2])
 }
 
-// A publisher that reads nothing holds up nobody here, and what waits for it is bounded.
+// TestOutgoingMessagesBounded: a publisher that does not read does not block the
+// follower, and the messages queued for it are bounded.
 func TestOutgoingMessagesBounded(t *testing.T) {
 	w := &messageQueue{}
 	w.notEmpty.L = &w.mu
@@ -288,11 +295,12 @@
 		n, newest = n+1, m.Ack.Number
 	}
 	if n != maxQueuedMessages-1 || newest != 10*maxQueuedMessages-1 {
-		t.Errorf("%d words, the newest %d", n, newest)
+		t.Errorf("%d messages, the newest %d", n, newest)
 	}
 }
 
-// Nothing is left of a follower that has ended, wherever it stood: no goroutine and no connection.
+// TestNoLeaks: a follower that has ended, in whatever state, leaves no goroutine and
+// no connection behind.
 func TestNoLeaks(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -300,14 +308,14 @@
 	}
 	defer l.Close()
 	docs, _ := makeVersions(t, 1)
-	mute := Settings{Name: "server-1", Region: "north", Publishers: []Endpoint{{l.Addr().String(), "north"}}, InitialWait: 50 * time.Millisecond}
+	unresponsive := Settings{Name: "server-1", Region: "north", Publishers: []Endpoint{{l.Addr().String(), "north"}}, InitialWait: 50 * time.Millisecond}
 	round := func() {
 		for range 5 {
-			f := newTestFollower(t, mute)
+			f := newTestFollower(t, unresponsive)
 			ctx, cancel := context.WithCancel(context.Background())
 			f.InitialVersion(ctx)
-			cancel() // a start that was broken off
-			f = newTestFollower(t, mute)
+			cancel() // an aborted start
+			f = newTestFollower(t, unresponsive)
 			f.InitialVersion(context.Background())
 			f.run()
 			f.stop()
@@ -327,7 +335,7 @@
 	eventually(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= before })
 }
 
-// Faulty settings are named, all at once.
+// TestSettings: an error names all invalid settings.
 func TestSettings(t *testing.T) {
 	_, err := New(Settings{Region: strings.Repeat("r", 200), InitialWait: -1, Publishers: []Endpoint{{"a:1", ""}, {"nowhere", ""}, {"a:1", ""}}})
 	for _, want := range []string{"Name", "Region", "InitialWait", "Publishers[1]", "Publishers[2]"} {
@@ -340,23 +348,23 @@
 	}
 }
 
-// A stream ends though its publisher takes nothing of what is written to it: the
-// connection is full, and a write waits in it.
+// TestEndWhileBlocked: a stream can be ended although its publisher does not read:
+// the connection's buffers are full, and a write blocks.
 func TestEndWhileBlocked(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	taken := make(chan net.Conn, 1)
+	accepted := make(chan net.Conn, 1)
 	go func() {
 		if c, err := l.Accept(); err == nil {
-			taken <- c // it is never read
+			accepted <- c // never read
 		}
 	}()
 	count, began := &traffic{}, time.Now()
 	s := openStream(0, l.Addr().String(), &protocol.Hello{Name: "server-1"}, count, func() time.Duration { return time.Since(began) }, responseTimeout)
-	defer (<-taken).Close()
+	defer (<-accepted).Close()
 	eventually(t, "the preface is written", func() bool { return count.sent.Load() > 0 })
 	s.mu.Lock()
 	conn := s.conn
--- a/internal/control/follow/handle.go
+++ b/internal/control/follow/handle.go
@@ -13,11 +13,12 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// stalledHeartbeats is how many beats in a row may tell of a newer version while none
-// of it comes: more, and the publisher withholds it.
+// stalledHeartbeats is how many heartbeats in a row announce a newer version,
+// without anything else arriving, until the publisher is taken to withhold that
+// version.
 const stalledHeartbeats = 2
 
-// handleMessage takes in one record of the publisher that is followed.
+// handleMessage handles one message of the active publisher.
 func (f *Follower) handleMessage(ctx context.Context, r *protocol.PublisherMessage) {
 	s := f.active
 	if !s.established {
@@ -33,17 +34,18 @@
 		s.ahead = 0
 		f.handleSnapshot(ctx, r.Snapshot)
 	default:
-		f.handleInvalid(errors.New("a record that has not one part"))
+		f.handleInvalid(errors.New("invalid message: want exactly one of heartbeat, delta and snapshot"))
 	}
 }
 
-// handleHeartbeat takes in the publisher's word that it is there.
+// handleHeartbeat updates the originator's silence and compares the publisher's
+// version with ours.
 func (f *Follower) handleHeartbeat(b *protocol.Heartbeat) {
-	unheard := time.Duration(min(max(b.OriginatorSilenceMS, 0), math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
-	f.selector.originatorSilence(f.now(), unheard)
+	silence := time.Duration(min(max(b.OriginatorSilenceMS, 0), math.MaxInt64/int64(time.Millisecond))) * time.Millisecond
+	f.selector.originatorSilence(f.now(), silence)
 	number := f.inForce.Header().Number
 	f.mu.Lock()
-	if at := time.Now().Add(-unheard); f.originatorUnknown || at.After(f.originatorHeard) {
+	if at := time.Now().Add(-silence); f.originatorUnknown || at.After(f.originatorHeard) {
 		f.originatorHeard, f.originatorUnknown = at, false
 	}
 	f.mu.Unlock()
@@ -53,31 +55,32 @@
 	case b.Number == number && b.Digest != f.inForce.Digest():
 		f.handleFork(b.Number, b.Digest)
 	case b.Number == number:
-		f.caughtUp(unheard < protocol.OriginatorTimeout)
+		f.caughtUp(silence < protocol.OriginatorTimeout)
 	case b.Number > number:
 		f.noteAnnounced(b.Number)
-		// A publisher that takes our version for one of two with its number sends beats alone.
+		// A publisher that sees a fork at our version sends heartbeats alone.
 		if b.Number > f.latest.Header().Number {
 			if f.active.ahead++; f.active.ahead >= stalledHeartbeats {
 				f.active.ahead = 0
-				f.noteFork(zap.String("why", "the publisher is ahead and sends nothing: it has another version with our number"),
+				f.noteFork(zap.String("why", "the publisher is ahead and sends heartbeats alone: it has another version with this number"),
 					zap.Uint64("version", number), zap.Stringer("digest", f.inForce.Digest()), zap.Uint64("theirs", b.Number))
 			}
 		}
 	}
 }
 
-// caughtUp notes that the publisher and we are on one version. Where it hears the
-// originator there is none after it, whatever another has told.
-func (f *Follower) caughtUp(hears bool) {
+// caughtUp records that the publisher and this follower are on the same version. If
+// the publisher hears the originator, there is no newer version, whatever another
+// publisher announced.
+func (f *Follower) caughtUp(hearsOriginator bool) {
 	f.current = true
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.state.Fork = false
 	if f.apply == nil && f.state.Source == SourceFolder {
-		f.state.Source = SourcePublisher // it confirms what was kept
+		f.state.Source = SourcePublisher // the stored version is confirmed
 	}
-	if hears && f.latest == f.inForce {
+	if hearsOriginator && f.latest == f.inForce {
 		f.announced = f.state.Number
 	}
 	if f.announced <= f.state.Number {
@@ -85,7 +88,7 @@
 	}
 }
 
-// noteAnnounced notes that there is a version that is not in force here.
+// noteAnnounced records that a version exists that is not in force here.
 func (f *Follower) noteAnnounced(number uint64) {
 	f.announced = max(f.announced, number)
 	f.mu.Lock()
@@ -95,9 +98,10 @@
 	}
 }
 
-// handleDelta takes in a step from one version to the next.
-func (f *Follower) handleDelta(ctx context.Context, text []byte) {
-	d, err := document.DecodeDelta(text)
+// handleDelta applies a delta to the version in force, or to the refused one that it
+// follows.
+func (f *Follower) handleDelta(ctx context.Context, encoded []byte) {
+	d, err := document.DecodeDelta(encoded)
 	if err != nil {
 		f.handleInvalid(err)
 		return
@@ -107,7 +111,8 @@
 		return
 	}
 	f.noteAnnounced(number)
-	// What follows a version that was refused here is made of that one, and taken over whole.
+	// The version after a refused one is built on the refused one, and applied as a
+	// whole.
 	base := f.inForce
 	if d.Header.Parent != base.Digest() || number != base.Header().Number+1 {
 		base = f.latest
@@ -127,12 +132,12 @@
 	if base != f.inForce || base.Header().Number == 0 && !f.set.Relay {
 		d = nil
 	}
-	f.putInForce(ctx, doc, d, text, false)
+	f.putInForce(ctx, doc, d, encoded, false)
 }
 
-// handleSnapshot takes in a whole version.
-func (f *Follower) handleSnapshot(ctx context.Context, text []byte) {
-	doc, err := document.DecodeSnapshot(text)
+// handleSnapshot handles a whole version.
+func (f *Follower) handleSnapshot(ctx context.Context, encoded []byte) {
+	doc, err := document.DecodeSnapshot(encoded)
 	if err != nil {
 		f.handleInvalid(err)
 		return
@@ -143,17 +148,17 @@
 	}
 	f.noteAnnounced(h.Number)
 	if in := f.inForce.Header(); in.Number > 0 && h.Number == in.Number+1 && h.Parent != f.inForce.Digest() {
-		f.log.Error("control: the version comes whole, and its parent is not the one in force: there were two with one number",
+		f.log.Error("control: a snapshot has another parent than the version in force: there were two versions with one number",
 			zap.Uint64("version", h.Number), zap.Stringer("parent", h.Parent), zap.Stringer("digest", f.inForce.Digest()))
 	}
 	f.mu.Lock()
 	f.state.Snapshots++
 	f.mu.Unlock()
-	f.putInForce(ctx, doc, nil, text, true)
+	f.putInForce(ctx, doc, nil, encoded, true)
 }
 
-// alreadyHandled says whether there is nothing to be done for a version: it is older than
-// what is in force, it is in force, another with its number is, or it was refused.
+// alreadyHandled reports whether a version needs no further work: it is older than
+// the one in force, it is in force, it is a fork, or it was refused before.
 func (f *Follower) alreadyHandled(number uint64, digest document.Digest) bool {
 	in := f.inForce.Header().Number
 	switch {
@@ -163,7 +168,7 @@
 	case number <= in:
 		return true
 	case number <= f.latest.Header().Number && (number < f.latest.Header().Number || digest == f.latest.Digest()):
-		if !f.active.refusalSent { // a stream that has come since is told once, too
+		if !f.active.refusalSent { // a stream opened since the refusal gets it once, too
 			f.active.refusalSent = true
 			f.sendAck(f.active)
 		}
@@ -172,43 +177,48 @@
 	return false
 }
 
-// handleGap notes a delta on a version that is not in force here: what lies between is
-// asked for at once, and of another publisher where that brings nothing.
+// handleGap handles a delta whose parent is not in force here. The first time the
+// stream is opened again at once, so that the publisher sends the missing versions;
+// the second time another publisher is tried.
 func (f *Follower) handleGap(number uint64) {
 	s := f.active
 	if f.gaps++; f.gaps > 1 {
 		f.gaps = 0
-		f.disconnect(fmt.Sprintf("version %d comes without what lies between, twice", number), false)
+		f.disconnect(fmt.Sprintf("version %d arrived twice without the versions before it", number), false)
 		return
 	}
 	f.active = nil
 	s.end(nil)
 	f.selector.retry(s.publisher)
-	f.log.Warn("control: a version on another parent: what lies between is asked for", zap.Uint64("version", number),
+	f.log.Warn("control: a delta has another parent than the version in force: asking for the missing versions", zap.Uint64("version", number),
 		zap.Uint64("in_force", f.inForce.Header().Number), zap.String("publisher", f.set.Publishers[s.publisher].Address))
 }
 
-// handleInvalid refuses what nobody can act on, and leaves its sender.
+// handleInvalid refuses data that no follower can use, and disconnects from its
+// sender.
 func (f *Follower) handleInvalid(err error) {
 	f.mu.Lock()
 	f.state.RefusalReason = err.Error()
 	f.mu.Unlock()
-	f.log.Error("control: what came is refused", zap.String("publisher", f.set.Publishers[f.active.publisher].Address), zap.Error(err))
+	f.log.Error("control: invalid message from the publisher is refused", zap.String("publisher", f.set.Publishers[f.active.publisher].Address), zap.Error(err))
 	f.disconnect(err.Error(), true)
 }
 
-// handleFork notes another version with the number of the one in force: that stays.
+// handleFork handles another version with the number of the one in force: the one in
+// force stays.
 func (f *Follower) handleFork(number uint64, digest document.Digest) {
 	f.noteFork(zap.Uint64("version", number), zap.Stringer("digest", f.inForce.Digest()), zap.Stringer("theirs", digest))
 }
 
+// noteFork records a fork, acknowledges it to the publisher once, and logs it at
+// most once per forkLogInterval.
 func (f *Follower) noteFork(fields ...zap.Field) {
-	f.current = true // nothing better comes of this publisher
+	f.current = true // this publisher has nothing newer to send
 	f.mu.Lock()
-	news := !f.state.Fork
+	first := !f.state.Fork
 	f.state.Fork = true
 	f.mu.Unlock()
-	if news {
+	if first {
 		f.sendAck(f.active)
 	}
 	if now := f.now(); now >= f.nextForkLog {
@@ -218,9 +228,10 @@
 	}
 }
 
-// putInForce puts a version in force, or notes why it is not. delta is nil where
-// the server is to take it over whole; text is what came, the version whole or a delta.
-func (f *Follower) putInForce(ctx context.Context, doc *document.Document, delta *document.Delta, text []byte, whole bool) {
+// putInForce applies a version, or records why it was refused. delta is nil where
+// the server must take doc as a whole; encoded is the data received, a snapshot if
+// snapshot is set, else a delta.
+func (f *Follower) putInForce(ctx context.Context, doc *document.Document, delta *document.Delta, encoded []byte, snapshot bool) {
 	h, began := doc.Header(), time.Now()
 	if f.apply != nil {
 		if err := f.apply(ctx, doc, delta); err != nil {
@@ -237,7 +248,7 @@
 		f.current = h.Number >= f.announced
 		return
 	}
-	f.store.save(f.now(), doc, !whole, text)
+	f.store.save(f.now(), doc, !snapshot, encoded)
 	f.sendAck(f.active)
 	changes := -1
 	if delta != nil {
@@ -249,12 +260,12 @@
 		zap.Int64("taking_ms", time.Since(began).Milliseconds()))
 }
 
-// noteInForce notes the version in force.
-func (f *Follower) noteInForce(doc *document.Document, origin Source) {
+// noteInForce records the version in force.
+func (f *Follower) noteInForce(doc *document.Document, source Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.inForce = doc
-	f.state.Number, f.state.Digest, f.state.Source = doc.Header().Number, doc.Digest(), origin
+	f.state.Number, f.state.Digest, f.state.Source = doc.Header().Number, doc.Digest(), source
 	f.state.RefusalReason, f.state.Fork = "", false
 	if f.apply != nil {
 		f.state.Applied++
@@ -264,8 +275,8 @@
 	}
 }
 
-// noteRefused notes that the server cannot serve by a version: the one before stays,
-// and what comes next is tried whole.
+// noteRefused records that the server refused a version: the previous one stays in
+// force, and the next one is applied as a whole.
 func (f *Follower) noteRefused(doc *document.Document, err error) {
 	f.latest = doc
 	f.mu.Lock()
@@ -277,7 +288,8 @@
 	f.sendAck(f.active)
 }
 
-// currentAck is what we say of the version in force.
+// currentAck is the acknowledgement for the version in force, with the reason of a
+// refusal if there is one.
 func (f *Follower) currentAck() protocol.Ack {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -288,7 +300,8 @@
 	return protocol.Ack{Number: f.inForce.Header().Number, Digest: f.digest(), RefusalReason: refused, Fork: f.state.Fork}
 }
 
+// sendAck queues the current acknowledgement on s.
 func (f *Follower) sendAck(s *stream) {
-	word := f.currentAck()
-	s.outgoing.send(&protocol.FollowerMessage{Ack: &word})
+	ack := f.currentAck()
+	s.outgoing.send(&protocol.FollowerMessage{Ack: &ack})
 }
--- a/internal/control/follow/handle_test.go
+++ b/internal/control/follow/handle_test.go
@@ -9,6 +9,7 @@
 	"kiteslip/internal/control/protocol"
 )
 
+// wantAck checks that a acknowledges doc as the version in force.
 func wantAck(t *testing.T, a protocol.Ack, doc *document.Document) {
 	t.Helper()
 	if a.Number != doc.Header().Number || a.Digest != doc.Digest() || a.RefusalReason != "" || a.Fork {
@@ -16,8 +17,8 @@
 	}
 }
 
-// Deltas come one after the other, the first on nothing whole; each is
-// acknowledged, and the last word is that the server leaves.
+// TestDeltas: versions arrive as deltas, the first one on no version; each is
+// acknowledged, and the last acknowledgement says that the server is shutting down.
 func TestDeltas(t *testing.T) {
 	p := newFakePublisher(t)
 	docs, deltas := makeVersions(t, 4)
@@ -44,7 +45,7 @@
 	})
 	f.stop()
 	if a := s.ack(); !a.Leaving || a.Number != 4 {
-		t.Errorf("the last word is %+v", a)
+		t.Errorf("the last acknowledgement is %+v", a)
 	}
 	s.waitClosed()
 	if st := f.State(); st.Publisher != "" || st.Number != 4 {
@@ -52,7 +53,8 @@
 	}
 }
 
-// A snapshot is taken over whole, and deltas follow on it; an older one is passed over.
+// TestSnapshot: a snapshot is applied as a whole, deltas follow on it, and an older
+// snapshot is ignored.
 func TestSnapshot(t *testing.T) {
 	p := newFakePublisher(t)
 	docs, deltas := makeVersions(t, 4)
@@ -70,9 +72,9 @@
 	}
 }
 
-// A version that the server refuses is told once, and the one before stays; the
-// next comes whole and is taken over, also over a new stream, where the refused
-// one is sent again.
+// TestRefused: a version that the server refuses is acknowledged as refused once,
+// and the previous one stays in force. The next one is applied as a whole, also on a
+// new stream, on which the refused one is sent again.
 func TestRefused(t *testing.T) {
 	p := newFakePublisher(t)
 	docs, deltas := makeVersions(t, 6)
@@ -121,12 +123,13 @@
 		}
 	}
 	if n := len(f.server.all); n != len(whole) {
-		t.Errorf("%d versions were tried", n)
+		t.Errorf("%d versions were applied or refused", n)
 	}
 }
 
-// Another version with our number is never taken over, however it comes; it is
-// shouted about, told to the publisher, and what comes after is followed.
+// TestFork: another version with the number of ours is never applied, whether it is
+// announced by heartbeats or sent as a delta or snapshot. The fork is logged and
+// acknowledged, and the versions that follow ours are still applied.
 func TestFork(t *testing.T) {
 	docs, deltas := makeVersions(t, 3)
 	other, otherDelta := step(t, docs[1], "elsewhere", 9)
@@ -156,13 +159,13 @@
 			s.delta(deltas[3])
 			wantAck(t, s.ack(), docs[3])
 			if f.State().Fork || f.logCount("FORK") != 1 || len(f.server.all) != 3 {
-				t.Errorf("%+v, shouted %d times, %d versions", f.State(), f.logCount("FORK"), len(f.server.all))
+				t.Errorf("%+v, logged %d times, %d versions", f.State(), f.logCount("FORK"), len(f.server.all))
 			}
 		})
 	}
-	// The other line goes on: its delta has another parent, what lies between is
-	// asked for, and it is the publisher that knows of the fork.
-	t.Run("the other line", func(t *testing.T) {
+	// The other branch continues: its delta has another parent, so the follower asks
+	// for the missing versions, and the publisher detects the fork.
+	t.Run("the other branch", func(t *testing.T) {
 		p := newFakePublisher(t)
 		f := startFollower(t, settings(p))
 		s := p.nextStream()
@@ -174,7 +177,7 @@
 		if s.hello.Number != 2 || s.hello.Digest != docs[2].Digest() {
 			t.Errorf("%+v", s.hello)
 		}
-		for range 3 { // as to any whose version it takes for one of two
+		for range 3 { // as a publisher does that sees a fork
 			s.heartbeat(after, 0)
 		}
 		if a := s.ack(); !a.Fork || a.Number != 2 {
@@ -186,12 +189,13 @@
 	})
 }
 
-// A wrong digest is refused and shouted about, and another publisher is turned to.
+// TestWrongDigest: invalid messages, such as one with a wrong digest, are refused
+// and logged, and the follower switches to another publisher.
 func TestWrongDigest(t *testing.T) {
 	docs, deltas := makeVersions(t, 3)
 	bad := *deltas[3]
 	bad.Header.Content[0]++
-	forged := encode(t, &bad) // its header is sound in itself and names a content that is not the one
+	forged := encode(t, &bad) // its header is valid in itself and names another content
 	broken := encode(t, deltas[3])
 	broken[len(broken)-1] ^= 1
 	whole, err := docs[3].Snapshot()
@@ -220,7 +224,7 @@
 			if s.hello.Number != 2 {
 				t.Errorf("%+v", s.hello)
 			}
-			if f.logCount("what came is refused") != 1 || f.State().RefusalReason == "" {
+			if f.logCount("invalid message from the publisher is refused") != 1 || f.State().RefusalReason == "" {
 				t.Errorf("%+v", f.State())
 			}
 			s.delta(deltas[3])
@@ -233,8 +237,8 @@
 	}
 }
 
-// A delta on another parent: what lies between is asked for at once; where the
-// same comes again, of another publisher.
+// TestGap: after a delta with another parent the follower asks the publisher for the
+// missing versions at once; if that happens again, it asks another publisher.
 func TestGap(t *testing.T) {
 	docs, deltas := makeVersions(t, 5)
 	a, b := newFakePublisher(t), newFakePublisher(t)
@@ -265,8 +269,8 @@
 	}
 }
 
-// A server that takes long over a version does not take its publisher for silent,
-// and nothing is lost meanwhile.
+// TestSlowServer: a server that takes longer to apply a version than the publisher's
+// timeout does not take the publisher for timed out, and loses no version.
 func TestSlowServer(t *testing.T) {
 	docs, deltas := makeVersions(t, 300)
 	p := newFakePublisher(t)
@@ -287,7 +291,7 @@
 	for i := 1; i <= 300; i++ {
 		s.delta(deltas[i])
 	}
-	time.Sleep(protocol.PublisherTimeout + 200*time.Millisecond) // longer than a silence may last: what is shown is that it is none
+	time.Sleep(protocol.PublisherTimeout + 200*time.Millisecond) // longer than the publisher's timeout
 	close(hold)
 	for a := s.ack(); a.Number < 300; a = s.ack() {
 		if a.RefusalReason != "" || a.Fork {
@@ -300,8 +304,8 @@
 	}
 }
 
-// A version that one publisher tells of, and that another which hears the
-// originator does not know, is no lag any longer.
+// TestAnnouncedVersionNeverArrives: a version that one publisher announces and that
+// another, which hears the originator, does not know must not count as lag for ever.
 func TestAnnouncedVersionNeverArrives(t *testing.T) {
 	docs, _ := makeVersions(t, 5)
 	a, b := newFakePublisher(t), newFakePublisher(t)
--- a/internal/control/follow/selector_test.go
+++ b/internal/control/follow/selector_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write what the scripts under testdata say now")
+var update = flag.Bool("update", false, "write the current results into the scripts under testdata")
 
-// The scripts under testdata/selector: what happens, and behind each question, with an
-// arrow, what the seeker says.
+// TestSelector runs the scripts under testdata/selector: each has a list of events,
+// and after each query, with an arrow, the selector's answer.
 func TestSelector(t *testing.T) {
 	files, err := filepath.Glob("testdata/selector/*.txt")
 	if err != nil || len(files) == 0 {
@@ -40,13 +40,13 @@
 	}
 }
 
-// runScript runs a script and returns it with what the seeker says.
+// runScript runs a script and returns it with the selector's answers.
 func runScript(t *testing.T, script string) string {
 	t.Helper()
 	var out strings.Builder
 	set := Settings{Seed: 1}
 	var s *selector
-	place := func(name string) int {
+	indexOf := func(name string) int {
 		i := slices.IndexFunc(set.Publishers, func(p Endpoint) bool { return p.Address == name })
 		if i < 0 {
 			t.Fatalf("no publisher %q", name)
@@ -83,54 +83,54 @@
 		case "next":
 			n := s.next(now)
 			last = n.publisher
-			said := "at once"
-			switch barred := s.publishers[n.publisher].excludedUntil; {
-			case barred > now:
-				said = "once its bar ends"
-				if n.wait < barred-now || n.wait > barred-now+n.maxWait {
-					t.Errorf("%q: waits %v, its bar ends in %v", line, n.wait, barred-now)
+			answer := "at once"
+			switch excluded := s.publishers[n.publisher].excludedUntil; {
+			case excluded > now:
+				answer = "once its exclusion ends"
+				if n.wait < excluded-now || n.wait > excluded-now+n.maxWait {
+					t.Errorf("%q: waits %v, its exclusion ends in %v", line, n.wait, excluded-now)
 				}
 			case n.maxWait > 0:
-				said = fmt.Sprintf("within %v", n.maxWait)
+				answer = fmt.Sprintf("within %v", n.maxWait)
 				fallthrough
 			default:
 				if n.wait < 0 || n.wait > n.maxWait {
 					t.Errorf("%q: waits %v of %v", line, n.wait, n.maxWait)
 				}
 			}
-			fmt.Fprintf(&out, "  -> %s, %s\n", set.Publishers[n.publisher].Address, said)
+			fmt.Fprintf(&out, "  -> %s, %s\n", set.Publishers[n.publisher].Address, answer)
 		case "failed":
 			s.failed(now, last, false)
 		case "faulty":
-			s.failed(now, place(word[2]), true)
+			s.failed(now, indexOf(word[2]), true)
 		case "retry":
-			s.retry(place(word[2]))
+			s.retry(indexOf(word[2]))
 		case "stood":
-			last = place(word[2])
+			last = indexOf(word[2])
 			s.established(now, last)
 		case "heard":
-			unheard, err := time.ParseDuration(word[2])
+			silence, err := time.ParseDuration(word[2])
 			if err != nil {
 				t.Fatalf("%q: %v", line, err)
 			}
-			s.originatorSilence(now, unheard)
+			s.originatorSilence(now, silence)
 		case "probed":
-			s.probeFailed(now, place(word[2]))
+			s.probeFailed(now, indexOf(word[2]))
 		case "probe":
-			p, at, any := s.probe()
-			said := "none"
+			p, at, ok := s.probe()
+			answer := "none"
 			switch left := at - now; {
-			case !any:
+			case !ok:
 			case left < 0:
 				t.Errorf("%q: %v ago", line, -left)
 			case left <= maxJitter:
-				said = fmt.Sprintf("%s, within %v", set.Publishers[p].Address, maxJitter)
+				answer = fmt.Sprintf("%s, within %v", set.Publishers[p].Address, maxJitter)
 			case left >= minReturnPause && left <= maxReturnPause:
-				said = fmt.Sprintf("%s, in %v to %v", set.Publishers[p].Address, minReturnPause, maxReturnPause)
+				answer = fmt.Sprintf("%s, in %v to %v", set.Publishers[p].Address, minReturnPause, maxReturnPause)
 			default:
-				said = fmt.Sprintf("%s, in %v", set.Publishers[p].Address, left)
+				answer = fmt.Sprintf("%s, in %v", set.Publishers[p].Address, left)
 			}
-			fmt.Fprintf(&out, "  -> %s\n", said)
+			fmt.Fprintf(&out, "  -> %s\n", answer)
 		default:
 			t.Fatalf("%q", line)
 		}
@@ -138,8 +138,9 @@
 	return out.String()
 }
 
-// Followers spread evenly over the publishers of their region, and when one is
-// gone its followers spread evenly over the rest, while no other moves.
+// TestSpread: followers spread evenly over the publishers of their region. When one
+// of those fails, its followers spread evenly over the rest, and no other follower
+// moves.
 func TestSpread(t *testing.T) {
 	set := Settings{Region: "north", Publishers: []Endpoint{{"10.0.0.1:7", "north"}, {"10.0.0.2:7", "north"},
 		{"10.0.0.3:7", "north"}, {"10.1.0.1:7", "south"}}}
@@ -153,24 +154,24 @@
 			second[s.order[1]]++
 		}
 		if s.order[3] != 3 {
-			t.Fatalf("%s goes to another region before its own: %v", set.Name, s.order)
+			t.Fatalf("%s prefers another region to its own: %v", set.Name, s.order)
 		}
 	}
-	even := func(what string, got map[int]int, over int, all int) {
+	checkEven := func(what string, got map[int]int, publishers int, all int) {
 		for p, n := range got {
-			if want := float64(all) / float64(over); math.Abs(float64(n)-want) > 0.15*want {
+			if want := float64(all) / float64(publishers); math.Abs(float64(n)-want) > 0.15*want {
 				t.Errorf("%s: %d of %d at %d", what, n, all, p)
 			}
 		}
-		if len(got) != over {
+		if len(got) != publishers {
 			t.Errorf("%s: %v", what, got)
 		}
 	}
-	even("first", first, 3, servers)
-	even("second", second, 2, first[0])
+	checkEven("first", first, 3, servers)
+	checkEven("second", second, 2, first[0])
 }
 
-// Waits are drawn over all of their bound, and differ between followers.
+// TestJitter: waits are drawn over their whole range, and differ between followers.
 func TestJitter(t *testing.T) {
 	set := Settings{Region: "north", Publishers: []Endpoint{{"10.0.0.1:7", "north"}}}
 	quarters := [4]int{}
--- a/internal/control/follow/store.go
+++ b/internal/control/follow/store.go
@@ -15,75 +15,76 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// The files of the folder, and how much is written.
+// The files of the folder, and the bounds on them.
 const (
 	snapshotFile     = "version"
 	deltasFile       = "version.deltas"
 	lockFile         = "version.lock"
-	maxDeltas        = 256     // that follow the whole version in the folder
-	maxDeltaBytes    = 1 << 20 // ... and their bytes
-	snapshotInterval = 5 * time.Second
+	maxDeltas        = 256             // after the snapshot in the folder
+	maxDeltaBytes    = 1 << 20         // ... and their bytes
+	snapshotInterval = 5 * time.Second // between two writes of a snapshot
 	folderMode       = 0o700
 	fileMode         = 0o600
 )
 
-// versionStore keeps the version in force in a folder: one version whole, replaced as
-// a whole, and a bounded list of deltas behind it. What stands there after a
-// crash is the version in force or, where the system itself has crashed, one
-// that was in force shortly before. Its digest is checked when it is read. Of two
-// processes with one folder, as in an upgrade, one writes: the other does when
-// the first has ended. The zero value keeps nothing.
+// versionStore stores the version in force in a folder: a snapshot, which is
+// replaced atomically, and a bounded list of deltas after it. After a crash of the
+// process the files hold the version in force; after a crash of the system they may
+// hold one that was in force shortly before. Digests are checked when the files are
+// read. If two processes share a folder, as in an upgrade, one of them writes, and
+// the other takes over when the first has ended. Without a folder nothing is stored.
 type versionStore struct {
 	folder string
 	log    *zap.Logger
 
 	lock            *os.File
-	deltas          *os.File           // to append to; nil = a whole version is written next
-	lastDigest      document.Digest    // of the version that the files stand at
-	deltaCount      int                // deltas there
-	deltaBytes      int                // of them
-	pending         *document.Document // to be written whole; nil = the files are current
-	pendingSnapshot []byte             // ... as it was sent, if it was
-	notBefore       time.Duration      // not before then
-	failing         bool               // the last write failed, and it was said
+	deltas          *os.File           // to append to; nil = a snapshot is written next
+	lastDigest      document.Digest    // of the version that the files hold
+	deltaCount      int                // deltas in the file
+	deltaBytes      int                // ... and their bytes
+	pending         *document.Document // to be written as a snapshot; nil = the files are current
+	pendingSnapshot []byte             // ... encoded, if it was received so
+	notBefore       time.Duration      // no snapshot is written before then
+	failing         bool               // the last write failed, and that was logged
 }
 
-// load reads what the folder keeps, and since when. What is damaged is named in
-// the log and passed over.
-func (k *versionStore) load() (*document.Document, time.Time) {
-	if k.folder == "" {
+// load reads the stored version and the time of its last write. Corrupt files are
+// logged and ignored.
+func (s *versionStore) load() (*document.Document, time.Time) {
+	if s.folder == "" {
 		return nil, time.Time{}
 	}
-	if err := os.MkdirAll(k.folder, folderMode); err != nil {
-		k.log.Error("control: the folder of the version cannot be used", zap.Error(err))
+	if err := os.MkdirAll(s.folder, folderMode); err != nil {
+		s.log.Error("control: the folder for versions cannot be used", zap.Error(err))
 		return nil, time.Time{}
 	}
-	// The deltas first: a whole version that another process writes meanwhile is newer than they are.
-	deltas, err := k.readFile(deltasFile)
+	// The deltas are read first: a snapshot that another process writes meanwhile is
+	// newer than they are.
+	deltas, err := s.readFile(deltasFile)
 	if err != nil {
-		k.logCorrupt(deltasFile, err)
+		s.logCorrupt(deltasFile, err)
 	}
-	whole, err := k.readFile(snapshotFile)
+	snapshot, err := s.readFile(snapshotFile)
 	if err != nil {
-		k.logCorrupt(snapshotFile, err)
+		s.logCorrupt(snapshotFile, err)
 		return nil, time.Time{}
 	}
-	if whole == nil {
+	if snapshot == nil {
 		return nil, time.Time{}
 	}
-	doc, err := document.DecodeSnapshot(whole)
+	doc, err := document.DecodeSnapshot(snapshot)
 	if err != nil {
-		k.logCorrupt(snapshotFile, err)
+		s.logCorrupt(snapshotFile, err)
 		return nil, time.Time{}
 	}
 	doc, err = replay(doc, deltas)
 	if err != nil {
-		k.logCorrupt(deltasFile, err)
+		s.logCorrupt(deltasFile, err)
 	}
-	return doc, k.modTime()
+	return doc, s.modTime()
 }
 
-// replay applies the deltas that stand behind a whole version, as far as they are sound.
+// replay applies the stored deltas to a snapshot, up to the first invalid one.
 func replay(doc *document.Document, deltas []byte) (*document.Document, error) {
 	from := protocol.NewReader(&sliceReader{deltas})
 	for n := 0; ; n++ {
@@ -100,7 +101,7 @@
 			return doc, fmt.Errorf("record %d: %w", n, err)
 		}
 		if delta.Header.Number <= doc.Header().Number {
-			continue // the whole version has it already
+			continue // part of the snapshot
 		}
 		next, err := doc.Apply(delta)
 		if err != nil {
@@ -110,6 +111,7 @@
 	}
 }
 
+// sliceReader is an io.Reader over a byte slice.
 type sliceReader struct{ rest []byte }
 
 func (r *sliceReader) Read(p []byte) (int, error) {
@@ -121,9 +123,9 @@
 	return n, nil
 }
 
-// readFile returns a file's bytes, nil where there is none.
-func (k *versionStore) readFile(name string) ([]byte, error) {
-	f, err := os.Open(filepath.Join(k.folder, name))
+// readFile returns a file's content, nil if it does not exist.
+func (s *versionStore) readFile(name string) ([]byte, error) {
+	f, err := os.Open(filepath.Join(s.folder, name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -131,129 +133,132 @@
 		return nil, err
 	}
 	defer f.Close()
-	const most = 2 * document.MaxRecordBytes
-	b, err := io.ReadAll(io.LimitReader(f, most+1))
-	if err == nil && len(b) > most {
-		err = fmt.Errorf("over %d bytes", most)
+	const limit = 2 * document.MaxRecordBytes
+	b, err := io.ReadAll(io.LimitReader(f, limit+1))
+	if err == nil && len(b) > limit {
+		err = fmt.Errorf("over %d bytes", limit)
 	}
 	return b, err
 }
 
-func (k *versionStore) logCorrupt(name string, err error) {
-	k.log.Error("control: a file of the kept version is passed over", zap.String("file", filepath.Join(k.folder, name)), zap.Error(err))
+// logCorrupt logs that a file is ignored.
+func (s *versionStore) logCorrupt(name string, err error) {
+	s.log.Error("control: a file of the stored version is corrupt and ignored", zap.String("file", filepath.Join(s.folder, name)), zap.Error(err))
 }
 
-// modTime is when the files were last written to.
-func (k *versionStore) modTime() (at time.Time) {
+// modTime is when the files were last written.
+func (s *versionStore) modTime() (at time.Time) {
 	for _, name := range []string{snapshotFile, deltasFile} {
-		if info, err := os.Stat(filepath.Join(k.folder, name)); err == nil && info.ModTime().After(at) {
+		if info, err := os.Stat(filepath.Join(s.folder, name)); err == nil && info.ModTime().After(at) {
 			at = info.ModTime()
 		}
 	}
 	return at
 }
 
-// save notes that doc is in force. text is what it was sent as: a delta on the
-// version before, or the whole.
-func (k *versionStore) save(now time.Duration, doc *document.Document, delta bool, text []byte) {
-	if k.folder == "" {
+// save records that doc is in force, and writes it as far as it is due. encoded is
+// the data that it was received as: a delta on the previous version if delta is set,
+// else a snapshot or nil.
+func (s *versionStore) save(now time.Duration, doc *document.Document, delta bool, encoded []byte) {
+	if s.folder == "" {
 		return
 	}
-	if delta && k.deltas != nil && k.pending == nil && k.lastDigest == doc.Header().Parent && k.deltaCount < maxDeltas && k.deltaBytes+len(text) <= maxDeltaBytes {
-		if err := protocol.NewWriter(k.deltas).Write(&protocol.PublisherMessage{Delta: text}); err == nil {
-			k.lastDigest, k.deltaCount, k.deltaBytes = doc.Digest(), k.deltaCount+1, k.deltaBytes+len(text)
+	if delta && s.deltas != nil && s.pending == nil && s.lastDigest == doc.Header().Parent && s.deltaCount < maxDeltas && s.deltaBytes+len(encoded) <= maxDeltaBytes {
+		if err := protocol.NewWriter(s.deltas).Write(&protocol.PublisherMessage{Delta: encoded}); err == nil {
+			s.lastDigest, s.deltaCount, s.deltaBytes = doc.Digest(), s.deltaCount+1, s.deltaBytes+len(encoded)
 			return
-		} else { //nolint:revive // what was written in part is replaced with the whole
-			k.noteFailure(err)
+		} else { //nolint:revive // a partly written delta is replaced by a snapshot
+			s.noteFailure(err)
 		}
 	}
-	k.pending, k.pendingSnapshot = doc, nil
+	s.pending, s.pendingSnapshot = doc, nil
 	if !delta {
-		k.pendingSnapshot = text
+		s.pendingSnapshot = encoded
 	}
-	k.writeIfDue(now)
+	s.writeIfDue(now)
 }
 
-// writeIfDue writes the newest version whole if that is due.
-func (k *versionStore) writeIfDue(now time.Duration) {
-	if k.pending == nil || now < k.notBefore {
+// writeIfDue writes the pending version as a snapshot if that is due.
+func (s *versionStore) writeIfDue(now time.Duration) {
+	if s.pending == nil || now < s.notBefore {
 		return
 	}
-	k.notBefore = now + snapshotInterval
-	switch err := k.writeSnapshot(); {
-	case errors.Is(err, errLocked): // another process of this server writes there
+	s.notBefore = now + snapshotInterval
+	switch err := s.writeSnapshot(); {
+	case errors.Is(err, errLocked): // another process of this server writes to the folder
 	case err != nil:
-		k.noteFailure(err)
+		s.noteFailure(err)
 	default:
-		if k.failing {
-			k.failing = false
-			k.log.Info("control: the version in force is kept again", zap.String("folder", k.folder))
+		if s.failing {
+			s.failing = false
+			s.log.Info("control: the version in force is stored again", zap.String("folder", s.folder))
 		}
-		k.lastDigest, k.deltaCount, k.deltaBytes = k.pending.Digest(), 0, 0
-		k.pending, k.pendingSnapshot = nil, nil
+		s.lastDigest, s.deltaCount, s.deltaBytes = s.pending.Digest(), 0, 0
+		s.pending, s.pendingSnapshot = nil, nil
 	}
 }
 
-// nextWrite says when tend has something to do; 0 = never.
-func (k *versionStore) nextWrite() time.Duration {
-	if k.pending == nil {
+// nextWrite returns when writeIfDue has something to do; 0 = never.
+func (s *versionStore) nextWrite() time.Duration {
+	if s.pending == nil {
 		return 0
 	}
-	return k.notBefore
+	return s.notBefore
 }
 
-func (k *versionStore) noteFailure(err error) {
-	if k.deltas != nil {
-		k.deltas.Close()
-		k.deltas = nil
+// noteFailure makes the next write a snapshot, and logs the first failure.
+func (s *versionStore) noteFailure(err error) {
+	if s.deltas != nil {
+		s.deltas.Close()
+		s.deltas = nil
 	}
-	if !k.failing {
-		k.failing = true
-		k.log.Error("control: the version in force cannot be kept; the server goes on", zap.String("folder", k.folder), zap.Error(err))
+	if !s.failing {
+		s.failing = true
+		s.log.Error("control: the version in force cannot be stored; the server goes on", zap.String("folder", s.folder), zap.Error(err))
 	}
 }
 
-var errLocked = errors.New("follow: another process holds the folder")
+var errLocked = errors.New("follow: another process holds the folder's lock")
 
-// writeSnapshot writes the version that is wanted in place of the one that stands there.
-func (k *versionStore) writeSnapshot() error {
-	if err := k.acquireLock(); err != nil {
+// writeSnapshot replaces the stored version by the pending one.
+func (s *versionStore) writeSnapshot() error {
+	if err := s.acquireLock(); err != nil {
 		return err
 	}
-	if k.pendingSnapshot == nil {
-		text, err := k.pending.Snapshot()
+	if s.pendingSnapshot == nil {
+		encoded, err := s.pending.Snapshot()
 		if err != nil {
 			return err
 		}
-		k.pendingSnapshot = text
+		s.pendingSnapshot = encoded
 	}
-	path := filepath.Join(k.folder, snapshotFile)
-	if err := writeSynced(path+".new", k.pendingSnapshot); err != nil {
+	path := filepath.Join(s.folder, snapshotFile)
+	if err := writeSynced(path+".new", s.pendingSnapshot); err != nil {
 		return err
 	}
 	if err := os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	if err := syncFolder(k.folder); err != nil {
+	if err := syncFolder(s.folder); err != nil {
 		return err
 	}
-	if k.deltas != nil {
-		k.deltas.Close()
+	if s.deltas != nil {
+		s.deltas.Close()
 	}
 	var err error
-	k.deltas, err = os.OpenFile(filepath.Join(k.folder, deltasFile), os.O_WRONLY|os.O_CREATE|os.O_TRUNC|os.O_APPEND, fileMode)
+	s.deltas, err = os.OpenFile(filepath.Join(s.folder, deltasFile), os.O_WRONLY|os.O_CREATE|os.O_TRUNC|os.O_APPEND, fileMode)
 	return err
 }
 
-// acquireLock makes this process the one that writes there.
-func (k *versionStore) acquireLock() error {
-	if k.lock != nil {
+// acquireLock makes this process the one that writes to the folder.
+func (s *versionStore) acquireLock() error {
+	if s.lock != nil {
 		return nil
 	}
-	if err := os.MkdirAll(k.folder, folderMode); err != nil {
+	if err := os.MkdirAll(s.folder, folderMode); err != nil {
 		return err
 	}
-	f, err := os.OpenFile(filepath.Join(k.folder, lockFile), os.O_RDWR|os.O_CREATE, fileMode)
+	f, err := os.OpenFile(filepath.Join(s.folder, lockFile), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return err
 	}
@@ -264,24 +269,25 @@
 		}
 		return err
 	}
-	k.lock = f
+	s.lock = f
 	return nil
 }
 
-// close writes what still waits, and lets another process write.
-func (k *versionStore) close() {
-	if k.pending != nil {
-		k.notBefore = 0
-		k.writeIfDue(0)
+// close writes the pending version, and lets another process write.
+func (s *versionStore) close() {
+	if s.pending != nil {
+		s.notBefore = 0
+		s.writeIfDue(0)
 	}
-	for _, f := range []*os.File{k.deltas, k.lock} {
+	for _, f := range []*os.File{s.deltas, s.lock} {
 		if f != nil {
 			f.Close()
 		}
 	}
-	k.deltas, k.lock = nil, nil
+	s.deltas, s.lock = nil, nil
 }
 
+// writeSynced writes a file and waits until it is on disk.
 func writeSynced(path string, b []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
@@ -294,6 +300,7 @@
 	return errors.Join(err, f.Close())
 }
 
+// syncFolder waits until the folder's entries are on disk.
 func syncFolder(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/control/follow/store_test.go
+++ b/internal/control/follow/store_test.go
@@ -11,11 +11,13 @@
 	"golang.org/x/sys/unix"
 )
 
+// newTestStore returns a store that logs nothing.
 func newTestStore(folder string) *versionStore {
 	return &versionStore{folder: folder, log: zap.NewNop()}
 }
 
-// A version is kept, first whole and then by deltas, and read again.
+// TestStore: versions are stored, first as a snapshot and then as deltas, and read
+// again.
 func TestStore(t *testing.T) {
 	docs, deltas := makeVersions(t, 20)
 	folder := filepath.Join(t.TempDir(), "control")
@@ -27,10 +29,10 @@
 	for i := 1; i <= 20; i++ {
 		s.delta(deltas[i])
 		wantAck(t, s.ack(), docs[i])
-		if i == 10 || i == 15 { // as after a crash at this moment
+		if i == 10 || i == 15 { // as after a crash at this point
 			k := versionStore{folder: folder, log: f.log}
 			if doc, at := k.load(); doc == nil || doc.Digest() != docs[i].Digest() || at.IsZero() {
-				t.Fatalf("%v is kept, want version %d", doc, i)
+				t.Fatalf("%v is stored, want version %d", doc, i)
 			}
 		}
 	}
@@ -45,10 +47,11 @@
 	}
 }
 
-// What is damaged is named and passed over: the whole, or the deltas from there on.
+// TestStoreCorrupt: a corrupt file is logged and ignored: all of it if it is the
+// snapshot, the deltas from the corruption on else.
 func TestStoreCorrupt(t *testing.T) {
 	docs, deltas := makeVersions(t, 5)
-	make := func(t *testing.T) (Settings, string) {
+	newFolder := func(t *testing.T) (Settings, string) {
 		set := settings(newFakePublisher(t))
 		set.Folder = t.TempDir()
 		k := newTestStore(set.Folder)
@@ -59,7 +62,7 @@
 		k.close()
 		return set, set.Folder
 	}
-	change := func(t *testing.T, path string, f func([]byte) []byte) {
+	modify := func(t *testing.T, path string, f func([]byte) []byte) {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -73,38 +76,39 @@
 		do   func([]byte) []byte
 		want uint64
 	}{
-		"sound":            {deltasFile, func(b []byte) []byte { return b }, 5},
-		"whole flipped":    {snapshotFile, func(b []byte) []byte { b[len(b)/2] ^= 1; return b }, 0},
-		"whole cut":        {snapshotFile, func(b []byte) []byte { return b[:len(b)/2] }, 0},
-		"whole empty":      {snapshotFile, func(b []byte) []byte { return nil }, 0},
-		"deltas cut":       {deltasFile, func(b []byte) []byte { return b[:len(b)-3] }, 4},
-		"deltas flipped":   {deltasFile, func(b []byte) []byte { b[len(b)-3] ^= 1; return b }, 4},
-		"deltas no record": {deltasFile, func(b []byte) []byte { return append(b, 0xff, 0xff) }, 5},
-		"deltas empty":     {deltasFile, func(b []byte) []byte { return nil }, 1},
+		"intact":              {deltasFile, func(b []byte) []byte { return b }, 5},
+		"snapshot bit flip":   {snapshotFile, func(b []byte) []byte { b[len(b)/2] ^= 1; return b }, 0},
+		"snapshot truncated":  {snapshotFile, func(b []byte) []byte { return b[:len(b)/2] }, 0},
+		"snapshot empty":      {snapshotFile, func(b []byte) []byte { return nil }, 0},
+		"deltas truncated":    {deltasFile, func(b []byte) []byte { return b[:len(b)-3] }, 4},
+		"deltas bit flip":     {deltasFile, func(b []byte) []byte { b[len(b)-3] ^= 1; return b }, 4},
+		"deltas with garbage": {deltasFile, func(b []byte) []byte { return append(b, 0xff, 0xff) }, 5},
+		"deltas empty":        {deltasFile, func(b []byte) []byte { return nil }, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			set, folder := make(t)
-			change(t, filepath.Join(folder, c.file), c.do)
+			set, folder := newFolder(t)
+			modify(t, filepath.Join(folder, c.file), c.do)
 			f := newTestFollower(t, set)
 			if got := f.State().Number; got != c.want {
 				t.Errorf("version %d is read, want %d", got, c.want)
 			}
-			named := 0
+			logged := 0
 			for _, e := range f.logs.All() {
 				if e.ContextMap()["file"] == filepath.Join(folder, c.file) {
-					named++
+					logged++
 				}
 			}
-			if damaged := name != "sound" && name != "deltas empty"; (named == 1) != damaged {
-				t.Errorf("the file is named %d times", named)
+			if corrupt := name != "intact" && name != "deltas empty"; (logged == 1) != corrupt {
+				t.Errorf("the file is logged %d times", logged)
 			}
-			f.run() // the next version replaces what is damaged
+			f.run() // the next version replaces the corrupt files
 			f.stop()
 		})
 	}
 }
 
-// A folder that cannot be written, at the start or later, stops nothing and is logged once.
+// TestStoreUnwritable: a folder that cannot be written, at the start or later, stops
+// nothing and is logged once.
 func TestStoreUnwritable(t *testing.T) {
 	docs, deltas := makeVersions(t, 4)
 	file := filepath.Join(t.TempDir(), "a-file")
@@ -120,12 +124,13 @@
 		s.delta(deltas[i])
 		wantAck(t, s.ack(), docs[i])
 	}
-	if f.logCount("cannot be kept") != 1 || f.logCount("cannot be used") != 1 {
-		t.Error("not said once")
+	if f.logCount("cannot be stored") != 1 || f.logCount("cannot be used") != 1 {
+		t.Error("not logged once")
 	}
 }
 
-// Two processes of one server share a folder: one writes, and the other when it has ended.
+// TestStoreSharedByTwoProcesses: of two processes that share a folder one writes,
+// and the other takes over when the first has ended.
 func TestStoreSharedByTwoProcesses(t *testing.T) {
 	docs, deltas := makeVersions(t, 4)
 	folder := t.TempDir()
@@ -146,39 +151,40 @@
 	second.close()
 }
 
-// The folder's files stay bounded, and a version whole is written now and then, not for each change.
+// TestStoreBounded: the files stay within their bounds, and snapshots are written at
+// intervals, not for each version.
 func TestStoreBounded(t *testing.T) {
 	docs, deltas := makeVersions(t, 3*maxDeltas)
 	k := newTestStore(t.TempDir())
-	now, whole := time.Duration(0), 0
+	now, snapshots := time.Duration(0), 0
 	for i := 1; i < len(docs); i++ {
 		now += 10 * time.Millisecond
 		before := k.lastDigest
 		k.save(now, docs[i], i > 1, encode(t, deltas[i]))
 		if k.deltaCount == 0 && k.pending == nil && k.lastDigest != before {
-			whole++
+			snapshots++
 		}
 		if k.deltaCount > maxDeltas || k.deltaBytes > maxDeltaBytes {
 			t.Fatalf("%d deltas, %d bytes", k.deltaCount, k.deltaBytes)
 		}
 	}
 	k.close()
-	if whole > int(now/snapshotInterval)+1 {
-		t.Errorf("%d whole versions in %v", whole, now)
+	if snapshots > int(now/snapshotInterval)+1 {
+		t.Errorf("%d snapshots in %v", snapshots, now)
 	}
 	if doc, _ := k.load(); doc.Digest() != docs[len(docs)-1].Digest() {
 		t.Errorf("version %d", doc.Header().Number)
 	}
 }
 
-// A disk that hangs holds up neither a version nor the end; when it goes on, the
-// newest version is kept.
+// TestStoreDiskHangs: a disk that hangs delays neither the next versions nor the
+// shutdown; when it responds again, the newest version is stored.
 func TestStoreDiskHangs(t *testing.T) {
 	docs, deltas := makeVersions(t, 6)
 	set := settings(newFakePublisher(t))
 	p := newFakePublisher(t)
 	set.Publishers[0].Address, set.Folder = p.address, t.TempDir()
-	pipe := filepath.Join(set.Folder, snapshotFile+".new") // whoever opens it waits for somebody at its other end
+	pipe := filepath.Join(set.Folder, snapshotFile+".new") // opening it blocks until it is opened for reading
 	if err := unix.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -192,24 +198,24 @@
 		t.Errorf("%+v", f.State())
 	}
 	stop := s.heartbeats(docs[3], 0)
-	other, err := os.Open(pipe)
+	reader, err := os.Open(pipe)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Remove(pipe); err != nil {
 		t.Fatal(err)
 	}
-	go io.Copy(io.Discard, other) //nolint:errcheck // it ends with the write
-	eventually(t, "the newest is kept", func() bool {
+	go io.Copy(io.Discard, reader) //nolint:errcheck // it ends with the write
+	eventually(t, "the newest version is stored", func() bool {
 		doc, _ := newTestStore(set.Folder).load()
 		return doc != nil && doc.Digest() == docs[3].Digest()
 	})
 	stop()
-	other.Close()
+	reader.Close()
 	s.delta(deltas[4])
 	wantAck(t, s.ack(), docs[4])
 	f.stop()
 	if doc, _ := newTestStore(set.Folder).load(); doc.Digest() != docs[4].Digest() {
-		t.Errorf("version %d is kept", doc.Header().Number)
+		t.Errorf("version %d is stored", doc.Header().Number)
 	}
 }
--- a/internal/control/follow/stream.go
+++ b/internal/control/follow/stream.go
@@ -17,50 +17,50 @@
 
 // The bounds of one stream.
 const (
-	responseTimeout    = time.Second            // for a publisher to take the stream
-	lastAckTimeout     = 250 * time.Millisecond // for the last word to be taken
-	receiveBufferBytes = 64 << 10               // bytes that wait in the transport
+	responseTimeout    = time.Second            // for a publisher to accept the stream
+	lastAckTimeout     = 250 * time.Millisecond // for the last acknowledgement to be sent
+	receiveBufferBytes = 64 << 10               // received and not read, in the transport
 	maxFrameBytes      = 16 << 10
-	maxQueuedMessages  = 64  // words that wait to be sent: the oldest goes for the newest
-	maxRefusalBytes    = 256 // bytes of a publisher's refusal that are told
+	maxQueuedMessages  = 64  // to be sent; then the oldest is dropped for the newest
+	maxRefusalBytes    = 256 // of a publisher's refusal that are logged
 )
 
 // traffic counts the bytes of all streams, HTTP/2's own included.
 type traffic struct{ sent, received atomic.Int64 }
 
-// stream is one standing request to a publisher. It has a connection of its own,
-// which ends with it: one that has fallen silent is never used again.
+// stream is one request to a publisher that stays open. It has a connection of its
+// own, which ends with it, so that one that has timed out is never used again.
 type stream struct {
-	publisher int // the publisher's place
+	publisher int // its index in Settings.Publishers
 	messages  chan protocol.PublisherMessage
 	outgoing  messageQueue
 	cancel    context.CancelFunc
-	ended     chan struct{} // closed when nothing of it runs any more
+	ended     chan struct{} // closed when all its goroutines have ended
 	err       error         // why it ended; to be read once ended is closed
 
 	clock           func() time.Duration
 	openedAt        time.Duration
-	responseTimeout time.Duration // for the publisher to answer
-	handledAt       time.Duration // when the owner had done with a record; the owner's
-	receivedAt      atomic.Int64  // when bytes last came, by the clock; 0 = never
-	established     bool          // a record has come; the owner's
-	refusalSent     bool          // what is refused here was said on it; the owner's
+	responseTimeout time.Duration // for the publisher to accept the stream
+	handledAt       time.Duration // when the owner had handled the last message; the owner's
+	receivedAt      atomic.Int64  // when bytes last arrived, by clock; 0 = never
+	established     bool          // a message has arrived; the owner's
+	refusalSent     bool          // the current refusal was sent on it; the owner's
 
-	ahead int // beats in a row that tell of a version of which nothing comes; the owner's
+	ahead int // heartbeats in a row that announce a version which does not arrive; the owner's
 
 	mu     sync.Mutex
 	conn   net.Conn
 	closed bool
 }
 
-// openStream begins a stream, beside the caller.
-func openStream(to int, address string, hello *protocol.Hello, count *traffic, clock func() time.Duration, within time.Duration) *stream {
+// openStream opens a stream in the background.
+func openStream(publisher int, address string, hello *protocol.Hello, count *traffic, clock func() time.Duration, responseTimeout time.Duration) *stream {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &stream{publisher: to, messages: make(chan protocol.PublisherMessage), ended: make(chan struct{}), clock: clock, openedAt: clock(), responseTimeout: within}
+	s := &stream{publisher: publisher, messages: make(chan protocol.PublisherMessage), ended: make(chan struct{}), clock: clock, openedAt: clock(), responseTimeout: responseTimeout}
 	s.cancel = func() {
 		cancel()
-		s.outgoing.Close() //nolint:errcheck // it has none; the transport waits in Read for what we say, whatever becomes of the request
-		s.closeConn()      // or in a write that a publisher which has stopped does not take
+		s.outgoing.Close() //nolint:errcheck // it returns none; the transport waits in Read for our messages, even if the request has ended,
+		s.closeConn()      // or in a write to a publisher that does not read
 	}
 	s.outgoing.notEmpty.L = &s.outgoing.mu
 	s.outgoing.send(&protocol.FollowerMessage{Hello: hello})
@@ -72,8 +72,8 @@
 	return s
 }
 
-// run opens the stream and hands on what comes, one record at a time: a slow
-// owner holds back the publisher, and nothing is gathered here.
+// run opens the stream and passes on messages one at a time: a slow owner slows down
+// the publisher, and nothing piles up here.
 func (s *stream) run(ctx context.Context, address string, count *traffic) error {
 	transport := &http.Transport{
 		Protocols: new(http.Protocols), DisableCompression: true, DisableKeepAlives: true,
@@ -96,17 +96,17 @@
 	if err != nil {
 		return err
 	}
-	answer, err := transport.RoundTrip(request)
+	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	s.receivedAt.Store(int64(s.clock()))
-	if answer.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(answer.Body, maxRefusalBytes))
-		return fmt.Errorf("the publisher answers %s: %.*q", answer.Status, maxRefusalBytes, text)
+	if response.StatusCode != http.StatusOK {
+		body, _ := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
+		return fmt.Errorf("the publisher answers %s: %.*q", response.Status, maxRefusalBytes, body)
 	}
-	from := protocol.NewReader(&activityReader{answer.Body, s})
+	from := protocol.NewReader(&activityReader{response.Body, s})
 	for {
 		var r protocol.PublisherMessage
 		if err := from.Read(&r); err != nil {
@@ -120,7 +120,8 @@
 	}
 }
 
-// setConn notes the stream's connection; false = the stream has ended meanwhile.
+// setConn records the stream's connection, and returns false if the stream has ended
+// meanwhile.
 func (s *stream) setConn(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,6 +131,7 @@
 	return !s.closed
 }
 
+// closeConn closes the connection, or the one that is being dialed.
 func (s *stream) closeConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,29 +140,29 @@
 	}
 }
 
-// timeoutAt says when the stream is to be left unless something comes before.
+// timeoutAt is when the stream times out unless something arrives before.
 func (s *stream) timeoutAt() time.Duration {
 	if at := s.receivedAt.Load(); at != 0 {
-		return max(time.Duration(at), s.handledAt) + protocol.PublisherTimeout // what the owner takes time for is no silence
+		return max(time.Duration(at), s.handledAt) + protocol.PublisherTimeout // the owner's handling time does not count
 	}
 	return s.openedAt + s.responseTimeout
 }
 
-// end ends the stream, after a last word if there is one, and returns when
-// nothing of it is left.
-func (s *stream) end(word *protocol.Ack) {
-	if word != nil {
-		s.outgoing.send(&protocol.FollowerMessage{Ack: word})
+// end ends the stream, after a last acknowledgement if there is one, and returns
+// when all its goroutines have ended.
+func (s *stream) end(ack *protocol.Ack) {
+	if ack != nil {
+		s.outgoing.send(&protocol.FollowerMessage{Ack: ack})
 		s.outgoing.finish()
-		late := time.NewTimer(lastAckTimeout)
-		defer late.Stop()
-		for waits := true; waits; {
+		timeout := time.NewTimer(lastAckTimeout)
+		defer timeout.Stop()
+		for waiting := true; waiting; {
 			select {
-			case <-s.messages: // it comes too late
+			case <-s.messages: // discarded
 			case <-s.ended:
-				waits = false
-			case <-late.C:
-				waits = false
+				waiting = false
+			case <-timeout.C:
+				waiting = false
 			}
 		}
 	}
@@ -168,7 +170,7 @@
 	<-s.ended
 }
 
-// reason is what the stream ended by, in words for the log.
+// reason is why the stream ended, for the log.
 func (s *stream) reason() string {
 	switch {
 	case errors.Is(s.err, io.EOF):
@@ -179,7 +181,8 @@
 	return s.err.Error()
 }
 
-// activityReader notes when bytes come, so that a large record that is on its way is no silence.
+// activityReader records when bytes arrive, so that the transfer of a large message
+// does not time out.
 type activityReader struct {
 	io.Reader
 	s *stream
@@ -211,20 +214,22 @@
 	return n, err
 }
 
-// messageQueue are what the follower says: the request's body. Saying never waits: a
-// publisher that takes nothing holds up nobody here.
+// messageQueue holds the follower's messages and is the request's body. Sending
+// never blocks: a publisher that does not read delays nothing here.
 type messageQueue struct {
 	mu       sync.Mutex
 	notEmpty sync.Cond
-	queue    [][]byte // the first may have gone in part
-	finished bool     // the body ends behind what is queued
+	queue    [][]byte // the first may have been sent in part
+	finished bool     // the body ends after the queued messages
 	closed   bool
 }
 
-func (w *messageQueue) send(word *protocol.FollowerMessage) {
+// send queues a message; if the queue is full, the oldest one that has not been
+// started is dropped.
+func (w *messageQueue) send(message *protocol.FollowerMessage) {
 	var b bytes.Buffer
-	if err := protocol.NewWriter(&b).Write(word); err != nil {
-		return // the word is ours: it cannot be too long
+	if err := protocol.NewWriter(&b).Write(message); err != nil {
+		return // our own messages are never too long
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -235,6 +240,7 @@
 	w.notEmpty.Broadcast()
 }
 
+// finish ends the body after the queued messages.
 func (w *messageQueue) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -262,7 +268,7 @@
 	return n, nil
 }
 
-// Close is called by the transport, and at the end.
+// Close is called by the transport, and when the stream ends.
 func (w *messageQueue) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
