--- a/internal/control/document/bench_test.go
+++ b/internal/control/document/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The size that the figures are for.
+// The size of the fleet that the benchmarks are for.
 const (
 	fleetTeams    = 21_000
 	fleetServices = 2_800
@@ -54,8 +54,8 @@
 	var changes []Change
 	for i := range n {
 		name := fmt.Sprintf("team-%05d", i*(fleetTeams/n))
-		now, _ := d.Team(name)
-		changes = append(changes, Change{Team: &Team{Name: name, Quota: now.Quota + 1}})
+		team, _ := d.Team(name)
+		changes = append(changes, Change{Team: &Team{Name: name, Quota: team.Quota + 1}})
 	}
 	delta, err := d.Draft(changes, testMeta)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return delta
 }
 
-// cpuTime returns what the process has used of processors, in nanoseconds: on a
-// busy machine that says more than the time that passed.
+// cpuTime returns the processor time of the process, in nanoseconds: on a busy
+// machine that is a better measure than elapsed time.
 func cpuTime() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -74,7 +74,8 @@
 	return float64(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// benchmarkLoop runs f, with its garbage collected, and reports the processor time as well.
+// benchmarkLoop runs f after a garbage collection, and reports the processor time as
+// well.
 func benchmarkLoop(b *testing.B, f func() error) {
 	runtime.GC()
 	b.ReportAllocs()
@@ -98,20 +99,20 @@
 
 func BenchmarkDecodeOne(b *testing.B) {
 	d := version(b, fleet(fleetTeams, fleetServices))
-	words, err := step(b, d, 1).Encode()
+	encoded, err := step(b, d, 1).Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
-	benchmarkLoop(b, func() error { _, err := DecodeDelta(words); return err })
-	b.ReportMetric(float64(len(words)), "bytes")
+	benchmarkLoop(b, func() error { _, err := DecodeDelta(encoded); return err })
+	b.ReportMetric(float64(len(encoded)), "bytes")
 }
 
 func BenchmarkSnapshot(b *testing.B) {
 	d := version(b, fleet(fleetTeams, fleetServices))
 	size := 0
 	benchmarkLoop(b, func() error {
-		words, err := d.Snapshot()
-		size = len(words)
+		encoded, err := d.Snapshot()
+		size = len(encoded)
 		return err
 	})
 	b.ReportMetric(float64(size), "bytes")
@@ -119,13 +120,15 @@
 }
 
 func BenchmarkOpen(b *testing.B) {
-	words, err := version(b, fleet(fleetTeams, fleetServices)).Snapshot()
+	encoded, err := version(b, fleet(fleetTeams, fleetServices)).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
-	benchmarkLoop(b, func() error { _, err := DecodeSnapshot(words); return err })
+	benchmarkLoop(b, func() error { _, err := DecodeSnapshot(encoded); return err })
 }
 
+// heapBytes returns the bytes in use after a garbage collection, and all bytes ever
+// allocated.
 func heapBytes() (live, total uint64) {
 	var m runtime.MemStats
 	runtime.GC()
@@ -133,15 +136,15 @@
 	return m.HeapAlloc, m.TotalAlloc
 }
 
-// TestMemory holds a version of the target's size, and what a change of one team
-// takes, to their bounds.
+// TestMemory bounds the memory of a version of the fleet's size, and the garbage
+// that a change of one team makes.
 func TestMemory(t *testing.T) {
-	words, err := version(t, fleet(fleetTeams, fleetServices)).Snapshot()
+	encoded, err := version(t, fleet(fleetTeams, fleetServices)).Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	before, _ := heapBytes()
-	d, err := DecodeSnapshot(words)
+	d, err := DecodeSnapshot(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,11 +162,11 @@
 		}
 		d = next
 	}
-	_, made := heapBytes()
-	if each := (made - total) / rounds; each > 80<<10 {
-		t.Errorf("Draft and Apply of one team make %d bytes of garbage, want at most %d", each, 80<<10)
+	_, allocated := heapBytes()
+	if garbage := (allocated - total) / rounds; garbage > 80<<10 {
+		t.Errorf("Draft and Apply of one team make %d bytes of garbage, want at most %d", garbage, 80<<10)
 	} else {
-		t.Logf("Draft and Apply of one team make %d bytes of garbage", each)
+		t.Logf("Draft and Apply of one team make %d bytes of garbage", garbage)
 	}
 	runtime.KeepAlive(d)
 }
--- a/internal/control/document/check.go
+++ b/internal/control/document/check.go
@@ -12,24 +12,25 @@
 	"kiteslip/internal/pool"
 )
 
-// The bounds on a contract's and a pool's figures: those of the operator's file.
+// The bounds on the numbers of a contract and a pool, equal to those of the
+// operator's file.
 const (
-	maxTimeMS              = 3_600_000
+	maxTimeMS              = 3_600_000 // an hour
 	maxWorth               = 1e6
 	maxBodyBytes           = 1 << 20
 	defaultBodyBytes       = 2 << 10
-	defaultRequestMemoryKB = 16   // KB
-	shareTolerance         = 1e-9 // that sums of parts may be over 1
+	defaultRequestMemoryKB = 16
+	shareTolerance         = 1e-9 // by which a sum of fractions may exceed 1
 )
 
-// faults collects what is wrong, all of it.
+// faults collects all that is invalid.
 type faults []error
 
 func (f *faults) add(format string, args ...any) { *f = append(*f, fmt.Errorf(format, args...)) }
 
 func (f *faults) join() error { return errors.Join(*f...) }
 
-// quote shows a name, and not much more of one that is too long.
+// quote quotes a name, and shortens one that is too long.
 func quote(s string) string {
 	if len(s) > MaxNameBytes {
 		return strconv.Quote(s[:MaxNameBytes]) + "..."
@@ -37,15 +38,16 @@
 	return strconv.Quote(s)
 }
 
-// validator is an entry, or one of its contracts, whose faults are named. Its name is
-// worded only where there is a fault.
+// validator validates an entry, or one of its contracts, and adds faults. The name
+// of the entry is formatted only if there is a fault.
 type validator struct {
 	f             *faults
 	entry         *entry // nil = the version itself
 	contract      *Contract
-	contractIndex int // of the contract
+	contractIndex int // the contract's index in its service
 }
 
+// add adds a fault of the field key.
 func (a validator) add(key, format string, args ...any) {
 	title := ""
 	if a.entry != nil {
@@ -59,13 +61,14 @@
 	a.f.add("%s%s %s", title, key, fmt.Sprintf(format, args...))
 }
 
-// requiredText checks a text that must be there. It says whether it is as it should be.
-func (a validator) requiredText(key, s string, most int) bool {
+// requiredText validates a text that must be present. It reports whether it is
+// valid.
+func (a validator) requiredText(key, s string, limit int) bool {
 	switch {
 	case s == "":
 		a.add(key, "is absent")
-	case len(s) > most:
-		a.add(key, "has %d bytes, want at most %d", len(s), most)
+	case len(s) > limit:
+		a.add(key, "has %d bytes, want at most %d", len(s), limit)
 	case !utf8.ValidString(s):
 		a.add(key, "is %s, want UTF-8", quote(s))
 	default:
@@ -74,33 +77,37 @@
 	return false
 }
 
-// optionalText checks a text that may be absent. It says whether it is there as it should be.
-func (a validator) optionalText(key, s string, most int) bool {
-	return s != "" && a.requiredText(key, s, most)
+// optionalText validates a text that may be absent. It reports whether it is present
+// and valid.
+func (a validator) optionalText(key, s string, limit int) bool {
+	return s != "" && a.requiredText(key, s, limit)
 }
 
+// fraction validates a number from 0 to 1.
 func (a validator) fraction(key string, v float64) {
 	if !(v >= 0 && v <= 1) {
 		a.add(key, "is %v, want 0 to 1", v)
 	}
 }
 
-func (a validator) byteCount(key string, n, most int) {
-	if n < 0 || n > most {
-		a.add(key, "is %d, want 0 to %d bytes", n, most)
+// byteCount validates a size.
+func (a validator) byteCount(key string, n, limit int) {
+	if n < 0 || n > limit {
+		a.add(key, "is %d, want 0 to %d bytes", n, limit)
 	}
 }
 
-// optionalNumber checks one that may be left open. It says whether it is there as it should be.
-func (a validator) optionalNumber(key string, v *float64, most float64) bool {
-	if v != nil && !(*v >= 0 && *v <= most) {
-		a.add(key, "is %v, want 0 to %v", *v, most)
+// optionalNumber validates a number that may be absent. It reports whether it is
+// present and valid.
+func (a validator) optionalNumber(key string, v *float64, limit float64) bool {
+	if v != nil && !(*v >= 0 && *v <= limit) {
+		a.add(key, "is %v, want 0 to %v", *v, limit)
 		return false
 	}
 	return v != nil
 }
 
-// checkValue checks what the entry is set to, by itself.
+// checkValue validates the new value of the entry by itself.
 func (a validator) checkValue() {
 	switch v := a.entry.value.(type) {
 	case *Team:
@@ -116,6 +123,7 @@
 	}
 }
 
+// checkService validates a service and its contracts.
 func (a validator) checkService(s *Service) {
 	a.optionalText("owner", s.Owner, MaxNameBytes)
 	if a.optionalText("backend", s.Backend, MaxNameBytes) {
@@ -131,8 +139,9 @@
 	}
 }
 
-// checkContract looks at what can be said of a contract wherever it is in force. What it
-// leaves open, the platform may say: that is checked where the platform is known.
+// checkContract validates what can be said of a contract on every machine. What it
+// leaves open may be set by the platform, and is validated where the platform is
+// known.
 func (a validator) checkContract() {
 	c := a.contract
 	a.requiredText("class", c.Class, MaxNameBytes)
@@ -144,7 +153,7 @@
 	default:
 		a.add("effect", "is %s, want repeatable, keyed or once", quote(c.Effect))
 	}
-	aim, deadline := a.optionalNumber("aim_ms", c.TargetTimeMS, maxTimeMS), a.optionalNumber("deadline_ms", c.DeadlineMS, maxTimeMS)
+	targetTime, deadline := a.optionalNumber("aim_ms", c.TargetTimeMS, maxTimeMS), a.optionalNumber("deadline_ms", c.DeadlineMS, maxTimeMS)
 	window := a.optionalNumber("window_ms", c.WindowMS, maxTimeMS)
 	a.optionalNumber("worth", c.Worth, maxWorth)
 	a.optionalNumber("late_worth", c.LateWorth, 1)
@@ -155,7 +164,7 @@
 		a.add("deadline_ms", "is %v, want a microsecond at least", *c.DeadlineMS)
 		deadline = false
 	}
-	if aim && deadline && toMicros(c.TargetTimeMS) > toMicros(c.DeadlineMS) {
+	if targetTime && deadline && toMicros(c.TargetTimeMS) > toMicros(c.DeadlineMS) {
 		a.add("aim_ms", "is past the deadline")
 	}
 	if c.Effect == "keyed" && window && deadline && toMicros(c.WindowMS) < toMicros(c.DeadlineMS) {
@@ -163,23 +172,24 @@
 	}
 	a.byteCount("max_body", c.MaxBody, maxBodyBytes)
 	a.byteCount("max_result", c.MaxResult, maxBodyBytes)
-	body, held := c.MaxBody, c.RequestMemoryKB
+	body, memory := c.MaxBody, c.RequestMemoryKB
 	if body == 0 {
 		body = defaultBodyBytes
 	}
-	if held == 0 {
-		held = defaultRequestMemoryKB
+	if memory == 0 {
+		memory = defaultRequestMemoryKB
 	}
-	if !(held > 0) || math.IsInf(held, 0) {
-		a.add("held_kb", "is %v, want above 0 and finite", held)
-	} else if held*1024 < float64(body) {
-		a.add("held_kb", "is %v, want room for max_body at least", held)
+	if !(memory > 0) || math.IsInf(memory, 0) {
+		a.add("held_kb", "is %v, want above 0 and finite", memory)
+	} else if memory*1024 < float64(body) {
+		a.add("held_kb", "is %v, want room for max_body at least", memory)
 	}
 }
 
-// toMicros is a time as it is served by.
+// toMicros converts a time to the microseconds that the policy works with.
 func toMicros(ms *float64) int64 { return int64(*ms * 1000) }
 
+// checkPool validates a pool by itself.
 func (a validator) checkPool(p *Pool) {
 	if p.Name == pool.DefaultPool {
 		a.add("name", "is that of the classes which no pool names")
@@ -198,16 +208,16 @@
 	if p.MaxShare > 0 && p.MaxShare < p.Share {
 		a.add("most", "is %v, less than the share of %v", p.MaxShare, p.Share)
 	}
-	if p.MaxMemoryShare > 0 && p.MaxMemoryShare < ownMemory(p) {
-		a.add("memory_most", "is %v, less than its own %v", p.MaxMemoryShare, ownMemory(p))
+	if p.MaxMemoryShare > 0 && p.MaxMemoryShare < guaranteedMemory(p) {
+		a.add("memory_most", "is %v, less than its own %v", p.MaxMemoryShare, guaranteedMemory(p))
 	}
 	if p.MaxQueued < 0 {
 		a.add("waiting", "is %d, want 0 or more", p.MaxQueued)
 	}
 }
 
-// ownMemory is the part of the memory that is the pool's own.
-func ownMemory(p *Pool) float64 {
+// guaranteedMemory is the guaranteed fraction of the memory.
+func guaranteedMemory(p *Pool) float64 {
 	spec := pool.Spec{Share: p.Share, MemoryShare: p.Memory}
 	return spec.GuaranteedMemory()
 }
--- a/internal/control/document/concurrent_test.go
+++ b/internal/control/document/concurrent_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// TestConcurrent: versions are read, changed into others, worded and opened by
-// several goroutines at a time. It says something under the race detector alone.
+// TestConcurrent: versions are read, changed into others, encoded and decoded by
+// several goroutines at a time. It is useful only under the race detector.
 func TestConcurrent(t *testing.T) {
 	d, delta := compressedVersion(t)
-	words, err := delta.Encode()
+	encoded, err := delta.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -17,18 +17,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range 4 {
-		all.Go(func() {
+		workers.Go(func() {
 			for range 5 {
-				delta, err := DecodeDelta(words)
+				delta, err := DecodeDelta(encoded)
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				next, err := d.Apply(delta)
 				if err != nil || !sameVersion(next, want) {
-					t.Errorf("another version: %v", err)
+					t.Errorf("another version is made: %v", err)
 					return
 				}
 				snapshot, err := next.Snapshot()
@@ -36,12 +36,12 @@
 					t.Error(err)
 					return
 				}
-				opened, err := DecodeSnapshot(snapshot)
-				if err != nil || !sameVersion(opened, want) {
-					t.Errorf("another version is opened: %v", err)
+				decoded, err := DecodeSnapshot(snapshot)
+				if err != nil || !sameVersion(decoded, want) {
+					t.Errorf("another version is decoded: %v", err)
 				}
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 }
--- a/internal/control/document/config_test.go
+++ b/internal/control/document/config_test.go
@@ -13,19 +13,20 @@
 	"kiteslip/internal/control/document"
 )
 
-// TestSameAsConfig draws operator's files about the bounds of each figure: what a
-// server refuses of a file that leaves nothing to the platform, the originator
-// refuses of a version, and the other way round. Else a version would be made
-// that no server takes. Figures without end are left out: only a version refuses those.
+// TestSameAsConfig draws operator's files with values at the bounds of each field.
+// What a server refuses of a file that leaves nothing to the platform, the
+// originator must refuse of a version, and the other way round; else a version could
+// be published that no server accepts. Infinite numbers are left out: only a version
+// refuses those.
 func TestSameAsConfig(t *testing.T) {
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		// One figure, or two, are other than usual: one fault would hide another.
-		const figures = 50
-		asked, unusual := 0, rapid.SliceOfN(rapid.IntRange(0, figures-1), 0, 2).Draw(t, "unusual")
-		pick := func(name string, usual string, others ...string) string {
-			if asked++; !slices.Contains(unusual, asked-1) {
-				return usual
+		// One or two values are unusual; more would hide each other's faults.
+		const fields = 50
+		drawn, unusual := 0, rapid.SliceOfN(rapid.IntRange(0, fields-1), 0, 2).Draw(t, "unusual")
+		pick := func(name string, normal string, others ...string) string {
+			if drawn++; !slices.Contains(unusual, drawn-1) {
+				return normal
 			}
 			return rapid.SampledFrom(others).Draw(t, name)
 		}
@@ -96,21 +97,21 @@
 			pick("reserve", "0.0", "1.0", "1.1", "nan"), pick("memory", "0.0", "0.5", "0.6", "1.5"),
 			pick("memory most", "0.0", "0.2", "0.25", "1.0", "2.0"), pick("waiting", "0", "7", "-1"), pick("classes of the second", `"d"`, `"a"`),
 			pick("cheap reserve", "0.0", "0.5", "1.0", "1.5", "-0.5"))
-		if asked != figures {
-			t.Fatalf("%d figures are drawn, %d were", figures, asked)
+		if drawn != fields {
+			t.Fatalf("%d fields are expected, %d were drawn", fields, drawn)
 		}
-		_, byServer := config.ParseOperator(text, nil)
+		_, serverErr := config.ParseOperator(text, nil)
 		var file config.OperatorFile
 		if _, err := toml.Decode(text, &file); err != nil {
 			t.Fatal(err, text)
 		}
 		empty := document.Empty()
-		_, byVersion := empty.Draft(empty.Diff(&document.Content{Teams: file.Teams, Services: file.Services, Pools: file.Pool,
+		_, versionErr := empty.Draft(empty.Diff(&document.Content{Teams: file.Teams, Services: file.Services, Pools: file.Pool,
 			CheapReserve: file.Pools.CheapReserve}), document.Meta{Author: "ana", Reason: "a drawn file"})
-		if (byServer == nil) != (byVersion == nil) {
-			t.Fatalf("a server says\n%v\na version\n%v\nof%s", byServer, byVersion, text)
+		if (serverErr == nil) != (versionErr == nil) {
+			t.Fatalf("a server says\n%v\na version\n%v\nof%s", serverErr, versionErr, text)
 		}
-		if byServer == nil {
+		if serverErr == nil {
 			accepted++
 		} else {
 			refused++
@@ -118,6 +119,6 @@
 	})
 	t.Logf("%d files accepted by both, %d refused by both", accepted, refused)
 	if accepted == 0 || refused == 0 {
-		t.Error("the files drawn are all alike")
+		t.Error("all files were accepted, or all refused")
 	}
 }
--- a/internal/control/document/content.go
+++ b/internal/control/document/content.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// normalizeZero is v, and 0 for -0, so that equal figures have equal words.
+// normalizeZero is v, but 0 for -0, so that equal numbers have equal encodings.
 func normalizeZero(v float64) float64 {
 	if v == 0 {
 		return 0
@@ -14,6 +14,7 @@
 	return v
 }
 
+// normalizeZeroPointer is a copy of v with 0 for -0, nil for nil.
 func normalizeZeroPointer(v *float64) *float64 {
 	if v == nil {
 		return nil
@@ -22,8 +23,8 @@
 	return &w
 }
 
-// The copies share no memory with what they are of: neither what a caller changes
-// later, nor the text of a file that its strings lie in.
+// The copies share no memory with their originals: neither with what a caller may
+// change later, nor with the text of a file that its strings are part of.
 
 func cloneTeam(t *Team) *Team {
 	return &Team{Name: strings.Clone(t.Name), Quota: normalizeZero(t.Quota)}
@@ -57,7 +58,8 @@
 	return &c
 }
 
-// Content returns all that the version holds, as a copy: it costs by all.
+// Content returns a copy of all that the version holds. The cost is in proportion to
+// the version.
 func (d *Document) Content() Content {
 	c := d.state.sharedContent()
 	for i := range c.Services {
@@ -90,7 +92,7 @@
 	return c
 }
 
-// changes sets all of a content.
+// changes are the changes that set all of a content.
 func (c *Content) changes() []Change {
 	all := make([]Change, 0, len(c.Teams)+len(c.Services)+len(c.Pools)+1)
 	for i := range c.Teams {
@@ -105,10 +107,10 @@
 	return append(all, Change{CheapReserve: &c.CheapReserve})
 }
 
-// Diff returns the changes that make what d holds into next: teams, services,
-// pools and the reserve, each kind by name, what is dropped of a kind first, but
-// teams last. It costs by all. What next names twice comes twice, and is a fault
-// to Draft. No changes: next is what d holds.
+// Diff returns the changes that turn the content of d into next: teams, services,
+// pools and the reserve, each kind by name, drops of a kind first, but of teams
+// last. The cost is in proportion to the version. What next names twice is returned
+// twice, and is a fault in Draft. No changes: next is the content of d.
 func (d *Document) Diff(next *Content) []Change {
 	if next == nil {
 		return nil
@@ -122,24 +124,24 @@
 	for i := range all {
 		e, err := entryOf(&all[i])
 		if err != nil {
-			continue // each has one entry
+			continue // impossible: each change has one entry
 		}
 		seen[id{e.kind, e.name}]++
 		entries = append(entries, e)
 	}
-	kept := entries[:0]
+	result := entries[:0]
 	for _, e := range entries {
-		now, ok := find[any](d.state, e.kind, e.name)
+		current, ok := find[any](d.state, e.kind, e.name)
 		if e.kind == kindReserve && !ok {
-			now, ok = new(float64), true
+			current, ok = new(float64), true
 		}
-		if seen[id{e.kind, e.name}] > 1 || !ok || !reflect.DeepEqual(now, e.value) {
-			kept = append(kept, e)
+		if seen[id{e.kind, e.name}] > 1 || !ok || !reflect.DeepEqual(current, e.value) {
+			result = append(result, e)
 		}
 	}
 	drop := func(k kind, name string) {
 		if seen[id{k, name}] == 0 {
-			kept = append(kept, entry{kind: k, name: name, drop: true})
+			result = append(result, entry{kind: k, name: name, drop: true})
 		}
 	}
 	forEach(d.state.tree.Root(), []byte{prefixEntries}, func(_ []byte, value any) {
@@ -152,10 +154,10 @@
 			drop(kindPool, v.Name)
 		}
 	})
-	slices.SortStableFunc(kept, byRank)
+	slices.SortStableFunc(result, byRank)
 	var changes []Change
-	for i := range kept {
-		changes = append(changes, kept[i].change())
+	for i := range result {
+		changes = append(changes, result[i].change())
 	}
 	return changes
 }
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -1,27 +1,28 @@
-// Package document holds what a fleet serves by (teams with their budgets,
-// services with their contracts, pools) as numbered versions, each of which
-// names its parent by digest.
+// Package document holds the configuration of a fleet (teams with their budgets,
+// services with their contracts, pools) as numbered versions, each of which names
+// its parent by digest.
 //
-// Values in, values out: no I/O, no clock, no goroutine. A Document is never
-// changed once it is made: any number of goroutines may read it, and a version
-// that comes after shares what it has not changed, so that applying a Delta
-// costs by what the delta touches. A delta is checked as a whole, all faults are
-// named at once, and it is refused as a whole: what was in force stays.
+// It has no I/O, clock or goroutines. A Document is immutable: any number of
+// goroutines may read it, and a later version shares what it has not changed, so
+// that applying a Delta costs in proportion to its changes. A delta is validated as
+// a whole, with all faults in one error, and refused as a whole: the version in
+// force stays.
 //
-// The digest of a version is SHA-256 over its header, which names the digest of
-// the parent and the digest of the content, see Header. Two versions with one
-// number and unlike digests are a fork; no server ever acts on the second.
+// The digest of a version is SHA-256 over its header, which has the digests of the
+// parent and of the content, see Header. Two versions with one number and different
+// digests are a fork; no server ever puts the second one in force.
 //
-// The digest of the content is that of a tree: the entries lie in 1,024 buckets by
-// a hash of kind and name, each bucket has a digest over its entries in canonical
-// CBOR, 32 buckets make a page, and 32 pages the whole. A change makes the digests
-// on its way up anew, and no others. Equal contents have equal digests, whatever
-// the way to them. Nothing in the tree or in the encoded forms may change without a
-// new form byte: versions of two releases are compared by it.
+// The digest of the content is that of a tree: the entries lie in 1,024 buckets by a
+// hash of kind and name, each bucket has a digest over its entries in canonical
+// CBOR, 32 buckets make a page, and 32 pages the whole. A change recomputes only the
+// digests on its path to the root. Equal contents have equal digests, whatever
+// changes led to them. Nothing in the tree or in the encoded forms may change
+// without a new form byte, since versions of two releases are compared by digest.
 //
-// What is checked here is what holds on every machine. What depends on one (is
-// there an engine, a ledger, what does the platform say where a contract is silent,
-// is the class that a pool names known) is left to the configuration of the server.
+// This package checks what holds on every machine. What depends on a machine
+// (whether there is an engine or a ledger, what the platform sets where a contract
+// does not, whether a class that a pool names is known) is checked by the
+// configuration of the server.
 package document
 
 import (
@@ -29,23 +30,23 @@
 	"errors"
 )
 
-// Team is one of those who send requests, with its budget over the whole fleet.
+// Team is a sender of requests, with its budget over the whole fleet.
 type Team struct {
 	Name  string  `toml:"name" cbor:"1,keyasint"`
-	Quota float64 `toml:"requests_per_s" cbor:"2,keyasint"` // requests a second that count in full
+	Quota float64 `toml:"requests_per_s" cbor:"2,keyasint"` // requests per second that count in full
 }
 
 // Service is what one team offers.
 type Service struct {
 	Name      string     `toml:"name" cbor:"1,keyasint"`
 	Owner     string     `toml:"owner" cbor:"2,keyasint,omitempty"`
-	Backend   string     `toml:"backend" cbor:"3,keyasint,omitempty"` // the uwsgi server that does the work; "" = the engine
+	Backend   string     `toml:"backend" cbor:"3,keyasint,omitempty"` // address of the uwsgi server that does the work; "" = the engine
 	Contracts []Contract `toml:"contract" cbor:"4,keyasint"`
 }
 
-// Contract is what is promised for one class of a service's requests; what is
-// nil or zero stays as the platform or the default has it. Each is a route: its
-// class, and its path where it has one, lead to the service's backend.
+// Contract has the terms for one class of a service's requests; what is nil or zero
+// is set by the platform or the default. Its class, and its path if it has one, are
+// routed to the service's backend.
 type Contract struct {
 	Class           string   `toml:"class" cbor:"1,keyasint"`
 	Path            string   `toml:"path" cbor:"2,keyasint,omitempty"`
@@ -62,28 +63,28 @@
 	SkipWorth       *float64 `toml:"skip_worth" cbor:"13,keyasint,omitempty"`
 }
 
-// Pool is one pool of classes that share running places and memory. All figures
-// but Waiting are parts, 0 to 1.
+// Pool is a group of classes that share running slots and memory. All numbers but
+// MaxQueued are fractions, 0 to 1.
 type Pool struct {
 	Name           string   `toml:"name" cbor:"1,keyasint"`
 	Classes        []string `toml:"classes" cbor:"2,keyasint"`
-	Share          float64  `toml:"share" cbor:"3,keyasint,omitempty"`       // of the running places: its own whenever it wants them
-	MaxShare       float64  `toml:"most" cbor:"4,keyasint,omitempty"`        // of the running places: never more; 0 = all
-	Reserve        float64  `toml:"reserve" cbor:"5,keyasint,omitempty"`     // of the cores: places beyond the running limit
-	Memory         float64  `toml:"memory" cbor:"6,keyasint,omitempty"`      // of work_mb: its own; 0 = as share
+	Share          float64  `toml:"share" cbor:"3,keyasint,omitempty"`       // of the running slots: guaranteed
+	MaxShare       float64  `toml:"most" cbor:"4,keyasint,omitempty"`        // of the running slots: never more; 0 = all
+	Reserve        float64  `toml:"reserve" cbor:"5,keyasint,omitempty"`     // of the cores: slots beyond the running limit
+	Memory         float64  `toml:"memory" cbor:"6,keyasint,omitempty"`      // of work_mb: guaranteed; 0 = as Share
 	MaxMemoryShare float64  `toml:"memory_most" cbor:"7,keyasint,omitempty"` // of work_mb: never more; 0 = all
-	MaxQueued      int      `toml:"waiting" cbor:"8,keyasint,omitempty"`     // requests that may wait; 0 = what can be served in time
+	MaxQueued      int      `toml:"waiting" cbor:"8,keyasint,omitempty"`     // requests that may be queued; 0 = as many as can be served in time
 }
 
-// Content is all that one version holds, each list in the order of names.
+// Content is all that one version holds, each list ordered by name.
 type Content struct {
 	Teams        []Team    `cbor:"1,keyasint"`
 	Services     []Service `cbor:"2,keyasint"`
 	Pools        []Pool    `cbor:"3,keyasint,omitempty"`
-	CheapReserve float64   `cbor:"4,keyasint,omitempty"` // of the cores: places for the cheapest class
+	CheapReserve float64   `cbor:"4,keyasint,omitempty"` // of the cores: slots for the cheapest class
 }
 
-// Change sets or drops one entry. Exactly one of the four is set: a team, a
+// Change sets or drops one entry. Exactly one of the four pointers is set: a team, a
 // service, a pool or the reserve; with Drop only its name counts.
 type Change struct {
 	Drop         bool     `cbor:"1,keyasint,omitempty"`
@@ -96,14 +97,14 @@
 // Digest is SHA-256.
 type Digest [32]byte
 
-// String is the first 12 hex digits, as logs and the operators' door show it.
+// String is the first 12 hex digits, as logs and the admin endpoint show them.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// Header says what a version is: its digest is that of this record.
+// Header identifies a version: the version's digest is that of this record.
 type Header struct {
 	Number  uint64 `cbor:"1,keyasint"` // 1 and up; 0 = Empty
 	Parent  Digest `cbor:"2,keyasint"` // of the version before
-	Content Digest `cbor:"3,keyasint"` // of what the version holds
+	Content Digest `cbor:"3,keyasint"` // of the version's content
 	Author  string `cbor:"4,keyasint"`
 	Reason  string `cbor:"5,keyasint"`
 	Time    int64  `cbor:"6,keyasint"` // when it was accepted, Unix microseconds
@@ -115,26 +116,26 @@
 	Changes []Change `cbor:"2,keyasint"`
 }
 
-// Meta is what the operator says of a version.
+// Meta is what the operator states about a version.
 type Meta struct {
 	Author, Reason string
 	Time           int64 // Unix microseconds
 }
 
-// The bounds on what is taken in; more is a fault that names the bound.
+// The bounds on a version; what exceeds one is a fault that names it.
 const (
 	MaxTeams       = 65_536
 	MaxServices    = 8_192
-	MaxContracts   = 8_192 // contracts of all services
+	MaxContracts   = 8_192 // of all services
 	MaxPools       = 64
-	MaxNameBytes   = 128     // bytes of a name or path
-	MaxTextBytes   = 1 << 10 // bytes of an author or a reason
-	MaxRecordBytes = 16 << 20
+	MaxNameBytes   = 128      // of a name or path
+	MaxTextBytes   = 1 << 10  // of an author or a reason
+	MaxRecordBytes = 16 << 20 // of an encoded version or delta, uncompressed
 )
 
-// Errors of Apply, to be compared with errors.Is.
+// The errors of Apply, to be compared with errors.Is.
 var (
-	ErrParentMismatch = errors.New("document: the delta's parent is not the version in force") // what lies between is missing
+	ErrParentMismatch = errors.New("document: the delta's parent is not the version in force") // versions between the two are missing
 	ErrFork           = errors.New("document: another version with this number is in force")
 	ErrDigestMismatch = errors.New("document: the content is not the one that the header names")
 )
--- a/internal/control/document/edit.go
+++ b/internal/control/document/edit.go
@@ -10,19 +10,20 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// maxChanges bounds a delta: all that may be there dropped, and as much set.
+// maxChanges bounds a delta: all entries that can exist dropped, and as many set.
 const maxChanges = 2 * (MaxTeams + MaxServices + MaxPools + 1)
 
-// entry is a Change as it is worked on.
+// entry is a Change in the form in which it is processed.
 type entry struct {
 	kind   kind
 	name   string
 	drop   bool
-	value  any // what it is set to, a copy of its own: *Team, *Service, *Pool or *float64
+	value  any // the new value, a copy: *Team, *Service, *Pool or *float64
 	bucket int
-	skip   bool // nothing is to be done: it is as it was, or at fault
+	skip   bool // nothing to do: the entry is unchanged, or has a fault
 }
 
+// title names the entry in a fault.
 func (e *entry) title() string {
 	if e.kind == kindReserve {
 		return "reserve"
@@ -30,7 +31,7 @@
 	return e.kind.String() + " " + quote(e.name)
 }
 
-// change is the entry as a delta has it.
+// change is the entry as a Change.
 func (e *entry) change() Change {
 	switch v := e.value.(type) {
 	case *Team:
@@ -57,7 +58,7 @@
 }
 
 // rank is the order of the kinds in a delta. Teams come before the services that
-// they own and go after them.
+// they own, and are dropped after them.
 func (e *entry) rank() int {
 	switch {
 	case e.kind == kindTeam && e.drop:
@@ -76,11 +77,12 @@
 	return 5
 }
 
+// byRank orders entries by rank and name.
 func byRank(a, b entry) int {
 	return cmp.Or(cmp.Compare(a.rank(), b.rank()), strings.Compare(a.name, b.name))
 }
 
-// entryOf reads a Change and copies what it sets.
+// entryOf converts a Change, and copies its value.
 func entryOf(c *Change) (entry, error) {
 	e, set := entry{drop: c.Drop}, 0
 	if c.Team != nil {
@@ -106,9 +108,9 @@
 	return e, nil
 }
 
-// edit returns the state that the changes make of s, and the changes that it
-// took, in order. s stays as it is. The outcome is checked as a whole: a class may
-// go from one service to another in one delta.
+// edit returns the state that the changes make of s, and the changes that have an
+// effect, in order. s stays as it is. The result is validated as a whole: a class
+// may move from one service to another in one delta.
 func (s *state) edit(changes []Change) (*state, []Change, error) {
 	var f faults
 	if len(changes) == 0 {
@@ -125,8 +127,9 @@
 		maybeYield(i)
 		next.removeOld(txn, &entries[i], &f)
 	}
-	// The tree copies a node once for a run of changes near it, not once for each,
-	// as long as they are not too many: so the entries go in by bucket.
+	// The tree copies a node once for consecutive changes near it, not once for each
+	// change, as long as they are not too many: so the entries are inserted by
+	// bucket.
 	for n, i := range byBucket(entries) {
 		maybeYield(n)
 		entries[i].insert(txn)
@@ -155,7 +158,8 @@
 	return &next, effective, nil
 }
 
-// readChanges checks each change by itself. What has no place in a tree is left out.
+// readChanges validates each change by itself. What cannot be in the tree is left
+// out.
 func readChanges(changes []Change, f *faults) []entry {
 	type id struct {
 		kind kind
@@ -188,7 +192,7 @@
 	return entries
 }
 
-// byBucket returns the places of the entries in the order of the tree's keys.
+// byBucket returns the indexes of the entries in the order of the tree's keys.
 func byBucket(entries []entry) []int {
 	order := make([]int, len(entries))
 	for i := range order {
@@ -201,30 +205,31 @@
 	return order
 }
 
-// isZeroReserve says that the entry is a reserve of 0, which is not kept.
+// isZeroReserve reports whether the entry is a reserve of 0, which is not stored.
 func (e *entry) isZeroReserve() bool {
 	v, ok := e.value.(*float64)
 	return ok && *v == 0
 }
 
-// isInserted says that the entry is to be in the tree and is not there as it is.
+// isInserted reports whether the entry must be inserted into the tree.
 func (e *entry) isInserted() bool { return !e.skip && !e.drop && !e.isZeroReserve() }
 
-// removeOld looks up what the entry is now, and takes it, or what the indexes say of it, out.
+// removeOld looks up the previous value of the entry, and removes it, or its index
+// entries.
 func (s *state) removeOld(txn *iradix.Txn[any], e *entry, f *faults) {
 	key := entryKey(e.kind, e.name, e.bucket)
-	old, there := txn.Get(key)
+	old, exists := txn.Get(key)
 	switch {
-	case e.drop && !there:
+	case e.drop && !exists:
 		f.add("%s is not there, and cannot be dropped", e.title())
 		e.skip = true
 	case e.drop:
-	case there:
+	case exists:
 		e.skip = reflect.DeepEqual(old, e.value)
 	default:
 		e.skip = e.isZeroReserve()
 	}
-	if e.skip || !there {
+	if e.skip || !exists {
 		return
 	}
 	s.updateIndexes(txn, nil, old, nil)
@@ -233,27 +238,28 @@
 	}
 }
 
+// insert inserts the entry into the tree if it must be there.
 func (e *entry) insert(txn *iradix.Txn[any]) {
 	if e.isInserted() {
 		txn.Insert(entryKey(e.kind, e.name, e.bucket), e.value)
 	}
 }
 
-// updateIndexes enters the value of e in the indexes and sums, or, where e is nil, takes a
-// value out. A name that another entry has is a fault.
+// updateIndexes adds the value of e to the indexes and sums, or, if e is nil,
+// removes a value. A name that another entry has is a fault.
 func (s *state) updateIndexes(txn *iradix.Txn[any], e *entry, value any, f *faults) {
 	n := 1
 	if e == nil {
 		n = -1
 	}
-	own := func(a validator, index byte, key, name, field, other string) {
+	addUnique := func(v validator, index byte, key, name, field, other string) {
 		switch {
-		case key == "" || len(key) > MaxNameBytes: // named as a fault already, or not there
+		case key == "" || len(key) > MaxNameBytes: // already reported as a fault, or absent
 		case e == nil:
 			txn.Delete(indexKey(index, key))
 		default:
 			if old, taken := txn.Get(indexKey(index, key)); taken {
-				a.add(field, "is %s, want one of its own: %s %s has it", quote(key), other, quote(old.(string)))
+				v.add(field, "is %s, want one of its own: %s %s has it", quote(key), other, quote(old.(string)))
 				return
 			}
 			txn.Insert(indexKey(index, key), name)
@@ -266,9 +272,9 @@
 		s.services += n
 		s.contracts += n * len(v.Contracts)
 		for i := range v.Contracts {
-			a := validator{f, e, &v.Contracts[i], i}
-			own(a, prefixClasses, a.contract.Class, v.Name, "class", "service")
-			own(a, prefixPaths, a.contract.Path, v.Name, "path", "service")
+			cv := validator{f, e, &v.Contracts[i], i}
+			addUnique(cv, prefixClasses, cv.contract.Class, v.Name, "class", "service")
+			addUnique(cv, prefixPaths, cv.contract.Path, v.Name, "path", "service")
 		}
 		switch key := ownerKey(v.Owner, v.Name); {
 		case v.Owner == "" || len(v.Owner) > MaxNameBytes:
@@ -281,7 +287,7 @@
 		s.pools += n
 		s.pooledClasses += n * len(v.Classes)
 		for _, class := range v.Classes {
-			own(validator{f: f, entry: e}, prefixPooled, class, v.Name, "class", "pool")
+			addUnique(validator{f: f, entry: e}, prefixPooled, class, v.Name, "class", "pool")
 		}
 		if e == nil {
 			txn.Delete(indexKey(prefixPools, v.Name))
@@ -291,9 +297,9 @@
 	}
 }
 
-// checkReferences looks at the outcome: who refers to whom, and the sums.
+// checkReferences validates the result: references between entries, and the sums.
 func (s *state) checkReferences(root *iradix.Node[any], entries []entry, f *faults) {
-	pools := false
+	poolsChanged := false
 	for i := range entries {
 		maybeYield(i)
 		e := &entries[i]
@@ -317,31 +323,31 @@
 				f.add("%s owner is %s, which is no team", e.title(), quote(owner))
 			}
 		case e.kind == kindPool, e.kind == kindReserve:
-			pools = true
+			poolsChanged = true
 		}
 	}
-	bound := func(what string, n, most int) {
-		if n > most {
-			f.add("there are %d %s, want at most %d", n, what, most)
+	checkBound := func(what string, n, limit int) {
+		if n > limit {
+			f.add("there are %d %s, want at most %d", n, what, limit)
 		}
 	}
-	bound("teams", s.teams, MaxTeams)
-	bound("services", s.services, MaxServices)
-	bound("contracts", s.contracts, MaxContracts)
-	bound("pools", s.pools, MaxPools)
-	bound("classes in pools", s.pooledClasses, MaxContracts)
-	if pools {
+	checkBound("teams", s.teams, MaxTeams)
+	checkBound("services", s.services, MaxServices)
+	checkBound("contracts", s.contracts, MaxContracts)
+	checkBound("pools", s.pools, MaxPools)
+	checkBound("classes in pools", s.pooledClasses, MaxContracts)
+	if poolsChanged {
 		s.checkPools(root, f)
 	}
 }
 
-// checkPools looks at all pools: they are few.
+// checkPools validates all pools together: they are few.
 func (s *state) checkPools(root *iradix.Node[any], f *faults) {
 	share, memory := 0.0, 0.0
 	forEach(root, []byte{prefixPools}, func(_ []byte, value any) {
 		p := value.(*Pool)
 		share += p.Share
-		memory += ownMemory(p)
+		memory += guaranteedMemory(p)
 	})
 	if share > 1+shareTolerance {
 		f.add("share adds up to %.3f over all pools, want 1 at most", share)
--- a/internal/control/document/faults_test.go
+++ b/internal/control/document/faults_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// small is a version with a bit of everything.
+// small is a version with an entry of each kind.
 func small(t testing.TB) *Document {
 	return version(t, Content{
 		Teams: []Team{{"ana", 5}, {"bo", 1}, {"idle", 1}},
@@ -29,10 +29,11 @@
 	return Change{Service: &Service{Name: name, Contracts: []Contract{c}}}
 }
 
+// team is a change that sets a team.
 func team(name string, quota float64) Change { return Change{Team: &Team{Name: name, Quota: quota}} }
 
-// TestFaults names each fault by entry and field, by Draft and by Apply alike, and
-// nothing of the delta is taken.
+// TestFaults: each fault is reported by entry and field, by Draft and Apply alike,
+// and nothing of the delta is applied.
 func TestFaults(t *testing.T) {
 	long := strings.Repeat("x", MaxNameBytes+1)
 	contract := func(c Contract) []Change {
@@ -130,8 +131,8 @@
 			if delta != nil || err == nil || !namesFault(err, c.want) {
 				t.Errorf("Draft: %v", err)
 			}
-			lie := &Delta{Header: Header{Number: 2, Parent: d.Digest(), Author: "a", Reason: "r"}, Changes: c.changes}
-			next, err := d.Apply(lie)
+			forged := &Delta{Header: Header{Number: 2, Parent: d.Digest(), Author: "a", Reason: "r"}, Changes: c.changes}
+			next, err := d.Apply(forged)
 			if next != nil || err == nil || errors.Is(err, ErrDigestMismatch) {
 				t.Fatalf("Apply: %v", err)
 			}
@@ -145,7 +146,7 @@
 	}
 }
 
-// namesFault says whether one line of the error is that fault.
+// namesFault reports whether one line of the error is that fault.
 func namesFault(err error, fault string) bool {
 	for line := range strings.Lines(err.Error()) {
 		if strings.TrimSuffix(line, "\n") == fault {
@@ -155,7 +156,7 @@
 	return false
 }
 
-// TestAllFaultsAtOnce: one refusal tells all that is wrong, whatever the order.
+// TestAllFaultsAtOnce: one error has all faults, whatever the order.
 func TestAllFaultsAtOnce(t *testing.T) {
 	changes := []Change{
 		team("x", -1),
@@ -185,7 +186,7 @@
 	}
 }
 
-// TestHeaderFaults: what the operator says of a version is bounded too.
+// TestHeaderFaults: the texts of a header are validated too.
 func TestHeaderFaults(t *testing.T) {
 	d := small(t)
 	for _, c := range []struct {
@@ -210,24 +211,24 @@
 		}
 	}
 	if _, err := d.Apply(nil); err == nil {
-		t.Error("Apply takes no delta at all")
+		t.Error("Apply accepts a nil delta")
 	}
 }
 
-// TestOutcomeCounts: a delta is checked as a whole, not step by step.
+// TestDeltaCheckedAsWhole: a delta is validated by its result, not step by step.
 func TestDeltaCheckedAsWhole(t *testing.T) {
 	d := small(t)
 	for name, changes := range map[string][]Change{
 		"classes swapped": {service("maps", Contract{Class: "pay", Path: "/pay"}), service("till", Contract{Class: "draw", Path: "/draw"})},
-		"a class goes to another service": {service("maps", Contract{Class: "print"}), service("till", Contract{Class: "draw"}),
+		"a class moves to another service": {service("maps", Contract{Class: "print"}), service("till", Contract{Class: "draw"}),
 			team("ana", 6)},
-		"owner and service go": {{Drop: true, Team: &Team{Name: "ana"}}, {Drop: true, Service: &Service{Name: "maps"}}},
-		"owner comes":          {{Service: &Service{Name: "s", Owner: "new", Contracts: []Contract{{Class: "a"}}}}, team("new", 1)},
-		"owner changes and goes": {{Drop: true, Team: &Team{Name: "bo"}},
+		"owner and service dropped": {{Drop: true, Team: &Team{Name: "ana"}}, {Drop: true, Service: &Service{Name: "maps"}}},
+		"owner added":               {{Service: &Service{Name: "s", Owner: "new", Contracts: []Contract{{Class: "a"}}}}, team("new", 1)},
+		"owner replaced and dropped": {{Drop: true, Team: &Team{Name: "bo"}},
 			{Service: &Service{Name: "till", Owner: "ana", Contracts: []Contract{{Class: "pay"}}}}},
-		"pool and reserve go":         {{Drop: true, Pool: &Pool{Name: "quick"}}, {CheapReserve: ref(0.0)}},
-		"pool and reserve go, worded": {{Drop: true, CheapReserve: ref(0.0)}, {Drop: true, Pool: &Pool{Name: "quick"}}},
-		"a share goes over":           {{Pool: &Pool{Name: "quick", Classes: []string{"pay"}, Share: 0.1}}, {Pool: &Pool{Name: "p", Classes: []string{"draw"}, Share: 0.9}}},
+		"pool dropped, reserve 0":       {{Drop: true, Pool: &Pool{Name: "quick"}}, {CheapReserve: ref(0.0)}},
+		"pool and reserve dropped":      {{Drop: true, CheapReserve: ref(0.0)}, {Drop: true, Pool: &Pool{Name: "quick"}}},
+		"a share moves to another pool": {{Pool: &Pool{Name: "quick", Classes: []string{"pay"}, Share: 0.1}}, {Pool: &Pool{Name: "p", Classes: []string{"draw"}, Share: 0.9}}},
 	} {
 		delta, err := d.Draft(changes, testMeta)
 		if err != nil {
@@ -240,8 +241,8 @@
 	}
 }
 
-// TestOrder: who is known as the parent, what is a fork, and what merely lacks
-// something between.
+// TestParentAndFork: Apply tells a delta on its parent from a fork, and from one
+// whose preceding versions are missing.
 func TestParentAndFork(t *testing.T) {
 	draft := func(d *Document, quota float64) *Delta {
 		delta, err := d.Draft([]Change{team("ana", quota)}, testMeta)
@@ -263,8 +264,8 @@
 	three, otherThree := draft(d2, 30), draft(otherD2, 30)
 	d3 := apply(d2, three)
 	four := draft(d3, 40)
-	lie := *three
-	lie.Header.Content = two.Header.Content
+	forged := *three
+	forged.Header.Content = two.Header.Content
 	relabelled := *three
 	relabelled.Header.Author = "eve"
 	zero := *two
@@ -274,17 +275,17 @@
 		delta *Delta
 		want  error
 	}{
-		"in force already":           {d2, two, ErrParentMismatch},
-		"long in force":              {d3, two, ErrParentMismatch},
-		"another with its number":    {d2, otherTwo, ErrFork},
-		"another with the parent's":  {d3, otherTwo, ErrFork},
-		"one on another parent":      {d2, otherThree, ErrParentMismatch},
-		"one that skips a version":   {d2, four, ErrParentMismatch},
-		"one from far ahead":         {Empty(), four, ErrParentMismatch},
-		"number 0":                   {d3, &zero, ErrParentMismatch},
-		"its content is another":     {d2, &lie, ErrDigestMismatch},
-		"same number, another word":  {d3, &relabelled, ErrFork},
-		"another author, not a fork": {d2, &relabelled, nil},
+		"in force already":            {d2, two, ErrParentMismatch},
+		"long in force":               {d3, two, ErrParentMismatch},
+		"another with its number":     {d2, otherTwo, ErrFork},
+		"another with the parent's":   {d3, otherTwo, ErrFork},
+		"on another parent":           {d2, otherThree, ErrParentMismatch},
+		"skips a version":             {d2, four, ErrParentMismatch},
+		"far ahead":                   {Empty(), four, ErrParentMismatch},
+		"number 0":                    {d3, &zero, ErrParentMismatch},
+		"another content":             {d2, &forged, ErrDigestMismatch},
+		"same number, another author": {d3, &relabelled, ErrFork},
+		"another author, not a fork":  {d2, &relabelled, nil},
 	} {
 		before := c.d.Digest()
 		next, err := c.d.Apply(c.delta)
@@ -305,8 +306,8 @@
 	}
 }
 
-// TestCanonical: the same content has one digest, whatever the order, the wording
-// and the way to it; another content has another.
+// TestCanonical: equal contents have one digest, whatever the order and the encoding
+// of the changes that led to them; different contents have different digests.
 func TestCanonical(t *testing.T) {
 	changes := []Change{team("a", 1), team("b", 2), service("s", Contract{Class: "c"}), {Pool: &Pool{Name: "p", Classes: []string{"c"}}}}
 	reversed := []Change{changes[3], changes[2], changes[1], changes[0]}
@@ -326,7 +327,7 @@
 	if plus.Header.Content != minus.Header.Content {
 		t.Error("a worth of -0 makes another digest than one of 0")
 	}
-	unlike := map[Digest]string{first.Header.Content: "the first"}
+	seen := map[Digest]string{first.Header.Content: "the first"}
 	for i, c := range []Change{team("a", 1.5), team("c", 1), service("s", Contract{Class: "d"}), service("s", Contract{Class: "c", Worth: ref(0.0)}),
 		service("s", Contract{Class: "c", CallsDownstream: ref(false)}), service("t", Contract{Class: "d"}), {CheapReserve: ref(0.5)},
 		{Pool: &Pool{Name: "p", Classes: []string{"c", "d"}}}, {Pool: &Pool{Name: "p", Classes: []string{"d", "c"}}},
@@ -335,14 +336,14 @@
 		if err != nil {
 			t.Fatal(i, err)
 		}
-		if other, ok := unlike[delta.Header.Content]; ok {
+		if other, ok := seen[delta.Header.Content]; ok {
 			t.Errorf("change %d makes the same digest as %s", i, other)
 		}
-		unlike[delta.Header.Content] = fmt.Sprintf("change %d", i)
+		seen[delta.Header.Content] = fmt.Sprintf("change %d", i)
 	}
 }
 
-// content is what the changes make of nothing.
+// content is the content that the changes make of the empty version.
 func content(t testing.TB, changes []Change) Content {
 	delta, err := Empty().Draft(changes, testMeta)
 	if err != nil {
@@ -355,8 +356,8 @@
 	return d.Content()
 }
 
-// TestSharesNothing: neither what a caller does to the changes, the delta or the
-// content that it was handed, nor a later version, reaches a version.
+// TestSharesNothing: what a caller does to the changes, the delta or the content
+// that it got must not affect a version, nor may a later version.
 func TestSharesNothing(t *testing.T) {
 	d := small(t)
 	s := &Service{Name: "s", Contracts: []Contract{{Class: "a", TargetTimeMS: ref(1.0), CallsDownstream: ref(true)}}}
@@ -366,7 +367,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoil := func(changes []Change) {
+	modify := func(changes []Change) {
 		for i := range changes {
 			switch c := &changes[i]; {
 			case c.Service != nil:
@@ -379,12 +380,12 @@
 			}
 		}
 	}
-	words, err := delta.Encode()
+	encoded, err := delta.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoil(changes)
-	if again, _ := delta.Encode(); string(again) != string(words) {
+	modify(changes)
+	if again, _ := delta.Encode(); string(again) != string(encoded) {
 		t.Error("a delta shares memory with the changes")
 	}
 	next, err := d.Apply(delta)
@@ -395,11 +396,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoil(delta.Changes)
-	handed := next.Content()
-	handed.Services[0].Contracts[0].Class = "spoilt"
-	*handed.Services[0].Contracts[0].TargetTimeMS = 99
-	handed.Pools[0].Classes[0], handed.Teams[0].Quota = "spoilt", 99
+	modify(delta.Changes)
+	copied := next.Content()
+	copied.Services[0].Contracts[0].Class = "spoilt"
+	*copied.Services[0].Contracts[0].TargetTimeMS = 99
+	copied.Pools[0].Classes[0], copied.Teams[0].Quota = "spoilt", 99
 	if _, err := next.Apply(mustDraft(t, next, Change{Drop: true, Service: &Service{Name: "s"}})); err != nil {
 		t.Fatal(err)
 	}
@@ -408,6 +409,7 @@
 	}
 }
 
+// mustDraft drafts a delta of the changes.
 func mustDraft(t testing.TB, d *Document, changes ...Change) *Delta {
 	t.Helper()
 	delta, err := d.Draft(changes, testMeta)
@@ -417,13 +419,13 @@
 	return delta
 }
 
-// TestDiffNamedTwice: a whole content that names something twice is refused, even
-// where both are as they are in force.
+// TestDiffNamedTwice: a content that names an entry twice is refused, even if both
+// are equal to the one in force.
 func TestDiffNamedTwice(t *testing.T) {
 	d := small(t)
 	c := d.Content()
 	if changes := d.Diff(&c); changes != nil {
-		t.Errorf("no difference comes as %+v", changes)
+		t.Errorf("equal contents differ by %+v", changes)
 	}
 	c.Teams = append(c.Teams, c.Teams[0])
 	if _, err := d.Draft(d.Diff(&c), testMeta); err == nil || !namesFault(err, `team "ana" is named twice`) {
--- a/internal/control/document/model_test.go
+++ b/internal/control/document/model_test.go
@@ -20,7 +20,7 @@
 // ref returns a pointer to v.
 func ref[T any](v T) *T { return &v }
 
-// model is a content as plain maps: what Draft and Apply are compared with.
+// model is a content as plain maps, with which Draft and Apply are compared.
 type model struct {
 	teams    map[string]Team
 	services map[string]Service
@@ -36,23 +36,23 @@
 	return &model{maps.Clone(m.teams), maps.Clone(m.services), maps.Clone(m.pools), m.reserve}
 }
 
-// apply makes the changes; false = they are not to be taken. It walks over all.
+// apply makes the changes; false = they must be refused. It checks all entries.
 func (m *model) apply(changes []Change) bool {
 	before, named := m.content(), map[string]bool{}
 	for _, c := range changes {
-		id, there := "reserve", m.reserve != 0
+		id, exists := "reserve", m.reserve != 0
 		switch {
 		case c.Team != nil:
 			id = "team " + c.Team.Name
-			_, there = m.teams[c.Team.Name]
+			_, exists = m.teams[c.Team.Name]
 		case c.Service != nil:
 			id = "service " + c.Service.Name
-			_, there = m.services[c.Service.Name]
+			_, exists = m.services[c.Service.Name]
 		case c.Pool != nil:
 			id = "pool " + c.Pool.Name
-			_, there = m.pools[c.Pool.Name]
+			_, exists = m.pools[c.Pool.Name]
 		}
-		if named[id] || c.Drop && !there {
+		if named[id] || c.Drop && !exists {
 			return false
 		}
 		named[id] = true
@@ -78,20 +78,20 @@
 	return m.isConsistent() && !reflect.DeepEqual(before, m.content())
 }
 
-// isConsistent says whether all hangs together.
+// isConsistent reports whether all references and sums are valid.
 func (m *model) isConsistent() bool {
-	taken := map[string]bool{}
-	own := func(name string) bool {
-		twice := taken[name]
-		taken[name] = true
-		return !twice
+	seen := map[string]bool{}
+	addUnique := func(name string) bool {
+		duplicate := seen[name]
+		seen[name] = true
+		return !duplicate
 	}
 	for _, s := range m.services {
 		if _, ok := m.teams[s.Owner]; s.Owner != "" && !ok {
 			return false
 		}
 		for _, c := range s.Contracts {
-			if !own("class "+c.Class) || c.Path != "" && !own("path "+c.Path) {
+			if !addUnique("class "+c.Class) || c.Path != "" && !addUnique("path "+c.Path) {
 				return false
 			}
 		}
@@ -100,7 +100,7 @@
 	for _, p := range m.pools {
 		share += p.Share
 		for _, class := range p.Classes {
-			if !own("pooled " + class) {
+			if !addUnique("pooled " + class) {
 				return false
 			}
 		}
@@ -122,8 +122,8 @@
 	return c
 }
 
-// digest is the content's digest made from all entries, by the words of the
-// package's comments alone.
+// digest is the content's digest computed from all entries, by the package's
+// documentation alone.
 func (m *model) digest(t interface{ Fatal(...any) }) Digest {
 	options := cbor.CoreDetEncOptions()
 	options.OmitEmpty = cbor.OmitEmptyGoValue
@@ -157,13 +157,13 @@
 		buckets[i] = []byte("b")
 	}
 	for _, it := range items {
-		words, err := mode.Marshal(it.value)
+		encoded, err := mode.Marshal(it.value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		h := sha256.Sum256([]byte(string(it.kind) + it.name))
 		b := &buckets[(int(h[0])<<8|int(h[1]))%1024]
-		*b = append(binary.BigEndian.AppendUint32(append(*b, it.kind), uint32(len(words))), words...)
+		*b = append(binary.BigEndian.AppendUint32(append(*b, it.kind), uint32(len(encoded))), encoded...)
 	}
 	root := []byte("r")
 	for group := range slices.Chunk(buckets, 32) {
@@ -178,7 +178,7 @@
 	return sha256.Sum256(root)
 }
 
-// The random changes are of few names, so that they meet each other.
+// The random changes use few names, so that they affect the same entries.
 
 func drawName(t *rapid.T, what string, n int) string {
 	return fmt.Sprintf("%s%d", what, rapid.IntRange(0, n-1).Draw(t, what))
@@ -235,17 +235,18 @@
 	return c
 }
 
-// sameContent compares contents, of which a list may be absent or empty.
+// sameContent compares contents, in which nil and empty lists are equal.
 func sameContent(a, b Content) bool {
 	return slices.Equal(a.Teams, b.Teams) && a.CheapReserve == b.CheapReserve &&
 		len(a.Services) == len(b.Services) && (len(a.Services) == 0 || reflect.DeepEqual(a.Services, b.Services)) &&
 		len(a.Pools) == len(b.Pools) && (len(a.Pools) == 0 || reflect.DeepEqual(a.Pools, b.Pools))
 }
 
-// TestModel walks through versions at random. What is taken, what is refused,
-// the contents and the digests are those of a plain model that looks at all; and
-// the same version is reached by the encoded delta, by a snapshot, and, as to the
-// content, by the difference of the whole. Versions before stay as they were.
+// TestModel walks through random versions, and compares what is accepted, what is
+// refused, the contents and the digests with those of a plain model that checks all
+// entries. The same version must be checkSameVersion by the encoded delta, by a snapshot,
+// and, as to the content, by a Diff of the whole. Earlier versions must stay as they
+// were.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, d, copied := newModel(), Empty(), Empty()
@@ -254,7 +255,7 @@
 			content Content
 		}
 		var versions []version
-		taken := 0
+		accepted := 0
 		for i := range rapid.IntRange(5, 40).Draw(t, "versions") {
 			changes := rapid.SliceOfN(rapid.Custom(drawChange), 1, 3).Draw(t, "changes")
 			next := m.clone()
@@ -263,17 +264,18 @@
 			if (err == nil) != want {
 				t.Fatalf("version %d: Draft says %v, the model %v: %+v", i, err, want, changes)
 			}
-			// What Draft refuses, Apply refuses too, from a publisher that lies.
+			// What Draft refuses, Apply must refuse too, from a publisher that
+			// forges a delta.
 			if err != nil {
-				lie := &Delta{Header: Header{Number: d.Header().Number + 1, Parent: d.Digest(), Content: next.digest(t),
+				forged := &Delta{Header: Header{Number: d.Header().Number + 1, Parent: d.Digest(), Content: next.digest(t),
 					Author: "a", Reason: "r"}, Changes: changes}
-				if got, err := d.Apply(lie); err == nil || got != nil {
-					t.Fatalf("version %d: Apply took what Draft refused", i)
+				if got, err := d.Apply(forged); err == nil || got != nil {
+					t.Fatalf("version %d: Apply accepted what Draft refused", i)
 				}
 				continue
 			}
 			m = next
-			taken++
+			accepted++
 			if d, err = d.Apply(delta); err != nil {
 				t.Fatalf("version %d: Apply refuses what Draft made: %v", i, err)
 			}
@@ -294,26 +296,26 @@
 			if copied, err = copied.Apply(read); err != nil {
 				t.Fatal(err)
 			}
-			reached(t, d, copied)
+			checkSameVersion(t, d, copied)
 			versions = append(versions, version{d, m.content()})
 		}
 		snapshot, err := d.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		opened, err := DecodeSnapshot(snapshot)
+		decoded, err := DecodeSnapshot(snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
-		reached(t, d, opened)
-		if again, _ := opened.Snapshot(); !bytes.Equal(again, snapshot) {
-			t.Fatal("the snapshot of an opened snapshot has other bytes")
+		checkSameVersion(t, d, decoded)
+		if again, _ := decoded.Snapshot(); !bytes.Equal(again, snapshot) {
+			t.Fatal("the snapshot of a decoded snapshot has other bytes")
 		}
 		for _, v := range versions {
 			if !sameContent(v.doc.Content(), v.content) {
 				t.Fatalf("version %d has changed since", v.doc.Header().Number)
 			}
-			// From any version to the last by the difference of the wholes.
+			// From any version to the last by a Diff of the whole contents.
 			last := d.Content()
 			changes := v.doc.Diff(&last)
 			if len(changes) == 0 {
@@ -336,10 +338,10 @@
 	})
 }
 
-// reached says that both are one version in all that can be asked.
-func reached(t *rapid.T, a, b *Document) {
+// checkSameVersion checks that both are the same version in all that can be queried.
+func checkSameVersion(t *rapid.T, a, b *Document) {
 	if a.Digest() != b.Digest() || a.Header() != b.Header() || !sameContent(a.Content(), b.Content()) {
-		t.Fatalf("%+v and %+v are not one version", a.Header(), b.Header())
+		t.Fatalf("%+v and %+v are not the same version", a.Header(), b.Header())
 	}
 	for _, want := range a.Content().Teams {
 		if got, ok := b.Team(want.Name); !ok || got != want {
--- a/internal/control/document/state.go
+++ b/internal/control/document/state.go
@@ -10,12 +10,12 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// state is the content of one version. It is never changed: the next version's
-// shares all of the tree and of the digests that the change between them left.
+// state is the content of one version. It is immutable: the next version shares all
+// parts of the tree and all digests that did not change.
 //
-// The tree holds the entries by bucket, kind and name, and beside them indexes by
-// which a change is checked against all others without a walk over them. Keys
-// begin with a letter of their own:
+// The tree holds the entries by bucket, kind and name, and indexes with which a
+// change is checked against all other entries without a loop over them. Keys begin
+// with a letter:
 //
 //	e bucket/32 bucket%32 kind name   the entry: *Team, *Service, *Pool or *float64
 //	c class                           the name of its service
@@ -30,30 +30,31 @@
 	contentDigest                                    Digest
 }
 
-// page holds the digests of neighbouring buckets and one over them, so that for a
-// change of one entry a version copies and hashes two lists of 32, not all 1,024.
+// page holds the digests of neighbouring buckets and one over them, so that a change
+// of one entry copies and hashes two lists of 32, not all 1,024.
 type page struct {
 	buckets [pageSize]Digest
 	digest  Digest
 }
 
-// The buckets. Which one an entry lies in, and so every digest, depends on these.
+// The buckets. The bucket of an entry, and so every digest, depends on these.
 const (
 	bucketCount = 1024
 	pageSize    = 32
 	pageCount   = bucketCount / pageSize
 )
 
-// kind is what an entry is. It is part of what is hashed.
+// kind is the kind of an entry. It is part of what is hashed.
 type kind byte
 
 const (
 	kindTeam    kind = 't'
 	kindService kind = 's'
 	kindPool    kind = 'p'
-	kindReserve kind = 'r' // there is one, without a name, unless it is 0
+	kindReserve kind = 'r' // at most one, without a name, unless it is 0
 )
 
+// String is the kind as faults name it.
 func (k kind) String() string {
 	switch k {
 	case kindTeam:
@@ -82,36 +83,40 @@
 	return int(binary.BigEndian.Uint16(h[:]) % bucketCount)
 }
 
+// bucketKey is the prefix of the keys of a bucket's entries.
 func bucketKey(bucket int) []byte {
 	return []byte{prefixEntries, byte(bucket / pageSize), byte(bucket % pageSize)}
 }
 
+// entryKey is the key of an entry.
 func entryKey(k kind, name string, bucket int) []byte {
 	b := make([]byte, 0, 4+len(name))
 	return append(append(b, prefixEntries, byte(bucket/pageSize), byte(bucket%pageSize), byte(k)), name...)
 }
 
+// indexKey is the key of a name in an index.
 func indexKey(index byte, name string) []byte {
 	return append(append(make([]byte, 0, 1+len(name)), index), name...)
 }
 
-// ownerKey is where the services of one owner begin. No name is over MostName,
-// hence over 255, in a tree; what is longer finds nothing.
+// ownerKey is the key of a service in the index by owner, or with an empty service
+// the prefix for the owner. No name in a tree is over MaxNameBytes, hence over 255;
+// a longer one finds nothing.
 func ownerKey(owner, service string) []byte {
 	b := make([]byte, 0, 2+len(owner)+len(service))
 	return append(append(append(b, prefixOwners, byte(len(owner))), owner...), service...)
 }
 
-// emptyState has nothing in it. All versions of a process begin with one.
+// emptyState has no content. All versions of a process begin with it.
 var emptyState = sync.OnceValue(func() *state {
 	s := &state{tree: iradix.New[any]()}
-	none := new(page)
-	for i := range none.buckets {
-		none.buckets[i] = bucketDigest(s.tree.Root(), i) // all alike: nothing lies in any
+	empty := new(page)
+	for i := range empty.buckets {
+		empty.buckets[i] = bucketDigest(s.tree.Root(), i) // all equal, since all are empty
 	}
-	none.computeDigest()
+	empty.computeDigest()
 	for i := range s.pages {
-		s.pages[i] = none
+		s.pages[i] = empty
 	}
 	s.contentDigest = s.rootDigest()
 	return s
@@ -123,11 +128,11 @@
 		t, ok := v.(T)
 		return t, ok
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
-// forEach calls f with all entries of a bucket, in order; nil = of all buckets.
+// forEach calls f for all keys with the prefix, in order.
 func forEach(root *iradix.Node[any], prefix []byte, f func(key []byte, value any)) {
 	it := root.Iterator()
 	it.SeekPrefix(prefix)
@@ -136,31 +141,32 @@
 	}
 }
 
-// What is hashed begins with one of these, so that no digest of one level is one of another.
+// The first byte of what is hashed, so that no digest of one level equals one of
+// another.
 const (
 	hashBucket = 'b'
 	hashPage   = 'g'
 	hashRoot   = 'r'
 )
 
-// bucketDigest is SHA-256 over the bucket's entries in the order of kind and
-// name: for each its kind, the length of its words in four bytes, and the words.
+// bucketDigest is SHA-256 over the bucket's entries in the order of kind and name:
+// for each its kind, the length of its encoding in four bytes, and the encoding.
 func bucketDigest(root *iradix.Node[any], bucket int) Digest {
 	h := sha256.New()
 	h.Write([]byte{hashBucket})
-	words := bytes.NewBuffer(make([]byte, 0, 1024))
+	encoded := bytes.NewBuffer(make([]byte, 0, 1024))
 	prefix := bucketKey(bucket)
 	forEach(root, prefix, func(key []byte, value any) {
-		words.Reset()
-		words.Write([]byte{key[len(prefix)], 0, 0, 0, 0})
-		encodeTo(words, value)
-		binary.BigEndian.PutUint32(words.Bytes()[1:], uint32(words.Len()-5))
-		h.Write(words.Bytes())
+		encoded.Reset()
+		encoded.Write([]byte{key[len(prefix)], 0, 0, 0, 0})
+		encodeTo(encoded, value)
+		binary.BigEndian.PutUint32(encoded.Bytes()[1:], uint32(encoded.Len()-5))
+		h.Write(encoded.Bytes())
 	})
 	return Digest(h.Sum(nil))
 }
 
-// computeDigest makes the page's digest: SHA-256 over those of its buckets, in order.
+// computeDigest sets the page's digest: SHA-256 over those of its buckets, in order.
 func (p *page) computeDigest() {
 	h := sha256.New()
 	h.Write([]byte{hashPage})
@@ -180,33 +186,35 @@
 	return Digest(h.Sum(nil))
 }
 
-// rehash makes the digests of the touched buckets anew, from s.tree.
+// rehash recomputes the digests of the touched buckets, and those above, from
+// s.tree.
 func (s *state) rehash(touched map[int]bool) {
-	var own [pageCount]bool
+	var copied [pageCount]bool
 	n := 0
 	for bucket := range touched {
-		n += entriesPerYield / 4 // a bucket has some twenty entries
+		n += entriesPerYield / 4 // a bucket has about twenty entries
 		maybeYield(n - 1)
-		at := bucket / pageSize
-		if !own[at] {
-			p := *s.pages[at]
-			s.pages[at], own[at] = &p, true
+		i := bucket / pageSize
+		if !copied[i] {
+			p := *s.pages[i]
+			s.pages[i], copied[i] = &p, true
 		}
-		s.pages[at].buckets[bucket%pageSize] = bucketDigest(s.tree.Root(), bucket)
+		s.pages[i].buckets[bucket%pageSize] = bucketDigest(s.tree.Root(), bucket)
 	}
-	for at := range own {
-		if own[at] {
-			s.pages[at].computeDigest()
+	for i := range copied {
+		if copied[i] {
+			s.pages[i].computeDigest()
 		}
 	}
 	s.contentDigest = s.rootDigest()
 }
 
+// sum is SHA-256.
 func sum(b []byte) Digest { return sha256.Sum256(b) }
 
-// encoder words records in canonical CBOR (RFC 8949, core deterministic): one
-// wording for one value. A pointer is left out where it is nil alone, so that a
-// figure of 0 is told from none.
+// encoder encodes records in canonical CBOR (RFC 8949, core deterministic): one
+// encoding for each value. A pointer is left out only if it is nil, so that a 0
+// differs from an absent value.
 var encoder = sync.OnceValue(func() cbor.UserBufferEncMode {
 	o := cbor.CoreDetEncOptions()
 	o.OmitEmpty = cbor.OmitEmptyGoValue
@@ -218,13 +226,14 @@
 	return m
 })
 
-// encode words one of the package's records, which have a wording whatever is in them.
+// encode encodes one of the package's records, which cannot fail.
 func encode(record any) []byte {
 	var b bytes.Buffer
 	encodeTo(&b, record)
 	return b.Bytes()
 }
 
+// encodeTo appends the encoding of a record to b.
 func encodeTo(b *bytes.Buffer, record any) {
 	if err := encoder().MarshalToBuffer(record, b); err != nil {
 		panic(err) // the records have strings, numbers, lists and bytes alone
--- a/internal/control/document/version.go
+++ b/internal/control/document/version.go
@@ -6,22 +6,23 @@
 	"math"
 )
 
-// Document is one version, whole. The zero value is not one: see Empty and Open.
+// Document is one whole version. The zero value is invalid: see Empty and
+// DecodeSnapshot.
 type Document struct {
 	header Header
 	digest Digest
 	state  *state
 }
 
-// Empty is version 0: nothing is in it. Its digest is that of a header with the
-// digest of no content and nothing else, the same everywhere.
+// Empty is version 0, without content. Its digest is that of a header with the
+// digest of the empty content and nothing else, the same everywhere.
 func Empty() *Document {
 	s := emptyState()
 	h := Header{Content: s.contentDigest}
 	return &Document{header: h, digest: h.Digest(), state: s}
 }
 
-// Header returns what the version is.
+// Header returns the version's header.
 func (d *Document) Header() Header { return d.header }
 
 // Digest returns the version's digest.
@@ -35,14 +36,14 @@
 	return Team{}, false
 }
 
-// Service returns the service of that name; its contracts are not to be changed.
+// Service returns the service of that name; its contracts must not be modified.
 func (d *Document) Service(name string) (*Service, bool) {
 	return find[*Service](d.state, kindService, name)
 }
 
-// Draft makes the version after d with these changes: what the originator does.
-// The delta has them in the order of Diff, without those that change nothing, and
-// shares no memory with them. Its errors name all faults at once.
+// Draft makes the delta of the version after d with these changes, which is what the
+// originator does. The delta has them in the order of Diff, without those that
+// change nothing, and shares no memory with them. An error names all faults.
 func (d *Document) Draft(changes []Change, by Meta) (*Delta, error) {
 	h := Header{Number: d.header.Number + 1, Parent: d.digest, Author: by.Author, Reason: by.Reason, Time: by.Time}
 	next, effective, err := d.state.edit(changes)
@@ -57,14 +58,14 @@
 	return delta, nil
 }
 
-// Apply returns the version that delta makes of d; d stays as it is. It costs by
-// the changes. All that Draft checks is checked again. The error is ErrFork where
-// another version with the delta's number is known here, ErrParent where the
-// delta is no step from d, ErrDigest where the outcome is not what its header
-// names, and else it names all faults.
+// Apply returns the version that delta makes of d; d stays as it is. The cost is in
+// proportion to the changes. All that Draft validates is validated again. The error
+// is ErrFork if another version with the delta's number is known here,
+// ErrParentMismatch if the delta does not follow d, ErrDigestMismatch if the result
+// differs from the header's digest, and otherwise names all faults.
 func (d *Document) Apply(delta *Delta) (*Document, error) {
 	if delta == nil {
-		return nil, errors.New("document: there is no delta")
+		return nil, errors.New("document: no delta")
 	}
 	h := delta.Header
 	digest := h.Digest()
@@ -81,8 +82,8 @@
 	return &Document{header: h, digest: digest, state: next}, nil
 }
 
-// checkSuccessor says whether a version with that header may come after d. Of the
-// versions before, the one in force and its parent are known.
+// checkSuccessor checks that a version with that header may follow d. Of the earlier
+// versions, the one in force and its parent are known.
 func (d *Document) checkSuccessor(h *Header, digest Digest) error {
 	var known Digest
 	switch {
@@ -102,14 +103,14 @@
 // Digest returns the digest of the version: SHA-256 of the header's canonical CBOR.
 func (h *Header) Digest() Digest { return sum(encode(h)) }
 
-// check names the faults of a header's own figures and texts.
+// check validates a header's number and texts.
 func (h *Header) check() error {
 	var f faults
-	a := validator{f: &f}
+	v := validator{f: &f}
 	if h.Number == 0 || h.Number > math.MaxInt64 {
-		a.add("number", "is %d, want 1 to %d", h.Number, int64(math.MaxInt64))
+		v.add("number", "is %d, want 1 to %d", h.Number, int64(math.MaxInt64))
 	}
-	a.requiredText("author", h.Author, MaxTextBytes)
-	a.requiredText("reason", h.Reason, MaxTextBytes)
+	v.requiredText("author", h.Author, MaxTextBytes)
+	v.requiredText("reason", h.Reason, MaxTextBytes)
 	return f.join()
 }
--- a/internal/control/document/wire.go
+++ b/internal/control/document/wire.go
@@ -9,7 +9,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// The forms of encoded deltas and snapshots. The first byte tells them apart; the
+// The forms of encoded deltas and snapshots. The form is the first byte; the
 // version's digest follows, then the record in CBOR, compressed or not.
 const (
 	formDelta              = 0x11
@@ -17,7 +17,7 @@
 	formSnapshot           = 0x21
 	formSnapshotCompressed = 0x22
 	formPrefixBytes        = 1 + len(Digest{})
-	maxUncompressedBytes   = 1 << 10 // bytes of a record up to which it is not compressed
+	maxUncompressedBytes   = 1 << 10 // a larger record is compressed
 )
 
 // snapshot is the record of a whole version.
@@ -26,8 +26,9 @@
 	Content Content `cbor:"2,keyasint"`
 }
 
-// The records as they are read: entry by entry, so that what is read of a short
-// text is bounded by the entries, not by what their lists could hold together.
+// The records as they are decoded: entry by entry, so that the memory that a short
+// input can claim is bounded by the entries, not by what their lists could hold
+// together.
 type (
 	rawDelta struct {
 		Header  Header            `cbor:"1,keyasint"`
@@ -45,6 +46,7 @@
 	}
 )
 
+// newDecoder returns a strict decoder with a bound on the elements of a list.
 func newDecoder(elements int) cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 8, MaxMapPairs: 16, MaxArrayElements: elements,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
@@ -55,13 +57,13 @@
 	return m
 }
 
-// Records are read by the first, entries by the second.
+// recordDecoder decodes records, entryDecoder their entries.
 var (
 	recordDecoder = sync.OnceValue(func() cbor.DecMode { return newDecoder(maxChanges) })
 	entryDecoder  = sync.OnceValue(func() cbor.DecMode { return newDecoder(MaxContracts) })
 )
 
-// Both are safe for use by several goroutines at a time: these take turns.
+// Both are safe for concurrent use: concurrent calls take turns.
 var (
 	compressor = sync.OnceValue(func() *zstd.Encoder {
 		e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20), zstd.WithLowerEncoderMem(true))
@@ -79,17 +81,17 @@
 	})
 )
 
-// encodeForm puts form and digest before a record.
-func encodeForm(plain, packed byte, digest Digest, record []byte) []byte {
+// encodeForm puts form and digest before a record, and compresses a large one.
+func encodeForm(plain, compressed byte, digest Digest, record []byte) []byte {
 	if len(record) > maxUncompressedBytes {
-		b := append(append(make([]byte, 0, formPrefixBytes+len(record)/2), packed), digest[:]...)
+		b := append(append(make([]byte, 0, formPrefixBytes+len(record)/2), compressed), digest[:]...)
 		return compressor().EncodeAll(record, b)
 	}
 	return append(append(append(make([]byte, 0, formPrefixBytes+len(record)), plain), digest[:]...), record...)
 }
 
-// decodeForm returns the digest and the record.
-func decodeForm(plain, packed byte, b []byte) (digest Digest, record []byte, err error) {
+// decodeForm returns the digest and the uncompressed record.
+func decodeForm(plain, compressed byte, b []byte) (digest Digest, record []byte, err error) {
 	if len(b) < formPrefixBytes || len(b) > formPrefixBytes+MaxRecordBytes {
 		return digest, nil, fmt.Errorf("document: %d bytes, want %d to %d", len(b), formPrefixBytes, formPrefixBytes+MaxRecordBytes)
 	}
@@ -97,22 +99,23 @@
 	switch b[0] {
 	case plain:
 		return digest, record, nil
-	case packed:
+	case compressed:
 	default:
-		return digest, nil, fmt.Errorf("document: form %#02x, want %#02x or %#02x", b[0], plain, packed)
+		return digest, nil, fmt.Errorf("document: form %#02x, want %#02x or %#02x", b[0], plain, compressed)
 	}
 	if record, err = decompressor().DecodeAll(record, nil); err != nil {
 		return digest, nil, fmt.Errorf("document: %w", err)
 	}
 	if len(record) > MaxRecordBytes {
-		return digest, nil, fmt.Errorf("document: over %d bytes unpacked", MaxRecordBytes)
+		return digest, nil, fmt.Errorf("document: over %d bytes uncompressed", MaxRecordBytes)
 	}
 	return digest, record, nil
 }
 
-// encodeRecord is the delta as a record.
+// encodeRecord encodes the delta as a record.
 func (d *Delta) encodeRecord() ([]byte, error) { return checkSize(encode(d)) }
 
+// checkSize refuses a record that is too long.
 func checkSize(record []byte) ([]byte, error) {
 	if len(record) > MaxRecordBytes {
 		return nil, fmt.Errorf("document: %d bytes, want at most %d", len(record), MaxRecordBytes)
@@ -120,11 +123,11 @@
 	return record, nil
 }
 
-// Encode words a delta; one over 1 KB is compressed. It has the version's digest in
-// it, so that no byte of it can change unseen.
+// Encode encodes a delta; one over 1 KB is compressed. The version's digest is part
+// of it, so that any changed byte is detected.
 func (d *Delta) Encode() ([]byte, error) {
 	if d == nil {
-		return nil, errors.New("document: there is no delta")
+		return nil, errors.New("document: no delta")
 	}
 	record, err := d.encodeRecord()
 	if err != nil {
@@ -133,9 +136,9 @@
 	return encodeForm(formDelta, formDeltaCompressed, d.Header.Digest(), record), nil
 }
 
-// DecodeDelta reads what Encode worded. It is bounded by MostBytes unpacked. The
-// error is ErrDigest where the header is not the one that was worded; the changes
-// are checked by Apply.
+// DecodeDelta is the inverse of Encode. Its memory is bounded by MaxRecordBytes
+// uncompressed. The error is ErrDigestMismatch if the header is not the one that was
+// encoded; the changes are validated by Apply.
 func DecodeDelta(b []byte) (*Delta, error) {
 	digest, record, err := decodeForm(formDelta, formDeltaCompressed, b)
 	if err != nil {
@@ -149,36 +152,39 @@
 		return nil, fmt.Errorf("%w: the delta's header has %v, it names %v", ErrDigestMismatch, got, digest)
 	}
 	d := &Delta{Header: raw.Header, Changes: make([]Change, len(raw.Changes))}
-	var room listBudget
-	for i, words := range raw.Changes {
+	var budget listBudget
+	for i, encoded := range raw.Changes {
 		c := &d.Changes[i]
-		if err := entryDecoder().Unmarshal(words, c); err != nil {
+		if err := entryDecoder().Unmarshal(encoded, c); err != nil {
 			return nil, fmt.Errorf("document: delta: change[%d]: %w", i, err)
 		}
-		if err := room.spend(c.Service, c.Pool); err != nil {
+		if err := budget.spend(c.Service, c.Pool); err != nil {
 			return nil, fmt.Errorf("document: delta: change[%d]: %w", i, err)
 		}
 	}
 	return d, nil
 }
 
-// listBudget bounds what the lists in entries hold together: a few bytes can word many of them.
+// listBudget bounds what the lists in all entries hold together: a few bytes can
+// encode many elements.
 type listBudget struct{ contracts, pooledClasses int }
 
-func (r *listBudget) spend(s *Service, p *Pool) error {
+// spend counts the lists of one entry, and fails beyond the bound.
+func (b *listBudget) spend(s *Service, p *Pool) error {
 	if s != nil {
-		r.contracts += len(s.Contracts)
+		b.contracts += len(s.Contracts)
 	}
 	if p != nil {
-		r.pooledClasses += len(p.Classes)
+		b.pooledClasses += len(p.Classes)
 	}
-	if r.contracts > MaxContracts || r.pooledClasses > MaxContracts {
+	if b.contracts > MaxContracts || b.pooledClasses > MaxContracts {
 		return fmt.Errorf("over %d contracts, or classes in pools", MaxContracts)
 	}
 	return nil
 }
 
-// Snapshot words the whole version, compressed over 1 KB: it costs by all.
+// Snapshot encodes the whole version, compressed over 1 KB. The cost is in
+// proportion to the version.
 func (d *Document) Snapshot() ([]byte, error) {
 	record, err := checkSize(encode(&snapshot{Header: d.header, Content: d.state.sharedContent()}))
 	if err != nil {
@@ -187,8 +193,9 @@
 	return encodeForm(formSnapshot, formSnapshotCompressed, d.digest, record), nil
 }
 
-// DecodeSnapshot reads what Snapshot worded, and checks it whole: all entries as Apply does,
-// and both digests (ErrDigest). It is bounded by MostBytes unpacked.
+// DecodeSnapshot is the inverse of Snapshot, and validates the whole version: all
+// entries as Apply does, and both digests (ErrDigestMismatch). Its memory is bounded
+// by MaxRecordBytes uncompressed.
 func DecodeSnapshot(b []byte) (*Document, error) {
 	digest, record, err := decodeForm(formSnapshot, formSnapshotCompressed, b)
 	if err != nil {
@@ -226,33 +233,33 @@
 	return &Document{header: h, digest: digest, state: s}, nil
 }
 
-// changes reads the entries.
+// changes decodes the entries.
 func (r *rawContent) changes() ([]Change, error) {
 	changes := make([]Change, 0, len(r.Teams)+len(r.Services)+len(r.Pools)+1)
-	var room listBudget
-	for i, words := range r.Teams {
+	var budget listBudget
+	for i, encoded := range r.Teams {
 		t := new(Team)
-		if err := entryDecoder().Unmarshal(words, t); err != nil {
+		if err := entryDecoder().Unmarshal(encoded, t); err != nil {
 			return nil, fmt.Errorf("team[%d]: %w", i, err)
 		}
 		changes = append(changes, Change{Team: t})
 	}
-	for i, words := range r.Services {
+	for i, encoded := range r.Services {
 		s := new(Service)
-		if err := entryDecoder().Unmarshal(words, s); err != nil {
+		if err := entryDecoder().Unmarshal(encoded, s); err != nil {
 			return nil, fmt.Errorf("service[%d]: %w", i, err)
 		}
-		if err := room.spend(s, nil); err != nil {
+		if err := budget.spend(s, nil); err != nil {
 			return nil, fmt.Errorf("service[%d]: %w", i, err)
 		}
 		changes = append(changes, Change{Service: s})
 	}
-	for i, words := range r.Pools {
+	for i, encoded := range r.Pools {
 		p := new(Pool)
-		if err := entryDecoder().Unmarshal(words, p); err != nil {
+		if err := entryDecoder().Unmarshal(encoded, p); err != nil {
 			return nil, fmt.Errorf("pool[%d]: %w", i, err)
 		}
-		if err := room.spend(nil, p); err != nil {
+		if err := budget.spend(nil, p); err != nil {
 			return nil, fmt.Errorf("pool[%d]: %w", i, err)
 		}
 		changes = append(changes, Change{Pool: p})
--- a/internal/control/document/wire_test.go
+++ b/internal/control/document/wire_test.go
@@ -13,7 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// goldenDelta is a small delta with a figure in each place where the form could change.
+// goldenDelta is a small delta with a value in each field that could change the
+// form.
 func goldenDelta(t testing.TB) *Delta {
 	return mustDraft(t, small(t),
 		team("ana", 7.5),
@@ -26,11 +27,11 @@
 		Change{Drop: true, Team: &Team{Name: "idle"}})
 }
 
-// TestGolden holds the form, and with it all digests, to the bytes that are kept:
-// what one release words, the next must read, and find the same digests.
+// TestGolden compares the form, and with it all digests, with stored bytes: what one
+// release encodes, the next must decode, with the same digests.
 func TestGolden(t *testing.T) {
 	delta := goldenDelta(t)
-	words, err := delta.Encode()
+	encoded, err := delta.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,19 +43,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(words, golden) {
-		t.Errorf("the form has changed:\n%x, kept is\n%x", words, golden)
+	if !bytes.Equal(encoded, golden) {
+		t.Errorf("the form has changed:\n%x, stored is\n%x", encoded, golden)
 	}
 	read, err := DecodeDelta(golden)
 	if err != nil || !reflect.DeepEqual(read, delta) {
 		t.Errorf("%+v (%v), want %+v", read, err, delta)
 	}
 	if got, err := small(t).Apply(read); err != nil || got.Digest() != delta.Header.Digest() {
-		t.Errorf("what is kept can't be applied: %v", err)
+		t.Errorf("the stored delta can't be applied: %v", err)
 	}
 }
 
-// compressedVersion is a version whose snapshot, and a delta on it that, are compressed.
+// compressedVersion is a version, and a delta on it, that are large enough to be
+// compressed.
 func compressedVersion(t testing.TB) (*Document, *Delta) {
 	d := version(t, fleet(60, 12))
 	var changes []Change
@@ -64,13 +66,13 @@
 	return d, mustDraft(t, d, changes...)
 }
 
-// sameVersion says that nothing that can be asked of the two differs.
+// sameVersion reports whether the two are equal in all that can be queried.
 func sameVersion(a, b *Document) bool {
 	return a.Digest() == b.Digest() && a.Header() == b.Header() && reflect.DeepEqual(a.Content(), b.Content())
 }
 
-// TestFlippedDelta: whatever byte of a delta changes on its way, the outcome is an
-// error or the version that was meant, in all its parts.
+// TestCorruptDelta: whatever byte of an encoded delta changes, the result is an
+// error or the intended version in all its parts.
 func TestCorruptDelta(t *testing.T) {
 	big, bigDelta := compressedVersion(t)
 	for _, c := range []struct {
@@ -82,12 +84,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		words, err := c.delta.Encode()
-		if err != nil || words[0] != c.form {
-			t.Fatalf("form %#x, want %#x (%v)", words[0], c.form, err)
+		encoded, err := c.delta.Encode()
+		if err != nil || encoded[0] != c.form {
+			t.Fatalf("form %#x, want %#x (%v)", encoded[0], c.form, err)
 		}
-		try := func(what string, words []byte) {
-			delta, err := DecodeDelta(words)
+		check := func(what string, encoded []byte) {
+			delta, err := DecodeDelta(encoded)
 			if err != nil {
 				if delta != nil {
 					t.Errorf("%s: a delta and %v", what, err)
@@ -98,7 +100,7 @@
 				t.Errorf("%s: another version was made", what)
 			}
 		}
-		forEachCorruption(words, try)
+		forEachCorruption(encoded, check)
 	}
 }
 
@@ -109,35 +111,36 @@
 		d    *Document
 		form byte
 	}{{small(t), formSnapshot}, {big, formSnapshotCompressed}} {
-		words, err := c.d.Snapshot()
-		if err != nil || words[0] != c.form {
-			t.Fatalf("form %#x, want %#x (%v)", words[0], c.form, err)
+		encoded, err := c.d.Snapshot()
+		if err != nil || encoded[0] != c.form {
+			t.Fatalf("form %#x, want %#x (%v)", encoded[0], c.form, err)
 		}
-		forEachCorruption(words, func(what string, words []byte) {
-			if got, err := DecodeSnapshot(words); err == nil && !sameVersion(got, c.d) || (err != nil) == (got != nil) {
-				t.Errorf("%s: another version was opened (%v)", what, err)
+		forEachCorruption(encoded, func(what string, encoded []byte) {
+			if got, err := DecodeSnapshot(encoded); err == nil && !sameVersion(got, c.d) || (err != nil) == (got != nil) {
+				t.Errorf("%s: another version was decoded (%v)", what, err)
 			}
 		})
 	}
 }
 
-// forEachCorruption tries the words with each bit of each byte turned, each byte made 0
-// and 255, cut after each byte, and with one more.
-func forEachCorruption(words []byte, try func(what string, words []byte)) {
-	for i, was := range words {
-		for _, now := range []byte{was ^ 1, was ^ 2, was ^ 4, was ^ 8, was ^ 16, was ^ 32, was ^ 64, was ^ 128, 0, 255} {
-			if now != was {
-				words[i] = now
-				try(fmt.Sprintf("byte %d is %#x for %#x", i, now, was), words)
+// forEachCorruption calls check with each bit of each byte flipped, each byte set to
+// 0 and 255, the data truncated at each byte, and with one byte more.
+func forEachCorruption(encoded []byte, check func(what string, encoded []byte)) {
+	for i, original := range encoded {
+		for _, corrupt := range []byte{original ^ 1, original ^ 2, original ^ 4, original ^ 8, original ^ 16, original ^ 32, original ^ 64, original ^ 128, 0, 255} {
+			if corrupt != original {
+				encoded[i] = corrupt
+				check(fmt.Sprintf("byte %d is %#x for %#x", i, corrupt, original), encoded)
 			}
 		}
-		words[i] = was
-		try(fmt.Sprintf("cut after %d bytes", i), words[:i])
+		encoded[i] = original
+		check(fmt.Sprintf("cut after %d bytes", i), encoded[:i])
 	}
-	try("one byte more", append(bytes.Clone(words), 0))
+	check("one byte more", append(bytes.Clone(encoded), 0))
 }
 
-// TestLie: a record whose own digests agree is checked entry by entry all the same.
+// TestForgedSnapshot: a snapshot whose digests agree with each other is still
+// validated entry by entry.
 func TestForgedSnapshot(t *testing.T) {
 	d := small(t)
 	h := d.Header()
@@ -147,41 +150,41 @@
 	if _, err := DecodeSnapshot(snapshotOf(h, d.Content())); err != nil {
 		t.Fatal(err)
 	}
-	twice, other, lacking := d.Content(), d.Content(), d.Content()
-	twice.Teams = append(twice.Teams, twice.Teams[0])
+	duplicate, other, withoutOwner := d.Content(), d.Content(), d.Content()
+	duplicate.Teams = append(duplicate.Teams, duplicate.Teams[0])
 	other.Teams[0].Quota++
-	lacking.Teams = lacking.Teams[1:] // ana, who owns maps
-	nobody, numberless := h, h
-	nobody.Author, numberless.Number = "", 0
+	withoutOwner.Teams = withoutOwner.Teams[1:] // ana, who owns maps
+	noAuthor, noNumber := h, h
+	noAuthor.Author, noNumber.Number = "", 0
 	for name, c := range map[string]struct {
-		words []byte
-		want  string
-		is    error
+		encoded []byte
+		want    string
+		is      error
 	}{
-		"a team twice":        {snapshotOf(h, twice), `team "ana" is named twice`, nil},
-		"an owner less":       {snapshotOf(h, lacking), `service "maps" owner is "ana", which is no team`, nil},
-		"another content":     {snapshotOf(h, other), "document: the content is not the one that the header names", ErrDigestMismatch},
-		"nothing in it":       {snapshotOf(h, Content{}), "document: the content is not the one that the header names", ErrDigestMismatch},
-		"nobody's":            {snapshotOf(nobody, d.Content()), "author is absent", nil},
-		"no number":           {snapshotOf(numberless, d.Content()), "number is 0, want 1 to 9223372036854775807", nil},
-		"the digest of other": {append([]byte{formSnapshot}, snapshotOf(nobody, Content{})[1:]...), "document: the content is not", ErrDigestMismatch},
+		"duplicate team":  {snapshotOf(h, duplicate), `team "ana" is named twice`, nil},
+		"missing owner":   {snapshotOf(h, withoutOwner), `service "maps" owner is "ana", which is no team`, nil},
+		"another content": {snapshotOf(h, other), "document: the content is not the one that the header names", ErrDigestMismatch},
+		"empty content":   {snapshotOf(h, Content{}), "document: the content is not the one that the header names", ErrDigestMismatch},
+		"no author":       {snapshotOf(noAuthor, d.Content()), "author is absent", nil},
+		"no number":       {snapshotOf(noNumber, d.Content()), "number is 0, want 1 to 9223372036854775807", nil},
+		"another digest":  {append([]byte{formSnapshot}, snapshotOf(noAuthor, Content{})[1:]...), "document: the content is not", ErrDigestMismatch},
 	} {
-		got, err := DecodeSnapshot(c.words)
+		got, err := DecodeSnapshot(c.encoded)
 		if got != nil || err == nil || !strings.Contains(err.Error(), c.want) || c.is != nil && !errors.Is(err, c.is) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
 	}
-	words, err := goldenDelta(t).Encode()
+	encoded, err := goldenDelta(t).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	words[1] ^= 1
-	if _, err := DecodeDelta(words); !errors.Is(err, ErrDigestMismatch) {
+	encoded[1] ^= 1
+	if _, err := DecodeDelta(encoded); !errors.Is(err, ErrDigestMismatch) {
 		t.Errorf("a delta with another digest: %v", err)
 	}
 }
 
-// TestForms: a delta is no snapshot, and a snapshot no delta.
+// TestWrongForm: a delta is not decoded as a snapshot, nor a snapshot as a delta.
 func TestWrongForm(t *testing.T) {
 	snapshot, err := small(t).Snapshot()
 	if err != nil {
@@ -198,36 +201,37 @@
 		t.Error(err)
 	}
 	if _, err := (*Delta)(nil).Encode(); err == nil {
-		t.Error("no delta is worded")
+		t.Error("a nil delta is encoded")
 	}
 }
 
-// TestEmptyVersions: version 0, and one from which all was dropped, travel too.
+// TestEmptyVersions: version 0, and a version whose entries were all dropped, can be
+// encoded and decoded too.
 func TestEmptyVersions(t *testing.T) {
 	d, err := Empty().Apply(mustDraft(t, Empty(), team("a", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	none, err := d.Apply(mustDraft(t, d, Change{Drop: true, Team: &Team{Name: "a"}}))
+	emptied, err := d.Apply(mustDraft(t, d, Change{Drop: true, Team: &Team{Name: "a"}}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if none.Header().Content != Empty().Header().Content {
+	if emptied.Header().Content != Empty().Header().Content {
 		t.Error("an emptied version has another content than the empty one")
 	}
-	for _, d := range []*Document{Empty(), none} {
-		words, err := d.Snapshot()
+	for _, d := range []*Document{Empty(), emptied} {
+		encoded, err := d.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := DecodeSnapshot(words); err != nil || !sameVersion(got, d) {
+		if got, err := DecodeSnapshot(encoded); err != nil || !sameVersion(got, d) {
 			t.Errorf("version %d: %v", d.Header().Number, err)
 		}
 	}
 }
 
-// TestBombs: a few bytes that unpack into many, or that word many small things,
-// are refused before they take memory.
+// TestDecodeMemoryBounded: a few bytes that decompress into many, or that encode
+// many small elements, are refused before they take memory.
 func TestDecodeMemoryBounded(t *testing.T) {
 	h := small(t).Header()
 	list := func(n int, element byte) []byte { // of n elements of a byte each
@@ -240,43 +244,43 @@
 	repeat := func(n int, element []byte) []byte {
 		return append([]byte{0x9a, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, bytes.Repeat(element, n)...)
 	}
-	contracts := append([]byte{0xa1, 0x03, 0xa1, 0x04}, list(MaxContracts, 0xa0)...)                      // a service with 8,192 of nothing
-	classes := append([]byte{0xa1, 0x04, 0xa1, 0x02}, list(MaxContracts, 0x60)...)                        // a pool with 8,192 empty ones
-	deep := append(bytes.Repeat([]byte{0x81}, 1<<20), 0x80)                                               // lists in lists
-	zeros := compressor().EncodeAll(make([]byte, MaxRecordBytes+1), make([]byte, formPrefixBytes))        // too many
-	two := compressor().EncodeAll(make([]byte, MaxRecordBytes), compressor().EncodeAll([]byte("x"), nil)) // frames, together too many
-	for name, words := range map[string][]byte{
+	contracts := append([]byte{0xa1, 0x03, 0xa1, 0x04}, list(MaxContracts, 0xa0)...)                      // a service with 8,192 empty contracts
+	classes := append([]byte{0xa1, 0x04, 0xa1, 0x02}, list(MaxContracts, 0x60)...)                        // a pool with 8,192 empty classes
+	deep := append(bytes.Repeat([]byte{0x81}, 1<<20), 0x80)                                               // nested lists
+	zeros := compressor().EncodeAll(make([]byte, MaxRecordBytes+1), make([]byte, formPrefixBytes))        // one byte too many
+	two := compressor().EncodeAll(make([]byte, MaxRecordBytes), compressor().EncodeAll([]byte("x"), nil)) // two frames, together too many
+	for name, encoded := range map[string][]byte{
 		"over the bound":         zeros,
 		"frames over the bound":  append(make([]byte, formPrefixBytes), two...),
 		"many contracts":         deltaOf(repeat(200, contracts)),
 		"many classes":           deltaOf(repeat(1200, classes)),
 		"many changes":           deltaOf(list(maxChanges+1, 0xa0)),
-		"changes cut short":      deltaOf([]byte{0x9a, 0x00, 0x02, 0x00, 0x00, 0xa0}),
-		"deep":                   deltaOf(deep),
-		"longer than any delta":  make([]byte, formPrefixBytes+MaxRecordBytes+1),
+		"truncated changes":      deltaOf([]byte{0x9a, 0x00, 0x02, 0x00, 0x00, 0xa0}),
+		"deeply nested":          deltaOf(deep),
+		"too long":               make([]byte, formPrefixBytes+MaxRecordBytes+1),
 		"an endless list":        deltaOf([]byte{0x9f, 0xa0, 0xff}),
 		"a tag":                  deltaOf([]byte{0xc1, 0x80}),
-		"a field twice":          deltaOf(repeat(1, []byte{0xa2, 0x01, 0xf4, 0x01, 0xf4})),
+		"duplicate field":        deltaOf(repeat(1, []byte{0xa2, 0x01, 0xf4, 0x01, 0xf4})),
 		"an unknown field":       deltaOf(repeat(1, []byte{0xa1, 0x18, 0x63, 0xf4})),
-		"text that is no UTF-8":  deltaOf(repeat(1, []byte{0xa1, 0x02, 0xa1, 0x01, 0x61, 0xff})),
+		"text that is not UTF-8": deltaOf(repeat(1, []byte{0xa1, 0x02, 0xa1, 0x01, 0x61, 0xff})),
 		"a number that is large": deltaOf(repeat(1, []byte{0xa1, 0x04, 0xa1, 0x08, 0x1b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})),
 	} {
-		if words[0] == 0 {
-			words[0] = formDeltaCompressed
+		if encoded[0] == 0 {
+			encoded[0] = formDeltaCompressed
 		}
 		_, before := heapBytes()
-		delta, err := DecodeDelta(words)
+		delta, err := DecodeDelta(encoded)
 		_, after := heapBytes()
 		if err == nil || delta != nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
-		if made := after - before; made > 8*MaxRecordBytes {
-			t.Errorf("%s: %d bytes of memory for a delta that is refused (%v)", name, made, err)
+		if allocated := after - before; allocated > 8*MaxRecordBytes {
+			t.Errorf("%s: %d bytes of memory for a delta that is refused (%v)", name, allocated, err)
 		}
 	}
 }
 
-// maxContent is the longest content that passes all checks.
+// maxContent is the largest content that passes all checks.
 func maxContent() Content {
 	name := func(what string, i int) string { return fmt.Sprintf("%s%0*d", what, MaxNameBytes-len(what), i) }
 	var c Content
@@ -300,9 +304,9 @@
 	return c
 }
 
-// TestBounds: as much as the bounds allow can be held, worded and opened; one more
-// of anything is a fault that names the bound; and a delta that would not go into a
-// message is refused when it is drafted.
+// TestBounds: a version of the largest size allowed can be made, encoded and
+// decoded; one more entry of any kind is a fault that names the bound; and a delta
+// that is too long for a message is refused when it is drafted.
 func TestBounds(t *testing.T) {
 	c := maxContent()
 	s, _, err := emptyState().edit(c.changes())
@@ -312,11 +316,11 @@
 	text := strings.Repeat("x", MaxTextBytes)
 	h := Header{Number: 1 << 40, Parent: Empty().Digest(), Content: s.contentDigest, Author: text, Reason: text, Time: 1 << 50}
 	d := &Document{header: h, digest: h.Digest(), state: s}
-	words, err := d.Snapshot()
+	encoded, err := d.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := DecodeSnapshot(words); err != nil || got.Digest() != d.Digest() {
+	if got, err := DecodeSnapshot(encoded); err != nil || got.Digest() != d.Digest() {
 		t.Error(err)
 	}
 	_, err = d.Draft([]Change{team("more", 1), service("more", Contract{Class: "more"}), {Pool: &Pool{Name: "more", Classes: []string{"more"}}}}, testMeta)
@@ -337,14 +341,15 @@
 		all = append(all, Change{Service: &c.Services[i]})
 	}
 	if _, err := d.Draft(all, testMeta); err == nil || !strings.Contains(err.Error(), "want at most 16777216") {
-		t.Errorf("a delta that no message can hold: %v", err)
+		t.Errorf("a delta that is too long for a message: %v", err)
 	}
 	if _, err := Empty().Draft(make([]Change, maxChanges+1), testMeta); err == nil || err.Error() != "the delta has 147587 changes, want at most 147586" {
 		t.Errorf("a delta of too many changes: %v", err)
 	}
 }
 
-// TestRandomBytes: nothing that comes makes a panic, or a version out of nothing.
+// TestRandomBytes: no input causes a panic, or yields a version other than the one
+// it names.
 func TestRandomBytes(t *testing.T) {
 	d := small(t)
 	delta, err := goldenDelta(t).Encode()
@@ -356,66 +361,68 @@
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		words := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
-		if len(words) > 0 && rapid.Bool().Draw(t, "of a form") {
-			words[0] = rapid.SampledFrom([]byte{formDelta, formDeltaCompressed, formSnapshot, formSnapshotCompressed}).Draw(t, "form")
+		encoded := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
+		if len(encoded) > 0 && rapid.Bool().Draw(t, "of a form") {
+			encoded[0] = rapid.SampledFrom([]byte{formDelta, formDeltaCompressed, formSnapshot, formSnapshotCompressed}).Draw(t, "form")
 		}
-		// Or a valid one with a piece replaced, whose header is left as it is, so
-		// that the entries are reached.
+		// Or valid data with a part replaced and the prefix left as it is, so that
+		// the entries are reached.
 		if rapid.Bool().Draw(t, "spliced") {
-			whole := rapid.SampledFrom([][]byte{delta, snapshot}).Draw(t, "whole")
-			from := rapid.IntRange(formPrefixBytes, len(whole)).Draw(t, "from")
-			to := rapid.IntRange(from, len(whole)).Draw(t, "to")
-			words = append(append(bytes.Clone(whole[:from]), words...), whole[to:]...)
+			valid := rapid.SampledFrom([][]byte{delta, snapshot}).Draw(t, "whole")
+			from := rapid.IntRange(formPrefixBytes, len(valid)).Draw(t, "from")
+			to := rapid.IntRange(from, len(valid)).Draw(t, "to")
+			encoded = append(append(bytes.Clone(valid[:from]), encoded...), valid[to:]...)
 		}
-		checkDecoders(t, d, words)
+		checkDecoders(t, d, encoded)
 	})
 }
 
-// checkDecoders reads the words as all that they may be.
-func checkDecoders(t interface{ Fatalf(string, ...any) }, d *Document, words []byte) {
-	if delta, err := DecodeDelta(words); err == nil {
+// checkDecoders decodes the data as a delta and as a snapshot.
+func checkDecoders(t interface{ Fatalf(string, ...any) }, d *Document, encoded []byte) {
+	if delta, err := DecodeDelta(encoded); err == nil {
 		if next, err := d.Apply(delta); err == nil && (next.Header() != delta.Header || next.Digest() != delta.Header.Digest()) {
-			t.Fatalf("%x makes another version than it names", words)
+			t.Fatalf("%x makes another version than it names", encoded)
 		}
 	}
-	if got, err := DecodeSnapshot(words); err == nil {
+	if got, err := DecodeSnapshot(encoded); err == nil {
 		if again, err := got.Snapshot(); err != nil {
-			t.Fatalf("%x is opened and can't be worded again: %v", words, err)
+			t.Fatalf("%x is decoded and can't be encoded again: %v", encoded, err)
 		} else if other, err := DecodeSnapshot(again); err != nil || !sameVersion(got, other) {
-			t.Fatalf("%x is opened, and as it is worded again it is another: %v", words, err)
+			t.Fatalf("%x is decoded, and another version after it was encoded again: %v", encoded, err)
 		}
 	}
 }
 
+// FuzzBytes is TestRandomBytes with the fuzzer's inputs.
 func FuzzBytes(f *testing.F) {
 	d := small(f)
 	for _, delta := range []*Delta{goldenDelta(f), mustDraft(f, d, team("x", 1))} {
-		words, err := delta.Encode()
+		encoded, err := delta.Encode()
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(words)
+		f.Add(encoded)
 	}
 	big, _ := compressedVersion(f)
 	for _, d := range []*Document{Empty(), d, big} {
-		words, err := d.Snapshot()
+		encoded, err := d.Snapshot()
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(words)
+		f.Add(encoded)
 	}
-	f.Fuzz(func(t *testing.T, words []byte) { checkDecoders(t, d, words) })
+	f.Fuzz(func(t *testing.T, encoded []byte) { checkDecoders(t, d, encoded) })
 }
 
-// TestHandMade: a delta made by hand, with whatever in it, is worded or refused.
+// TestUncheckedDelta: a delta that was not made by Draft is encoded or refused, and
+// never applied.
 func TestUncheckedDelta(t *testing.T) {
 	for _, delta := range []*Delta{{}, {Changes: []Change{{}}}, {Changes: []Change{{Team: &Team{Name: "\xff"}, Pool: &Pool{}, Service: &Service{}}}}} {
-		if words, err := delta.Encode(); err == nil {
-			checkDecoders(t, Empty(), words)
+		if encoded, err := delta.Encode(); err == nil {
+			checkDecoders(t, Empty(), encoded)
 		}
 		if _, err := Empty().Apply(delta); err == nil {
-			t.Errorf("%+v is taken", delta)
+			t.Errorf("%+v is applied", delta)
 		}
 	}
 }
--- a/internal/control/protocol/records.go
+++ b/internal/control/protocol/records.go
@@ -8,17 +8,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// recordOverheadBytes is what a record holds at most besides one message of MostMessage bytes.
+// recordOverheadBytes is what a record may have besides MaxMessageBytes of delta or
+// snapshot.
 const recordOverheadBytes = 4 << 10
 
-// maxIdleBufferBytes is the most bytes that a Reader keeps room for between two records:
-// one that has read a snapshot gives its room back.
+// maxIdleBufferBytes bounds the buffer that a Reader keeps between two records: one
+// that has read a snapshot releases its buffer.
 const maxIdleBufferBytes = 32 << 10
 
-// ErrTooLong is returned for a record of over MostMessage bytes.
+// ErrTooLong is returned for a record over MaxMessageBytes.
 var ErrTooLong = errors.New("protocol: a record is too long")
 
-// decoder guards against records that would take more room than their bytes.
+// decoder refuses records that would take more memory than their bytes.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 4, MaxMapPairs: 64, MaxArrayElements: 64, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
@@ -27,25 +28,25 @@
 	return m
 }()
 
-// Reader reads a sequence of CBOR records. Its room grows with the bytes that
-// have come, up to MostMessage, never by what a record claims to hold. It
-// belongs to one goroutine.
+// Reader reads a sequence of CBOR records. Its buffer grows with the bytes received,
+// up to MaxMessageBytes, never by the length that a record claims. It belongs to one
+// goroutine.
 type Reader struct {
 	from     boundedReader
 	dec      *cbor.Decoder
 	consumed int // bytes of records that the decoder has returned
 }
 
-// NewReader returns a Reader of what r carries.
+// NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader {
 	s := &Reader{from: boundedReader{r: r}}
 	s.dec = decoder.NewDecoder(&s.from)
 	return s
 }
 
-// Read reads the next record into *record. It returns io.EOF where the sequence
-// ends between two records, io.ErrUnexpectedEOF where it ends within one, and
-// ErrTooLong, after which nothing more can be read.
+// Read reads the next record into *record. It returns io.EOF if the sequence ends
+// between two records, io.ErrUnexpectedEOF if it ends within one, and ErrTooLong,
+// after which nothing more can be read.
 func (s *Reader) Read(record any) error {
 	s.from.left = MaxMessageBytes + recordOverheadBytes
 	if err := s.dec.Decode(record); err != nil {
@@ -68,7 +69,8 @@
 	return nil
 }
 
-// boundedReader reads at most left bytes more; ahead comes first, and is not counted again.
+// boundedReader reads at most left bytes more; ahead comes first, and does not count
+// again.
 type boundedReader struct {
 	r     io.Reader
 	ahead []byte
@@ -91,14 +93,15 @@
 	return n, err
 }
 
-// Writer writes a sequence of CBOR records, each with one call of the writer
-// below. It belongs to one goroutine.
+// Writer writes a sequence of CBOR records, each with one call of the underlying
+// writer. It belongs to one goroutine.
 type Writer struct{ to io.Writer }
 
 // NewWriter returns a Writer to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{w} }
 
-// Write writes one record. A record that a Reader would not take is not begun.
+// Write writes one record. Nothing is written of a record that a Reader would
+// refuse.
 func (s *Writer) Write(record any) error {
 	b, err := cbor.Marshal(record)
 	if err != nil {
--- a/internal/control/protocol/records_test.go
+++ b/internal/control/protocol/records_test.go
@@ -14,7 +14,8 @@
 	"kiteslip/internal/control/document"
 )
 
-// Records come out as they went in, however the stream is cut, large ones among small ones.
+// TestRecords: records are read as they were written, however the stream is split,
+// large ones among small ones.
 func TestRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var in []PublisherMessage
@@ -56,20 +57,21 @@
 	})
 }
 
-// A sequence that ends within a record says so, wherever that is.
+// TestRecordTruncated: a sequence that ends within a record is reported as such,
+// wherever it ends.
 func TestRecordTruncated(t *testing.T) {
-	whole, err := cbor.Marshal(FollowerMessage{Hello: &Hello{Name: "a", Region: "b", Number: 3, Digest: document.Digest{9}}})
+	encoded, err := cbor.Marshal(FollowerMessage{Hello: &Hello{Name: "a", Region: "b", Number: 3, Digest: document.Digest{9}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := 1; n < len(whole); n++ {
-		if err := NewReader(bytes.NewReader(whole[:n])).Read(new(FollowerMessage)); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%d bytes of %d: %v", n, len(whole), err)
+	for n := 1; n < len(encoded); n++ {
+		if err := NewReader(bytes.NewReader(encoded[:n])).Read(new(FollowerMessage)); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("%d bytes of %d: %v", n, len(encoded), err)
 		}
 	}
 }
 
-// endless is a stream of one byte string that claims to be far longer than any record may be.
+// endless is a stream of one byte string whose claimed length is far over the bound.
 type endless struct {
 	head []byte
 	read int
@@ -84,7 +86,8 @@
 	return n, nil
 }
 
-// The bound holds against a record that claims little and against one that claims much; no more than it is read.
+// TestRecordBound: the bound holds for a record that claims little and for one that
+// claims much, and no more than the bound is read.
 func TestRecordBound(t *testing.T) {
 	huge := &endless{head: []byte{0xa1, 0x02, 0x5b, 0, 0, 1, 0, 0, 0, 0, 0}} // {2: a byte string of 2^40 bytes
 	if err := NewReader(huge).Read(new(PublisherMessage)); !errors.Is(err, ErrTooLong) {
@@ -96,10 +99,10 @@
 	if err := NewWriter(io.Discard).Write(&PublisherMessage{Snapshot: make([]byte, MaxMessageBytes+recordOverheadBytes)}); !errors.Is(err, ErrTooLong) {
 		t.Errorf("%v", err)
 	}
-	most := &PublisherMessage{Snapshot: make([]byte, MaxMessageBytes)}
+	largest := &PublisherMessage{Snapshot: make([]byte, MaxMessageBytes)}
 	var wire bytes.Buffer
 	for range 2 {
-		if err := NewWriter(&wire).Write(most); err != nil {
+		if err := NewWriter(&wire).Write(largest); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -112,7 +115,7 @@
 	}
 }
 
-// What is no record is an error, never a panic.
+// TestRecordInvalid: invalid input causes an error, never a panic.
 func TestRecordInvalid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewReader(bytes.NewReader(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")))
