--- a/internal/control/document/state.go
+++ b/internal/control/document/state.go
@@ -25,7 +25,7 @@
 //	p pool                            *Pool
 type state struct {
 	tree                                             *iradix.Tree[any]
-	teams, services, contracts, pools, pooledClasses int // pooled: classes named by pools
+	teams, services, contracts, pools, pooledClasses int // pooledClasses: named by pools
 	pages                                            [pageCount]*page
 	contentDigest                                    Digest
 }
--- a/internal/control/publish/publish_test.go
+++ b/internal/control/publish/publish_test.go
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestDamageIsNamed: a log that lacks its end, or that was modified, is refused, and
+// TestCorruptLogRefused: a log that lacks its end, or that was modified, is refused, and
 // the error names the version.
-func TestDamageIsNamed(t *testing.T) {
+func TestCorruptLogRefused(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
 		damage     func(db *pebble.DB) error
--- a/internal/control/publish/serve.go
+++ b/internal/control/publish/serve.go
@@ -172,7 +172,7 @@
 		return
 	}
 	if err != nil {
-		p.respondErr(w, err)
+		p.respondForError(w, err)
 		return
 	}
 	// Another version may have come into force since: the answer is the one published
@@ -207,8 +207,8 @@
 	{ErrBusy, protocol.CodeBusy, http.StatusServiceUnavailable},
 }
 
-// respondErr answers with the code and status of err.
-func (p *Publisher) respondErr(w http.ResponseWriter, err error) {
+// respondForError answers with the code and status of err.
+func (p *Publisher) respondForError(w http.ResponseWriter, err error) {
 	for _, c := range errorCodes {
 		if errors.Is(err, c.err) {
 			text := strings.TrimPrefix(err.Error(), c.err.Error()+":\n")
--- a/internal/control/publish/serve_test.go
+++ b/internal/control/publish/serve_test.go
@@ -227,9 +227,9 @@
 	connectFollower(t, m.Address, protocol.Hello{}).applyUpTo(document.Empty(), 1)
 }
 
-// TestSilentFollowerIsCutOff: a follower that reads what it is sent and never
+// TestSilentFollowerDisconnected: a follower that reads what it is sent and never
 // acknowledges it is disconnected; one that acknowledges stays.
-func TestSilentFollowerIsCutOff(t *testing.T) {
+func TestSilentFollowerDisconnected(t *testing.T) {
 	m := serve(t, Settings{}, func(p *Publisher) { p.ackTimeout = 100 * time.Millisecond })
 	m.versionsUpTo(t, 1)
 	good := connectFollower(t, m.Address, protocol.Hello{Name: "good"})
