--- a/internal/control/document/bench_test.go
+++ b/internal/control/document/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The size that the figures are for.
+// The size of the fleet that the benchmarks are for.
 const (
 	fleetTeams    = 21_000
 	fleetServices = 2_800
@@ -38,7 +38,7 @@
 func version(t testing.TB, c Content) *Document {
 	t.Helper()
 	d := Empty()
-	delta, err := d.Draft(d.Diff(&c), by)
+	delta, err := d.Draft(d.Diff(&c), testMeta)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,19 +54,19 @@
 	var changes []Change
 	for i := range n {
 		name := fmt.Sprintf("team-%05d", i*(fleetTeams/n))
-		now, _ := d.Team(name)
-		changes = append(changes, Change{Team: &Team{Name: name, Quota: now.Quota + 1}})
+		team, _ := d.Team(name)
+		changes = append(changes, Change{Team: &Team{Name: name, Quota: team.Quota + 1}})
 	}
-	delta, err := d.Draft(changes, by)
+	delta, err := d.Draft(changes, testMeta)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return delta
 }
 
-// processor returns what the process has used of processors, in nanoseconds: on a
-// busy machine that says more than the time that passed.
-func processor() float64 {
+// cpuTime returns the processor time of the process, in nanoseconds: on a busy
+// machine that is a better measure than elapsed time.
+func cpuTime() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -74,23 +74,24 @@
 	return float64(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// loop runs f, with its garbage collected, and reports the processor time as well.
-func loop(b *testing.B, f func() error) {
+// benchmarkLoop runs f after a garbage collection, and reports the processor time as
+// well.
+func benchmarkLoop(b *testing.B, f func() error) {
 	runtime.GC()
 	b.ReportAllocs()
-	start := processor()
+	start := cpuTime()
 	for b.Loop() {
 		if err := f(); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric((processor()-start)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric((cpuTime()-start)/float64(b.N), "cpu-ns/op")
 }
 
 func benchmarkApply(b *testing.B, n int) {
 	d := version(b, fleet(fleetTeams, fleetServices))
 	delta := step(b, d, n)
-	loop(b, func() error { _, err := d.Apply(delta); return err })
+	benchmarkLoop(b, func() error { _, err := d.Apply(delta); return err })
 }
 
 func BenchmarkApplyOne(b *testing.B)  { benchmarkApply(b, 1) }
@@ -98,54 +99,56 @@
 
 func BenchmarkDecodeOne(b *testing.B) {
 	d := version(b, fleet(fleetTeams, fleetServices))
-	words, err := step(b, d, 1).Encode()
+	encoded, err := step(b, d, 1).Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
-	loop(b, func() error { _, err := DecodeDelta(words); return err })
-	b.ReportMetric(float64(len(words)), "bytes")
+	benchmarkLoop(b, func() error { _, err := DecodeDelta(encoded); return err })
+	b.ReportMetric(float64(len(encoded)), "bytes")
 }
 
 func BenchmarkSnapshot(b *testing.B) {
 	d := version(b, fleet(fleetTeams, fleetServices))
 	size := 0
-	loop(b, func() error {
-		words, err := d.Snapshot()
-		size = len(words)
+	benchmarkLoop(b, func() error {
+		encoded, err := d.Snapshot()
+		size = len(encoded)
 		return err
 	})
 	b.ReportMetric(float64(size), "bytes")
-	b.ReportMetric(float64(len(encode(&snapshot{d.header, d.state.contents()}))), "bytes-unpacked")
+	b.ReportMetric(float64(len(encode(&snapshot{d.header, d.state.sharedContent()}))), "bytes-unpacked")
 }
 
 func BenchmarkOpen(b *testing.B) {
-	words, err := version(b, fleet(fleetTeams, fleetServices)).Snapshot()
+	encoded, err := version(b, fleet(fleetTeams, fleetServices)).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
-	loop(b, func() error { _, err := DecodeSnapshot(words); return err })
+	benchmarkLoop(b, func() error { _, err := DecodeSnapshot(encoded); return err })
 }
 
-func heap() (live, total uint64) {
+// heapBytes returns the bytes in use after a garbage collection, and all bytes ever
+// allocated.
+func heapBytes() (live, total uint64) {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc, m.TotalAlloc
 }
 
-// TestMemory holds a version of the target's size, and what a change of one team
-// takes, to their bounds.
+// TestMemory bounds the memory of a version of the fleet's size, and the garbage
+// that a change of one team makes.
 func TestMemory(t *testing.T) {
-	words, err := version(t, fleet(fleetTeams, fleetServices)).Snapshot()
+	encoded, err := version(t, fleet(fleetTeams, fleetServices)).Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, _ := heap()
-	d, err := DecodeSnapshot(words)
+	before, _ := heapBytes()
+	d, err := DecodeSnapshot(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	after, total := heap()
+	after, total := heapBytes()
 	if size := int64(after) - int64(before); size > 20<<20 {
 		t.Errorf("a document takes %d bytes, want at most %d", size, 20<<20)
 	} else {
@@ -159,11 +162,11 @@
 		}
 		d = next
 	}
-	_, made := heap()
-	if each := (made - total) / rounds; each > 80<<10 {
-		t.Errorf("Draft and Apply of one team make %d bytes of garbage, want at most %d", each, 80<<10)
+	_, allocated := heapBytes()
+	if garbage := (allocated - total) / rounds; garbage > 80<<10 {
+		t.Errorf("Draft and Apply of one team make %d bytes of garbage, want at most %d", garbage, 80<<10)
 	} else {
-		t.Logf("Draft and Apply of one team make %d bytes of garbage", each)
+		t.Logf("Draft and Apply of one team make %d bytes of garbage", garbage)
 	}
 	runtime.KeepAlive(d)
 }
--- a/internal/control/document/content.go
+++ b/internal/control/document/content.go
@@ -6,27 +6,28 @@
 	"strings"
 )
 
-// plain is v, and 0 for -0, so that equal figures have equal words.
-func plain(v float64) float64 {
+// normalizeZero is v, but 0 for -0, so that equal numbers have equal encodings.
+func normalizeZero(v float64) float64 {
 	if v == 0 {
 		return 0
 	}
 	return v
 }
 
-func plainPointer(v *float64) *float64 {
+// normalizeZeroPointer is a copy of v with 0 for -0, nil for nil.
+func normalizeZeroPointer(v *float64) *float64 {
 	if v == nil {
 		return nil
 	}
-	w := plain(*v)
+	w := normalizeZero(*v)
 	return &w
 }
 
-// The copies share no memory with what they are of: neither what a caller changes
-// later, nor the text of a file that its strings lie in.
+// The copies share no memory with their originals: neither with what a caller may
+// change later, nor with the text of a file that its strings are part of.
 
 func cloneTeam(t *Team) *Team {
-	return &Team{Name: strings.Clone(t.Name), Quota: plain(t.Quota)}
+	return &Team{Name: strings.Clone(t.Name), Quota: normalizeZero(t.Quota)}
 }
 
 func cloneService(s *Service) *Service {
@@ -35,9 +36,9 @@
 	for i := range c.Contracts {
 		t := &c.Contracts[i]
 		t.Class, t.Path, t.Effect = strings.Clone(t.Class), strings.Clone(t.Path), strings.Clone(t.Effect)
-		t.TargetTimeMS, t.DeadlineMS, t.WindowMS = plainPointer(t.TargetTimeMS), plainPointer(t.DeadlineMS), plainPointer(t.WindowMS)
-		t.Worth, t.LateWorth, t.SkipWorth = plainPointer(t.Worth), plainPointer(t.LateWorth), plainPointer(t.SkipWorth)
-		t.RequestMemoryKB = plain(t.RequestMemoryKB)
+		t.TargetTimeMS, t.DeadlineMS, t.WindowMS = normalizeZeroPointer(t.TargetTimeMS), normalizeZeroPointer(t.DeadlineMS), normalizeZeroPointer(t.WindowMS)
+		t.Worth, t.LateWorth, t.SkipWorth = normalizeZeroPointer(t.Worth), normalizeZeroPointer(t.LateWorth), normalizeZeroPointer(t.SkipWorth)
+		t.RequestMemoryKB = normalizeZero(t.RequestMemoryKB)
 		if t.CallsDownstream != nil {
 			calls := *t.CallsDownstream
 			t.CallsDownstream = &calls
@@ -52,14 +53,15 @@
 	for i := range c.Classes {
 		c.Classes[i] = strings.Clone(c.Classes[i])
 	}
-	c.Share, c.MaxShare, c.Reserve = plain(p.Share), plain(p.MaxShare), plain(p.Reserve)
-	c.Memory, c.MaxMemoryShare = plain(p.Memory), plain(p.MaxMemoryShare)
+	c.Share, c.MaxShare, c.Reserve = normalizeZero(p.Share), normalizeZero(p.MaxShare), normalizeZero(p.Reserve)
+	c.Memory, c.MaxMemoryShare = normalizeZero(p.Memory), normalizeZero(p.MaxMemoryShare)
 	return &c
 }
 
-// Content returns all that the version holds, as a copy: it costs by all.
+// Content returns a copy of all that the version holds. The cost is in proportion to
+// the version.
 func (d *Document) Content() Content {
-	c := d.state.contents()
+	c := d.state.sharedContent()
 	for i := range c.Services {
 		c.Services[i] = *cloneService(&c.Services[i])
 	}
@@ -69,10 +71,10 @@
 	return c
 }
 
-// contents is Content that shares memory with the state.
-func (s *state) contents() Content {
+// sharedContent is Content that shares memory with the state.
+func (s *state) sharedContent() Content {
 	c := Content{Teams: make([]Team, 0, s.teams), Services: make([]Service, 0, s.services)}
-	each(s.tree.Root(), []byte{inEntries}, func(_ []byte, value any) {
+	forEach(s.tree.Root(), []byte{prefixEntries}, func(_ []byte, value any) {
 		switch v := value.(type) {
 		case *Team:
 			c.Teams = append(c.Teams, *v)
@@ -90,7 +92,7 @@
 	return c
 }
 
-// changes sets all of a content.
+// changes are the changes that set all of a content.
 func (c *Content) changes() []Change {
 	all := make([]Change, 0, len(c.Teams)+len(c.Services)+len(c.Pools)+1)
 	for i := range c.Teams {
@@ -105,10 +107,10 @@
 	return append(all, Change{CheapReserve: &c.CheapReserve})
 }
 
-// Diff returns the changes that make what d holds into next: teams, services,
-// pools and the reserve, each kind by name, what is dropped of a kind first, but
-// teams last. It costs by all. What next names twice comes twice, and is a fault
-// to Draft. No changes: next is what d holds.
+// Diff returns the changes that turn the content of d into next: teams, services,
+// pools and the reserve, each kind by name, drops of a kind first, but of teams
+// last. The cost is in proportion to the version. What next names twice is returned
+// twice, and is a fault in Draft. No changes: next is the content of d.
 func (d *Document) Diff(next *Content) []Change {
 	if next == nil {
 		return nil
@@ -122,27 +124,27 @@
 	for i := range all {
 		e, err := entryOf(&all[i])
 		if err != nil {
-			continue // each has one entry
+			continue // impossible: each change has one entry
 		}
 		seen[id{e.kind, e.name}]++
 		entries = append(entries, e)
 	}
-	kept := entries[:0]
+	result := entries[:0]
 	for _, e := range entries {
-		now, ok := find[any](d.state, e.kind, e.name)
+		current, ok := find[any](d.state, e.kind, e.name)
 		if e.kind == kindReserve && !ok {
-			now, ok = new(float64), true
+			current, ok = new(float64), true
 		}
-		if seen[id{e.kind, e.name}] > 1 || !ok || !reflect.DeepEqual(now, e.value) {
-			kept = append(kept, e)
+		if seen[id{e.kind, e.name}] > 1 || !ok || !reflect.DeepEqual(current, e.value) {
+			result = append(result, e)
 		}
 	}
 	drop := func(k kind, name string) {
 		if seen[id{k, name}] == 0 {
-			kept = append(kept, entry{kind: k, name: name, drop: true})
+			result = append(result, entry{kind: k, name: name, drop: true})
 		}
 	}
-	each(d.state.tree.Root(), []byte{inEntries}, func(_ []byte, value any) {
+	forEach(d.state.tree.Root(), []byte{prefixEntries}, func(_ []byte, value any) {
 		switch v := value.(type) {
 		case *Team:
 			drop(kindTeam, v.Name)
@@ -152,10 +154,10 @@
 			drop(kindPool, v.Name)
 		}
 	})
-	slices.SortStableFunc(kept, byRank)
+	slices.SortStableFunc(result, byRank)
 	var changes []Change
-	for i := range kept {
-		changes = append(changes, kept[i].change())
+	for i := range result {
+		changes = append(changes, result[i].change())
 	}
 	return changes
 }
--- a/internal/control/document/edit.go
+++ b/internal/control/document/edit.go
@@ -10,19 +10,20 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// mostChanges bounds a delta: all that may be there dropped, and as much set.
-const mostChanges = 2 * (MaxTeams + MaxServices + MaxPools + 1)
+// maxChanges bounds a delta: all entries that can exist dropped, and as many set.
+const maxChanges = 2 * (MaxTeams + MaxServices + MaxPools + 1)
 
-// entry is a Change as it is worked on.
+// entry is a Change in the form in which it is processed.
 type entry struct {
 	kind   kind
 	name   string
 	drop   bool
-	value  any // what it is set to, a copy of its own: *Team, *Service, *Pool or *float64
+	value  any // the new value, a copy: *Team, *Service, *Pool or *float64
 	bucket int
-	skip   bool // nothing is to be done: it is as it was, or at fault
+	skip   bool // nothing to do: the entry is unchanged, or has a fault
 }
 
+// title names the entry in a fault.
 func (e *entry) title() string {
 	if e.kind == kindReserve {
 		return "reserve"
@@ -30,7 +31,7 @@
 	return e.kind.String() + " " + quote(e.name)
 }
 
-// change is the entry as a delta has it.
+// change is the entry as a Change.
 func (e *entry) change() Change {
 	switch v := e.value.(type) {
 	case *Team:
@@ -57,7 +58,7 @@
 }
 
 // rank is the order of the kinds in a delta. Teams come before the services that
-// they own and go after them.
+// they own, and are dropped after them.
 func (e *entry) rank() int {
 	switch {
 	case e.kind == kindTeam && e.drop:
@@ -76,11 +77,12 @@
 	return 5
 }
 
+// byRank orders entries by rank and name.
 func byRank(a, b entry) int {
 	return cmp.Or(cmp.Compare(a.rank(), b.rank()), strings.Compare(a.name, b.name))
 }
 
-// entryOf reads a Change and copies what it sets.
+// entryOf converts a Change, and copies its value.
 func entryOf(c *Change) (entry, error) {
 	e, set := entry{drop: c.Drop}, 0
 	if c.Team != nil {
@@ -93,7 +95,7 @@
 		e.kind, e.name, e.value, set = kindPool, c.Pool.Name, clonePool(c.Pool), set+1
 	}
 	if c.CheapReserve != nil {
-		v := plain(*c.CheapReserve)
+		v := normalizeZero(*c.CheapReserve)
 		e.kind, e.name, e.value, set = kindReserve, "", &v, set+1
 	}
 	if set != 1 {
@@ -106,38 +108,39 @@
 	return e, nil
 }
 
-// edit returns the state that the changes make of s, and the changes that it
-// took, in order. s stays as it is. The outcome is checked as a whole: a class may
-// go from one service to another in one delta.
+// edit returns the state that the changes make of s, and the changes that have an
+// effect, in order. s stays as it is. The result is validated as a whole: a class
+// may move from one service to another in one delta.
 func (s *state) edit(changes []Change) (*state, []Change, error) {
 	var f faults
 	if len(changes) == 0 {
 		return nil, nil, errors.New("the delta is empty")
 	}
-	if len(changes) > mostChanges {
-		f.add("the delta has %d changes, want at most %d", len(changes), mostChanges)
+	if len(changes) > maxChanges {
+		f.add("the delta has %d changes, want at most %d", len(changes), maxChanges)
 		return nil, nil, f.join()
 	}
 	entries := readChanges(changes, &f)
 	next := *s
 	txn := s.tree.Txn()
 	for i := range entries {
-		giveWay(i)
-		next.takeOut(txn, &entries[i], &f)
+		maybeYield(i)
+		next.removeOld(txn, &entries[i], &f)
 	}
-	// The tree copies a node once for a run of changes near it, not once for each,
-	// as long as they are not too many: so the entries go in by bucket.
+	// The tree copies a node once for consecutive changes near it, not once for each
+	// change, as long as they are not too many: so the entries are inserted by
+	// bucket.
 	for n, i := range byBucket(entries) {
-		giveWay(n)
-		entries[i].putIn(txn)
+		maybeYield(n)
+		entries[i].insert(txn)
 	}
 	for i := range entries {
-		giveWay(i)
-		if e := &entries[i]; e.kept() {
-			next.index(txn, e, e.value, &f)
+		maybeYield(i)
+		if e := &entries[i]; e.isInserted() {
+			next.updateIndexes(txn, e, e.value, &f)
 		}
 	}
-	next.check(txn.Root(), entries, &f)
+	next.checkReferences(txn.Root(), entries, &f)
 	if len(f) > 0 {
 		return nil, nil, f.join()
 	}
@@ -151,11 +154,12 @@
 		return nil, nil, errors.New("the delta changes nothing")
 	}
 	next.tree = txn.CommitOnly()
-	next.digestAgain(touched)
+	next.rehash(touched)
 	return &next, effective, nil
 }
 
-// readChanges checks each change by itself. What has no place in a tree is left out.
+// readChanges validates each change by itself. What cannot be in the tree is left
+// out.
 func readChanges(changes []Change, f *faults) []entry {
 	type id struct {
 		kind kind
@@ -163,13 +167,13 @@
 	}
 	entries, seen := make([]entry, 0, len(changes)), make(map[id]bool, len(changes))
 	for i := range changes {
-		giveWay(i)
+		maybeYield(i)
 		e, err := entryOf(&changes[i])
 		if err != nil {
 			f.add("change[%d] %w", i, err)
 			continue
 		}
-		if e.kind != kindReserve && !(about{f: f, entry: &e}).text("name", e.name, MaxNameBytes) {
+		if e.kind != kindReserve && !(validator{f: f, entry: &e}).requiredText("name", e.name, MaxNameBytes) {
 			continue
 		}
 		if seen[id{e.kind, e.name}] {
@@ -182,13 +186,13 @@
 	}
 	slices.SortStableFunc(entries, byRank)
 	for i := range entries {
-		giveWay(i)
-		about{f: f, entry: &entries[i]}.value()
+		maybeYield(i)
+		validator{f: f, entry: &entries[i]}.checkValue()
 	}
 	return entries
 }
 
-// byBucket returns the places of the entries in the order of the tree's keys.
+// byBucket returns the indexes of the entries in the order of the tree's keys.
 func byBucket(entries []entry) []int {
 	order := make([]int, len(entries))
 	for i := range order {
@@ -201,59 +205,61 @@
 	return order
 }
 
-// zero says that the entry is a reserve of 0, which is not kept.
-func (e *entry) zero() bool {
+// isZeroReserve reports whether the entry is a reserve of 0, which is not stored.
+func (e *entry) isZeroReserve() bool {
 	v, ok := e.value.(*float64)
 	return ok && *v == 0
 }
 
-// kept says that the entry is to be in the tree and is not there as it is.
-func (e *entry) kept() bool { return !e.skip && !e.drop && !e.zero() }
+// isInserted reports whether the entry must be inserted into the tree.
+func (e *entry) isInserted() bool { return !e.skip && !e.drop && !e.isZeroReserve() }
 
-// takeOut looks up what the entry is now, and takes it, or what the indexes say of it, out.
-func (s *state) takeOut(txn *iradix.Txn[any], e *entry, f *faults) {
+// removeOld looks up the previous value of the entry, and removes it, or its index
+// entries.
+func (s *state) removeOld(txn *iradix.Txn[any], e *entry, f *faults) {
 	key := entryKey(e.kind, e.name, e.bucket)
-	old, there := txn.Get(key)
+	old, exists := txn.Get(key)
 	switch {
-	case e.drop && !there:
+	case e.drop && !exists:
 		f.add("%s is not there, and cannot be dropped", e.title())
 		e.skip = true
 	case e.drop:
-	case there:
+	case exists:
 		e.skip = reflect.DeepEqual(old, e.value)
 	default:
-		e.skip = e.zero()
+		e.skip = e.isZeroReserve()
 	}
-	if e.skip || !there {
+	if e.skip || !exists {
 		return
 	}
-	s.index(txn, nil, old, nil)
-	if !e.kept() {
+	s.updateIndexes(txn, nil, old, nil)
+	if !e.isInserted() {
 		txn.Delete(key)
 	}
 }
 
-func (e *entry) putIn(txn *iradix.Txn[any]) {
-	if e.kept() {
+// insert inserts the entry into the tree if it must be there.
+func (e *entry) insert(txn *iradix.Txn[any]) {
+	if e.isInserted() {
 		txn.Insert(entryKey(e.kind, e.name, e.bucket), e.value)
 	}
 }
 
-// index enters the value of e in the indexes and sums, or, where e is nil, takes a
-// value out. A name that another entry has is a fault.
-func (s *state) index(txn *iradix.Txn[any], e *entry, value any, f *faults) {
+// updateIndexes adds the value of e to the indexes and sums, or, if e is nil,
+// removes a value. A name that another entry has is a fault.
+func (s *state) updateIndexes(txn *iradix.Txn[any], e *entry, value any, f *faults) {
 	n := 1
 	if e == nil {
 		n = -1
 	}
-	own := func(a about, index byte, key, name, field, other string) {
+	addUnique := func(v validator, index byte, key, name, field, other string) {
 		switch {
-		case key == "" || len(key) > MaxNameBytes: // named as a fault already, or not there
+		case key == "" || len(key) > MaxNameBytes: // already reported as a fault, or absent
 		case e == nil:
 			txn.Delete(indexKey(index, key))
 		default:
 			if old, taken := txn.Get(indexKey(index, key)); taken {
-				a.add(field, "is %s, want one of its own: %s %s has it", quote(key), other, quote(old.(string)))
+				v.add(field, "is %s, want one of its own: %s %s has it", quote(key), other, quote(old.(string)))
 				return
 			}
 			txn.Insert(indexKey(index, key), name)
@@ -264,11 +270,11 @@
 		s.teams += n
 	case *Service:
 		s.services += n
-		s.routes += n * len(v.Contracts)
+		s.contracts += n * len(v.Contracts)
 		for i := range v.Contracts {
-			a := about{f, e, &v.Contracts[i], i}
-			own(a, inClasses, a.contract.Class, v.Name, "class", "service")
-			own(a, inPaths, a.contract.Path, v.Name, "path", "service")
+			cv := validator{f, e, &v.Contracts[i], i}
+			addUnique(cv, prefixClasses, cv.contract.Class, v.Name, "class", "service")
+			addUnique(cv, prefixPaths, cv.contract.Path, v.Name, "path", "service")
 		}
 		switch key := ownerKey(v.Owner, v.Name); {
 		case v.Owner == "" || len(v.Owner) > MaxNameBytes:
@@ -279,28 +285,28 @@
 		}
 	case *Pool:
 		s.pools += n
-		s.pooled += n * len(v.Classes)
+		s.pooledClasses += n * len(v.Classes)
 		for _, class := range v.Classes {
-			own(about{f: f, entry: e}, inPooled, class, v.Name, "class", "pool")
+			addUnique(validator{f: f, entry: e}, prefixPooled, class, v.Name, "class", "pool")
 		}
 		if e == nil {
-			txn.Delete(indexKey(inPools, v.Name))
+			txn.Delete(indexKey(prefixPools, v.Name))
 		} else {
-			txn.Insert(indexKey(inPools, v.Name), v)
+			txn.Insert(indexKey(prefixPools, v.Name), v)
 		}
 	}
 }
 
-// check looks at the outcome: who refers to whom, and the sums.
-func (s *state) check(root *iradix.Node[any], entries []entry, f *faults) {
-	pools := false
+// checkReferences validates the result: references between entries, and the sums.
+func (s *state) checkReferences(root *iradix.Node[any], entries []entry, f *faults) {
+	poolsChanged := false
 	for i := range entries {
-		giveWay(i)
+		maybeYield(i)
 		e := &entries[i]
 		switch {
 		case e.kind == kindTeam && e.drop:
 			first, n := "", 0
-			each(root, ownerKey(e.name, ""), func(_ []byte, service any) {
+			forEach(root, ownerKey(e.name, ""), func(_ []byte, service any) {
 				if n++; n == 1 {
 					first = service.(string)
 				}
@@ -317,36 +323,36 @@
 				f.add("%s owner is %s, which is no team", e.title(), quote(owner))
 			}
 		case e.kind == kindPool, e.kind == kindReserve:
-			pools = true
+			poolsChanged = true
 		}
 	}
-	bound := func(what string, n, most int) {
-		if n > most {
-			f.add("there are %d %s, want at most %d", n, what, most)
+	checkBound := func(what string, n, limit int) {
+		if n > limit {
+			f.add("there are %d %s, want at most %d", n, what, limit)
 		}
 	}
-	bound("teams", s.teams, MaxTeams)
-	bound("services", s.services, MaxServices)
-	bound("contracts", s.routes, MaxContracts)
-	bound("pools", s.pools, MaxPools)
-	bound("classes in pools", s.pooled, MaxContracts)
-	if pools {
+	checkBound("teams", s.teams, MaxTeams)
+	checkBound("services", s.services, MaxServices)
+	checkBound("contracts", s.contracts, MaxContracts)
+	checkBound("pools", s.pools, MaxPools)
+	checkBound("classes in pools", s.pooledClasses, MaxContracts)
+	if poolsChanged {
 		s.checkPools(root, f)
 	}
 }
 
-// checkPools looks at all pools: they are few.
+// checkPools validates all pools together: they are few.
 func (s *state) checkPools(root *iradix.Node[any], f *faults) {
 	share, memory := 0.0, 0.0
-	each(root, []byte{inPools}, func(_ []byte, value any) {
+	forEach(root, []byte{prefixPools}, func(_ []byte, value any) {
 		p := value.(*Pool)
 		share += p.Share
-		memory += ownMemory(p)
+		memory += guaranteedMemory(p)
 	})
-	if share > 1+rounding {
+	if share > 1+shareTolerance {
 		f.add("share adds up to %.3f over all pools, want 1 at most", share)
 	}
-	if memory > 1+rounding {
+	if memory > 1+shareTolerance {
 		f.add("memory adds up to %.3f over all pools, want 1 at most", memory)
 	}
 	if _, ok := root.Get(entryKey(kindReserve, "", bucketOf(kindReserve, ""))); ok && s.pools == 0 {
--- a/internal/control/document/model_test.go
+++ b/internal/control/document/model_test.go
@@ -15,12 +15,12 @@
 	"pgregory.net/rapid"
 )
 
-var by = Meta{Author: "ana", Reason: "because", Time: 1_790_000_000_000_000}
+var testMeta = Meta{Author: "ana", Reason: "because", Time: 1_790_000_000_000_000}
 
 // ref returns a pointer to v.
 func ref[T any](v T) *T { return &v }
 
-// model is a content as plain maps: what Draft and Apply are compared with.
+// model is a content as plain maps, with which Draft and Apply are compared.
 type model struct {
 	teams    map[string]Team
 	services map[string]Service
@@ -36,23 +36,23 @@
 	return &model{maps.Clone(m.teams), maps.Clone(m.services), maps.Clone(m.pools), m.reserve}
 }
 
-// apply makes the changes; false = they are not to be taken. It walks over all.
+// apply makes the changes; false = they must be refused. It checks all entries.
 func (m *model) apply(changes []Change) bool {
 	before, named := m.content(), map[string]bool{}
 	for _, c := range changes {
-		id, there := "reserve", m.reserve != 0
+		id, exists := "reserve", m.reserve != 0
 		switch {
 		case c.Team != nil:
 			id = "team " + c.Team.Name
-			_, there = m.teams[c.Team.Name]
+			_, exists = m.teams[c.Team.Name]
 		case c.Service != nil:
 			id = "service " + c.Service.Name
-			_, there = m.services[c.Service.Name]
+			_, exists = m.services[c.Service.Name]
 		case c.Pool != nil:
 			id = "pool " + c.Pool.Name
-			_, there = m.pools[c.Pool.Name]
+			_, exists = m.pools[c.Pool.Name]
 		}
-		if named[id] || c.Drop && !there {
+		if named[id] || c.Drop && !exists {
 			return false
 		}
 		named[id] = true
@@ -75,23 +75,23 @@
 			m.reserve = *c.CheapReserve
 		}
 	}
-	return m.whole() && !reflect.DeepEqual(before, m.content())
+	return m.isConsistent() && !reflect.DeepEqual(before, m.content())
 }
 
-// whole says whether all hangs together.
-func (m *model) whole() bool {
-	taken := map[string]bool{}
-	own := func(name string) bool {
-		twice := taken[name]
-		taken[name] = true
-		return !twice
+// isConsistent reports whether all references and sums are valid.
+func (m *model) isConsistent() bool {
+	seen := map[string]bool{}
+	addUnique := func(name string) bool {
+		duplicate := seen[name]
+		seen[name] = true
+		return !duplicate
 	}
 	for _, s := range m.services {
 		if _, ok := m.teams[s.Owner]; s.Owner != "" && !ok {
 			return false
 		}
 		for _, c := range s.Contracts {
-			if !own("class "+c.Class) || c.Path != "" && !own("path "+c.Path) {
+			if !addUnique("class "+c.Class) || c.Path != "" && !addUnique("path "+c.Path) {
 				return false
 			}
 		}
@@ -100,7 +100,7 @@
 	for _, p := range m.pools {
 		share += p.Share
 		for _, class := range p.Classes {
-			if !own("pooled " + class) {
+			if !addUnique("pooled " + class) {
 				return false
 			}
 		}
@@ -122,8 +122,8 @@
 	return c
 }
 
-// digest is the content's digest made from all entries, by the words of the
-// package's comments alone.
+// digest is the content's digest computed from all entries, by the package's
+// documentation alone.
 func (m *model) digest(t interface{ Fatal(...any) }) Digest {
 	options := cbor.CoreDetEncOptions()
 	options.OmitEmpty = cbor.OmitEmptyGoValue
@@ -157,13 +157,13 @@
 		buckets[i] = []byte("b")
 	}
 	for _, it := range items {
-		words, err := mode.Marshal(it.value)
+		encoded, err := mode.Marshal(it.value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		h := sha256.Sum256([]byte(string(it.kind) + it.name))
 		b := &buckets[(int(h[0])<<8|int(h[1]))%1024]
-		*b = append(binary.BigEndian.AppendUint32(append(*b, it.kind), uint32(len(words))), words...)
+		*b = append(binary.BigEndian.AppendUint32(append(*b, it.kind), uint32(len(encoded))), encoded...)
 	}
 	root := []byte("r")
 	for group := range slices.Chunk(buckets, 32) {
@@ -178,13 +178,13 @@
 	return sha256.Sum256(root)
 }
 
-// The random changes are of few names, so that they meet each other.
+// The random changes use few names, so that they affect the same entries.
 
 func drawName(t *rapid.T, what string, n int) string {
 	return fmt.Sprintf("%s%d", what, rapid.IntRange(0, n-1).Draw(t, what))
 }
 
-func drawFigure(t *rapid.T, name string, values ...float64) *float64 {
+func drawNumber(t *rapid.T, name string, values ...float64) *float64 {
 	return rapid.SampledFrom(append([]*float64{nil}, refs(values)...)).Draw(t, name)
 }
 
@@ -199,9 +199,9 @@
 	c := Contract{
 		Class:           drawName(t, "class", 12),
 		Effect:          rapid.SampledFrom([]string{"", "repeatable", "once"}).Draw(t, "effect"),
-		TargetTimeMS:    drawFigure(t, "aim", 0, 2.5),
-		DeadlineMS:      drawFigure(t, "deadline", 50, 1e5),
-		Worth:           drawFigure(t, "worth", 0, 1, 0.3),
+		TargetTimeMS:    drawNumber(t, "aim", 0, 2.5),
+		DeadlineMS:      drawNumber(t, "deadline", 50, 1e5),
+		Worth:           drawNumber(t, "worth", 0, 1, 0.3),
 		MaxBody:         rapid.SampledFrom([]int{0, 1 << 10}).Draw(t, "max body"),
 		RequestMemoryKB: rapid.SampledFrom([]float64{0, 17.25}).Draw(t, "held"),
 		CallsDownstream: rapid.SampledFrom([]*bool{nil, ref(true), ref(false)}).Draw(t, "calls"),
@@ -235,17 +235,18 @@
 	return c
 }
 
-// sameContent compares contents, of which a list may be absent or empty.
+// sameContent compares contents, in which nil and empty lists are equal.
 func sameContent(a, b Content) bool {
 	return slices.Equal(a.Teams, b.Teams) && a.CheapReserve == b.CheapReserve &&
 		len(a.Services) == len(b.Services) && (len(a.Services) == 0 || reflect.DeepEqual(a.Services, b.Services)) &&
 		len(a.Pools) == len(b.Pools) && (len(a.Pools) == 0 || reflect.DeepEqual(a.Pools, b.Pools))
 }
 
-// TestModel walks through versions at random. What is taken, what is refused,
-// the contents and the digests are those of a plain model that looks at all; and
-// the same version is reached by the encoded delta, by a snapshot, and, as to the
-// content, by the difference of the whole. Versions before stay as they were.
+// TestModel walks through random versions, and compares what is accepted, what is
+// refused, the contents and the digests with those of a plain model that checks all
+// entries. The same version must be checkSameVersion by the encoded delta, by a snapshot,
+// and, as to the content, by a Diff of the whole. Earlier versions must stay as they
+// were.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, d, copied := newModel(), Empty(), Empty()
@@ -254,26 +255,27 @@
 			content Content
 		}
 		var versions []version
-		taken := 0
+		accepted := 0
 		for i := range rapid.IntRange(5, 40).Draw(t, "versions") {
 			changes := rapid.SliceOfN(rapid.Custom(drawChange), 1, 3).Draw(t, "changes")
 			next := m.clone()
 			want := next.apply(changes)
-			delta, err := d.Draft(changes, by)
+			delta, err := d.Draft(changes, testMeta)
 			if (err == nil) != want {
 				t.Fatalf("version %d: Draft says %v, the model %v: %+v", i, err, want, changes)
 			}
-			// What Draft refuses, Apply refuses too, from a publisher that lies.
+			// What Draft refuses, Apply must refuse too, from a publisher that
+			// forges a delta.
 			if err != nil {
-				lie := &Delta{Header: Header{Number: d.Header().Number + 1, Parent: d.Digest(), Content: next.digest(t),
+				forged := &Delta{Header: Header{Number: d.Header().Number + 1, Parent: d.Digest(), Content: next.digest(t),
 					Author: "a", Reason: "r"}, Changes: changes}
-				if got, err := d.Apply(lie); err == nil || got != nil {
-					t.Fatalf("version %d: Apply took what Draft refused", i)
+				if got, err := d.Apply(forged); err == nil || got != nil {
+					t.Fatalf("version %d: Apply accepted what Draft refused", i)
 				}
 				continue
 			}
 			m = next
-			taken++
+			accepted++
 			if d, err = d.Apply(delta); err != nil {
 				t.Fatalf("version %d: Apply refuses what Draft made: %v", i, err)
 			}
@@ -294,26 +296,26 @@
 			if copied, err = copied.Apply(read); err != nil {
 				t.Fatal(err)
 			}
-			reached(t, d, copied)
+			checkSameVersion(t, d, copied)
 			versions = append(versions, version{d, m.content()})
 		}
 		snapshot, err := d.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		opened, err := DecodeSnapshot(snapshot)
+		decoded, err := DecodeSnapshot(snapshot)
 		if err != nil {
 			t.Fatal(err)
 		}
-		reached(t, d, opened)
-		if again, _ := opened.Snapshot(); !bytes.Equal(again, snapshot) {
-			t.Fatal("the snapshot of an opened snapshot has other bytes")
+		checkSameVersion(t, d, decoded)
+		if again, _ := decoded.Snapshot(); !bytes.Equal(again, snapshot) {
+			t.Fatal("the snapshot of a decoded snapshot has other bytes")
 		}
 		for _, v := range versions {
 			if !sameContent(v.doc.Content(), v.content) {
 				t.Fatalf("version %d has changed since", v.doc.Header().Number)
 			}
-			// From any version to the last by the difference of the wholes.
+			// From any version to the last by a Diff of the whole contents.
 			last := d.Content()
 			changes := v.doc.Diff(&last)
 			if len(changes) == 0 {
@@ -322,7 +324,7 @@
 				}
 				continue
 			}
-			delta, err := v.doc.Draft(changes, by)
+			delta, err := v.doc.Draft(changes, testMeta)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -336,10 +338,10 @@
 	})
 }
 
-// reached says that both are one version in all that can be asked.
-func reached(t *rapid.T, a, b *Document) {
+// checkSameVersion checks that both are the same version in all that can be queried.
+func checkSameVersion(t *rapid.T, a, b *Document) {
 	if a.Digest() != b.Digest() || a.Header() != b.Header() || !sameContent(a.Content(), b.Content()) {
-		t.Fatalf("%+v and %+v are not one version", a.Header(), b.Header())
+		t.Fatalf("%+v and %+v are not the same version", a.Header(), b.Header())
 	}
 	for _, want := range a.Content().Teams {
 		if got, ok := b.Team(want.Name); !ok || got != want {
@@ -351,7 +353,7 @@
 			t.Fatalf("Service(%q) = %+v, %v", want.Name, got, ok)
 		}
 	}
-	if a.state.teams != b.state.teams || a.state.routes != b.state.routes || a.state.pooled != b.state.pooled ||
+	if a.state.teams != b.state.teams || a.state.contracts != b.state.contracts || a.state.pooledClasses != b.state.pooledClasses ||
 		a.state.tree.Len() != b.state.tree.Len() {
 		t.Fatal("the sums or the indexes differ")
 	}
--- a/internal/control/follow/fake_test.go
+++ b/internal/control/follow/fake_test.go
@@ -19,41 +19,43 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// patience bounds every wait: what does not come fails the test and does not hang it.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait, so that what never happens fails the test instead
+// of hanging it.
+const waitTimeout = 20 * time.Second
 
-// fake is a publisher that says what the test says.
-type fake struct {
+// fakePublisher is a publisher whose messages are sent by the test.
+type fakePublisher struct {
 	t       *testing.T
 	address string
 	streams chan *fakeStream
 	server  *http.Server
 }
 
-// fakeStream is one follower's stream at a fake.
+// fakeStream is one follower's stream at a fakePublisher.
 type fakeStream struct {
-	t     *testing.T
-	hello protocol.Hello
-	acks  chan protocol.Ack
-	gone  chan struct{} // closed when the follower has ended it
-	w     http.ResponseWriter
-	over  chan struct{}
-	once  sync.Once
-	mu    sync.Mutex // held while the stream is written to
-	ended bool       // ... which nobody may any more
+	t        *testing.T
+	hello    protocol.Hello
+	acks     chan protocol.Ack
+	closed   chan struct{} // closed when the follower has ended it
+	w        http.ResponseWriter
+	finished chan struct{}
+	once     sync.Once
+	mu       sync.Mutex // held while the stream is written to
+	ended    bool       // the stream must not be written to any more
 }
 
-func newFake(t *testing.T) *fake {
+// newFakePublisher starts a publisher on a free port.
+func newFakePublisher(t *testing.T) *fakePublisher {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return serveFake(t, l)
+	return serveFakePublisher(t, l)
 }
 
-func serveFake(t *testing.T, l net.Listener) *fake {
-	f := &fake{t: t, address: l.Addr().String(), streams: make(chan *fakeStream, 64)}
+func serveFakePublisher(t *testing.T, l net.Listener) *fakePublisher {
+	f := &fakePublisher{t: t, address: l.Addr().String(), streams: make(chan *fakeStream, 64)}
 	f.server = &http.Server{Protocols: new(http.Protocols), Handler: http.HandlerFunc(f.serve)}
 	f.server.Protocols.SetUnencryptedHTTP2(true)
 	go f.server.Serve(l) //nolint:errcheck // it ends with Close
@@ -61,14 +63,14 @@
 	return f
 }
 
-func (f *fake) close() { f.server.Close() }
+func (f *fakePublisher) close() { f.server.Close() }
 
-func (f *fake) serve(w http.ResponseWriter, r *http.Request) {
+func (f *fakePublisher) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != protocol.PathFollow || r.Method != http.MethodPost {
 		http.NotFound(w, r)
 		return
 	}
-	s := &fakeStream{t: f.t, acks: make(chan protocol.Ack, 4096), gone: make(chan struct{}), w: w, over: make(chan struct{})}
+	s := &fakeStream{t: f.t, acks: make(chan protocol.Ack, 4096), closed: make(chan struct{}), w: w, finished: make(chan struct{})}
 	w.WriteHeader(http.StatusOK)
 	w.(http.Flusher).Flush()
 	from := protocol.NewReader(r.Body)
@@ -78,7 +80,7 @@
 	}
 	s.hello = *first.Hello
 	go func() {
-		defer close(s.gone)
+		defer close(s.closed)
 		for {
 			var m protocol.FollowerMessage
 			if err := from.Read(&m); err != nil || m.Ack == nil {
@@ -89,32 +91,32 @@
 	}()
 	f.streams <- s
 	select {
-	case <-s.over:
-	case <-s.gone:
+	case <-s.finished:
+	case <-s.closed:
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
 }
 
-// stream waits for the next follower's stream.
-func (f *fake) stream() *fakeStream {
+// nextStream waits for the next follower's stream.
+func (f *fakePublisher) nextStream() *fakeStream {
 	f.t.Helper()
 	select {
 	case s := <-f.streams:
 		return s
-	case <-time.After(patience):
-		f.t.Fatal("nobody follows")
+	case <-time.After(waitTimeout):
+		f.t.Fatal("no follower connects")
 		return nil
 	}
 }
 
-// none fails the test if somebody has turned to this publisher.
-func (f *fake) none() {
+// expectNoStream fails the test if a follower has connected.
+func (f *fakePublisher) expectNoStream() {
 	f.t.Helper()
 	select {
 	case s := <-f.streams:
-		f.t.Errorf("%s turned here", s.hello.Name)
+		f.t.Errorf("%s has connected", s.hello.Name)
 	default:
 	}
 }
@@ -124,16 +126,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
-		return // the follower has left
+		return // the follower has disconnected
 	}
-	if err := protocol.NewWriter(s.w).Write(&m); err == nil { // else it leaves at this moment
+	if err := protocol.NewWriter(s.w).Write(&m); err == nil { // else it is disconnecting
 		s.w.(http.Flusher).Flush()
 	}
 }
 
-func (s *fakeStream) beat(doc *document.Document, unheard time.Duration) {
+func (s *fakeStream) heartbeat(doc *document.Document, silence time.Duration) {
 	s.t.Helper()
-	b := protocol.Heartbeat{OriginatorSilenceMS: unheard.Milliseconds()}
+	b := protocol.Heartbeat{OriginatorSilenceMS: silence.Milliseconds()}
 	if doc != nil {
 		b.Number, b.Digest = doc.Header().Number, doc.Digest()
 	}
@@ -154,17 +156,18 @@
 	s.send(protocol.PublisherMessage{Snapshot: b})
 }
 
-// beats says that the publisher is there, about as often as it is due, until the test ends.
-func (s *fakeStream) beats(doc *document.Document, unheard time.Duration) (stop func()) {
+// heartbeats sends heartbeats, more often than needed, until stop is called or the
+// test ends.
+func (s *fakeStream) heartbeats(doc *document.Document, silence time.Duration) (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
 		for {
-			s.beat(doc, unheard)
+			s.heartbeat(doc, silence)
 			select {
 			case <-done:
 				return
-			case <-s.gone:
+			case <-s.closed:
 				return
 			case <-time.After(protocol.HeartbeatInterval / 4):
 			}
@@ -176,28 +179,28 @@
 	return stop
 }
 
-// end ends the stream at the publisher's side.
-func (s *fakeStream) end() { s.once.Do(func() { close(s.over) }) }
+// end ends the stream on the publisher's side.
+func (s *fakeStream) end() { s.once.Do(func() { close(s.finished) }) }
 
-// ack waits for the next word.
+// ack waits for the next acknowledgement.
 func (s *fakeStream) ack() protocol.Ack {
 	s.t.Helper()
 	select {
 	case a := <-s.acks:
 		return a
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		s.t.Fatal("no ack")
 		return protocol.Ack{}
 	}
 }
 
-// left waits until the follower has left the stream.
-func (s *fakeStream) left() {
+// waitClosed waits until the follower has ended the stream.
+func (s *fakeStream) waitClosed() {
 	s.t.Helper()
 	select {
-	case <-s.gone:
-	case <-time.After(patience):
-		s.t.Fatal("the stream is not left")
+	case <-s.closed:
+	case <-time.After(waitTimeout):
+		s.t.Fatal("the follower does not end the stream")
 	}
 }
 
@@ -210,7 +213,7 @@
 	return b
 }
 
-// step makes the version after doc, which sets a team's quota.
+// step makes a version on top of doc which sets a team's quota.
 func step(t *testing.T, doc *document.Document, team string, quota float64) (*document.Document, *document.Delta) {
 	t.Helper()
 	d, err := doc.Draft([]document.Change{{Team: &document.Team{Name: team, Quota: quota}}},
@@ -225,8 +228,9 @@
 	return next, d
 }
 
-// chain makes versions 1 to n: docs[i] is version i, deltas[i] the step to it.
-func chain(t *testing.T, n int) (docs []*document.Document, deltas []*document.Delta) {
+// makeVersions makes versions 1 to n: docs[i] is version i, deltas[i] the step to
+// it.
+func makeVersions(t *testing.T, n int) (docs []*document.Document, deltas []*document.Delta) {
 	t.Helper()
 	docs, deltas = []*document.Document{document.Empty()}, []*document.Delta{nil}
 	for i := 1; i <= n; i++ {
@@ -236,34 +240,34 @@
 	return docs, deltas
 }
 
-// taken is what a server was told to take over.
-type taken struct {
+// appliedVersion is one call of server.apply.
+type appliedVersion struct {
 	doc   *document.Document
 	delta *document.Delta
 }
 
-// server is what stands behind a follower in a test: it checks that versions
-// come in order, each delta on the version in force.
+// server stands in for a follower's server: it checks that versions come in order,
+// each delta on the version in force.
 type server struct {
 	t       *testing.T
 	mu      sync.Mutex
-	inForce *document.Document // nil = the file
-	all     []taken
-	refuse  map[uint64]error
+	inForce *document.Document // nil = the server's own file
+	all     []appliedVersion   // every version it was given
+	refuse  map[uint64]error   // versions that it refuses, by number
 }
 
-var errNoGood = errors.New("class x: no good here")
+var errUnusable = errors.New("class x: no good here")
 
 func (s *server) apply(_ context.Context, doc *document.Document, delta *document.Delta) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if delta != nil && (s.inForce == nil || delta.Header.Parent != s.inForce.Digest() || delta.Header.Digest() != doc.Digest()) {
-		s.t.Errorf("version %d came as a delta on another than the one in force", doc.Header().Number)
+		s.t.Errorf("version %d came as a delta on another version than the one in force", doc.Header().Number)
 	}
 	if s.inForce != nil && doc.Header().Number <= s.inForce.Header().Number {
 		s.t.Errorf("version %d after %d", doc.Header().Number, s.inForce.Header().Number)
 	}
-	s.all = append(s.all, taken{doc, delta})
+	s.all = append(s.all, appliedVersion{doc, delta})
 	if err := s.refuse[doc.Header().Number]; err != nil {
 		return err
 	}
@@ -271,8 +275,8 @@
 	return nil
 }
 
-// following is a follower under test, with its server.
-type following struct {
+// testFollower is a follower under test, with its server.
+type testFollower struct {
 	*Follower
 	server *server
 	logs   *observer.ObservedLogs
@@ -280,18 +284,18 @@
 	ended  chan struct{}
 }
 
-// settings of a follower of these publishers, all of its region.
-func settings(publishers ...*fake) Settings {
-	set := Settings{Name: "server-1", Region: "north", Seed: 7, InitialWait: patience}
+// settings are those of a follower of these publishers, all in its region.
+func settings(publishers ...*fakePublisher) Settings {
+	set := Settings{Name: "server-1", Region: "north", Seed: 7, InitialWait: waitTimeout}
 	for _, p := range publishers {
 		set.Publishers = append(set.Publishers, Endpoint{p.address, "north"})
 	}
 	return set
 }
 
-// prefer puts the publishers in the order that the follower has.
-func prefer(set *Settings, publishers ...*fake) (ranked []*fake) {
-	for _, p := range newSeeker(set).order {
+// rankPublishers returns the publishers in the follower's order of preference.
+func rankPublishers(set *Settings, publishers ...*fakePublisher) (ranked []*fakePublisher) {
+	for _, p := range newSelector(set).order {
 		for _, f := range publishers {
 			if f.address == set.Publishers[p].Address {
 				ranked = append(ranked, f)
@@ -301,8 +305,8 @@
 	return ranked
 }
 
-// newFollowing makes a follower that does not follow yet.
-func newFollowing(t *testing.T, set Settings) *following {
+// newTestFollower makes a follower that is not running yet.
+func newTestFollower(t *testing.T, set Settings) *testFollower {
 	t.Helper()
 	core, logs := observer.New(zapcore.DebugLevel)
 	set.Log = zap.New(core)
@@ -310,7 +314,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fo := &following{Follower: f, server: &server{t: t, refuse: map[uint64]error{}}, logs: logs}
+	fo := &testFollower{Follower: f, server: &server{t: t, refuse: map[uint64]error{}}, logs: logs}
 	t.Cleanup(func() {
 		fo.stop()
 		if t.Failed() {
@@ -322,8 +326,8 @@
 	return fo
 }
 
-// run follows beside the test.
-func (f *following) run() *following {
+// run runs the follower in the background.
+func (f *testFollower) run() *testFollower {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel, f.ended = cancel, make(chan struct{})
 	go func() {
@@ -333,21 +337,22 @@
 	return f
 }
 
-// follows makes a follower and runs it.
-func follows(t *testing.T, set Settings) *following {
+// startFollower makes a follower and runs it.
+func startFollower(t *testing.T, set Settings) *testFollower {
 	t.Helper()
-	return newFollowing(t, set).run()
+	return newTestFollower(t, set).run()
 }
 
-// stop ends the follower and waits for its end.
-func (f *following) stop() {
+// stop ends the follower and waits for it.
+func (f *testFollower) stop() {
 	if f.cancel != nil {
 		f.cancel()
 		<-f.ended
 	}
 }
 
-func (f *following) said(text string) int {
+// logCount counts the log lines that contain text.
+func (f *testFollower) logCount(text string) int {
 	n := 0
 	for _, e := range f.logs.All() {
 		if strings.Contains(e.Message, text) {
@@ -357,12 +362,12 @@
 	return n
 }
 
-// eventually waits until ok.
+// eventually waits until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatalf("%s: not within %v", what, patience)
+		if time.Since(began) > waitTimeout {
+			t.Fatalf("%s: not within %v", what, waitTimeout)
 		}
 	}
 }
--- a/internal/control/follow/follower.go
+++ b/internal/control/follow/follower.go
@@ -14,47 +14,48 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// Follower is one server's side. New, First, Reject and Run are called by one
-// goroutine, State by any.
+// Follower receives versions on behalf of one server. New, InitialVersion, Reject
+// and Run are called by one goroutine, State by any.
 type Follower struct {
-	set   Settings
-	log   *zap.Logger
-	began time.Time
-	seek  *seeker
-	keep  shelf
-	count traffic
+	set      Settings
+	log      *zap.Logger
+	began    time.Time
+	selector *selector
+	store    asyncStore
+	count    traffic
 
-	// What the goroutine of First and Run has.
-	inForce  *document.Document // Empty = nothing is
-	head     *document.Document // what came last: inForce, or what is refused
-	kept     *document.Document // as it was read at the start; nil = none
-	cur      *stream            // the stream that stands or is being opened; nil = none
-	probe    *stream            // ... beside it, to one that may do better
-	sought   *try               // what comes next while there is none
-	seekAt   time.Duration
-	timer    *time.Timer
-	apply    Apply // nil in First
-	current  bool  // the publisher has said that nothing newer is there
-	told     uint64
-	gaps     int           // deltas on another parent, since a version was taken over
-	shoutAt  time.Duration // not before then is a fork logged again
-	alone    bool          // it was logged that no publisher is followed
-	detached func() bool   // stops the watch on First's context
+	// The fields below belong to the goroutine of InitialVersion and Run.
+	inForce          *document.Document // Empty = nothing is
+	latest           *document.Document // the newest version received: inForce, or one that was refused
+	stored           *document.Document // as read from the folder by New; nil = none
+	active           *stream            // the established stream, or the one that is being opened; nil = none
+	probe            *stream            // a second stream, to a publisher that may be better; nil = none
+	attempt          *attempt           // the next attempt while there is no active stream
+	attemptAt        time.Duration
+	timer            *time.Timer
+	apply            Apply         // nil in InitialVersion
+	current          bool          // the publisher has reported that there is nothing newer
+	announced        uint64        // the highest version number that a publisher has announced
+	gaps             int           // deltas with an unknown parent since a version was applied
+	nextForkLog      time.Duration // a fork is not logged again before then
+	disconnectLogged bool          // it was logged that no publisher is followed
+	stopWatch        func() bool   // stops the watch on InitialVersion's context
 
-	mu     sync.Mutex
-	state  State
-	heard  time.Time // when the originator was last heard, by what publishers say
-	unsure bool      // nobody has said so yet: heard is the start of the process
-	since  time.Time // when a version that is not in force here was first told of
+	mu                sync.Mutex
+	state             State
+	originatorHeard   time.Time // when the originator was last heard, as publishers report it
+	originatorUnknown bool      // no publisher has reported yet: originatorHeard is the time of New
+	laggingSince      time.Time // when a version that is not in force here was first announced; zero = current
 }
 
 const (
-	shoutEvery = time.Minute // between two lines in the log on one fork
-	startTries = 3           // publishers that a start can try while all are silent
+	forkLogInterval = time.Minute // between two log lines about a fork
+	startAttempts   = 3           // publishers that InitialVersion can try when none of them answers
 )
 
-// New returns a Follower that has read what its folder keeps. An error names
-// all settings at fault; a folder that cannot be read is none: it is logged and told.
+// New returns a Follower that has read its folder. An error names all invalid
+// settings; a folder that cannot be read is no error, but is logged and treated as
+// empty.
 func New(set Settings) (*Follower, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -62,23 +63,23 @@
 	if set.Log == nil {
 		set.Log = zap.NewNop()
 	}
-	f := &Follower{set: set, log: set.Log, began: time.Now(), seek: newSeeker(&set),
-		keep: shelf{keeper: keeper{folder: set.Folder, log: set.Log}}, inForce: document.Empty(), timer: time.NewTimer(time.Hour)}
-	f.heard, f.unsure = f.began, true
+	f := &Follower{set: set, log: set.Log, began: time.Now(), selector: newSelector(&set),
+		store: asyncStore{versionStore: versionStore{folder: set.Folder, log: set.Log}}, inForce: document.Empty(), timer: time.NewTimer(time.Hour)}
+	f.originatorHeard, f.originatorUnknown = f.began, true
 	f.state.Source = SourceNone
-	kept, at := f.keep.load()
+	stored, at := f.store.load()
 	switch {
 	case set.InForce != nil && set.InForce.Header().Number > 0:
-		f.adopt(set.InForce, SourceFolder)
-	case kept != nil:
-		f.kept, f.heard, f.unsure = kept, at, false
-		f.adopt(kept, SourceFolder)
+		f.noteInForce(set.InForce, SourceFolder)
+	case stored != nil:
+		f.stored, f.originatorHeard, f.originatorUnknown = stored, at, false
+		f.noteInForce(stored, SourceFolder)
 	}
-	f.head = f.inForce
+	f.latest = f.inForce
 	return f, nil
 }
 
-// check reports all faults at once.
+// check reports all invalid settings at once.
 func (s *Settings) check() error {
 	var errs []error
 	fail := func(format string, args ...any) { errs = append(errs, fmt.Errorf("follow: "+format, args...)) }
@@ -107,19 +108,19 @@
 // now is the time since New.
 func (f *Follower) now() time.Duration { return time.Since(f.began) }
 
-// InitialVersion waits for the first version, for Settings.Wait at most, and returns the
-// document to start by: the publisher's, else the one kept, else nil. One that
-// was kept and that a publisher confirms is the publisher's. Where nobody has
-// published anything yet the originator's word for that ends the wait. The stream
-// stays open for Run, and ends with ctx.
+// InitialVersion waits at most Settings.InitialWait for the first version, and
+// returns the document to start with: the publisher's, else the stored one, else
+// nil. A stored version that a publisher confirms has the source SourcePublisher. If
+// nothing has been published yet, the originator's report of that ends the wait. The
+// stream stays open for Run, and ends with ctx.
 func (f *Follower) InitialVersion(ctx context.Context) (*document.Document, Source) {
 	wait, cancel := context.WithTimeout(ctx, f.set.InitialWait)
 	defer cancel()
 	if f.set.InitialWait > 0 {
 		f.follow(wait)
 	}
-	if f.cur != nil {
-		f.detached = context.AfterFunc(ctx, f.cur.cancel)
+	if f.active != nil {
+		f.stopWatch = context.AfterFunc(ctx, f.active.cancel)
 	}
 	if f.inForce.Header().Number == 0 {
 		return nil, SourceNone
@@ -127,170 +128,172 @@
 	return f.inForce, f.State().Source
 }
 
-// Reject notes that the document that First returned, or Reject before, cannot
-// be used, and returns the next to start by: the one kept, else nil.
+// Reject records that the document returned by InitialVersion, or by the previous
+// call of Reject, cannot be used, and returns the next one to start with: the stored
+// one, else nil.
 func (f *Follower) Reject(why error) (*document.Document, Source) {
-	refused := f.inForce
-	f.log.Error("control: the version is refused", zap.Uint64("version", refused.Header().Number),
-		zap.Stringer("digest", refused.Digest()), zap.Error(why))
-	next := f.kept
-	if next == nil || next.Digest() == refused.Digest() {
-		next, f.kept = document.Empty(), nil
+	rejected := f.inForce
+	f.log.Error("control: the version is refused", zap.Uint64("version", rejected.Header().Number),
+		zap.Stringer("digest", rejected.Digest()), zap.Error(why))
+	next := f.stored
+	if next == nil || next.Digest() == rejected.Digest() {
+		next, f.stored = document.Empty(), nil
 	}
-	if f.head.Header().Number < refused.Header().Number {
-		f.head = refused
+	if f.latest.Header().Number < rejected.Header().Number {
+		f.latest = rejected
 	}
-	origin := SourceFolder
+	source := SourceFolder
 	if next.Header().Number == 0 {
-		origin = SourceNone
+		source = SourceNone
 	}
 	f.mu.Lock()
 	f.inForce = next
-	f.state.Number, f.state.Digest, f.state.Source, f.state.RefusalReason = next.Header().Number, next.Digest(), origin, why.Error()
-	if f.since.IsZero() {
-		f.since = time.Now()
+	f.state.Number, f.state.Digest, f.state.Source, f.state.RefusalReason = next.Header().Number, next.Digest(), source, why.Error()
+	if f.laggingSince.IsZero() {
+		f.laggingSince = time.Now()
 	}
 	f.mu.Unlock()
-	if origin == SourceNone {
+	if source == SourceNone {
 		return nil, SourceNone
 	}
-	return next, origin
+	return next, source
 }
 
-// Run follows until ctx ends, then says that the server leaves. It applies each
-// version that comes after the one that First returned.
+// Run follows publishers until ctx ends, then tells the publisher that the server is
+// shutting down. It applies each version that comes after the one that
+// InitialVersion returned.
 func (f *Follower) Run(ctx context.Context, apply Apply) {
-	if f.detached != nil {
-		f.detached()
-		f.detached = nil
+	if f.stopWatch != nil {
+		f.stopWatch()
+		f.stopWatch = nil
 	}
 	f.apply = apply
-	if f.inForce.Header().Number > 0 && f.set.InForce == nil && (f.kept == nil || f.kept.Digest() != f.inForce.Digest()) {
-		f.keep.save(f.now(), f.inForce, false, nil)
+	if f.inForce.Header().Number > 0 && f.set.InForce == nil && (f.stored == nil || f.stored.Digest() != f.inForce.Digest()) {
+		f.store.save(f.now(), f.inForce, false, nil)
 	}
-	f.kept = nil
-	if f.cur != nil {
-		f.say(f.cur)
+	f.stored = nil
+	if f.active != nil {
+		f.sendAck(f.active)
 	}
 	f.follow(ctx)
-	for _, s := range []*stream{f.probe, f.cur} {
+	for _, s := range []*stream{f.probe, f.active} {
 		if s == nil {
 			continue
 		}
-		if s == f.cur {
-			word := f.word()
-			word.Leaving = true
-			s.end(&word)
+		if s == f.active {
+			ack := f.currentAck()
+			ack.Leaving = true
+			s.end(&ack)
 		} else {
 			s.end(nil)
 		}
 	}
-	f.cur, f.probe = nil, nil
-	f.keep.close()
+	f.active, f.probe = nil, nil
+	f.store.close()
 	f.mu.Lock()
 	f.state.Publisher = ""
 	f.mu.Unlock()
-	f.log.Info("control: nobody is followed any longer", zap.Uint64("version", f.inForce.Header().Number))
+	f.log.Info("control: shutting down, no publisher is followed any more", zap.Uint64("version", f.inForce.Header().Number))
 }
 
-// State tells how things are.
+// State returns the current state.
 func (f *Follower) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state
-	s.OriginatorSilence = max(0, time.Since(f.heard))
-	if !f.since.IsZero() {
-		s.Lag = max(time.Since(f.since), 1)
+	s.OriginatorSilence = max(0, time.Since(f.originatorHeard))
+	if !f.laggingSince.IsZero() {
+		s.Lag = max(time.Since(f.laggingSince), 1)
 	}
 	s.SentBytes, s.ReceivedBytes = f.count.sent.Load(), f.count.received.Load()
 	return s
 }
 
-// follow turns to publishers and takes what they send until ctx ends; in First,
-// until there is nothing newer.
+// follow connects to publishers and handles their messages until ctx ends; in
+// InitialVersion also until there is nothing newer.
 func (f *Follower) follow(ctx context.Context) {
 	for ctx.Err() == nil && (f.apply != nil || !f.current) {
 		now := f.now()
-		next := f.tend(now)
+		next := f.tick(now)
 		f.timer.Reset(max(next-f.now(), 0))
-		var came, asked <-chan protocol.PublisherMessage
-		var ended, refused <-chan struct{}
-		if f.cur != nil {
-			came, ended = f.cur.came, f.cur.ended
+		var messages, probeMessages <-chan protocol.PublisherMessage
+		var ended, probeEnded <-chan struct{}
+		if f.active != nil {
+			messages, ended = f.active.messages, f.active.ended
 		}
 		if f.probe != nil {
-			asked, refused = f.probe.came, f.probe.ended
+			probeMessages, probeEnded = f.probe.messages, f.probe.ended
 		}
 		select {
 		case <-ctx.Done():
-		case r := <-came:
-			s := f.cur
-			f.take(ctx, &r)
-			s.tookAt = f.now()
+		case r := <-messages:
+			s := f.active
+			f.handleMessage(ctx, &r)
+			s.handledAt = f.now()
 		case <-ended:
-			f.leave(f.cur.why(), false)
-		case r := <-asked:
-			f.answered(ctx, &r)
-		case <-refused:
-			f.noBetter()
+			f.disconnect(f.active.reason(), false)
+		case r := <-probeMessages:
+			f.probeAnswered(ctx, &r)
+		case <-probeEnded:
+			f.probeFailed()
 		case <-f.timer.C:
 		}
 	}
 }
 
-// tend does what time brings, and says when to look again.
-func (f *Follower) tend(now time.Duration) (next time.Duration) {
+// tick does what is due at the time now, and returns when it must be called again.
+func (f *Follower) tick(now time.Duration) (next time.Duration) {
 	next = now + time.Hour
 	sooner := func(at time.Duration) { next = min(next, at) }
-	if f.cur != nil && now >= f.cur.silent() {
-		f.leave("the publisher is silent", false)
+	if f.active != nil && now >= f.active.timeoutAt() {
+		f.disconnect("the publisher timed out", false)
 	}
-	if f.cur == nil {
-		if f.sought == nil {
-			t := f.seek.next(now)
-			f.sought, f.seekAt = &t, now+t.wait
+	if f.active == nil {
+		if f.attempt == nil {
+			t := f.selector.next(now)
+			f.attempt, f.attemptAt = &t, now+t.wait
 		}
-		if now >= f.seekAt {
-			f.cur, f.sought = f.open(f.sought.publisher), nil
+		if now >= f.attemptAt {
+			f.active, f.attempt = f.connect(f.attempt.publisher), nil
 		} else {
-			sooner(f.seekAt)
+			sooner(f.attemptAt)
 		}
 	}
-	if f.cur != nil {
-		sooner(f.cur.silent())
+	if f.active != nil {
+		sooner(f.active.timeoutAt())
 	}
-	if f.probe != nil && now >= f.probe.silent() {
-		f.noBetter()
+	if f.probe != nil && now >= f.probe.timeoutAt() {
+		f.probeFailed()
 	}
 	if f.probe != nil {
-		sooner(f.probe.silent())
-	} else if p, at, any := f.seek.probe(); any && f.apply != nil && f.cur != nil {
+		sooner(f.probe.timeoutAt())
+	} else if p, at, ok := f.selector.probe(); ok && f.apply != nil && f.active != nil {
 		if now >= at {
-			f.probe = f.open(p)
-			sooner(f.probe.silent())
+			f.probe = f.connect(p)
+			sooner(f.probe.timeoutAt())
 		} else {
 			sooner(at)
 		}
 	}
-	f.keep.tend(now)
-	if at := f.keep.due(); at != 0 {
+	f.store.writeIfDue(now)
+	if at := f.store.nextWrite(); at != 0 {
 		sooner(at)
 	}
 	return next
 }
 
-// open turns to a publisher.
-func (f *Follower) open(p int) *stream {
+// connect opens a stream to publisher p.
+func (f *Follower) connect(p int) *stream {
 	h := f.inForce.Header()
-	within := answerMost
-	if f.apply == nil { // a start gives more than one a chance within its wait
-		within = min(within, f.set.InitialWait/startTries)
+	timeout := responseTimeout
+	if f.apply == nil { // InitialVersion tries several publishers within its wait
+		timeout = min(timeout, f.set.InitialWait/startAttempts)
 	}
-	return open(p, f.set.Publishers[p].Address, &protocol.Hello{Name: f.set.Name, Region: f.set.Region, Publisher: f.set.Relay,
-		Number: h.Number, Digest: f.digest()}, &f.count, f.now, within)
+	return openStream(p, f.set.Publishers[p].Address, &protocol.Hello{Name: f.set.Name, Region: f.set.Region, Publisher: f.set.Relay,
+		Number: h.Number, Digest: f.digest()}, &f.count, f.now, timeout)
 }
 
-// digest is that of the version in force; zero where none is.
+// digest is that of the version in force, or zero where none is.
 func (f *Follower) digest() document.Digest {
 	if f.inForce.Header().Number == 0 {
 		return document.Digest{}
@@ -298,73 +301,74 @@
 	return f.inForce.Digest()
 }
 
-// leave ends the stream, or the try. faulty says that what came could be acted on by nobody.
-func (f *Follower) leave(why string, faulty bool) {
-	s := f.cur
-	f.cur = nil
-	if faulty {
-		word := f.word()
-		s.end(&word)
+// disconnect ends the active stream or attempt. invalid says that the publisher sent
+// data that no follower can use.
+func (f *Follower) disconnect(why string, invalid bool) {
+	s := f.active
+	f.active = nil
+	if invalid {
+		ack := f.currentAck()
+		s.end(&ack)
 	} else {
 		s.end(nil)
 	}
-	f.seek.failed(f.now(), s.to, faulty)
-	f.gone(s, why)
-	f.cur, f.probe = f.probe, nil // one that was asked meanwhile is on the way already
+	f.selector.failed(f.now(), s.publisher, invalid)
+	f.noteDisconnected(s, why)
+	f.active, f.probe = f.probe, nil // a probe that is under way becomes the next attempt
 }
 
-// gone notes that no publisher is followed any more, and logs it once.
-func (f *Follower) gone(s *stream, why string) {
+// noteDisconnected records that no publisher is followed any more, and logs it once.
+func (f *Follower) noteDisconnected(s *stream, why string) {
 	f.mu.Lock()
 	f.state.Publisher = ""
 	f.mu.Unlock()
-	address := zap.String("publisher", f.set.Publishers[s.to].Address)
+	address := zap.String("publisher", f.set.Publishers[s.publisher].Address)
 	switch {
-	case s.spoke:
-		f.alone = true
-		f.log.Warn("control: the publisher is left", address, zap.String("why", why))
-	case !f.alone:
-		f.alone = true
+	case s.established:
+		f.disconnectLogged = true
+		f.log.Warn("control: disconnected from the publisher", address, zap.String("why", why))
+	case !f.disconnectLogged:
+		f.disconnectLogged = true
 		f.log.Warn("control: no publisher is followed", address, zap.String("why", why))
 	default:
-		f.log.Debug("control: a publisher is not reached", address, zap.String("why", why))
+		f.log.Debug("control: a publisher cannot be reached", address, zap.String("why", why))
 	}
 }
 
-// stood notes that the publisher has begun to speak.
-func (f *Follower) stood(s *stream) {
-	s.spoke = true
-	f.seek.stood(f.now(), s.to)
-	f.alone = false
-	p := f.set.Publishers[s.to]
+// noteEstablished records that the first message of the publisher has arrived.
+func (f *Follower) noteEstablished(s *stream) {
+	s.established = true
+	f.selector.established(f.now(), s.publisher)
+	f.disconnectLogged = false
+	p := f.set.Publishers[s.publisher]
 	f.mu.Lock()
 	if f.state.Publisher != p.Address {
 		f.state.Publisher = p.Address
 		f.state.Switches++
 	}
 	f.mu.Unlock()
-	f.log.Info("control: a publisher is followed", zap.String("publisher", p.Address), zap.String("region", p.Region))
+	f.log.Info("control: following a publisher", zap.String("publisher", p.Address), zap.String("region", p.Region))
 }
 
-// answered takes in the first word of a publisher that may do better than the
-// one that is followed: it is followed from here on, or left again.
-func (f *Follower) answered(ctx context.Context, r *protocol.PublisherMessage) {
+// probeAnswered handles the first message on the probe: if that publisher is better
+// than the active one, it becomes the active one, else the probe is closed.
+func (f *Follower) probeAnswered(ctx context.Context, r *protocol.PublisherMessage) {
 	if b := r.Heartbeat; b != nil && (time.Duration(b.OriginatorSilenceMS)*time.Millisecond >= protocol.OriginatorTimeout ||
 		b.Number < f.inForce.Header().Number || b.OriginatorSilenceMS < 0) {
-		f.noBetter()
+		f.probeFailed()
 		return
 	}
-	was := f.cur
-	f.cur, f.probe = f.probe, nil
-	was.end(nil)
-	f.log.Info("control: the publisher is left for a better one", zap.String("publisher", f.set.Publishers[was.to].Address))
-	f.take(ctx, r)
+	previous := f.active
+	f.active, f.probe = f.probe, nil
+	previous.end(nil)
+	f.log.Info("control: switched from the publisher to a better one", zap.String("publisher", f.set.Publishers[previous.publisher].Address))
+	f.handleMessage(ctx, r)
 }
 
-// noBetter notes that the one that was asked does no better.
-func (f *Follower) noBetter() {
+// probeFailed closes the probe: its publisher is no better than the active one.
+func (f *Follower) probeFailed() {
 	p := f.probe
 	f.probe = nil
 	p.end(nil)
-	f.seek.probed(f.now(), p.to)
+	f.selector.probeFailed(f.now(), p.publisher)
 }
--- a/internal/control/publish/helpers_test.go
+++ b/internal/control/publish/helpers_test.go
@@ -21,21 +21,23 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// patience bounds every wait: far longer than anything takes.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait, so that what never happens fails the test instead
+// of hanging it.
+const waitTimeout = 20 * time.Second
 
-var byTest = document.Meta{Author: "test", Reason: "a test"}
+var testMeta = document.Meta{Author: "test", Reason: "a test"}
 
-// team is the change that gives a team its budget.
+// team is the change that sets a team's quota.
 func team(name string, quota float64) document.Change {
 	return document.Change{Team: &document.Team{Name: name, Quota: quota}}
 }
 
+// eventually waits until ok returns true.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatalf("%s: not within %v", what, patience)
+		if time.Since(began) > waitTimeout {
+			t.Fatalf("%s: not within %v", what, waitTimeout)
 		}
 	}
 }
@@ -44,10 +46,11 @@
 type machine struct {
 	*Publisher
 	*Client
-	logs  *observer.ObservedLogs
-	leave func()
+	logs     *observer.ObservedLogs
+	shutDown func()
 }
 
+// freeAddress returns an address with a port that was free just now.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,7 +61,8 @@
 	return l.Addr().String()
 }
 
-// serve opens a publisher and lets it serve until the test ends or leave is called.
+// serve opens a publisher and lets it serve until the test ends or shutDown is
+// called.
 func serve(t testing.TB, set Settings, tune ...func(*Publisher)) *machine {
 	t.Helper()
 	core, logs := observer.New(zapcore.InfoLevel)
@@ -86,7 +90,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- p.Serve(ctx) }()
 	m := &machine{Publisher: p, Client: &Client{Address: set.Listen}, logs: logs}
-	m.leave = sync.OnceFunc(func() {
+	m.shutDown = sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
 			t.Errorf("Serve: %v", err)
@@ -95,31 +99,31 @@
 			t.Errorf("Close: %v", err)
 		}
 	})
-	t.Cleanup(m.leave)
+	t.Cleanup(m.shutDown)
 	eventually(t, "it serves", func() bool { return logs.FilterMessage("serving").Len() == 1 })
 	return m
 }
 
-// must publishes changes.
-func (m *machine) must(t testing.TB, changes ...document.Change) document.Header {
+// mustPublish publishes changes.
+func (m *machine) mustPublish(t testing.TB, changes ...document.Change) document.Header {
 	t.Helper()
-	h, err := m.Publish(changes, byTest, document.Digest{})
+	h, err := m.Publish(changes, testMeta, document.Digest{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return h
 }
 
-// versionsUpTo publishes until that number is in force.
+// versionsUpTo publishes versions until that number is in force.
 func (m *machine) versionsUpTo(t testing.TB, number uint64) {
 	t.Helper()
 	for n := m.Document().Header().Number + 1; n <= number; n++ {
-		m.must(t, team(fmt.Sprint("t", n%50), float64(n)))
+		m.mustPublish(t, team(fmt.Sprint("t", n%50), float64(n)))
 	}
 }
 
-// peer is a follower by hand: it says what a test wants, and keeps what it hears.
-type peer struct {
+// testFollower is a follower whose messages are sent by the test.
+type testFollower struct {
 	t         testing.TB
 	out       *io.PipeWriter
 	in        io.ReadCloser
@@ -127,105 +131,106 @@
 	transport *http.Transport
 }
 
-func h2() *http.Transport {
-	var p http.Protocols
-	p.SetUnencryptedHTTP2(true)
-	return &http.Transport{Protocols: &p}
+// http2Transport is a transport for HTTP/2 without TLS.
+func http2Transport() *http.Transport {
+	var protocols http.Protocols
+	protocols.SetUnencryptedHTTP2(true)
+	return &http.Transport{Protocols: &protocols}
 }
 
-// dial opens a stream without a word.
-func dial(t testing.TB, address string) (*peer, error) {
+// dial opens a stream without a Hello.
+func dial(t testing.TB, address string) (*testFollower, error) {
 	r, w := io.Pipe()
-	p := &peer{t: t, out: w, transport: h2()}
-	t.Cleanup(p.close)
+	f := &testFollower{t: t, out: w, transport: http2Transport()}
+	t.Cleanup(f.close)
 	q, err := http.NewRequest(http.MethodPost, "http://"+address+protocol.PathFollow, r)
 	if err != nil {
-		return p, err
+		return f, err
 	}
-	a, err := p.transport.RoundTrip(q)
+	a, err := f.transport.RoundTrip(q)
 	if err != nil {
-		return p, err
+		return f, err
 	}
-	p.in = a.Body
+	f.in = a.Body
 	if a.StatusCode != http.StatusOK {
-		return p, fmt.Errorf("status %d, Retry-After %q", a.StatusCode, a.Header.Get("Retry-After"))
+		return f, fmt.Errorf("status %d, Retry-After %q", a.StatusCode, a.Header.Get("Retry-After"))
 	}
 	mode, err := cbor.DecOptions{}.DecMode()
-	p.dec = mode.NewDecoder(a.Body)
-	return p, err
+	f.dec = mode.NewDecoder(a.Body)
+	return f, err
 }
 
-// hello opens a stream and says who it is.
-func hello(t testing.TB, address string, h protocol.Hello) *peer {
+// connectFollower opens a stream and sends a Hello.
+func connectFollower(t testing.TB, address string, h protocol.Hello) *testFollower {
 	t.Helper()
-	p, err := dial(t, address)
+	f, err := dial(t, address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if h.Name == "" {
 		h.Name = "s0"
 	}
-	p.say(protocol.FollowerMessage{Hello: &h})
-	return p
+	f.send(protocol.FollowerMessage{Hello: &h})
+	return f
 }
 
-func (p *peer) close() {
-	p.out.CloseWithError(errors.New("over"))
-	if p.in != nil {
-		p.in.Close()
+func (f *testFollower) close() {
+	f.out.CloseWithError(errors.New("closed by the test"))
+	if f.in != nil {
+		f.in.Close()
 	}
-	p.transport.CloseIdleConnections()
+	f.transport.CloseIdleConnections()
 }
 
-func (p *peer) say(m protocol.FollowerMessage) {
-	p.t.Helper()
+func (f *testFollower) send(m protocol.FollowerMessage) {
+	f.t.Helper()
 	b, err := cbor.Marshal(&m)
 	if err != nil {
-		p.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	p.raw(b)
+	f.sendRaw(b)
 }
 
-func (p *peer) raw(b []byte) {
-	p.out.Write(b) //nolint:errcheck // an end shows where it is read
+func (f *testFollower) sendRaw(b []byte) {
+	f.out.Write(b) //nolint:errcheck // a stream that has ended is noticed by the reads
 }
 
-func (p *peer) ack(doc *document.Document) {
-	p.say(protocol.FollowerMessage{Ack: &protocol.Ack{Number: doc.Header().Number, Digest: doc.Digest()}})
+func (f *testFollower) ack(doc *document.Document) {
+	f.send(protocol.FollowerMessage{Ack: &protocol.Ack{Number: doc.Header().Number, Digest: doc.Digest()}})
 }
 
-// next is the next record, whatever it is; an error is the stream's end.
-func (p *peer) next() (m protocol.PublisherMessage, err error) {
-	return m, p.dec.Decode(&m)
+// next is the next message, whatever it is; an error is the end of the stream.
+func (f *testFollower) next() (m protocol.PublisherMessage, err error) {
+	return m, f.dec.Decode(&m)
 }
 
-// version is the next record that is no beat.
-func (p *peer) version() (m protocol.PublisherMessage, err error) {
+// nextVersion is the next message that is no heartbeat.
+func (f *testFollower) nextVersion() (m protocol.PublisherMessage, err error) {
 	for m.Delta == nil && m.Snapshot == nil && err == nil {
 		m = protocol.PublisherMessage{}
-		err = p.dec.Decode(&m)
+		err = f.dec.Decode(&m)
 	}
 	return m, err
 }
 
-// beat is the next record, which must be a beat.
-func (p *peer) beat() *protocol.Heartbeat {
-	p.t.Helper()
-	m, err := p.next()
+// nextHeartbeat is the next message, which must be a heartbeat.
+func (f *testFollower) nextHeartbeat() *protocol.Heartbeat {
+	f.t.Helper()
+	m, err := f.next()
 	if err != nil || m.Heartbeat == nil {
-		p.t.Fatalf("%d bytes of a delta, %d of a snapshot, %v: want a beat", len(m.Delta), len(m.Snapshot), err)
+		f.t.Fatalf("%d bytes of a delta, %d of a snapshot, %v: want a heartbeat", len(m.Delta), len(m.Snapshot), err)
 	}
 	return m.Heartbeat
 }
 
-// reach applies what comes until that version is in force, and returns it with
-// the number of snapshots and deltas it took.
-func (p *peer) reach(doc *document.Document, number uint64) (_ *document.Document, snapshots, deltas int) {
-	p.t.Helper()
+// applyUpTo applies versions until that one is in force, and returns it with the
+// number of snapshots and deltas that it took.
+func (f *testFollower) applyUpTo(doc *document.Document, number uint64) (_ *document.Document, snapshots, deltas int) {
+	f.t.Helper()
 	for doc.Header().Number < number {
-		m, err := p.version()
+		m, err := f.nextVersion()
 		if err != nil {
-			p.t.Fatalf("on version %d: %v", doc.Header().Number, err)
+			f.t.Fatalf("on version %d: %v", doc.Header().Number, err)
 		}
 		if m.Snapshot != nil {
 			snapshots++
@@ -238,14 +243,14 @@
 			}
 		}
 		if err != nil {
-			p.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		p.ack(doc)
+		f.ack(doc)
 	}
 	return doc, snapshots, deltas
 }
 
-// relayOf are the settings of a machine that follows others.
+// relayOf are the settings of a relay that follows these addresses.
 func relayOf(name string, addresses ...string) Settings {
 	s := Settings{Name: name}
 	for _, a := range addresses {
@@ -254,10 +259,10 @@
 	return s
 }
 
-// applyRecord applies what a follower is sent.
-func applyRecord(doc *document.Document, record []byte) (*document.Document, error) {
+// applyMessage applies an encoded message.
+func applyMessage(doc *document.Document, message []byte) (*document.Document, error) {
 	var m protocol.PublisherMessage
-	if err := cbor.Unmarshal(record, &m); err != nil {
+	if err := cbor.Unmarshal(message, &m); err != nil {
 		return nil, err
 	}
 	if m.Snapshot != nil {
--- a/internal/control/publish/log.go
+++ b/internal/control/publish/log.go
@@ -11,198 +11,206 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// entry is one version in memory, as all followers are sent it.
+// entry is one version in memory, encoded as all followers receive it.
 type entry struct {
-	number uint64
-	digest document.Digest
-	record []byte    // a protocol.FromPublisher
-	since  time.Time // in force here
-}
-
-// versions is the log in memory: what senders read. The lock is held for some
-// lookups and copies of slices' heads alone, never while anything is written or
-// encoded.
-type versions struct {
-	mu      sync.Mutex
-	doc     *document.Document
-	digest  document.Digest // of doc
-	first   uint64          // the number of entries[0]
-	base    document.Digest // of the version before it
-	since   time.Time       // the base has been in force
-	entries []entry
-	bytes   int
-	whole   *snapshot
-	made    int           // snapshots begun
-	moved   chan struct{} // closed at the next version
-}
-
-// snapshot is one version whole, made when the first follower needs it.
+	number  uint64
+	digest  document.Digest
+	message []byte    // an encoded protocol.PublisherMessage
+	since   time.Time // when it came into force here
+}
+
+// versionLog is the log in memory, which the streams read. The lock is held only for
+// lookups and copies of slice headers, never while anything is written or encoded.
+type versionLog struct {
+	mu            sync.Mutex
+	doc           *document.Document // in force
+	digest        document.Digest    // of doc
+	firstNumber   uint64             // the number of entries[0]
+	baseDigest    document.Digest    // of the version before entries[0]
+	baseSince     time.Time          // when that version came into force here
+	entries       []entry            // the newest deltas, by number
+	bytes         int                // of their messages
+	lastSnapshot  *snapshot
+	snapshotsMade int           // snapshots begun
+	changed       chan struct{} // closed at the next version
+}
+
+// snapshot is one whole version, encoded when the first follower needs it.
 type snapshot struct {
 	doc    *document.Document
 	number uint64
 	digest document.Digest
 
-	once   sync.Once
-	text   []byte // by Document.Snapshot
-	record []byte // the same as a protocol.FromPublisher
-	err    error
-	done   atomic.Bool
+	once    sync.Once
+	encoded []byte // by Document.Snapshot
+	message []byte // the same as an encoded protocol.PublisherMessage
+	err     error
+	done    atomic.Bool
 }
 
-// make words the snapshot: once, whoever comes first.
-func (s *snapshot) make() error {
+// encode encodes the snapshot, once for all callers.
+func (s *snapshot) encode() error {
 	s.once.Do(func() {
-		if s.text, s.err = s.doc.Snapshot(); s.err == nil {
-			s.record, s.err = cbor.Marshal(&protocol.PublisherMessage{Snapshot: s.text})
+		if s.encoded, s.err = s.doc.Snapshot(); s.err == nil {
+			s.message, s.err = cbor.Marshal(&protocol.PublisherMessage{Snapshot: s.encoded})
 		}
 		s.done.Store(true)
 	})
 	return s.err
 }
 
-func newVersions(doc *document.Document) *versions {
-	v := &versions{moved: make(chan struct{})}
+// newVersionLog returns a log that starts at doc.
+func newVersionLog(doc *document.Document) *versionLog {
+	v := &versionLog{changed: make(chan struct{})}
 	v.reset(doc)
 	return v
 }
 
-// reset starts the log anew at a version that came whole.
-func (v *versions) reset(doc *document.Document) {
+// reset starts the log anew at a version that arrived as a snapshot.
+func (v *versionLog) reset(doc *document.Document) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.doc, v.digest = doc, doc.Digest()
-	v.first, v.base, v.since = doc.Header().Number+1, v.digest, time.Now()
-	v.entries, v.bytes, v.whole = nil, 0, nil
-	v.announce()
+	v.firstNumber, v.baseDigest, v.baseSince = doc.Header().Number+1, v.digest, time.Now()
+	v.entries, v.bytes, v.lastSnapshot = nil, 0, nil
+	v.notifyChanged()
 }
 
-func (v *versions) announce() {
-	close(v.moved)
-	v.moved = make(chan struct{})
+// notifyChanged wakes all streams that wait for a version.
+func (v *versionLog) notifyChanged() {
+	close(v.changed)
+	v.changed = make(chan struct{})
 }
 
-// add puts a version in force, and drops the oldest beyond the bounds.
-func (v *versions) add(doc *document.Document, e entry, drop int) {
+// add puts a version in force, and drops the drop oldest entries.
+func (v *versionLog) add(doc *document.Document, e entry, drop int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.doc, v.digest = doc, e.digest
 	v.entries = append(v.entries, e)
-	v.bytes += len(e.record)
-	v.trim(drop)
-	v.announce()
+	v.bytes += len(e.message)
+	v.dropOldest(drop)
+	v.notifyChanged()
 }
 
-// restore is add for what was read from disk: nobody waits yet.
-func (v *versions) restore(doc *document.Document, base document.Digest, list []entry) {
+// restore sets the log to what was read from disk, before any stream exists.
+func (v *versionLog) restore(doc *document.Document, base document.Digest, list []entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.doc, v.digest, v.base, v.first, v.entries = doc, doc.Digest(), base, list[0].number, list
+	v.doc, v.digest, v.baseDigest, v.firstNumber, v.entries = doc, doc.Digest(), base, list[0].number, list
 	for i := range list {
-		v.bytes += len(list[i].record)
+		v.bytes += len(list[i].message)
 	}
 }
 
-func (v *versions) trim(drop int) {
+// dropOldest drops the drop oldest entries.
+func (v *versionLog) dropOldest(drop int) {
 	for i := range v.entries[:drop] {
 		e := &v.entries[i]
-		v.base, v.since = e.digest, e.since
-		v.bytes -= len(e.record)
-		*e = entry{} // what it points at is free before the list is moved
+		v.baseDigest, v.baseSince = e.digest, e.since
+		v.bytes -= len(e.message)
+		*e = entry{} // releases the message although the array stays
 	}
 	v.entries = v.entries[drop:]
-	v.first += uint64(drop)
+	v.firstNumber += uint64(drop)
 }
 
-// excess is how many of the oldest entries must go before one of n bytes is added.
-func (v *versions) excess(deltas, bytes, n int) int {
+// excess is how many of the oldest entries must be dropped before one of n bytes is
+// added.
+func (v *versionLog) excess(deltas, bytes, n int) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	drop, left := 0, v.bytes+n
 	for drop < len(v.entries) && (len(v.entries)-drop+1 > deltas || left > bytes) {
-		left -= len(v.entries[drop].record)
+		left -= len(v.entries[drop].message)
 		drop++
 	}
 	return drop
 }
 
 // inForce returns the version in force.
-func (v *versions) inForce() *document.Document {
+func (v *versionLog) inForce() *document.Document {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.doc
 }
 
-// oldest is the version that the log reaches back to.
-func (v *versions) oldest() uint64 {
+// oldest is the number of the version that the log reaches back to.
+func (v *versionLog) oldest() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.first - 1
+	return v.firstNumber - 1
 }
 
-// knows says whether the log holds that number, and whether with that digest.
-func (v *versions) knows(number uint64, digest document.Digest) (known, same bool) {
+// lookup reports whether the log holds a version with that number, and whether with
+// that digest.
+func (v *versionLog) lookup(number uint64, digest document.Digest) (known, same bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.look(number, digest)
+	return v.lookupLocked(number, digest)
 }
 
-func (v *versions) look(number uint64, digest document.Digest) (known, same bool) {
-	switch at := number + 1 - v.first; {
-	case number+1 < v.first || at > uint64(len(v.entries)):
+// lookupLocked is lookup for callers that hold the lock.
+func (v *versionLog) lookupLocked(number uint64, digest document.Digest) (known, same bool) {
+	switch at := number + 1 - v.firstNumber; {
+	case number+1 < v.firstNumber || at > uint64(len(v.entries)):
 		return false, false
 	case at == 0:
-		return true, digest == v.base
+		return true, digest == v.baseDigest
 	default:
 		return true, digest == v.entries[at-1].digest
 	}
 }
 
-// behind is how long a version has been in force here that one on number is not on.
-func (v *versions) behind(number uint64, now time.Time) time.Duration {
+// lag is how long the version after number has been in force here; 0 if there is
+// none.
+func (v *versionLog) lag(number uint64, now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
-	case number >= v.first-1+uint64(len(v.entries)):
+	case number >= v.firstNumber-1+uint64(len(v.entries)):
 		return 0
-	case number+1 < v.first:
-		return now.Sub(v.since)
+	case number+1 < v.firstNumber:
+		return now.Sub(v.baseSince)
 	}
-	return now.Sub(v.entries[number+1-v.first].since)
+	return now.Sub(v.entries[number+1-v.firstNumber].since)
 }
 
-// The most that a sender takes from the log at once.
+// The most that a stream takes from the log at once.
 const (
 	batchEntries = 64
 	batchBytes   = 256 << 10
 )
 
-// next is what one on a version is to be sent.
-type next struct {
-	entries []entry
-	whole   *snapshot // ... or this, see make
-	fork    bool      // ... or nothing, ever
-	beat    protocol.Heartbeat
-	moved   <-chan struct{} // closed when there is more
+// update is what a follower is to be sent next.
+type update struct {
+	entries   []entry
+	snapshot  *snapshot // ... or this, see encode
+	fork      bool      // ... or nothing but heartbeats, ever
+	heartbeat protocol.Heartbeat
+	changed   <-chan struct{} // closed when there is more
 }
 
-// after says what comes after a version. The list reuses the space of scratch.
-func (v *versions) after(number uint64, digest document.Digest, scratch []entry) next {
+// updateAfter returns what a follower on that version is to be sent. The list reuses
+// the space of scratch.
+func (v *versionLog) updateAfter(number uint64, digest document.Digest, scratch []entry) update {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	head := v.first - 1 + uint64(len(v.entries))
-	n := next{entries: scratch[:0], moved: v.moved, beat: protocol.Heartbeat{Number: head, Digest: v.digest}}
-	known, same := v.look(number, digest)
+	newest := v.firstNumber - 1 + uint64(len(v.entries))
+	n := update{entries: scratch[:0], changed: v.changed, heartbeat: protocol.Heartbeat{Number: newest, Digest: v.digest}}
+	known, same := v.lookupLocked(number, digest)
 	switch {
-	case number > head || head == 0:
-		// It is ahead of this machine, which will catch up; or there is nothing yet.
+	case number > newest || newest == 0:
+		// The follower is ahead of this machine, which will catch up; or there is no
+		// version yet.
 	case number == 0 || !known:
-		n.whole = v.snapshot(head)
+		n.snapshot = v.currentSnapshot(newest)
 	case !same:
 		n.fork = true
 	default:
 		size := 0
-		for _, e := range v.entries[number+1-v.first:] {
-			if size += len(e.record); len(n.entries) == batchEntries || len(n.entries) > 0 && size > batchBytes {
+		for _, e := range v.entries[number+1-v.firstNumber:] {
+			if size += len(e.message); len(n.entries) == batchEntries || len(n.entries) > 0 && size > batchBytes {
 				break
 			}
 			n.entries = append(n.entries, e)
@@ -211,28 +219,28 @@
 	return n
 }
 
-// snapshot is the one at hand, while what has come since is less than a quarter
-// of it and lies in the log: in a burst of versions with many who start, few are
-// made. Else it is that of the version in force.
-func (v *versions) snapshot(head uint64) *snapshot {
-	if s := v.whole; s != nil && s.number+1 >= v.first {
+// currentSnapshot returns the last snapshot, as long as the deltas since are in the
+// log and less than a quarter of its size, so that few are made when many followers
+// start during a burst of versions. Otherwise it starts one of the version in force.
+func (v *versionLog) currentSnapshot(newest uint64) *snapshot {
+	if s := v.lastSnapshot; s != nil && s.number+1 >= v.firstNumber {
 		size := 0
-		for _, e := range v.entries[s.number+1-v.first:] {
-			size += len(e.record)
+		for _, e := range v.entries[s.number+1-v.firstNumber:] {
+			size += len(e.message)
 		}
-		if s.number == head || size < s.size()/4 {
+		if s.number == newest || size < s.size()/4 {
 			return s
 		}
 	}
-	v.made++
-	v.whole = &snapshot{doc: v.doc, number: head, digest: v.digest}
-	return v.whole
+	v.snapshotsMade++
+	v.lastSnapshot = &snapshot{doc: v.doc, number: newest, digest: v.digest}
+	return v.lastSnapshot
 }
 
-// size is how long it is; 0 while it is not made.
+// size is the length of the message; 0 until it is encoded.
 func (s *snapshot) size() int {
 	if s.done.Load() {
-		return len(s.record)
+		return len(s.message)
 	}
 	return 0
 }
--- a/internal/control/publish/publisher.go
+++ b/internal/control/publish/publisher.go
@@ -20,31 +20,32 @@
 
 // Publisher is one control machine.
 type Publisher struct {
-	set      Settings
-	log      *zap.Logger
-	store    *store
-	versions *versions
-	book     *book
-	relay    *follow.Follower // nil = this machine originates
-	places   chan struct{}    // ... for streams
-	wholes   chan struct{}    // ... for snapshots that are written
-	bodies   chan struct{}    // ... for versions that are read
-	ending   context.Context  // ends when the machine leaves
-	end      context.CancelFunc
+	set           Settings
+	log           *zap.Logger
+	store         *store
+	versions      *versionLog
+	registry      *followerRegistry
+	relay         *follow.Follower // nil = this machine is the originator
+	streamSlots   chan struct{}    // bounds the streams
+	snapshotSlots chan struct{}    // bounds the snapshots sent at once
+	bodySlots     chan struct{}    // bounds the bodies read at once
+	shutdown      context.Context  // ends when the machine shuts down
+	beginShutdown context.CancelFunc
 
-	helloWithin, ackWithin, pingAfter, pingWithin time.Duration
+	helloTimeout, ackTimeout, pingIdleTime, pingTimeout time.Duration
 
-	mu       sync.Mutex // held while a version is made: one at a time
-	kept     uint64     // the version that the snapshot on disk is of
-	since    int        // deltas written after it
-	sinceB   int        // bytes of them
-	diskSaid bool
+	mu                  sync.Mutex // held while a version is made: one at a time
+	snapshotNumber      uint64     // the version that the snapshot on disk is of
+	deltasSinceSnapshot int        // deltas written after it
+	bytesSinceSnapshot  int        // ... and their bytes
+	diskErrorLogged     bool
 }
 
-// Open reads the log that the folder keeps, and checks it whole. What was
-// accepted before a crash is there. The folder is this process's until Close.
+// Open reads and checks the log in the folder. Versions accepted before a crash are
+// there. The folder belongs to this process until Close.
 func Open(set Settings) (*Publisher, error) { return open(set, vfs.Default) }
 
+// open is Open on a given file system.
 func open(set Settings, fs vfs.FS) (*Publisher, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -57,11 +58,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", set.Folder, err)
 	}
-	p := &Publisher{set: set, log: set.Log, store: s, book: newBook(),
-		places: make(chan struct{}, MaxFollowers), wholes: make(chan struct{}, mostWholes),
-		bodies:      make(chan struct{}, mostBodies),
-		helloWithin: helloWithin, ackWithin: ackWithin, pingAfter: pingAfter, pingWithin: pingWithin}
-	p.ending, p.end = context.WithCancel(context.Background())
+	p := &Publisher{set: set, log: set.Log, store: s, registry: newFollowerRegistry(),
+		streamSlots: make(chan struct{}, MaxFollowers), snapshotSlots: make(chan struct{}, maxSnapshotWrites),
+		bodySlots:    make(chan struct{}, maxBodyReads),
+		helloTimeout: helloTimeout, ackTimeout: ackTimeout, pingIdleTime: pingIdleTime, pingTimeout: pingTimeout}
+	p.shutdown, p.beginShutdown = context.WithCancel(context.Background())
 	if err := p.restore(); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", set.Folder, err), s.close())
 	}
@@ -75,7 +76,7 @@
 	return p, nil
 }
 
-// check reports all faults of the settings at once.
+// check reports all invalid settings at once.
 func (s *Settings) check() error {
 	var errs []error
 	fail := func(format string, args ...any) { errs = append(errs, fmt.Errorf("publish: "+format, args...)) }
@@ -97,14 +98,14 @@
 	return errors.Join(errs...)
 }
 
-// restore takes over what the folder holds.
+// restore loads the log from the folder.
 func (p *Publisher) restore() error {
-	doc, deltas, kept, err := p.store.load()
+	doc, deltas, snapshotNumber, err := p.store.load()
 	if err != nil {
 		return err
 	}
-	p.kept = kept
-	p.versions = newVersions(doc)
+	p.snapshotNumber = snapshotNumber
+	p.versions = newVersionLog(doc)
 	if len(deltas) == 0 {
 		return nil
 	}
@@ -114,21 +115,22 @@
 		if list[i], err = newEntry(r, now); err != nil {
 			return err
 		}
-		if r.number > kept {
-			p.since++
-			p.sinceB += len(r.delta)
+		if r.number > snapshotNumber {
+			p.deltasSinceSnapshot++
+			p.bytesSinceSnapshot += len(r.delta)
 		}
 	}
 	p.versions.restore(doc, deltas[0].parent, list)
 	return nil
 }
 
-func newEntry(r record, now time.Time) (entry, error) {
+// newEntry returns the entry of a stored delta that came into force at now.
+func newEntry(r storedDelta, now time.Time) (entry, error) {
 	b, err := cbor.Marshal(&protocol.PublisherMessage{Delta: r.delta})
-	return entry{number: r.number, digest: r.digest, record: b, since: now}, err
+	return entry{number: r.number, digest: r.digest, message: b, since: now}, err
 }
 
-// Close gives the folder back. It is called after Serve, or without it.
+// Close closes the folder. It is called after Serve, or without it.
 func (p *Publisher) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,20 +140,21 @@
 // Document is the version in force here.
 func (p *Publisher) Document() *document.Document { return p.versions.inForce() }
 
-// Publish makes a version of the changes, at the originator alone: it is in force
-// there, and on its disk, when Publish returns. base, if not zero, must be the
-// digest in force. by.Time 0 is now; a time before that of the version in force
-// becomes that one's. Errors: ErrNotOriginator, ErrBase, ErrSame, ErrFaults with
-// all faults, ErrDisk.
+// Publish makes a version of the changes, at the originator only: when it returns,
+// the version is in force there and on disk. base, if not zero, must be the digest
+// of the version in force. A by.Time of 0 means now; a time before that of the
+// version in force is raised to it. Errors: ErrNotOriginator, ErrBaseMismatch,
+// ErrNoChange, ErrInvalidChanges with all faults, ErrDiskFailed.
 func (p *Publisher) Publish(changes []document.Change, by document.Meta, base document.Digest) (document.Header, error) {
 	return p.publish(func(*document.Document) []document.Change { return changes }, by, base)
 }
 
-// PublishContent is Publish of the changes that make what is in force into next.
+// PublishContent is Publish of the changes that turn the version in force into next.
 func (p *Publisher) PublishContent(next *document.Content, by document.Meta, base document.Digest) (document.Header, error) {
 	return p.publish(func(doc *document.Document) []document.Change { return doc.Diff(next) }, by, base)
 }
 
+// publish makes a version of the changes to the version in force.
 func (p *Publisher) publish(changes func(*document.Document) []document.Change, by document.Meta, base document.Digest) (document.Header, error) {
 	if p.relay != nil {
 		return document.Header{}, fmt.Errorf("%w: %s does", ErrNotOriginator, p.set.Upstreams[0].Address)
@@ -171,7 +174,7 @@
 	}
 	by.Time = max(cmp.Or(by.Time, time.Now().UnixMicro()), doc.Header().Time)
 	delta, err := doc.Draft(list, by)
-	if err != nil && err.Error() == sameText {
+	if err != nil && err.Error() == noChangeText {
 		return document.Header{}, fmt.Errorf("%w: %d %v", ErrNoChange, doc.Header().Number, doc.Digest())
 	}
 	if err != nil {
@@ -182,7 +185,7 @@
 		return document.Header{}, fmt.Errorf("%w:\n%w", ErrInvalidChanges, err)
 	}
 	if err := p.append(next, delta); err != nil {
-		p.sayDisk(err)
+		p.logDiskError(err)
 		return document.Header{}, err
 	}
 	h := next.Header()
@@ -191,25 +194,26 @@
 	return h, nil
 }
 
-// sameText is what document.Draft says of changes that leave all as it is.
-const sameText = "the delta changes nothing"
+// noChangeText is the text of Document.Draft's error for changes that change
+// nothing.
+const noChangeText = "the delta changes nothing"
 
 // append writes a version to the log on disk, then puts it in force.
 func (p *Publisher) append(next *document.Document, delta *document.Delta) error {
-	text, err := delta.Encode()
+	encoded, err := delta.Encode()
 	if err != nil {
 		return err
 	}
-	r := newRecord(delta, text)
+	r := newStoredDelta(delta, encoded)
 	e, err := newEntry(r, time.Now())
 	if err != nil {
 		return err
 	}
-	drop := p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.record))
+	drop := p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.message))
 	from := p.versions.oldest() + 1
-	w := &write{add: &r, from: from, to: from + uint64(drop), number: r.number, digest: r.digest}
-	// The deltas that stay must reach back to the snapshot, and be few after it.
-	if w.to > p.kept+1 || p.since+1 >= snapshotEvery || p.sinceB+len(text) >= snapshotBytes {
+	w := &logWrite{added: &r, dropFrom: from, dropTo: from + uint64(drop), number: r.number, digest: r.digest}
+	// The remaining deltas must reach back to the snapshot, and be few after it.
+	if w.dropTo > p.snapshotNumber+1 || p.deltasSinceSnapshot+1 >= maxReplayDeltas || p.bytesSinceSnapshot+len(encoded) >= maxReplayBytes {
 		if w.snapshot, err = next.Snapshot(); err != nil {
 			return err
 		}
@@ -217,23 +221,23 @@
 	if err := p.store.commit(w); err != nil {
 		return err
 	}
-	p.since, p.sinceB = p.since+1, p.sinceB+len(text)
+	p.deltasSinceSnapshot, p.bytesSinceSnapshot = p.deltasSinceSnapshot+1, p.bytesSinceSnapshot+len(encoded)
 	if w.snapshot != nil {
-		p.kept, p.since, p.sinceB = r.number, 0, 0
+		p.snapshotNumber, p.deltasSinceSnapshot, p.bytesSinceSnapshot = r.number, 0, 0
 	}
 	p.versions.add(next, e, drop)
 	return nil
 }
 
-// take puts a version in force that the relay's follower was sent. Where it
-// cannot be written it is served from memory: the originator has it on disk.
-func (p *Publisher) take(_ context.Context, doc *document.Document, delta *document.Delta) error {
+// applyRelayed puts a version in force that the relay received. If it cannot be
+// written, it is served from memory: the originator has it on disk.
+func (p *Publisher) applyRelayed(_ context.Context, doc *document.Document, delta *document.Delta) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if delta == nil {
-		return p.takeWhole(doc)
+		return p.applySnapshot(doc)
 	}
-	text, err := delta.Encode()
+	encoded, err := delta.Encode()
 	if err != nil {
 		return err
 	}
@@ -241,51 +245,53 @@
 		if !errors.Is(err, ErrDiskFailed) {
 			return err
 		}
-		p.sayDisk(err)
-		e, err := newEntry(newRecord(delta, text), time.Now())
+		p.logDiskError(err)
+		e, err := newEntry(newStoredDelta(delta, encoded), time.Now())
 		if err != nil {
 			return err
 		}
-		p.versions.add(doc, e, p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.record)))
+		p.versions.add(doc, e, p.versions.excess(p.set.MaxDeltas, p.set.MaxBytes, len(e.message)))
 	}
-	p.logTaken(doc, false)
+	p.logInForce(doc, false)
 	return nil
 }
 
-func (p *Publisher) takeWhole(doc *document.Document) error {
-	text, err := doc.Snapshot()
+// applySnapshot puts a version in force that the relay received as a snapshot.
+func (p *Publisher) applySnapshot(doc *document.Document) error {
+	encoded, err := doc.Snapshot()
 	if err != nil {
 		return err
 	}
 	from, to := p.versions.oldest()+1, p.versions.inForce().Header().Number+1
-	err = p.store.commit(&write{snapshot: text, from: from, to: to, number: doc.Header().Number, digest: doc.Digest()})
+	err = p.store.commit(&logWrite{snapshot: encoded, dropFrom: from, dropTo: to, number: doc.Header().Number, digest: doc.Digest()})
 	switch {
 	case errors.Is(err, ErrDiskFailed):
-		p.sayDisk(err)
+		p.logDiskError(err)
 	case err != nil:
 		return err
 	default:
-		p.kept, p.since, p.sinceB = doc.Header().Number, 0, 0
+		p.snapshotNumber, p.deltasSinceSnapshot, p.bytesSinceSnapshot = doc.Header().Number, 0, 0
 	}
 	p.versions.reset(doc)
-	p.logTaken(doc, true)
+	p.logInForce(doc, true)
 	return nil
 }
 
-func (p *Publisher) logTaken(doc *document.Document, whole bool) {
-	p.log.Info("version in force", zap.Uint64("version", doc.Header().Number), zap.Stringer("digest", doc.Digest()), zap.Bool("snapshot", whole))
+// logInForce logs a version that the relay put in force.
+func (p *Publisher) logInForce(doc *document.Document, snapshot bool) {
+	p.log.Info("version in force", zap.Uint64("version", doc.Header().Number), zap.Stringer("digest", doc.Digest()), zap.Bool("snapshot", snapshot))
 }
 
-// sayDisk logs the first failure of the disk: there is no way back but a start.
-func (p *Publisher) sayDisk(err error) {
-	if errors.Is(err, ErrDiskFailed) && !p.diskSaid {
-		p.diskSaid = true
-		p.log.Error("the log cannot be written: nothing more is kept until the next start", zap.Error(err))
+// logDiskError logs the first failure of the disk; only a restart ends it.
+func (p *Publisher) logDiskError(err error) {
+	if errors.Is(err, ErrDiskFailed) && !p.diskErrorLogged {
+		p.diskErrorLogged = true
+		p.log.Error("the log cannot be written: no version is stored until the next start", zap.Error(err))
 	}
 }
 
-// unheard is how long ago the originator was heard.
-func (p *Publisher) unheard() time.Duration {
+// originatorSilence is the time since the originator was last heard.
+func (p *Publisher) originatorSilence() time.Duration {
 	if p.relay == nil {
 		return 0
 	}
--- a/internal/control/publish/serve_test.go
+++ b/internal/control/publish/serve_test.go
@@ -16,19 +16,21 @@
 	"kiteslip/internal/faultnet"
 )
 
-func within(t testing.TB) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// testContext returns a context that bounds a request.
+func testContext(t testing.TB) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// at returns the document of a version that m published, as a follower has it.
-func (m *machine) at(t testing.TB, number uint64) *document.Document {
+// documentAt returns the document of a version that m published, as a follower has
+// it.
+func (m *machine) documentAt(t testing.TB, number uint64) *document.Document {
 	t.Helper()
 	doc := document.Empty()
 	for _, e := range m.versions.entries[:number] {
 		var err error
-		doc, err = applyRecord(doc, e.record)
+		doc, err = applyMessage(doc, e.message)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,29 +38,30 @@
 	return doc
 }
 
+// lagging returns the followers that lag, refused a version or are on a fork.
 func lagging(t testing.TB, m *machine) []protocol.Follower {
 	t.Helper()
-	lines, err := m.Followers(within(t), true)
+	followers, err := m.Followers(testContext(t), true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return lines
+	return followers
 }
 
-// What a follower is sent goes by the version that it names.
+// TestHello: what a follower is sent depends on the version in its Hello.
 func TestHello(t *testing.T) {
 	m := serve(t, Settings{MaxDeltas: 16})
-	empty := hello(t, m.Address, protocol.Hello{})
-	if b := empty.beat(); b.Number != 0 || b.OriginatorSilenceMS != 0 {
+	empty := connectFollower(t, m.Address, protocol.Hello{})
+	if b := empty.nextHeartbeat(); b.Number != 0 || b.OriginatorSilenceMS != 0 {
 		t.Errorf("before the first version: %+v", b)
 	}
 	m.versionsUpTo(t, 10)
 	docs := map[uint64]*document.Document{}
 	for n := uint64(1); n <= 10; n++ {
-		docs[n] = m.at(t, n)
+		docs[n] = m.documentAt(t, n)
 	}
-	if doc, snapshots, _ := empty.reach(document.Empty(), 10); doc.Digest() != m.Document().Digest() || snapshots != 1 {
-		t.Errorf("one with nothing: version %d after %d snapshots", doc.Header().Number, snapshots)
+	if doc, snapshots, _ := empty.applyUpTo(document.Empty(), 10); doc.Digest() != m.Document().Digest() || snapshots != 1 {
+		t.Errorf("a follower without a version: version %d after %d snapshots", doc.Header().Number, snapshots)
 	}
 	m.versionsUpTo(t, 20) // the log reaches back to version 4
 	for _, c := range []struct {
@@ -70,69 +73,72 @@
 		if c.on > 0 {
 			doc = docs[c.on]
 		}
-		p := hello(t, m.Address, protocol.Hello{Name: "s-" + c.name, Number: c.on, Digest: doc.Digest()})
-		if b := p.beat(); b.Number != 20 || b.Digest != m.Document().Digest() {
-			t.Errorf("%s: first a beat of %+v", c.name, b)
+		p := connectFollower(t, m.Address, protocol.Hello{Name: "s-" + c.name, Number: c.on, Digest: doc.Digest()})
+		if b := p.nextHeartbeat(); b.Number != 20 || b.Digest != m.Document().Digest() {
+			t.Errorf("%s: the first heartbeat is %+v", c.name, b)
 		}
-		doc, snapshots, steps := p.reach(doc, 20)
+		doc, snapshots, steps := p.applyUpTo(doc, 20)
 		if doc.Digest() != m.Document().Digest() || snapshots != c.snapshots || steps != c.steps {
 			t.Errorf("%s: %d snapshots and %d deltas, want %d and %d", c.name, snapshots, steps, c.snapshots, c.steps)
 		}
 	}
-	in := m.Document()
-	p := hello(t, m.Address, protocol.Hello{Name: "current", Number: 20, Digest: in.Digest()})
-	p.beat()
+	current := m.Document()
+	p := connectFollower(t, m.Address, protocol.Hello{Name: "current", Number: 20, Digest: current.Digest()})
+	p.nextHeartbeat()
 	m.versionsUpTo(t, 21)
-	if doc, snapshots, steps := p.reach(in, 21); doc.Digest() != m.Document().Digest() || snapshots != 0 || steps != 1 {
-		t.Errorf("a current one: %d snapshots, %d deltas", snapshots, steps)
+	if doc, snapshots, steps := p.applyUpTo(current, 21); doc.Digest() != m.Document().Digest() || snapshots != 0 || steps != 1 {
+		t.Errorf("a current follower: %d snapshots, %d deltas", snapshots, steps)
 	}
 }
 
-// Two versions with one number: the follower gets beats alone, it is logged as an
-// error and listed; all others go on.
-func TestForkIsShoutedAbout(t *testing.T) {
+// TestForkIsLogged: a follower on another version with a known number gets
+// heartbeats only; the fork is logged as an error and listed, and all other
+// followers go on.
+func TestForkIsLogged(t *testing.T) {
 	m := serve(t, Settings{})
 	m.versionsUpTo(t, 5)
 	for i, h := range []protocol.Hello{{Name: "on-5", Number: 5, Digest: document.Digest{9}}, {Name: "on-3", Number: 3, Digest: document.Digest{9}}} {
-		p := hello(t, m.Address, h)
-		p.beat()
+		p := connectFollower(t, m.Address, h)
+		p.nextHeartbeat()
 		eventually(t, "the fork is logged", func() bool {
 			return m.logs.FilterMessageSnippet("fork").Len() == i+1
 		})
-		m.must(t, team("z", float64(i+1)))
+		m.mustPublish(t, team("z", float64(i+1)))
 		for range 2 {
-			if b := p.beat(); b.Digest == h.Digest {
+			if b := p.nextHeartbeat(); b.Digest == h.Digest {
 				t.Errorf("%+v", b)
 			}
 		}
 	}
-	other := hello(t, m.Address, protocol.Hello{Name: "sound"})
-	other.reach(document.Empty(), 7)
-	eventually(t, "the sound one is current", func() bool { return len(lagging(t, m)) == 2 })
-	lines, err := m.Followers(within(t), true)
-	if err != nil || len(lines) != 2 || !lines[0].Fork || !lines[1].Fork || lines[0].Name != "on-3" || lines[0].LagMS == 0 {
-		t.Errorf("%+v, %v", lines, err)
+	other := connectFollower(t, m.Address, protocol.Hello{Name: "sound"})
+	other.applyUpTo(document.Empty(), 7)
+	eventually(t, "the other follower is current", func() bool { return len(lagging(t, m)) == 2 })
+	followers, err := m.Followers(testContext(t), true)
+	if err != nil || len(followers) != 2 || !followers[0].Fork || !followers[1].Fork || followers[0].Name != "on-3" || followers[0].LagMS == 0 {
+		t.Errorf("%+v, %v", followers, err)
 	}
-	if v, err := m.Version(within(t)); err != nil || v.Forks != 2 {
+	if v, err := m.Version(testContext(t)); err != nil || v.Forks != 2 {
 		t.Errorf("%+v, %v", v, err)
 	}
-	// One that says so itself, and one whose word shows it.
+	// A follower that reports the fork itself, and one whose acknowledgement shows
+	// it.
 	for _, a := range []protocol.Ack{{Number: 7, Digest: m.Document().Digest(), Fork: true}, {Number: 6, Digest: document.Digest{3}}} {
-		_, before := m.book.counts()
-		p := hello(t, m.Address, protocol.Hello{Name: "late", Number: 7, Digest: m.Document().Digest()})
-		p.say(protocol.FollowerMessage{Ack: &a})
-		eventually(t, "the fork is counted", func() bool { _, n := m.book.counts(); return n == before+1 })
+		_, before := m.registry.counts()
+		p := connectFollower(t, m.Address, protocol.Hello{Name: "late", Number: 7, Digest: m.Document().Digest()})
+		p.send(protocol.FollowerMessage{Ack: &a})
+		eventually(t, "the fork is counted", func() bool { _, n := m.registry.counts(); return n == before+1 })
 	}
 }
 
-// One that is ahead of this machine, which lags behind the originator, gets beats
-// alone until the machine has caught up, then what follows.
+// TestFollowerAhead: a follower that is ahead of this machine, which lags behind the
+// originator, gets heartbeats only until the machine has caught up, then the
+// versions that follow.
 func TestFollowerAhead(t *testing.T) {
 	a := serve(t, Settings{Name: "c0"})
 	b := serve(t, Settings{Name: "c1"})
 	for _, m := range []*machine{a, b} {
 		for n := range 3 {
-			by := byTest
+			by := testMeta
 			by.Time = int64(1e18) + int64(n) // the same versions on both
 			if _, err := m.Publish([]document.Change{team("a", float64(n+1))}, by, document.Digest{}); err != nil {
 				t.Fatal(err)
@@ -141,7 +147,7 @@
 	}
 	step := func(m *machine, n int) {
 		t.Helper()
-		by := byTest
+		by := testMeta
 		by.Time = int64(1e18) + int64(n)
 		if _, err := m.Publish([]document.Change{team("a", float64(n+1))}, by, document.Digest{}); err != nil {
 			t.Fatal(err)
@@ -151,16 +157,16 @@
 		step(a, n)
 	}
 	doc := a.Document()
-	p := hello(t, b.Address, protocol.Hello{Number: 6, Digest: doc.Digest()})
+	p := connectFollower(t, b.Address, protocol.Hello{Number: 6, Digest: doc.Digest()})
 	for range 2 {
-		if got := p.beat(); got.Number != 3 {
+		if got := p.nextHeartbeat(); got.Number != 3 {
 			t.Errorf("%+v", got)
 		}
 	}
 	for n := 3; n < 7; n++ {
 		step(b, n)
 	}
-	if doc, _, steps := p.reach(doc, 7); doc.Digest() != b.Document().Digest() || steps != 1 {
+	if doc, _, steps := p.applyUpTo(doc, 7); doc.Digest() != b.Document().Digest() || steps != 1 {
 		t.Errorf("after %d deltas on %d", steps, doc.Header().Number)
 	}
 	if n := b.logs.FilterMessageSnippet("fork").Len(); n != 0 {
@@ -168,143 +174,150 @@
 	}
 }
 
-// Streams that say nothing, nonsense, too much or too little end; none holds a
-// place for long, and others are served.
+// TestBadStreamsEnd: streams with no, invalid, oversized or truncated messages are
+// closed; none holds a slot for long, and other followers are served.
 func TestBadStreamsEnd(t *testing.T) {
-	m := serve(t, Settings{}, func(p *Publisher) { p.helloWithin = 50 * time.Millisecond })
+	m := serve(t, Settings{}, func(p *Publisher) { p.helloTimeout = 50 * time.Millisecond })
 	m.versionsUpTo(t, 1)
 	long := strings.Repeat("x", 200)
-	for name, say := range map[string]func(p *peer){
-		"nothing":       func(p *peer) {},
-		"half a record": func(p *peer) { p.raw([]byte{0xa1, 0x01}) },
-		"no CBOR":       func(p *peer) { p.raw([]byte("GET / HTTP/1.1\r\n")) },
-		"endless": func(p *peer) {
-			p.raw(append([]byte{0xa1, 0x01, 0x9b, 0, 0, 0, 0, 0x7f, 0, 0, 0}, make([]byte, 64<<10)...))
+	for name, send := range map[string]func(p *testFollower){
+		"nothing":           func(p *testFollower) {},
+		"truncated message": func(p *testFollower) { p.sendRaw([]byte{0xa1, 0x01}) },
+		"no CBOR":           func(p *testFollower) { p.sendRaw([]byte("GET / HTTP/1.1\r\n")) },
+		"endless": func(p *testFollower) {
+			p.sendRaw(append([]byte{0xa1, 0x01, 0x9b, 0, 0, 0, 0, 0x7f, 0, 0, 0}, make([]byte, 64<<10)...))
 		},
-		"a long text": func(p *peer) {
-			p.raw(append([]byte{0xa1, 0x01, 0xa1, 0x01, 0x7a, 0, 1, 0, 0}, bytes.Repeat([]byte("x"), 64<<10)...))
+		"a long text": func(p *testFollower) {
+			p.sendRaw(append([]byte{0xa1, 0x01, 0xa1, 0x01, 0x7a, 0, 1, 0, 0}, bytes.Repeat([]byte("x"), 64<<10)...))
 		},
-		"deep":            func(p *peer) { p.raw(bytes.Repeat([]byte{0x81}, 5000)) },
-		"no part":         func(p *peer) { p.say(protocol.FollowerMessage{}) },
-		"no name":         func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{}}) },
-		"a long name":     func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: long}}) },
-		"a long region":   func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a", Region: long}}) },
-		"an ack at first": func(p *peer) { p.say(protocol.FollowerMessage{Ack: &protocol.Ack{}}) },
-		"both parts": func(p *peer) {
-			p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}, Ack: &protocol.Ack{}})
+		"deep":        func(p *testFollower) { p.sendRaw(bytes.Repeat([]byte{0x81}, 5000)) },
+		"neither":     func(p *testFollower) { p.send(protocol.FollowerMessage{}) },
+		"no name":     func(p *testFollower) { p.send(protocol.FollowerMessage{Hello: &protocol.Hello{}}) },
+		"a long name": func(p *testFollower) { p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: long}}) },
+		"a long region": func(p *testFollower) {
+			p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a", Region: long}})
 		},
-		"hello twice": func(p *peer) {
+		"Ack first": func(p *testFollower) { p.send(protocol.FollowerMessage{Ack: &protocol.Ack{}}) },
+		"Hello and Ack": func(p *testFollower) {
+			p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}, Ack: &protocol.Ack{}})
+		},
+		"two Hellos": func(p *testFollower) {
 			for range 2 {
-				p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}})
+				p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}})
 			}
 		},
-		"nonsense after hello": func(p *peer) { p.say(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}}); p.raw([]byte{0xff}) },
+		"invalid after Hello": func(p *testFollower) {
+			p.send(protocol.FollowerMessage{Hello: &protocol.Hello{Name: "a"}})
+			p.sendRaw([]byte{0xff})
+		},
 	} {
 		p, err := dial(t, m.Address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		go say(p) // the machine may stop reading halfway
+		go send(p) // the machine may stop reading halfway
 		for n := 0; err == nil && n < 10; n++ {
 			_, err = p.next()
 		}
 		if err == nil {
-			t.Errorf("%s: the stream goes on", name)
+			t.Errorf("%s: the stream is not closed", name)
 		}
 	}
-	eventually(t, "all places are free", func() bool { n, _ := m.book.counts(); return n == 0 && len(m.places) == 0 })
-	hello(t, m.Address, protocol.Hello{}).reach(document.Empty(), 1)
+	eventually(t, "all slots are free", func() bool { n, _ := m.registry.counts(); return n == 0 && len(m.streamSlots) == 0 })
+	connectFollower(t, m.Address, protocol.Hello{}).applyUpTo(document.Empty(), 1)
 }
 
-// One that takes what it is sent and never says what became of it is cut off; one
-// that answers stays.
-func TestSilentFollowerIsCutOff(t *testing.T) {
-	m := serve(t, Settings{}, func(p *Publisher) { p.ackWithin = 100 * time.Millisecond })
+// TestSilentFollowerDisconnected: a follower that reads what it is sent and never
+// acknowledges it is disconnected; one that acknowledges stays.
+func TestSilentFollowerDisconnected(t *testing.T) {
+	m := serve(t, Settings{}, func(p *Publisher) { p.ackTimeout = 100 * time.Millisecond })
 	m.versionsUpTo(t, 1)
-	good := hello(t, m.Address, protocol.Hello{Name: "good"})
-	good.reach(document.Empty(), 1)
-	silent := hello(t, m.Address, protocol.Hello{Name: "silent"})
+	good := connectFollower(t, m.Address, protocol.Hello{Name: "good"})
+	good.applyUpTo(document.Empty(), 1)
+	silent := connectFollower(t, m.Address, protocol.Hello{Name: "silent"})
 	for {
 		if _, err := silent.next(); err != nil {
 			break
 		}
 	}
-	var lines []protocol.Follower
-	eventually(t, "it is listed as gone", func() (gone bool) {
+	var followers []protocol.Follower
+	eventually(t, "it is listed as disconnected", func() (listed bool) {
 		var err error
-		if lines, err = m.Followers(within(t), false); err != nil {
+		if followers, err = m.Followers(testContext(t), false); err != nil {
 			t.Fatal(err)
 		}
-		return len(lines) == 2 && !lines[1].Connected
+		return len(followers) == 2 && !followers[1].Connected
 	})
-	if !lines[0].Connected || lines[0].LagMS != 0 || lines[1].LagMS == 0 {
-		t.Errorf("%+v", lines)
+	if !followers[0].Connected || followers[0].LagMS != 0 || followers[1].LagMS == 0 {
+		t.Errorf("%+v", followers)
 	}
 }
 
-// One whose machine or link has died without a word is cut off, though the system
-// still takes the few bytes that it is sent.
-func TestDeadLinkIsCutOff(t *testing.T) {
-	m := serve(t, Settings{}, func(p *Publisher) { p.pingAfter, p.pingWithin = 100*time.Millisecond, 500*time.Millisecond })
+// TestDeadConnectionClosed: a follower whose machine or network has failed without
+// closing the connection is disconnected, although the system still accepts the few
+// bytes that are sent to it.
+func TestDeadConnectionClosed(t *testing.T) {
+	m := serve(t, Settings{}, func(p *Publisher) { p.pingIdleTime, p.pingTimeout = 100*time.Millisecond, 500*time.Millisecond })
 	m.versionsUpTo(t, 1)
 	link, err := faultnet.New(m.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(link.Close)
-	p := hello(t, link.Address, protocol.Hello{Name: "dead"})
-	p.reach(document.Empty(), 1)
+	p := connectFollower(t, link.Address, protocol.Hello{Name: "dead"})
+	p.applyUpTo(document.Empty(), 1)
 	link.Silence(faultnet.There)
 	link.Silence(faultnet.Back)
-	eventually(t, "it is listed as gone", func() bool {
-		lines, err := m.Followers(within(t), false)
-		return err == nil && len(lines) == 1 && !lines[0].Connected
+	eventually(t, "it is listed as disconnected", func() bool {
+		followers, err := m.Followers(testContext(t), false)
+		return err == nil && len(followers) == 1 && !followers[0].Connected
 	})
 }
 
-// One more than the places is told to come back, and comes in when one is free.
-func TestPlacesAreBounded(t *testing.T) {
-	m := serve(t, Settings{}, func(p *Publisher) { p.places = make(chan struct{}, 2) })
-	a := hello(t, m.Address, protocol.Hello{Name: "a"})
-	a.beat()
-	b := hello(t, m.Address, protocol.Hello{Name: "b"})
-	b.beat()
+// TestStreamsAreBounded: one stream more than there are slots is refused with
+// Retry-After, and accepted when a slot is free.
+func TestStreamsAreBounded(t *testing.T) {
+	m := serve(t, Settings{}, func(p *Publisher) { p.streamSlots = make(chan struct{}, 2) })
+	a := connectFollower(t, m.Address, protocol.Hello{Name: "a"})
+	a.nextHeartbeat()
+	b := connectFollower(t, m.Address, protocol.Hello{Name: "b"})
+	b.nextHeartbeat()
 	if _, err := dial(t, m.Address); err == nil || !strings.Contains(err.Error(), `status 503, Retry-After "2"`) {
 		t.Errorf("%v", err)
 	}
 	a.close()
-	eventually(t, "a place is free", func() bool { _, err := dial(t, m.Address); return err == nil })
+	eventually(t, "a slot is free", func() bool { _, err := dial(t, m.Address); return err == nil })
 }
 
-// Those that are gone are told of for a while, as many as are allowed, and one
-// that came back once.
-func TestThoseThatAreGone(t *testing.T) {
-	b, v := newBook(), newVersions(document.Empty())
+// TestDisconnectedFollowers: disconnected followers are listed for a while, up to a
+// bound; one that reconnected is listed once.
+func TestDisconnectedFollowers(t *testing.T) {
+	r, v := newFollowerRegistry(), newVersionLog(document.Empty())
 	now := time.Now()
-	for i := range mostGone + 10 {
-		b.leave(b.join(&protocol.Hello{Name: fmt.Sprintf("s%05d", i)}, now), now.Add(time.Duration(i)))
+	for i := range maxDisconnected + 10 {
+		r.leave(r.join(&protocol.Hello{Name: fmt.Sprintf("s%05d", i)}, now), now.Add(time.Duration(i)))
 	}
-	lines := b.list(v, now.Add(time.Second))
-	if len(lines) != mostGone || lines[0].Name != "s00010" || !slices.IsSortedFunc(lines, func(a, b protocol.Follower) int { return strings.Compare(a.Name, b.Name) }) {
-		t.Errorf("%d lines, the first %+v", len(lines), lines[0])
+	followers := r.list(v, now.Add(time.Second))
+	if len(followers) != maxDisconnected || followers[0].Name != "s00010" || !slices.IsSortedFunc(followers, func(a, b protocol.Follower) int { return strings.Compare(a.Name, b.Name) }) {
+		t.Errorf("%d followers, the first %+v", len(followers), followers[0])
 	}
-	back := b.join(&protocol.Hello{Name: "s00100"}, now)
-	twin := b.join(&protocol.Hello{Name: "s00100"}, now)
-	b.leave(back, now)
-	if lines = b.list(v, now); len(lines) != mostGone {
-		t.Errorf("%d lines with one that came back", len(lines))
+	reconnected := r.join(&protocol.Hello{Name: "s00100"}, now)
+	second := r.join(&protocol.Hello{Name: "s00100"}, now)
+	r.leave(reconnected, now)
+	if followers = r.list(v, now); len(followers) != maxDisconnected {
+		t.Errorf("%d followers with a follower that reconnected", len(followers))
 	}
-	b.leave(twin, now)
-	if lines = b.list(v, now.Add(2*keepFollowers)); len(lines) != 0 {
-		t.Errorf("%d lines long after", len(lines))
+	r.leave(second, now)
+	if followers = r.list(v, now.Add(2*disconnectedRetention)); len(followers) != 0 {
+		t.Errorf("%d followers after the retention time", len(followers))
 	}
 }
 
-// The pages and the client: what is published comes back, all faults of a file
-// are named, and each refusal is the error that it was.
+// TestClient: the Client returns what was published, all faults of a file, and for
+// each refusal the error that the machine had.
 func TestClient(t *testing.T) {
 	m := serve(t, Settings{})
-	ctx := within(t)
+	ctx := testContext(t)
 	const file = "[machine]\ncores = 2\n[[team]]\nname = \"red\"\nrequests_per_s = 5\n[[service]]\nname = \"maps\"\nowner = \"red\"\n" +
 		"[[service.contract]]\nclass = \"draw\"\neffect = \"repeatable\"\ndeadline_ms = 900\n"
 	h, err := m.PublishFile(ctx, []byte(file), document.Meta{Author: "ana ö", Reason: "line\nline"}, document.Digest{})
@@ -312,14 +325,14 @@
 		t.Fatalf("%+v, %v", h, err)
 	}
 	if _, ok := m.Document().Service("maps"); !ok {
-		t.Error("the service is not there")
+		t.Error("the service is missing")
 	}
 	v, err := m.Version(ctx)
 	if err != nil || v.Number != 1 || !strings.HasPrefix(v.Digest, m.Document().Digest().String()) || v.Originator != "" || v.PublisherName != "c0" {
 		t.Errorf("%+v, %v", v, err)
 	}
-	in := m.Document().Digest()
-	if h, err = m.PublishChanges(ctx, []document.Change{team("blue", 3)}, byTest, in); err != nil || h.Number != 2 || h.Parent != in {
+	base := m.Document().Digest()
+	if h, err = m.PublishChanges(ctx, []document.Change{team("blue", 3)}, testMeta, base); err != nil || h.Number != 2 || h.Parent != base {
 		t.Errorf("%+v, %v", h, err)
 	}
 	for _, c := range []struct {
@@ -329,21 +342,21 @@
 		texts []string
 	}{
 		{"the same file", func() error {
-			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"blue\"\nrequests_per_s = 3\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"blue\"\nrequests_per_s = 3\n"), testMeta, document.Digest{})
 			return err
 		}, ErrNoChange, nil},
-		{"another base", func() error { _, err := m.PublishFile(ctx, []byte(file), byTest, in); return err }, ErrBaseMismatch, []string{"in force is 2"}},
+		{"another base", func() error { _, err := m.PublishFile(ctx, []byte(file), testMeta, base); return err }, ErrBaseMismatch, []string{"in force is 2"}},
 		{"faults in the file", func() error {
-			_, err := m.PublishFile(ctx, []byte(strings.ReplaceAll(file, "requests_per_s", "quota")+"[[teem]]\nname = \"a\"\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(strings.ReplaceAll(file, "requests_per_s", "quota")+"[[teem]]\nname = \"a\"\n"), testMeta, document.Digest{})
 			return err
 		}, ErrInvalidChanges, []string{"team.quota", "teem"}},
 		{"names twice", func() error {
-			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"red\"\nrequests_per_s = 1\n[[team]]\nrequests_per_s = 1\n"), byTest, document.Digest{})
+			_, err := m.PublishFile(ctx, []byte(file+"[[team]]\nname = \"red\"\nrequests_per_s = 1\n[[team]]\nrequests_per_s = 1\n"), testMeta, document.Digest{})
 			return err
 		}, ErrInvalidChanges, []string{"team[1].name", "team[2].name"}},
-		{"no TOML", func() error { _, err := m.PublishFile(ctx, []byte("]"), byTest, document.Digest{}); return err }, ErrInvalidChanges, nil},
+		{"no TOML", func() error { _, err := m.PublishFile(ctx, []byte("]"), testMeta, document.Digest{}); return err }, ErrInvalidChanges, nil},
 		{"faulty changes", func() error {
-			_, err := m.PublishChanges(ctx, []document.Change{team("a", -1), {Drop: true, Team: &document.Team{Name: "nobody"}}}, byTest, document.Digest{})
+			_, err := m.PublishChanges(ctx, []document.Change{team("a", -1), {Drop: true, Team: &document.Team{Name: "nobody"}}}, testMeta, document.Digest{})
 			return err
 		}, ErrInvalidChanges, []string{"a", "nobody"}},
 		{"no author or reason", func() error {
@@ -366,11 +379,11 @@
 		}
 	}
 	if m.Document().Header() != h {
-		t.Error("what was refused is in force")
+		t.Error("a refused version is in force")
 	}
 }
 
-// Requests that are no use get a status that says so.
+// TestStatus: invalid requests are answered with a fitting status.
 func TestStatus(t *testing.T) {
 	m := serve(t, Settings{})
 	post := func(path, kind, body string) int {
@@ -401,28 +414,29 @@
 			t.Errorf("%s %s %.20q: %d, want %d", c.path, c.kind, c.body, got, c.want)
 		}
 	}
-	for range mostBodies {
-		m.bodies <- struct{}{}
+	for range maxBodyReads {
+		m.bodySlots <- struct{}{}
 	}
 	if got := post(protocol.PathVersions+meta, typeFile, ""); got != 503 {
 		t.Errorf("%d, want 503", got)
 	}
 }
 
-// A machine that leaves ends its streams at once and is gone.
-func TestLeave(t *testing.T) {
+// TestShutdown: a machine that shuts down ends its streams and is gone within its
+// timeout.
+func TestShutdown(t *testing.T) {
 	m := serve(t, Settings{})
 	m.versionsUpTo(t, 1)
-	p := hello(t, m.Address, protocol.Hello{})
-	p.reach(document.Empty(), 1)
+	p := connectFollower(t, m.Address, protocol.Hello{})
+	p.applyUpTo(document.Empty(), 1)
 	began := time.Now()
-	m.leave()
+	m.shutDown()
 	for {
 		if _, err := p.next(); err != nil {
 			break
 		}
 	}
-	if took := time.Since(began); took > leaveWithin {
+	if took := time.Since(began); took > shutdownTimeout {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/internal/control/publish/store.go
+++ b/internal/control/publish/store.go
@@ -15,33 +15,34 @@
 	"kiteslip/internal/control/document"
 )
 
-// The log on disk. Below one letter each: the format, the head (number and
-// digest of the version in force), a snapshot, and the deltas by number.
+// The log on disk. Keys begin with a letter: the format, the head (number and digest
+// of the version in force), a snapshot, and the deltas by number.
 const (
-	cacheBytes  = 1 << 20
-	memTable    = 1 << 20
-	openFiles   = 64
-	formatKey   = "f"
-	headKey     = "h"
-	snapshotKey = "s"
-	deltaPrefix = 'd'
-	formatWord  = "kiteslip versions 1"
+	cacheBytes    = 1 << 20
+	memTableBytes = 1 << 20
+	maxOpenFiles  = 64
+	formatKey     = "f"
+	headKey       = "h"
+	snapshotKey   = "s"
+	deltaPrefix   = 'd'
+	formatVersion = "kiteslip versions 1"
 
-	snapshotEvery = 256     // deltas that Open applies at most ...
-	snapshotBytes = 4 << 20 // ... or bytes of them
+	maxReplayDeltas = 256     // deltas after the snapshot, which Open must apply ...
+	maxReplayBytes  = 4 << 20 // ... and their bytes
 )
 
-// record is a delta as it is stored: one version.
-type record struct {
+// storedDelta is one version as it is stored.
+type storedDelta struct {
 	number uint64
 	parent document.Digest
 	digest document.Digest
 	delta  []byte // by Delta.Encode
 }
 
-func newRecord(delta *document.Delta, text []byte) record {
+// newStoredDelta returns the storedDelta of delta, of which encoded is the encoding.
+func newStoredDelta(delta *document.Delta, encoded []byte) storedDelta {
 	h := &delta.Header
-	return record{h.Number, h.Parent, h.Digest(), text}
+	return storedDelta{h.Number, h.Parent, h.Digest(), encoded}
 }
 
 // store is an open folder. Writes come from one goroutine at a time.
@@ -49,40 +50,42 @@
 	db    *pebble.DB
 	cache *pebble.Cache
 
-	mu     sync.Mutex
-	failed error
-	broken chan struct{} // closed when it has failed
+	mu       sync.Mutex
+	failed   error
+	failedCh chan struct{} // closed when failed is set
 }
 
-// quiet is the log of the database: what it calls fatal fails the store, in
-// the goroutine that met it, and not the process.
-type quiet struct{ s *store }
+// pebbleLogger is the logger of the database: a fatal error fails the store and ends
+// the goroutine that met it, but not the process.
+type pebbleLogger struct{ s *store }
 
-func (q quiet) Infof(string, ...any)  {}
-func (q quiet) Errorf(string, ...any) {}
-func (q quiet) Fatalf(format string, args ...any) {
+func (q pebbleLogger) Infof(string, ...any)  {}
+func (q pebbleLogger) Errorf(string, ...any) {}
+func (q pebbleLogger) Fatalf(format string, args ...any) {
 	q.s.fail(fmt.Errorf(format, args...))
 	runtime.Goexit()
 }
 
+// fail records the first failure of the disk.
 func (s *store) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failed == nil {
 		s.failed = fmt.Errorf("%w: %w", ErrDiskFailed, err)
-		close(s.broken)
+		close(s.failedCh)
 	}
 }
 
-// failure is why nothing can be written any more; nil = it can.
+// failure is why nothing can be written any more; nil = the store works.
 func (s *store) failure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
 }
 
-// apart runs f where a failure of the database may end the goroutine.
-func (s *store) apart(f func() error) error {
+// runIsolated runs f in a goroutine of its own, which a fatal error of the database
+// may end.
+func (s *store) runIsolated(f func() error) error {
 	if err := s.failure(); err != nil {
 		return err
 	}
@@ -98,36 +101,37 @@
 	select {
 	case err := <-done:
 		return err
-	case <-s.broken:
+	case <-s.failedCh:
 		return s.failure()
 	}
 }
 
+// openStore opens the folder, and creates an empty log in an empty one.
 func openStore(folder string, fs vfs.FS) (*store, error) {
-	s := &store{broken: make(chan struct{}), cache: pebble.NewCache(cacheBytes)}
-	o := &pebble.Options{FS: fs, Cache: s.cache, MemTableSize: memTable, MaxOpenFiles: openFiles, Logger: quiet{s},
+	s := &store{failedCh: make(chan struct{}), cache: pebble.NewCache(cacheBytes)}
+	o := &pebble.Options{FS: fs, Cache: s.cache, MemTableSize: memTableBytes, MaxOpenFiles: maxOpenFiles, Logger: pebbleLogger{s},
 		FormatMajorVersion: pebble.FormatNewest}
-	// What the database would do by itself ends the goroutine that read the damage, in
-	// the middle of a compaction, which takes the process with it.
+	// The database's own reaction to corruption ends the goroutine that met it, in
+	// the middle of a compaction, which would end the process.
 	o.EventListener = &pebble.EventListener{DataCorruption: func(i pebble.DataCorruptionInfo) {
 		s.fail(fmt.Errorf("%w: %s: %w", ErrCorrupt, i.Path, i.Details))
 	}}
-	err := s.apart(func() (err error) {
+	err := s.runIsolated(func() (err error) {
 		s.db, err = pebble.Open(folder, o)
 		return err
 	})
 	if err != nil {
 		s.cache.Unref()
-		return nil, named(err)
+		return nil, classifyError(err)
 	}
-	if err := s.apart(s.greet); err != nil {
-		return nil, errors.Join(named(err), s.close())
+	if err := s.runIsolated(s.checkFormat); err != nil {
+		return nil, errors.Join(classifyError(err), s.close())
 	}
 	return s, nil
 }
 
-// named gives the database's errors the names of this package.
-func named(err error) error {
+// classifyError maps the database's errors to those of this package.
+func classifyError(err error) error {
 	text := err.Error()
 	switch {
 	case errors.Is(err, ErrCorrupt), errors.Is(err, ErrUnknownFormat):
@@ -140,32 +144,33 @@
 	return err
 }
 
-// greet looks whether the folder holds a log of versions; an empty one becomes one.
-func (s *store) greet() error {
+// checkFormat checks that the folder holds a log of versions; an empty folder
+// becomes one.
+func (s *store) checkFormat() error {
 	format, err := s.get(formatKey)
 	switch {
 	case err != nil:
 		return err
-	case string(format) == formatWord:
+	case string(format) == formatVersion:
 		return nil
 	case format != nil:
-		return fmt.Errorf("%w: it says %.40q, want %q", ErrUnknownFormat, format, formatWord)
+		return fmt.Errorf("%w: its format is %.40q, want %q", ErrUnknownFormat, format, formatVersion)
 	}
 	it, err := s.db.NewIter(nil)
 	if err != nil {
 		return err
 	}
-	strange := it.First()
+	nonEmpty := it.First()
 	if err := it.Close(); err != nil {
 		return err
 	}
-	if strange {
+	if nonEmpty {
 		return ErrUnknownFormat
 	}
-	return s.db.Set([]byte(formatKey), []byte(formatWord), pebble.Sync)
+	return s.db.Set([]byte(formatKey), []byte(formatVersion), pebble.Sync)
 }
 
-// get returns nil where there is nothing.
+// get returns the value of a key, nil if there is none.
 func (s *store) get(key string) ([]byte, error) {
 	value, closer, err := s.db.Get([]byte(key))
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -178,11 +183,11 @@
 	return bytes.Clone(value), nil
 }
 
-// load reads the log and checks it whole. It returns the version in force, the
-// deltas that lead to it in order, and the number of the version that the
-// snapshot on disk is of.
-func (s *store) load() (doc *document.Document, deltas []record, snapshot uint64, err error) {
-	err = s.apart(func() error {
+// load reads and checks the whole log. It returns the version in force, the deltas
+// that lead to it in order, and the number of the version that the snapshot on disk
+// is of.
+func (s *store) load() (doc *document.Document, deltas []storedDelta, snapshot uint64, err error) {
+	err = s.runIsolated(func() error {
 		if doc, err = s.snapshot(); err != nil {
 			return err
 		}
@@ -193,7 +198,7 @@
 		}
 		defer it.Close()
 		for it.First(); it.Valid(); it.Next() {
-			r, delta, err := decodeRecord(it.Key(), it.Value())
+			r, delta, err := decodeStoredDelta(it.Key(), it.Value())
 			if err != nil {
 				return err
 			}
@@ -203,7 +208,7 @@
 					return fmt.Errorf("%w: version %d is absent", ErrCorrupt, before.number+1)
 				}
 				if r.parent != before.digest {
-					return fmt.Errorf("%w: version %d is not the one that version %d follows", ErrCorrupt, before.number, r.number)
+					return fmt.Errorf("%w: version %d is not the parent of version %d", ErrCorrupt, before.number, r.number)
 				}
 			} else if r.number > snapshot+1 {
 				return fmt.Errorf("%w: version %d is absent", ErrCorrupt, snapshot+1)
@@ -226,11 +231,13 @@
 		return s.checkHead(doc)
 	})
 	if err != nil {
-		return nil, nil, 0, named(err)
+		return nil, nil, 0, classifyError(err)
 	}
 	return doc, deltas, snapshot, nil
 }
 
+// snapshot reads the snapshot on disk; without one the log starts at the empty
+// version.
 func (s *store) snapshot() (*document.Document, error) {
 	b, err := s.get(snapshotKey)
 	if err != nil || b == nil {
@@ -243,7 +250,7 @@
 	return doc, nil
 }
 
-// checkHead finds a log that lacks its end.
+// checkHead detects a log whose newest versions are missing.
 func (s *store) checkHead(doc *document.Document) error {
 	head, err := s.get(headKey)
 	if err != nil {
@@ -262,40 +269,42 @@
 	return nil
 }
 
+// deltaKey is the key of a delta.
 func deltaKey(number uint64) []byte {
 	return binary.BigEndian.AppendUint64([]byte{deltaPrefix}, number)
 }
 
-func decodeRecord(key, value []byte) (record, *document.Delta, error) {
+// decodeStoredDelta decodes and checks one delta on disk.
+func decodeStoredDelta(key, value []byte) (storedDelta, *document.Delta, error) {
 	if len(key) != 9 {
-		return record{}, nil, fmt.Errorf("%w: an entry %x", ErrCorrupt, key)
+		return storedDelta{}, nil, fmt.Errorf("%w: invalid key %x", ErrCorrupt, key)
 	}
-	number, text := binary.BigEndian.Uint64(key[1:]), bytes.Clone(value)
-	delta, err := document.DecodeDelta(text)
+	number, encoded := binary.BigEndian.Uint64(key[1:]), bytes.Clone(value)
+	delta, err := document.DecodeDelta(encoded)
 	if err != nil {
-		return record{}, nil, fmt.Errorf("%w: version %d: %w", ErrCorrupt, number, err)
+		return storedDelta{}, nil, fmt.Errorf("%w: version %d: %w", ErrCorrupt, number, err)
 	}
 	if delta.Header.Number != number {
-		return record{}, nil, fmt.Errorf("%w: version %d says that it is %d", ErrCorrupt, number, delta.Header.Number)
+		return storedDelta{}, nil, fmt.Errorf("%w: version %d has the number %d in its header", ErrCorrupt, number, delta.Header.Number)
 	}
-	return newRecord(delta, text), delta, nil
+	return newStoredDelta(delta, encoded), delta, nil
 }
 
-// write is one step of the log.
-type write struct {
-	add      *record // nil where the version came whole
-	snapshot []byte  // nil = the one on disk stays
-	from, to uint64  // deltas from ... to, without the last, are dropped
-	number   uint64  // of the head
-	digest   document.Digest
+// logWrite is one atomic change of the log.
+type logWrite struct {
+	added            *storedDelta // nil where the version arrived as a snapshot
+	snapshot         []byte       // nil = the one on disk stays
+	dropFrom, dropTo uint64       // deltas in [dropFrom, dropTo) are dropped
+	number           uint64       // of the head: the new version in force
+	digest           document.Digest
 }
 
-// commit makes a step durable, whole or not at all.
-func (s *store) commit(w *write) error {
-	return s.apart(func() error {
+// commit makes a change durable, all of it or nothing.
+func (s *store) commit(w *logWrite) error {
+	return s.runIsolated(func() error {
 		b := s.db.NewBatch()
-		if w.from < w.to {
-			if err := b.DeleteRange(deltaKey(w.from), deltaKey(w.to), nil); err != nil {
+		if w.dropFrom < w.dropTo {
+			if err := b.DeleteRange(deltaKey(w.dropFrom), deltaKey(w.dropTo), nil); err != nil {
 				return err
 			}
 		}
@@ -304,8 +313,8 @@
 				return err
 			}
 		}
-		if w.add != nil {
-			if err := b.Set(deltaKey(w.add.number), w.add.delta, nil); err != nil {
+		if w.added != nil {
+			if err := b.Set(deltaKey(w.added.number), w.added.delta, nil); err != nil {
 				return err
 			}
 		}
@@ -314,7 +323,7 @@
 			return err
 		}
 		if err := b.Commit(pebble.Sync); err != nil {
-			// What is on disk is not known: nothing may be added to it.
+			// The state on disk is unknown: nothing may be added to it.
 			s.fail(err)
 			return s.failure()
 		}
@@ -322,13 +331,13 @@
 	})
 }
 
-// close closes the folder. A database that has failed may not let itself be
-// closed; its lock goes with the process then.
+// close closes the folder. A failed database may not be closeable; its lock is then
+// released when the process ends.
 func (s *store) close() error {
 	if s.failure() != nil {
 		return nil
 	}
-	err := s.apart(s.db.Close)
+	err := s.runIsolated(s.db.Close)
 	s.cache.Unref()
 	return err
 }
--- a/internal/control/publish/stream.go
+++ b/internal/control/publish/stream.go
@@ -15,16 +15,17 @@
 	"kiteslip/internal/control/protocol"
 )
 
-// The bounds of what a follower may say.
+// The bounds on a follower's messages, and of one write.
 const (
-	mostWord    = 8 << 10 // bytes of one record
-	mostRefused = 1 << 10 // bytes of the reason that is kept
-	chunkBytes  = 64 << 10
+	maxFollowerMessageBytes = 8 << 10  // of one message
+	maxRefusalBytes         = 1 << 10  // of the refusal reason that is kept
+	chunkBytes              = 64 << 10 // of one write to the connection
 )
 
-var errWord = errors.New("publish: not a follower's word")
+var errInvalidMessage = errors.New("publish: invalid message from a follower")
 
-var words = func() cbor.DecMode {
+// followerDecoder decodes followers' messages.
+var followerDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 4, MaxMapPairs: 16, MaxArrayElements: 64, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -32,219 +33,221 @@
 	return m
 }()
 
-// reader reads a follower's records, each bounded.
-type reader struct {
+// messageReader reads a follower's messages, each bounded.
+type messageReader struct {
 	limit io.LimitedReader
 	dec   *cbor.Decoder
 }
 
-func newReader(r io.Reader) *reader {
-	rd := &reader{limit: io.LimitedReader{R: r}}
-	rd.dec = words.NewDecoder(&rd.limit)
+// newMessageReader returns a messageReader of r.
+func newMessageReader(r io.Reader) *messageReader {
+	rd := &messageReader{limit: io.LimitedReader{R: r}}
+	rd.dec = followerDecoder.NewDecoder(&rd.limit)
 	return rd
 }
 
-// next reads one record. Without an error exactly one of its parts is there.
-func (r *reader) next() (protocol.FollowerMessage, error) {
+// next reads one message. Without an error exactly one of its fields is set.
+func (r *messageReader) next() (protocol.FollowerMessage, error) {
 	var m protocol.FollowerMessage
-	r.limit.N = mostWord
+	r.limit.N = maxFollowerMessageBytes
 	if err := r.dec.Decode(&m); err != nil {
 		if r.limit.N == 0 {
-			return m, fmt.Errorf("%w: over %d bytes", errWord, mostWord)
+			return m, fmt.Errorf("%w: over %d bytes", errInvalidMessage, maxFollowerMessageBytes)
 		}
 		return m, err
 	}
 	if (m.Hello == nil) == (m.Ack == nil) {
-		return m, fmt.Errorf("%w: want one part", errWord)
+		return m, fmt.Errorf("%w: want exactly one of Hello and Ack", errInvalidMessage)
 	}
 	return m, nil
 }
 
-// hello reads the first record.
-func (r *reader) hello() (*protocol.Hello, error) {
+// hello reads the first message.
+func (r *messageReader) hello() (*protocol.Hello, error) {
 	m, err := r.next()
 	if err != nil {
 		return nil, err
 	}
 	h := m.Hello
 	if h == nil || h.Name == "" || len(h.Name) > document.MaxNameBytes || len(h.Region) > document.MaxNameBytes {
-		return nil, fmt.Errorf("%w: want a Hello with a name and a region of at most %d bytes", errWord, document.MaxNameBytes)
+		return nil, fmt.Errorf("%w: want a Hello with a name and a region of at most %d bytes", errInvalidMessage, document.MaxNameBytes)
 	}
 	return h, nil
 }
 
-// follow serves one follower: this goroutine sends, another reads. Neither holds
-// anything for the follower but its place in the log.
-func (p *Publisher) follow(w http.ResponseWriter, r *http.Request) {
+// handleFollow serves one follower: this goroutine sends, another one reads. Neither
+// holds anything for the follower but its position in the log.
+func (p *Publisher) handleFollow(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoMajor < 2 {
-		p.refuse(w, http.StatusHTTPVersionNotSupported, protocol.CodeInvalid, "want HTTP/2")
+		p.respondError(w, http.StatusHTTPVersionNotSupported, protocol.CodeInvalid, "want HTTP/2")
 		return
 	}
 	select {
-	case p.places <- struct{}{}:
-		defer func() { <-p.places }()
+	case p.streamSlots <- struct{}{}:
+		defer func() { <-p.streamSlots }()
 	default:
-		p.refuse(w, http.StatusServiceUnavailable, protocol.CodeBusy, fmt.Sprintf("%d followers are served", MaxFollowers))
+		p.respondError(w, http.StatusServiceUnavailable, protocol.CodeBusy, fmt.Sprintf("%d followers are served", MaxFollowers))
 		return
 	}
-	s := &stream{p: p, w: w, rc: http.NewResponseController(w), in: newReader(r.Body)}
+	s := &stream{p: p, w: w, rc: http.NewResponseController(w), in: newMessageReader(r.Body)}
 	w.WriteHeader(http.StatusOK)
 	if err := s.flush(); err != nil {
 		return
 	}
-	s.rc.SetReadDeadline(time.Now().Add(p.helloWithin)) //nolint:errcheck // a stream that has ended shows below
+	s.rc.SetReadDeadline(time.Now().Add(p.helloTimeout)) //nolint:errcheck // a stream that has ended shows below
 	h, err := s.in.hello()
 	if err != nil {
-		p.log.Warn("a stream that says no hello is cut off", zap.String("remote", r.RemoteAddr), zap.Error(err))
+		p.log.Warn("a stream without a Hello is closed", zap.String("remote", r.RemoteAddr), zap.Error(err))
 		return
 	}
 	s.rc.SetReadDeadline(time.Time{}) //nolint:errcheck // as above
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	stop := context.AfterFunc(p.ending, func() { cancel(errEnding) })
+	stop := context.AfterFunc(p.shutdown, func() { cancel(errShuttingDown) })
 	defer stop()
-	s.m = p.book.join(h, time.Now())
-	p.log.Debug("a follower joins", zap.String("follower", h.Name), zap.String("region", h.Region), zap.Uint64("version", h.Number))
+	s.session = p.registry.join(h, time.Now())
+	p.log.Debug("a follower is connected", zap.String("follower", h.Name), zap.String("region", h.Region), zap.Uint64("version", h.Number))
 	read := make(chan struct{})
-	go func() { defer close(read); cancel(s.listen()) }()
+	go func() { defer close(read); cancel(s.readAcks()) }()
 	err = s.send(ctx, h.Number, h.Digest)
 	cancel(err)
 	s.rc.SetReadDeadline(time.Now()) //nolint:errcheck // ends the reader; as above
 	<-read
-	p.book.leave(s.m, time.Now())
-	p.log.Debug("a follower is gone", zap.String("follower", h.Name), zap.Error(err))
+	p.registry.leave(s.session, time.Now())
+	p.log.Debug("a follower is disconnected", zap.String("follower", h.Name), zap.Error(err))
 }
 
 var (
-	errEnding = errors.New("publish: the machine leaves")
-	errLeaves = errors.New("publish: the follower leaves")
-	errSilent = errors.New("publish: the follower says nothing")
+	errShuttingDown    = errors.New("publish: the machine is shutting down")
+	errFollowerLeaving = errors.New("publish: the follower is shutting down")
+	errNoAck           = errors.New("publish: no acknowledgement from the follower")
 )
 
 // stream is one follower's connection.
 type stream struct {
-	p  *Publisher
-	m  *member
-	w  http.ResponseWriter
-	rc *http.ResponseController
-	in *reader
+	p       *Publisher
+	session *session
+	w       http.ResponseWriter
+	rc      *http.ResponseController
+	in      *messageReader
 }
 
-// listen takes the follower's words until the stream ends, and says why.
-func (s *stream) listen() error {
+// readAcks reads acknowledgements until the stream ends, and returns why it ended.
+func (s *stream) readAcks() error {
 	for {
 		m, err := s.in.next()
 		if err != nil {
 			return err
 		}
 		if m.Ack == nil {
-			return fmt.Errorf("%w: a second hello", errWord)
+			return fmt.Errorf("%w: a second Hello", errInvalidMessage)
 		}
-		s.said(m.Ack)
+		s.handleAck(m.Ack)
 		if m.Ack.Leaving {
-			return errLeaves
+			return errFollowerLeaving
 		}
 	}
 }
 
-func (s *stream) said(a *protocol.Ack) {
-	s.p.book.said(s.m, a, time.Now())
-	if known, same := s.p.versions.knows(a.Number, a.Digest); a.Fork || known && !same && a.Number > 0 {
-		s.forked(a.Number, a.Digest)
+// handleAck records an acknowledgement, and detects forks and refusals.
+func (s *stream) handleAck(a *protocol.Ack) {
+	s.p.registry.noteAck(s.session, a, time.Now())
+	if known, same := s.p.versions.lookup(a.Number, a.Digest); a.Fork || known && !same && a.Number > 0 {
+		s.noteFork(a.Number, a.Digest)
 	}
 	if a.RefusalReason != "" {
-		s.p.log.Warn("a follower refuses a version", zap.String("follower", s.m.name), zap.Uint64("on", a.Number), zap.String("why", a.RefusalReason))
+		s.p.log.Warn("a follower refuses a version", zap.String("follower", s.session.name), zap.Uint64("on", a.Number), zap.String("why", a.RefusalReason))
 	}
 }
 
-// forked shouts, once a stream.
-func (s *stream) forked(number uint64, digest document.Digest) {
-	if s.p.book.forked(s.m) {
-		s.p.log.Error("fork: a follower is on another version with this number; it is sent nothing", zap.String("follower", s.m.name),
-			zap.String("region", s.m.region), zap.Uint64("version", number), zap.Stringer("digest", digest))
+// noteFork records and logs a fork, once for each stream.
+func (s *stream) noteFork(number uint64, digest document.Digest) {
+	if s.p.registry.noteFork(s.session) {
+		s.p.log.Error("fork: a follower is on another version with this number; it is sent nothing", zap.String("follower", s.session.name),
+			zap.String("region", s.session.region), zap.Uint64("version", number), zap.Stringer("digest", digest))
 	}
 }
 
-// send writes what the follower lacks, as far as the log has come, then waits
-// for more. It ends with ctx or when a write is not taken.
+// send writes the versions that the follower lacks, then waits for more. It ends
+// with ctx, or when a write fails or times out.
 func (s *stream) send(ctx context.Context, number uint64, digest document.Digest) error {
-	beats := time.NewTicker(protocol.HeartbeatInterval)
-	defer beats.Stop()
+	heartbeats := time.NewTicker(protocol.HeartbeatInterval)
+	defer heartbeats.Stop()
 	scratch := make([]entry, 0, batchEntries)
-	beat, fork := true, false
+	heartbeatDue, fork := true, false
 	for {
-		n := s.p.versions.after(number, digest, scratch)
-		if beat {
-			n.beat.OriginatorSilenceMS = lagMS(s.p.unheard()) // rounded up: relays that follow each other do not keep it young
-			if err := s.beat(&n.beat); err != nil {
+		n := s.p.versions.updateAfter(number, digest, scratch)
+		if heartbeatDue {
+			n.heartbeat.OriginatorSilenceMS = roundUpMS(s.p.originatorSilence()) // rounded up, so that it grows also while relays follow each other
+			if err := s.sendHeartbeat(&n.heartbeat); err != nil {
 				return err
 			}
-			beat = false
+			heartbeatDue = false
 		}
 		if n.fork && !fork {
-			s.forked(number, digest)
+			s.noteFork(number, digest)
 			fork = true
 		}
 		var err error
 		switch {
-		case fork: // beats alone, for as long as it stays
-		case n.whole != nil:
+		case fork: // heartbeats only, for as long as the stream lasts
+		case n.snapshot != nil:
 			select {
-			case s.p.wholes <- struct{}{}:
-			case <-beats.C: // it hears us while it waits for its turn
-				beat = true
+			case s.p.snapshotSlots <- struct{}{}:
+			case <-heartbeats.C: // sent also while it waits for its turn
+				heartbeatDue = true
 				continue
 			case <-ctx.Done():
 				return context.Cause(ctx)
 			}
-			number, digest = n.whole.number, n.whole.digest
-			err = s.whole(n.whole)
-			<-s.p.wholes
+			number, digest = n.snapshot.number, n.snapshot.digest
+			err = s.sendSnapshot(n.snapshot)
+			<-s.p.snapshotSlots
 		default:
 			for i := range n.entries {
-				if err = s.write(n.entries[i].record); err != nil {
+				if err = s.write(n.entries[i].message); err != nil {
 					break
 				}
 				number, digest = n.entries[i].number, n.entries[i].digest
 			}
 		}
-		more := !fork && (n.whole != nil || len(n.entries) > 0)
-		if err == nil && more {
+		sent := !fork && (n.snapshot != nil || len(n.entries) > 0)
+		if err == nil && sent {
 			err = s.flush()
-			s.p.book.sent(s.m, number, time.Now())
+			s.p.registry.noteSent(s.session, number, time.Now())
 		}
 		if err != nil {
 			return err
 		}
-		clear(n.entries) // what the log drops is not held here
-		if more {
+		clear(n.entries) // so that entries dropped from the log are released
+		if sent {
 			select {
 			case <-ctx.Done():
 				return context.Cause(ctx)
-			case <-beats.C: // it gets its beat also while much is sent
-				beat = true
+			case <-heartbeats.C: // sent also while many versions are sent
+				heartbeatDue = true
 			default:
 			}
 			continue
 		}
 		select {
-		case <-n.moved:
-		case <-beats.C:
-			if s.p.book.owing(s.m, time.Now()) > s.p.ackWithin {
-				return errSilent
+		case <-n.changed:
+		case <-heartbeats.C:
+			if s.p.registry.unackedFor(s.session, time.Now()) > s.p.ackTimeout {
+				return errNoAck
 			}
-			beat = true
+			heartbeatDue = true
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
 	}
 }
 
-// whole writes a snapshot.
-func (s *stream) whole(w *snapshot) error {
-	err := w.make()
+// sendSnapshot sends a snapshot.
+func (s *stream) sendSnapshot(w *snapshot) error {
+	err := w.encode()
 	if err == nil {
-		err = s.write(w.record)
+		err = s.write(w.message)
 	}
 	if err == nil {
 		err = s.flush()
@@ -252,10 +255,11 @@
 	return err
 }
 
-func (s *stream) beat(b *protocol.Heartbeat) error {
-	text, err := cbor.Marshal(&protocol.PublisherMessage{Heartbeat: b})
+// sendHeartbeat sends a heartbeat.
+func (s *stream) sendHeartbeat(b *protocol.Heartbeat) error {
+	message, err := cbor.Marshal(&protocol.PublisherMessage{Heartbeat: b})
 	if err == nil {
-		err = s.write(text)
+		err = s.write(message)
 	}
 	if err == nil {
 		err = s.flush()
@@ -263,9 +267,9 @@
 	return err
 }
 
-// write hands bytes to the connection, piece by piece: each is taken within
-// WriteWithin, or the stream ends. Between writes there is no deadline, since
-// one that passes ends the stream also while nothing is written.
+// write writes bytes to the connection in chunks: each must be taken within
+// WriteTimeout, or the stream ends. Between writes there is no deadline, since one
+// that passes ends the stream also while nothing is written.
 func (s *stream) write(b []byte) error {
 	for len(b) > 0 {
 		n := min(len(b), chunkBytes)
@@ -278,6 +282,7 @@
 	return nil
 }
 
+// flush sends what was written.
 func (s *stream) flush() error {
 	s.rc.SetWriteDeadline(time.Now().Add(protocol.WriteTimeout)) //nolint:errcheck // a stream that has ended shows below
 	err := s.rc.Flush()
