--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -8,41 +8,42 @@
 	"kiteslip/internal/standin"
 )
 
-// Connections that come while the loop is busy are all taken out of the
-// system's queue meanwhile, and handed over together: none waits for another.
+// Connections that arrive while the loop is blocked are accepted meanwhile and
+// registered together afterwards. The failure: each accept waits until the
+// loop has taken over the connection before, so that a burst of callers waits for long.
 func TestConnectionsAreAcceptedWhileLoopIsBusy(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(0))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
 	const callers = 100
-	busy, release := make(chan struct{}), make(chan struct{})
-	r.onLoop(func() { close(busy); <-release })
-	<-busy
-	var all []*standin.Caller
+	blocked, release := make(chan struct{}), make(chan struct{})
+	srv.onLoop(func() { close(blocked); <-release })
+	<-blocked
+	var connected []*standin.Caller
 	for i := range callers {
-		c := standin.Dial(t, r.framesAddr)
+		c := standin.Dial(t, srv.framesAddr)
 		c.Send(1, standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
-		all = append(all, c)
+		connected = append(connected, c)
 	}
 	deadline := time.Now().Add(10 * time.Second)
-	for len(r.slots) < callers+len(r.listeners) {
+	for len(srv.slots) < callers+len(srv.listeners) {
 		if time.Now().After(deadline) {
 			close(release)
-			t.Fatalf("%d of %d connections were taken while the loop was busy", len(r.slots)-len(r.listeners), callers)
+			t.Fatalf("%d of %d connections were accepted while the loop was blocked", len(srv.slots)-len(srv.listeners), callers)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	opened := make(chan int, 1)
+	registered := make(chan int, 1)
 	close(release)
-	// What is handed over comes before other tasks: a task of the next turn sees all.
-	r.onLoop(func() { r.onLoop(func() { r.onLoop(func() { opened <- len(r.conns) }) }) })
-	if n := <-opened; n < callers {
-		t.Errorf("%d of %d connections are open after the busy turn", n, callers)
+	// New connections are registered before other tasks run, so a task of the next iteration sees all.
+	srv.onLoop(func() { srv.onLoop(func() { srv.onLoop(func() { registered <- len(srv.conns) }) }) })
+	if n := <-registered; n < callers {
+		t.Errorf("%d of %d connections are registered after the blocked loop iteration", n, callers)
 	}
-	for i, c := range all {
-		if got, _ := c.Next(); got.Code != frame.Served && got.Code != frame.Refused { // so many at once are more than it thinks it can do
-			t.Errorf("caller %d: %+v", i, got)
+	for i, c := range connected {
+		if got, _ := c.Next(); got.Code != frame.Served && got.Code != frame.Refused { // admission may refuse some of so many at once
+			t.Errorf("caller %d: got %+v, want served or refused", i, got)
 		}
 	}
 }
--- a/internal/server/conn_close_test.go
+++ b/internal/server/conn_close_test.go
@@ -14,10 +14,10 @@
 	"kiteslip/internal/standin"
 )
 
-// How connections end, the crossings of it: docs/design/crossings.md lists them.
-// The order that does harm is forced by holding the loop or a peer.
+// Races at the close of connections; docs/design/crossings.md lists them. The
+// harmful order of events is forced by blocking the loop or a peer.
 
-// readAll takes the frames that still come until the end of the connection.
+// readAll reads frames until the end of the connection.
 func readAll(c *standin.Caller) (all []standin.Reply) {
 	for got, ok := c.Next(); ok; got, ok = c.Next() {
 		all = append(all, got)
@@ -25,15 +25,15 @@
 	return all
 }
 
-// countByCode counts answers by their code, and how many other frames there are.
+// countByCode counts answers by their code; others is the number of all other frames.
 func countByCode(all []standin.Reply) (served, refused, failed, others int) {
-	for _, r := range all {
+	for _, reply := range all {
 		switch {
-		case r.Type != frame.Answer || r.Stream == 0:
+		case reply.Type != frame.Answer || reply.Stream == 0:
 			others++
-		case r.Code == frame.Served:
+		case reply.Code == frame.Served:
 			served++
-		case r.Code == frame.Refused:
+		case reply.Code == frame.Refused:
 			refused++
 		default:
 			failed++
@@ -42,7 +42,7 @@
 	return
 }
 
-// frameConnCount is how many callers' connections there are.
+// frameConnCount returns the number of callers' connections of the frames front end.
 func (r *testServer) frameConnCount() int {
 	n := 0
 	for h := range r.conns {
@@ -53,160 +53,168 @@
 	return n
 }
 
-// A frame that cannot be told apart ends what is taken on a connection, and
-// costs the requests before it nothing.
+// After a malformed frame nothing more is read from a connection, but the
+// requests before it are answered. The failure: the connection is closed at once
+// and the earlier answers are lost.
 func TestMalformedFrameKeepsEarlierAnswers(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(100*time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	for what, bad := range map[string][]byte{
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	for what, malformed := range map[string][]byte{
 		"unknown type":    frame.AppendHeader(nil, 99, 9, 0),
 		"too long":        {0xff, 0xff, 0xff, 0xff},
 		"request on 0":    frame.AppendRequest(nil, 0, standin.Fields("look", "red", "", 1, time.Second), nil),
 		"malformed check": append(frame.AppendHeader(nil, frame.HealthCheck, 9, 1), 9),
 	} {
-		c := standin.Dial(t, r.framesAddr)
+		caller := standin.Dial(t, srv.framesAddr)
 		for i := range uint32(3) {
-			c.Send(i+1, standin.Fields("look", "red", "", uint64(len(what))<<8+uint64(i), 3*time.Second), "b")
+			caller.Send(i+1, standin.Fields("look", "red", "", uint64(len(what))<<8+uint64(i), 3*time.Second), "b")
 		}
-		c.Write(bad)
-		c.Send(10, standin.Fields("look", "red", "", uint64(len(what))<<8+10, 3*time.Second), "after")
-		if served, _, _, others := countByCode(readAll(c)); served != 3 || others != 1 {
-			t.Errorf("%s: %d of 3 served, %d other frames, want one error on stream 0", what, served, others)
+		caller.Write(malformed)
+		caller.Send(10, standin.Fields("look", "red", "", uint64(len(what))<<8+10, 3*time.Second), "after")
+		if served, _, _, others := countByCode(readAll(caller)); served != 3 || others != 1 {
+			t.Errorf("%s: %d of 3 served, %d other frames, want 1 error on stream 0", what, served, others)
 		}
 	}
 	if n := engine.Runs()["after"]; n > 0 {
-		t.Errorf("what follows a bad frame ran %d times", n)
+		t.Errorf("the request after a malformed frame ran %d times, want 0", n)
 	}
 }
 
-// A caller that ends its side after its last request still reads: it gets its
-// answers, and the end of the connection after them.
+// A caller that shuts its write side after its last request still reads. The
+// failure: the end of its input is taken for a disconnect and the answers are dropped.
 func TestHalfClosedCallerIsAnswered(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(100*time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.framesAddr)
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	caller := standin.Dial(t, srv.framesAddr)
 	for i := range uint32(5) {
-		c.Send(i+1, standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
+		caller.Send(i+1, standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
 	}
-	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+	if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if served, _, _, _ := countByCode(readAll(c)); served != 5 {
+	if served, _, _, _ := countByCode(readAll(caller)); served != 5 {
 		t.Errorf("%d of 5 served", served)
 	}
-	r.eventually(t, "its place is free", func() bool { return r.frameConnCount() == 0 && len(r.slots) == len(r.listeners) })
+	srv.eventually(t, "connection slot released", func() bool { return srv.frameConnCount() == 0 && len(srv.slots) == len(srv.listeners) })
 }
 
-// A caller that has closed, with requests open, is known to be gone long before
-// these are over, with whatever it left unread.
+// A caller that closes its connection with requests open is detected as
+// disconnected long before their runs end. The failure: the close is taken for a
+// half-close and the connection slot stays in use until then.
 func TestClosedCallerIsDetected(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(5*time.Second))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.framesAddr)
-	c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
-	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
-	c.Conn.Close()
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
+	srv.eventually(t, "request running", func() bool { return srv.link.Running() == 1 })
+	caller.Conn.Close()
 	began := time.Now()
-	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Disconnected == 1 && r.frameConnCount() == 0 })
+	srv.eventually(t, "disconnect detected", func() bool { return srv.core.Counts().Disconnected == 1 && srv.frameConnCount() == 0 })
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("that took %v", took)
+		t.Errorf("detected after %v, want 2 s at most", took)
 	}
 }
 
-// A request that arrives in the moment in which its connection is to be closed
-// as idle is taken in and answered first.
+// A request that arrives just as its connection is closed as idle is read and
+// answered first. The failure: it lies unread in the socket when the close begins.
 func TestRequestRacesIdleClose(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.framesAddr)
-	c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
-	if got, _ := c.Next(); got.Code != frame.Served {
-		t.Fatalf("%+v", got)
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
+	if got, _ := caller.Next(); got.Code != frame.Served {
+		t.Fatalf("unexpected answer: %+v", got)
 	}
-	s := r.onlyFrameConn(t)
-	r.onLoopWait(func() { // the loop reads nothing meanwhile
-		s.sendGoAway()
-		s.flush()
-		c.Send(2, standin.Fields("look", "red", "", 2, 3*time.Second), "b")
-		for !hasUnread(s.conn) {
+	serverConn := srv.onlyFrameConn(t)
+	srv.onLoopWait(func() { // the loop is blocked and reads nothing meanwhile
+		serverConn.sendGoAway()
+		serverConn.flush()
+		caller.Send(2, standin.Fields("look", "red", "", 2, 3*time.Second), "b")
+		for !hasUnread(serverConn.conn) {
 			time.Sleep(time.Millisecond)
 		}
-		s.goAwayAt, s.lastUsedAt = now()-2*goAwayLingerUS, now()-2*goAwayLingerUS
-		r.nextReapAt = 0
-		r.reapIdle(now())
+		serverConn.goAwayAt, serverConn.lastUsedAt = now()-2*goAwayLingerUS, now()-2*goAwayLingerUS
+		srv.nextReapAt = 0
+		srv.reapIdle(now())
 	})
-	if served, _, _, _ := countByCode(readAll(c)); served != 1 {
+	if served, _, _, _ := countByCode(readAll(caller)); served != 1 {
 		t.Errorf("%d of 1 served", served)
 	}
 }
 
-// A request that crosses the end of our side is not run: its caller, which was
-// told, sends it again elsewhere. And nothing resets what was sent before.
+// A request that arrives after the server has shut its write side does not run:
+// it can't be answered, and its caller, which was told, sends it elsewhere. The
+// failure: it runs, or unread input turns the close into a reset that loses the
+// answers sent before.
 func TestRequestRacesWriteShutdown(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	conn, err := net.Dial("tcp", r.framesAddr)
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	conn, err := net.Dial("tcp", srv.framesAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	s := r.onlyFrameConn(t)
+	serverConn := srv.onlyFrameConn(t)
 	conn.Write(frame.AppendRequest(nil, 1, standin.Fields("look", "red", "", 1, 3*time.Second), []byte("first"))) //nolint:errcheck // seen below
-	r.eventually(t, "it is answered", func() bool { return s.answered && len(s.openRequests) == 0 && s.unsent() == 0 })
-	r.onLoopWait(func() {
-		s.goAwaySent, s.goAwayAt, s.lastUsedAt = true, now()-2*goAwayLingerUS, now()-2*goAwayLingerUS
-		r.nextReapAt = 0
-		r.reapIdle(now())
-		conn.Write(frame.AppendRequest(nil, 2, standin.Fields("look", "red", "", 2, 3*time.Second), []byte("crosses"))) //nolint:errcheck // it crosses
-		for i := 0; i < 100 && s.conn != nil && !s.disconnected && !hasUnread(s.conn); i++ {
+	srv.eventually(t, "request answered", func() bool {
+		return serverConn.answered && len(serverConn.openRequests) == 0 && serverConn.unsent() == 0
+	})
+	srv.onLoopWait(func() {
+		serverConn.goAwaySent, serverConn.goAwayAt, serverConn.lastUsedAt = true, now()-2*goAwayLingerUS, now()-2*goAwayLingerUS
+		srv.nextReapAt = 0
+		srv.reapIdle(now())
+		conn.Write(frame.AppendRequest(nil, 2, standin.Fields("look", "red", "", 2, 3*time.Second), []byte("crosses"))) //nolint:errcheck // it races with the close
+		for i := 0; i < 100 && serverConn.conn != nil && !serverConn.disconnected && !hasUnread(serverConn.conn); i++ {
 			time.Sleep(time.Millisecond)
 		}
 	})
 	conn.SetDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // a TCP connection takes it
 	got, err := io.ReadAll(conn)
 	if err != nil || !strings.Contains(string(got), "did first") {
-		t.Errorf("read %q, %v: what was answered before is lost", got, err)
+		t.Errorf("read %q, %v: the answer sent before the close is lost", got, err)
 	}
 	if n := engine.Runs()["crosses"]; n > 0 {
-		t.Errorf("what crossed ran %d times, and nobody can be told", n)
+		t.Errorf("a request that can't be answered ran %d times, want 0", n)
 	}
 }
 
-// A caller that resets its connection is gone at once.
+// A caller that resets its connection is disconnected at once. The failure: the
+// reset is taken for a half-close, and the connection is kept until the run ends.
 func TestResetIsNoHalfClose(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(2*time.Second))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.framesAddr)
-	c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
-	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
-	if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
+	srv.eventually(t, "request running", func() bool { return srv.link.Running() == 1 })
+	if err := caller.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+	if err := caller.Conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		t.Fatal(err)
 	}
-	r.eventually(t, "it is gone", func() bool { return r.core.Counts().Disconnected == 1 && r.frameConnCount() == 0 })
+	srv.eventually(t, "disconnect detected", func() bool { return srv.core.Counts().Disconnected == 1 && srv.frameConnCount() == 0 })
 }
 
-// Checks, cancels, requests of unknown classes, new connections and half frames
-// by the thousand cost a working caller little, and what they take has a bound.
+// Thousands of health checks, cancels, requests of unknown classes, new
+// connections and partial frames delay another caller little, and the memory that
+// they take is bounded.
 func TestFloodsDoNotStarveCallers(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
 	stop := make(chan struct{})
 	var floods sync.WaitGroup
 	flood := func(f func(i uint32)) {
@@ -224,7 +232,7 @@
 		}()
 	}
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", r.framesAddr)
+		c, err := net.Dial("tcp", srv.framesAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -232,45 +240,45 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	deep := func(i uint32) []byte {
+	deepCheck := func(i uint32) []byte {
 		return append(frame.AppendHeader(nil, frame.HealthCheck, i, 1+3+4+1), "\x01\x04real\x00\x011"...)
 	}
 	checks, cancels, unknown := dial(), dial(), dial()
-	flood(func(i uint32) { checks.Write(deep(i)) })                                      //nolint:errcheck // a flood
+	flood(func(i uint32) { checks.Write(deepCheck(i)) })                                 //nolint:errcheck // a flood
 	flood(func(i uint32) { cancels.Write(frame.AppendHeader(nil, frame.Cancel, i, 0)) }) //nolint:errcheck // a flood
 	flood(func(i uint32) {
 		unknown.Write(frame.AppendRequest(nil, i, standin.Fields("none", "red", "", 1<<40+uint64(i), time.Second), nil))
 	}) //nolint:errcheck // a flood
 	flood(func(i uint32) {
-		if c, err := net.Dial("tcp", r.framesAddr); err == nil {
+		if c, err := net.Dial("tcp", srv.framesAddr); err == nil {
 			c.Write([]byte{0, 0, 1, 0, 65}[:1+i%5]) //nolint:errcheck // a flood
 			c.Close()
 		}
 	})
-	c := standin.Dial(t, r.framesAddr)
+	caller := standin.Dial(t, srv.framesAddr)
 	slowest := time.Duration(0)
 	for i := range uint32(100) {
 		began := time.Now()
-		c.Send(i+1, standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
-		if got, ok := c.Next(); !ok || got.Code != frame.Served {
-			t.Fatalf("request %d: %+v", i, got)
+		caller.Send(i+1, standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
+		if got, ok := caller.Next(); !ok || got.Code != frame.Served {
+			t.Fatalf("request %d: got %+v, want served", i, got)
 		}
 		slowest = max(slowest, time.Since(began))
 	}
 	close(stop)
 	floods.Wait()
 	if slowest > 2*time.Second {
-		t.Errorf("the slowest of 100 took %v", slowest)
+		t.Errorf("the slowest of 100 requests took %v, want 2 s at most", slowest)
 	}
-	r.onLoopWait(func() {
-		if len(r.pendingChecks) > maxPendingChecks || r.partialBytes > r.cfg.Limits.MemoryMB<<20/partialMemoryDivisor {
-			t.Errorf("%d checks wait, %d bytes are held", len(r.pendingChecks), r.partialBytes)
+	srv.onLoopWait(func() {
+		if len(srv.pendingChecks) > maxPendingChecks || srv.partialBytes > srv.cfg.Limits.MemoryMB<<20/partialMemoryDivisor {
+			t.Errorf("%d pending health checks, %d bytes of partial frames", len(srv.pendingChecks), srv.partialBytes)
 		}
 	})
 }
 
-// A connection that is to end while its caller takes nothing more ends all the
-// same: what is owed on it has a time to go out.
+// A connection whose caller has stopped reading is closed after a timeout. The
+// failure: the close waits for ever until the unsent answers are taken.
 func TestCloseOfNonReadingCaller(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
@@ -278,64 +286,64 @@
 	for i := range cfg.Policy.Classes {
 		cfg.Policy.Classes[i].Timeout = 200_000
 	}
-	r := launch(t, cfg)
+	srv := launch(t, cfg)
 	result := make([]byte, frame.MaxResult)
-	for _, how := range []string{"a bad frame", "its side ended", "idle"} {
-		conn, err := net.Dial("tcp", r.framesAddr)
+	for _, cause := range []string{"malformed frame", "half-closed by the caller", "idle"} {
+		conn, err := net.Dial("tcp", srv.framesAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close() // it never reads
-		s := r.onlyFrameConn(t)
-		r.onLoopWait(func() {
-			for s.unsent() == 0 && !s.disconnected {
-				s.queueAnswer(frame.Answer, 0, frame.Failed, nil, result)
-				s.flush()
+		serverConn := srv.onlyFrameConn(t)
+		srv.onLoopWait(func() {
+			for serverConn.unsent() == 0 && !serverConn.disconnected {
+				serverConn.queueAnswer(frame.Answer, 0, frame.Failed, nil, result)
+				serverConn.flush()
 			}
-			if how == "idle" {
-				s.closeGracefully(now())
+			if cause == "idle" {
+				serverConn.closeGracefully(now())
 			}
 		})
-		switch how {
-		case "a bad frame":
+		switch cause {
+		case "malformed frame":
 			conn.Write(frame.AppendHeader(nil, 99, 0, 0)) //nolint:errcheck // seen below
-		case "its side ended":
+		case "half-closed by the caller":
 			conn.(*net.TCPConn).CloseWrite() //nolint:errcheck // seen below
 		}
-		r.eventually(t, how+": it ends", func() bool { return s.disconnected && r.frameConnCount() == 0 })
+		srv.eventually(t, cause+": connection closed", func() bool { return serverConn.disconnected && srv.frameConnCount() == 0 })
 	}
 }
 
-// Bytes behind a uwsgi request wait unread when its answer goes out: the answer
-// arrives, and the end of the connection after it, not a reset.
+// Bytes that follow a uwsgi request are still unread when its answer is sent. The
+// failure: a close with unread input is a reset, and the caller loses the answer.
 func TestTrailingBytesAfterUWSGIRequest(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(2*time.Second))
-	r := start(t, engine.Address, "", "[uwsgi]\nlisten = \"127.0.0.1:0\"\n")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	conn, err := net.Dial("tcp", r.uwsgiAddr)
+	srv := start(t, engine.Address, "", "[uwsgi]\nlisten = \"127.0.0.1:0\"\n")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	conn, err := net.Dial("tcp", srv.uwsgiAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.Write(standin.Packet(t, standin.Vars("look", "red", "", 3*time.Second), "b")) //nolint:errcheck // seen below
-	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
-	r.onLoopWait(func() {
-		for h := range r.conns {
-			f, ok := h.(*uwsgiConn)
+	srv.eventually(t, "request running", func() bool { return srv.link.Running() == 1 })
+	srv.onLoopWait(func() {
+		for h := range srv.conns {
+			candidate, ok := h.(*uwsgiConn)
 			if !ok {
 				continue
 			}
 			conn.Write([]byte("more")) //nolint:errcheck // seen in the next line
-			for !hasUnread(f.conn) {
+			for !hasUnread(candidate.conn) {
 				time.Sleep(time.Millisecond)
 			}
-			f.Answer(1, core.Answer{Code: core.Served, Result: []byte("the answer")})
-			f.flush()
+			candidate.Answer(1, core.Answer{Code: core.Served, Result: []byte("the answer")})
+			candidate.flush()
 		}
 	})
 	conn.SetDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // a TCP connection takes it
 	if got, err := io.ReadAll(conn); err != nil || !strings.HasSuffix(string(got), "the answer") {
-		t.Errorf("read %q, %v", got, err)
+		t.Errorf("read %q, %v, want the whole answer", got, err)
 	}
 }
--- a/internal/server/frame_conn_test.go
+++ b/internal/server/frame_conn_test.go
@@ -15,7 +15,7 @@
 	"kiteslip/internal/standin"
 )
 
-// A check against live sockets takes a while: twenty walks are enough.
+// TestMain lowers the number of rapid's checks to 20, as checks over real sockets are slow.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
@@ -24,38 +24,38 @@
 	os.Exit(m.Run())
 }
 
-// model is what one connection should see: for each stream the codes that are
-// legal as its only answer, and how many it may bring that cannot be read.
-type model struct {
-	legal   map[uint32][]byte
-	body    map[uint32]string
-	highest uint32
-	faults  int // requests that cannot be read: there may be faultsMost
-	checks  int
+// connModel holds the answers that are expected on one connection: for each stream
+// the codes that are legal for its only answer, and the body that was sent.
+type connModel struct {
+	legal         map[uint32][]byte
+	bodies        map[uint32]string
+	lastStream    uint32
+	malformed     int // malformed requests so far, at most maxMalformedInRow
+	pendingChecks int
 }
 
-// expect reads what is still to come and compares it.
-func (m *model) expect(t *rapid.T, c *standin.Caller, cancelled map[uint32]bool) {
-	for len(m.legal) > len(cancelled) || m.checks > 0 {
-		got, ok := c.Next()
+// expectAnswers reads the outstanding answers and compares them with the model.
+func (m *connModel) expectAnswers(t *rapid.T, caller *standin.Caller, cancelled map[uint32]bool) {
+	for len(m.legal) > len(cancelled) || m.pendingChecks > 0 {
+		got, ok := caller.Next()
 		if !ok {
-			t.Fatalf("the connection ends; still to come: %v", m.legal)
+			t.Fatalf("the connection ended with answers outstanding: %v", m.legal)
 		}
 		switch {
 		case got.Type == frame.GoAway:
 		case got.Type == frame.HealthStatus && got.Code == frame.Healthy:
-			m.checks--
+			m.pendingChecks--
 		default:
 			codes, known := m.legal[got.Stream]
 			if !known || got.Type != frame.Answer {
-				t.Fatalf("unexpected %+v", got)
+				t.Fatalf("unexpected frame: %+v", got)
 			}
 			fits := false
 			for _, code := range codes {
 				fits = fits || code == got.Code
 			}
-			if !fits || got.Code == frame.Served && got.Body != "did "+m.body[got.Stream] {
-				t.Fatalf("stream %d: %+v, want code of %v", got.Stream, got, codes)
+			if !fits || got.Code == frame.Served && got.Body != "did "+m.bodies[got.Stream] {
+				t.Fatalf("stream %d: got %+v, want a code of %v", got.Stream, got, codes)
 			}
 			delete(m.legal, got.Stream)
 			delete(cancelled, got.Stream)
@@ -63,120 +63,124 @@
 	}
 }
 
+// A connection of the frames front end with random requests, malformed ones,
+// cancels and health checks, cut into random pieces, gives each stream the one
+// answer that the model allows, however the connection is closed.
 func TestConnectionAgainstModel(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	name := uint64(0)
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	tryID := uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
-		c := standin.Dial(r.test, r.framesAddr)
-		defer c.Conn.Close()
-		m := &model{legal: map[uint32][]byte{}, body: map[uint32]string{}}
+		caller := standin.Dial(srv.test, srv.framesAddr)
+		defer caller.Conn.Close()
+		expected := &connModel{legal: map[uint32][]byte{}, bodies: map[uint32]string{}}
 		cancelled := map[uint32]bool{}
 		var out []byte
 		request := func(fields []frame.Field, codes ...byte) {
-			m.highest += rapid.Uint32Range(1, 3).Draw(t, "step")
-			m.body[m.highest] = fmt.Sprint("body ", name)
-			m.legal[m.highest] = codes
-			out = frame.AppendRequest(out, m.highest, fields, []byte(m.body[m.highest]))
+			expected.lastStream += rapid.Uint32Range(1, 3).Draw(t, "step")
+			expected.bodies[expected.lastStream] = fmt.Sprint("body ", tryID)
+			expected.legal[expected.lastStream] = codes
+			out = frame.AppendRequest(out, expected.lastStream, fields, []byte(expected.bodies[expected.lastStream]))
 		}
-		fresh := func() []frame.Field {
-			name++
-			return standin.Fields("look", "red", "", name, 3*time.Second)
+		validFields := func() []frame.Field {
+			tryID++
+			return standin.Fields("look", "red", "", tryID, 3*time.Second)
 		}
-		bad := func(change func(f []frame.Field) []frame.Field) func(*rapid.T) {
+		malformed := func(change func(f []frame.Field) []frame.Field) func(*rapid.T) {
 			return func(t *rapid.T) {
-				if m.faults++; m.faults >= maxMalformedInRow {
-					t.Skip("one more ends the connection")
+				if expected.malformed++; expected.malformed >= maxMalformedInRow {
+					t.Skip("one more closes the connection")
 				}
-				request(change(fresh()), frame.Failed)
+				request(change(validFields()), frame.Failed)
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				if len(m.legal) < 24 {
+				if len(expected.legal) < 24 {
 					return
 				}
-				c.Write(out)
+				caller.Write(out)
 				out = nil
-				m.expect(t, c, cancelled)
+				expected.expectAnswers(t, caller, cancelled)
 			},
-			"request":       func(t *rapid.T) { request(fresh(), frame.Served) },
-			"unknown class": bad(func(f []frame.Field) []frame.Field { f[0].Value = "nil"; return f }),
-			"no tenant":     bad(func(f []frame.Field) []frame.Field { return append(f[:1], f[2:]...) }),
-			"bad field":     bad(func(f []frame.Field) []frame.Field { f[4].Value = "now"; return f }),
+			"request":       func(t *rapid.T) { request(validFields(), frame.Served) },
+			"unknown class": malformed(func(f []frame.Field) []frame.Field { f[0].Value = "nil"; return f }),
+			"no tenant":     malformed(func(f []frame.Field) []frame.Field { return append(f[:1], f[2:]...) }),
+			"bad field":     malformed(func(f []frame.Field) []frame.Field { f[4].Value = "now"; return f }),
 			"cancel": func(t *rapid.T) {
-				// An answer may have gone out already: then it does no harm.
-				stream := rapid.Uint32Range(1, m.highest+2).Draw(t, "stream")
-				if _, open := m.legal[stream]; open {
+				// A cancel of a request that was answered already has no effect.
+				stream := rapid.Uint32Range(1, expected.lastStream+2).Draw(t, "stream")
+				if _, open := expected.legal[stream]; open {
 					cancelled[stream] = true
 				}
 				out = frame.AppendHeader(out, frame.Cancel, stream, 0)
 			},
 			"check": func(t *rapid.T) {
-				out = append(frame.AppendHeader(out, frame.HealthCheck, m.highest+1, 1+3+4+1), "\x01\x04real\x00\x011"...)
-				m.checks++
+				out = append(frame.AppendHeader(out, frame.HealthCheck, expected.lastStream+1, 1+3+4+1), "\x01\x04real\x00\x011"...)
+				expected.pendingChecks++
 			},
 			"write": func(t *rapid.T) {
 				n := rapid.IntRange(0, len(out)).Draw(t, "cut")
-				c.Write(out[:n])
+				caller.Write(out[:n])
 				out = out[n:]
 			},
 		})
-		c.Write(out)
-		m.end(t, c, cancelled)
+		caller.Write(out)
+		expected.closeConn(t, caller, cancelled)
 	})
-	r.eventually(t, "all places are free", func() bool { return r.frameConnCount() == 0 && r.closingConns == 0 })
+	srv.eventually(t, "all connection slots released", func() bool { return srv.frameConnCount() == 0 && srv.closingConns == 0 })
 }
 
-// end ends the connection in one of the ways that there are, while answers are
-// still to come: whichever it is costs none of them.
-func (m *model) end(t *rapid.T, c *standin.Caller, cancelled map[uint32]bool) {
-	checks := m.checks
-	switch rapid.SampledFrom([]string{"close", "half-close", "a bad frame", "half a frame", "reset"}).Draw(t, "end") {
+// closeConn closes the connection in a random way while answers are outstanding; only
+// a reset by the caller may lose any of them.
+func (m *connModel) closeConn(t *rapid.T, caller *standin.Caller, cancelled map[uint32]bool) {
+	checks := m.pendingChecks
+	switch rapid.SampledFrom([]string{"close", "half-close", "malformed frame", "partial frame", "reset"}).Draw(t, "end") {
 	case "half-close":
-		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+		if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-	case "a bad frame":
-		c.Write(frame.AppendHeader(nil, 99, 0, 0))
-		m.legal[0], m.body[0] = []byte{frame.Failed}, ""
-	case "half a frame": // with the caller's side ended in it
-		c.Write([]byte{0, 0, 0})
-		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+	case "malformed frame":
+		caller.Write(frame.AppendHeader(nil, 99, 0, 0))
+		m.legal[0], m.bodies[0] = []byte{frame.Failed}, ""
+	case "partial frame": // followed by a half-close
+		caller.Write([]byte{0, 0, 0})
+		if err := caller.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-	case "reset": // nothing is owed then
-		if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+	case "reset": // no answers are outstanding then
+		if err := caller.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 			t.Fatal(err)
 		}
-		c.Conn.Close()
+		caller.Conn.Close()
 		return
 	default:
-		m.expect(t, c, cancelled)
+		m.expectAnswers(t, caller, cancelled)
 		return
 	}
-	m.expect(t, c, cancelled)
-	if m.checks > 0 {
-		t.Fatalf("%d of %d checks are not answered", m.checks, checks)
+	m.expectAnswers(t, caller, cancelled)
+	if m.pendingChecks > 0 {
+		t.Fatalf("%d of %d health checks not answered", m.pendingChecks, checks)
 	}
 	for {
-		got, ok := c.Next()
+		got, ok := caller.Next()
 		if !ok {
 			return
 		}
 		if got.Type != frame.GoAway && !cancelled[got.Stream] {
-			t.Fatalf("unexpected at the end: %+v", got)
+			t.Fatalf("unexpected frame after the last answer: %+v", got)
 		}
 	}
 }
 
-// What cannot be told apart any more ends the connection, after an error on stream 0.
+// A malformed frame closes the connection after an error on stream 0; a malformed
+// request in a frame of valid length is an error on its own stream.
 func TestMalformedStreamCloses(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
+	srv := start(t, engine.Address, "", "")
 	for name, bytes := range map[string][]byte{
 		"too short":       {0, 0, 0, 1, 65},
 		"too long":        {0xff, 0xff, 0xff, 0xff},
@@ -185,177 +189,180 @@
 		"request on 0":    frame.AppendRequest(nil, 0, standin.Fields("look", "red", "", 1, time.Second), nil),
 		"malformed check": append(frame.AppendHeader(nil, frame.HealthCheck, 1, 1), 9),
 	} {
-		c := standin.Dial(t, r.framesAddr)
-		c.Write(bytes)
-		if got, ok := c.Next(); !ok || got.Stream != 0 || got.Code != frame.Failed {
-			t.Errorf("%s: %+v", name, got)
+		caller := standin.Dial(t, srv.framesAddr)
+		caller.Write(bytes)
+		if got, ok := caller.Next(); !ok || got.Stream != 0 || got.Code != frame.Failed {
+			t.Errorf("%s: got %+v, want failed on stream 0", name, got)
 		}
-		if got, ok := c.Next(); ok {
-			t.Errorf("%s: the connection goes on with %+v", name, got)
+		if got, ok := caller.Next(); ok {
+			t.Errorf("%s: the connection is still open, got %+v", name, got)
 		}
 	}
-	c := standin.Dial(t, r.framesAddr)
-	c.Write([]byte("\x00\x00\x00\x06\x41\x00\x00\x00\x07\xff"))
-	if got, _ := c.Next(); got.Stream != 7 || got.Code != frame.Failed {
-		t.Errorf("fields cut short: %+v", got)
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Write([]byte("\x00\x00\x00\x06\x41\x00\x00\x00\x07\xff"))
+	if got, _ := caller.Next(); got.Stream != 7 || got.Code != frame.Failed {
+		t.Errorf("truncated fields: got %+v, want failed on stream 7", got)
 	}
 }
 
-// Large frames that never come whole are bounded over all connections.
+// The memory of partial frames is bounded over all connections. The failure: each
+// connection keeps within its own limit, and many of them together exhaust the memory.
 func TestPartialFramesAreBounded(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	part := make([]byte, frame.MaxLength)
-	binary.BigEndian.PutUint32(part, frame.MaxLength)
-	part[4] = frame.Request
+	srv := start(t, engine.Address, "", "")
+	partial := make([]byte, frame.MaxLength)
+	binary.BigEndian.PutUint32(partial, frame.MaxLength)
+	partial[4] = frame.Request
 	var callers []*standin.Caller
 	for range 40 { // 10 MB against an eighth of 64 MB
-		c := standin.Dial(t, r.framesAddr)
-		c.Write(part)
+		c := standin.Dial(t, srv.framesAddr)
+		c.Write(partial)
 		callers = append(callers, c)
 	}
-	r.eventually(t, "the memory is bounded", func() bool {
-		return len(r.conns) < 40 && r.partialBytes <= r.cfg.Limits.MemoryMB<<20/partialMemoryDivisor+frame.MaxLength
+	srv.eventually(t, "memory of partial frames bounded", func() bool {
+		return len(srv.conns) < 40 && srv.partialBytes <= srv.cfg.Limits.MemoryMB<<20/partialMemoryDivisor+frame.MaxLength
 	})
 	for _, c := range callers {
 		c.Conn.Close()
 	}
-	r.eventually(t, "all is freed", func() bool { return r.partialBytes == 0 })
+	srv.eventually(t, "memory of partial frames released", func() bool { return srv.partialBytes == 0 })
 }
 
-// A caller that does not read is closed once too much waits for it.
+// A connection whose caller does not read is closed when too much is unsent on it.
 func TestSlowReaderIsClosed(t *testing.T) {
 	t.Parallel()
 	result := make([]byte, frame.MaxResult)
 	engine := standin.NewEngine(t, func(string) standin.Work { return standin.Work{Result: string(result)} })
-	r := start(t, engine.Address, "", "")
-	c := standin.Dial(t, r.framesAddr)
-	s := r.onlyFrameConn(t)
-	// Fill the socket on the loop: the reader of the stand-in cannot run dry of it in between.
-	r.onLoopWait(func() {
+	srv := start(t, engine.Address, "", "")
+	caller := standin.Dial(t, srv.framesAddr)
+	serverConn := srv.onlyFrameConn(t)
+	// Fill the socket on the loop, so that the reader of the stand-in cannot empty it in between.
+	srv.onLoopWait(func() {
 		for range 16_384 {
-			s.queueAnswer(frame.Answer, 0, frame.Failed, nil, result)
+			serverConn.queueAnswer(frame.Answer, 0, frame.Failed, nil, result)
 		}
-		s.flush()
+		serverConn.flush()
 	})
-	r.eventually(t, "the connection is closed", func() bool { return s.disconnected })
-	for range c.Replies { //nolint:revive // until the end of the connection
+	srv.eventually(t, "connection closed", func() bool { return serverConn.disconnected })
+	for range caller.Replies { //nolint:revive // until the end of the connection
 	}
 }
 
-// A cut of the engine's link loses no run and repeats no keyed one.
+// Cuts of the engine link while runs are in progress lose no answer and repeat no
+// run, keyed or not.
 func TestEngineLinkCut(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(100*time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	c := standin.Dial(t, r.framesAddr)
-	r.eventually(t, "the engine's link", r.link.Ready)
+	srv := start(t, engine.Address, "", "")
+	caller := standin.Dial(t, srv.framesAddr)
+	srv.eventually(t, "engine link ready", srv.link.Ready)
 	const tries = 24
 	for i := range tries {
 		class, key := "look", ""
 		if i%2 == 0 {
 			class, key = "note", fmt.Sprint("key", i)
 		}
-		c.Send(uint32(i+1), standin.Fields(class, "red", key, uint64(i+1), 3*time.Second), fmt.Sprint("body ", i))
+		caller.Send(uint32(i+1), standin.Fields(class, "red", key, uint64(i+1), 3*time.Second), fmt.Sprint("body ", i))
 		time.Sleep(10 * time.Millisecond)
 		if i%8 == 4 {
-			time.Sleep(20 * time.Millisecond) // what was written has been read
+			time.Sleep(20 * time.Millisecond) // until the engine has read what was written
 			engine.Cut()
 		}
 	}
 	for range tries {
-		if got, ok := c.Next(); !ok || got.Code != frame.Served || got.Body != fmt.Sprint("did body ", got.Stream-1) {
-			t.Errorf("%+v", got)
+		if got, ok := caller.Next(); !ok || got.Code != frame.Served || got.Body != fmt.Sprint("did body ", got.Stream-1) {
+			t.Errorf("unexpected answer: %+v", got)
 		}
 	}
 	for body, n := range engine.Runs() {
 		if n != 1 {
-			t.Errorf("%s ran %d times", body, n)
+			t.Errorf("%s ran %d times, want 1", body, n)
 		}
 	}
 }
 
-// A deep check follows what the module says: as stored, or the engine's word.
+// A deep health check follows the policy: answered from the stored state, or by asking the engine.
 func TestDeepChecks(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.framesAddr)
-	deep := func(stream uint32) []byte {
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	caller := standin.Dial(t, srv.framesAddr)
+	deepCheck := func(stream uint32) []byte {
 		return append(frame.AppendHeader(nil, frame.HealthCheck, stream, 1+3+4+1), "\x01\x04real\x00\x011"...)
 	}
-	for i, state := range []struct{ good, stored, asks bool }{{true, true, false}, {false, true, false}, {true, false, true}, {false, false, false}} {
-		asked := 0
-		r.onLoopWait(func() {
-			r.health = func() (bool, bool) { return state.good, state.stored }
-			asked = r.lastCheckID
+	for i, state := range []struct{ healthy, stored, asksEngine bool }{{true, true, false}, {false, true, false}, {true, false, true}, {false, false, false}} {
+		lastID := 0
+		srv.onLoopWait(func() {
+			srv.health = func() (bool, bool) { return state.healthy, state.stored }
+			lastID = srv.lastCheckID
 		})
-		c.Write(append(deep(uint32(2*i+1)), deep(uint32(2*i+2))...)) // two at once keep their streams
+		caller.Write(append(deepCheck(uint32(2*i+1)), deepCheck(uint32(2*i+2))...)) // two at once are answered on their own streams
 		seen := map[uint32]bool{}
 		for range 2 {
-			got, _ := c.Next()
+			got, _ := caller.Next()
 			seen[got.Stream] = true
-			if good := got.Code == frame.Healthy; got.Type != frame.HealthStatus || good != state.good {
-				t.Errorf("%+v: %+v", state, got)
+			if healthy := got.Code == frame.Healthy; got.Type != frame.HealthStatus || healthy != state.healthy {
+				t.Errorf("%+v: got %+v", state, got)
 			}
 		}
 		if !seen[uint32(2*i+1)] || !seen[uint32(2*i+2)] {
-			t.Errorf("%+v: streams %v", state, seen)
+			t.Errorf("%+v: answers on streams %v", state, seen)
 		}
-		r.onLoopWait(func() {
-			if asks := r.lastCheckID > asked; asks != state.asks {
-				t.Errorf("%+v: the engine was asked: %v", state, asks)
+		srv.onLoopWait(func() {
+			if asked := srv.lastCheckID > lastID; asked != state.asksEngine {
+				t.Errorf("%+v: engine asked: got %v", state, asked)
 			}
 		})
 	}
 }
 
-// Where the module wants idle connections closed, callers are asked to.
+// Where the policy wants idle connections closed, they get GOAWAY, and a request
+// that races with it is still served.
 func TestIdleConnectionsGetGoAway(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	used := standin.Dial(t, r.framesAddr)
-	used.Send(1, standin.Fields("look", "red", "", 1, time.Second), "b")
-	if got, _ := used.Next(); got.Code != frame.Served {
-		t.Fatalf("%+v", got)
+	srv := start(t, engine.Address, "", "")
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Send(1, standin.Fields("look", "red", "", 1, time.Second), "b")
+	if got, _ := caller.Next(); got.Code != frame.Served {
+		t.Fatalf("unexpected answer: %+v", got)
 	}
-	if got, ok := used.Next(); !ok || got.Type != frame.GoAway {
-		t.Errorf("%+v, want GOAWAY", got)
+	if got, ok := caller.Next(); !ok || got.Type != frame.GoAway {
+		t.Errorf("got %+v, want GOAWAY", got)
 	}
-	used.Send(2, standin.Fields("look", "red", "", 2, time.Second), "b") // it crosses
-	if got, ok := used.Next(); !ok || got.Code != frame.Served {
-		t.Errorf("what crosses GOAWAY: %+v", got)
+	caller.Send(2, standin.Fields("look", "red", "", 2, time.Second), "b") // as if sent before GOAWAY was read
+	if got, ok := caller.Next(); !ok || got.Code != frame.Served {
+		t.Errorf("request that races with GOAWAY: got %+v, want served", got)
 	}
 }
 
-// Callers learn late of a drain: one that comes after GOAWAY went out still
-// finds the listener open, and gets an answer.
+// A caller that connects during a drain, after GOAWAY was sent, still finds the
+// listener open and gets an answer: the registry's list reaches callers late.
 func TestLateCallerIsAnsweredInDrain(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	r.onLoopWait(func() { r.beginShutdown("a test", now()) })
-	r.eventually(t, "GOAWAY", func() bool { return r.goAwaySent })
-	c := standin.Dial(t, r.framesAddr)
-	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "b")
+	srv := start(t, engine.Address, "", "")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	srv.onLoopWait(func() { srv.beginShutdown("a test", now()) })
+	srv.eventually(t, "GOAWAY sent", func() bool { return srv.goAwaySent })
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Send(1, standin.Fields("look", "red", "", 1, time.Second), "b")
 	answered := false
-	for got, ok := c.Next(); ok; got, ok = c.Next() {
+	for got, ok := caller.Next(); ok; got, ok = caller.Next() {
 		answered = answered || got.Type == frame.Answer && (got.Code == frame.Served || got.Code == frame.Refused)
 	}
 	if !answered {
-		t.Error("the caller that came late got no answer")
+		t.Error("the late caller got no answer")
 	}
 	select {
-	case err := <-r.serveErr:
+	case err := <-srv.serveErr:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the drain does not end")
+		t.Error("the drain did not end within 10 s")
 	}
-	r.signals = nil
+	srv.signals = nil
 }
--- a/internal/server/frontends_test.go
+++ b/internal/server/frontends_test.go
@@ -19,7 +19,8 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// operatorTOML sets up the second front; classes go to the engine, or to the backend given.
+// operatorTOML returns an operator's file with a uwsgi front end, whose classes go
+// to the given backend, or to the engine if backend is empty.
 func operatorTOML(backend string) string {
 	if backend != "" {
 		backend = fmt.Sprintf("backend = %q", backend)
@@ -42,8 +43,8 @@
 `, backend)
 }
 
-// work is told by the body's first word.
-func work(body string) standin.Work {
+// workByBody returns what a stand-in does with a request, by the first word of its body.
+func workByBody(body string) standin.Work {
 	kind, _, _ := strings.Cut(body, " ")
 	switch kind {
 	case "slow":
@@ -58,20 +59,21 @@
 	return standin.Work{For: 10 * time.Millisecond, Result: "did " + body}
 }
 
-// try is one request of the traffic.
+// try is one request of the traffic; at is the time since its start.
 type try struct {
 	at               time.Duration
 	class, key, body string
 	timeout          time.Duration
 }
 
-// traffic is the same for each front: quick, slow, failing, too long, keyed
-// with repeats, and late from the start.
+// traffic returns the requests that each path is given: quick and slow ones, ones
+// that fail or run past their deadline, keyed ones with retries, and ones whose
+// timeout has passed when they arrive.
 func traffic() []try {
 	var all []try
 	for i := range 72 {
-		t := try{at: time.Duration(i) * 15 * time.Millisecond, class: "look", timeout: 3 * time.Second}
-		// Few enough fail that the module does not take the server for a failing one.
+		req := try{at: time.Duration(i) * 15 * time.Millisecond, class: "look", timeout: 3 * time.Second}
+		// Few enough fail that the policy does not consider the server unhealthy.
 		kind := []string{"quick", "slow", "quick", "note", "quick", "none"}[i%6]
 		if i%24 == 16 {
 			kind = "bad"
@@ -79,74 +81,75 @@
 		if i%24 == 0 {
 			kind = "long"
 		}
-		t.body = fmt.Sprint(kind, " ", i)
+		req.body = fmt.Sprint(kind, " ", i)
 		switch kind {
 		case "none":
-			t.timeout = 0
+			req.timeout = 0
 		case "note":
-			t.class, t.key = "note", fmt.Sprint("key", i/24) // four tries of each
-			t.body = "note " + t.key
+			req.class, req.key = "note", fmt.Sprint("key", i/24) // four tries of each
+			req.body = "note " + req.key
 		}
-		all = append(all, t)
+		all = append(all, req)
 	}
 	return all
 }
 
-// result is an answer in the terms that both fronts share.
+// result is an answer in terms that both front ends share.
 type result struct {
 	outcome string
 	body    string
-	took    time.Duration
+	latency time.Duration
 }
 
-func outcome(r standin.Reply) string {
+// outcome names the outcome of a request by its code or status.
+func outcome(reply standin.Reply) string {
 	switch {
-	case r.Code == frame.Served || r.Status == http.StatusOK:
+	case reply.Code == frame.Served || reply.Status == http.StatusOK:
 		return "served"
-	case r.Code == frame.Refused || r.Status == http.StatusServiceUnavailable:
+	case reply.Code == frame.Refused || reply.Status == http.StatusServiceUnavailable:
 		return "refused"
-	case r.Code == frame.Failed || r.Status >= 500:
+	case reply.Code == frame.Failed || reply.Status >= 500:
 		return "failed"
 	}
-	return fmt.Sprintf("%d/%d %s", r.Code, r.Status, r.Body)
+	return fmt.Sprintf("%d/%d %s", reply.Code, reply.Status, reply.Body)
 }
 
-// play sends the traffic and returns what became of each try.
-func play(t *testing.T, r *testServer, web bool) []result {
+// runTraffic sends the traffic through one front end and returns the result of each try.
+func runTraffic(t *testing.T, srv *testServer, overUWSGI bool) []result {
 	tries := traffic()
 	results := make([]result, len(tries))
 	began := make([]time.Time, len(tries))
 	var wait sync.WaitGroup
 	var caller *standin.Caller
-	if !web {
-		caller = standin.Dial(t, r.framesAddr)
+	if !overUWSGI {
+		caller = standin.Dial(t, srv.framesAddr)
 	}
 	origin := time.Now()
 	for i, try := range tries {
 		time.Sleep(time.Until(origin.Add(try.at)))
 		began[i] = time.Now()
-		if !web {
+		if !overUWSGI {
 			caller.Send(uint32(i+1), standin.Fields(try.class, "red", try.key, uint64(i+1), try.timeout), try.body)
 			continue
 		}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars(try.class, "red", try.key, try.timeout), try.body))
+			reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars(try.class, "red", try.key, try.timeout), try.body))
 			results[i] = result{outcome(reply), reply.Body, reply.At.Sub(began[i])}
 		}()
 	}
 	wait.Wait()
-	if !web {
+	if !overUWSGI {
 		for range tries {
 			reply, ok := caller.Next()
 			if !ok || reply.Stream == 0 || int(reply.Stream) > len(tries) {
-				t.Errorf("answer %+v", reply)
+				t.Errorf("unexpected answer: %+v", reply)
 				return results
 			}
 			i := reply.Stream - 1
 			if results[i].outcome != "" {
-				t.Errorf("a second answer on stream %d", reply.Stream)
+				t.Errorf("second answer on stream %d", reply.Stream)
 			}
 			results[i] = result{outcome(reply), reply.Body, reply.At.Sub(began[i])}
 		}
@@ -154,8 +157,8 @@
 	return results
 }
 
-// differ lists where outcomes and results of b are not those of a.
-func differ(a, b []result) []string {
+// outcomeDifferences lists the tries whose outcomes or bodies differ.
+func outcomeDifferences(a, b []result) []string {
 	var out []string
 	for i, try := range traffic() {
 		if a[i].outcome != b[i].outcome || a[i].outcome == "served" && a[i].body != b[i].body {
@@ -165,14 +168,15 @@
 	return out
 }
 
-// drift lists the kinds of request that take longer on one front than on the
-// other, by the median of each kind, which a short pause of the machine does not move.
-func drift(a, b []result) []string {
+// timingDifferences lists the kinds of request whose median times differ by more than
+// maxTimingDifference.
+// A short pause of the machine does not move a median.
+func timingDifferences(a, b []result) []string {
 	times := map[string][2][]time.Duration{}
 	for i, try := range traffic() {
 		kind, _, _ := strings.Cut(try.body, " ")
 		pair := times[kind]
-		times[kind] = [2][]time.Duration{append(pair[0], a[i].took), append(pair[1], b[i].took)}
+		times[kind] = [2][]time.Duration{append(pair[0], a[i].latency), append(pair[1], b[i].latency)}
 	}
 	var out []string
 	for kind, pair := range times {
@@ -180,65 +184,66 @@
 			slices.Sort(pair[i])
 		}
 		x, y := pair[0][len(pair[0])/2], pair[1][len(pair[1])/2]
-		if (x - y).Abs() > apart {
-			out = append(out, fmt.Sprintf("%s takes %v and %v", kind, x, y))
+		if (x - y).Abs() > maxTimingDifference {
+			out = append(out, fmt.Sprintf("%s: median times %v and %v", kind, x, y))
 		}
 	}
 	return out
 }
 
-const apart = 60 * time.Millisecond
+// maxTimingDifference is the greatest difference of median times of the same kind of request.
+const maxTimingDifference = 60 * time.Millisecond
 
-// paths are the ways from a front to where the work is done.
+// paths are the combinations of a front end and what runs the requests.
 var paths = []struct {
-	name         string
-	web, backend bool
+	name           string
+	uwsgi, backend bool
 }{{"frames to engine", false, false}, {"uwsgi to engine", true, false}, {"uwsgi to uwsgi", true, true}, {"frames to uwsgi", false, true}}
 
-// The same traffic on each path gives the same outcomes every time. Its timing
-// is compared up to three times, for a machine that is busy with other things:
-// a difference that the program makes is there each time.
+// The same traffic has the same outcomes on each path every time. The times are
+// compared up to three times, as a busy machine may change them: a difference that
+// the program makes shows each time.
 func TestFrontendsAgree(t *testing.T) {
-	var late []string
+	var timing []string
 	for range 3 {
-		results := playAll(t)
-		late = nil
+		results := runTrafficOnPaths(t)
+		timing = nil
 		for i, path := range paths[1:] {
-			for _, line := range differ(results[0], results[i+1]) {
+			for _, line := range outcomeDifferences(results[0], results[i+1]) {
 				t.Errorf("%s and %s differ: %s", paths[0].name, path.name, line)
 			}
-			for _, line := range drift(results[0], results[i+1]) {
-				late = append(late, fmt.Sprintf("%s and %s: %s", paths[0].name, path.name, line))
+			for _, line := range timingDifferences(results[0], results[i+1]) {
+				timing = append(timing, fmt.Sprintf("%s and %s: %s", paths[0].name, path.name, line))
 			}
 		}
-		if len(late) == 0 || t.Failed() {
+		if len(timing) == 0 || t.Failed() {
 			break
 		}
-		t.Logf("timing, to be played again: %q", late)
+		t.Logf("times differ, sending the traffic again: %q", timing)
 	}
-	for _, line := range late {
+	for _, line := range timing {
 		t.Error(line)
 	}
 }
 
-// playAll plays the traffic on all paths side by side, each with a server and
-// stand-ins of its own, and checks what was run.
-func playAll(t *testing.T) [][]result {
+// runTrafficOnPaths sends the traffic on all paths in parallel, each with a server and
+// stand-ins of its own, and checks the outcomes of the first path and all runs.
+func runTrafficOnPaths(t *testing.T) [][]result {
 	results := make([][]result, len(paths))
 	runs := make([]map[string]int, len(paths))
 	var wait sync.WaitGroup
 	for i, path := range paths {
-		engine, backend := standin.NewEngine(t, work), standin.NewBackend(t, work)
+		engine, backend := standin.NewEngine(t, workByBody), standin.NewBackend(t, workByBody)
 		address, ran := "", engine.Runs
 		if path.backend {
 			address, ran = backend.Address, backend.Runs
 		}
-		r := start(t, engine.Address, "", operatorTOML(address))
-		r.eventually(t, "the engine's link", r.link.Ready)
+		srv := start(t, engine.Address, "", operatorTOML(address))
+		srv.eventually(t, "engine link ready", srv.link.Ready)
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			results[i] = play(t, r, path.web)
+			results[i] = runTraffic(t, srv, path.uwsgi)
 			runs[i] = ran()
 		}()
 	}
@@ -247,51 +252,53 @@
 	for i, try := range traffic() {
 		kind, _, _ := strings.Cut(try.body, " ")
 		if got := results[0][i].outcome; got != want[kind] {
-			t.Errorf("%s: %s is %s, want %s", paths[0].name, try.body, got, want[kind])
+			t.Errorf("%s: %s: got %s, want %s", paths[0].name, try.body, got, want[kind])
 		}
 	}
 	for i, path := range paths {
 		for body, n := range runs[i] {
 			if n != 1 {
-				t.Errorf("%s: %s ran %d times", path.name, body, n)
+				t.Errorf("%s: %s ran %d times, want 1", path.name, body, n)
 			}
 		}
 	}
 	return results
 }
 
-// The comparisons themselves must be able to fail.
+// The comparisons used by TestFrontendsAgree detect differences and pass equal results.
 func TestComparisonsDetectDifferences(t *testing.T) {
 	var a []result
 	for range traffic() {
 		a = append(a, result{"served", "x", 10 * time.Millisecond})
 	}
 	b := slices.Clone(a)
-	if got := append(differ(a, b), drift(a, b)...); len(got) != 0 {
+	if got := append(outcomeDifferences(a, b), timingDifferences(a, b)...); len(got) != 0 {
 		t.Errorf("equal results differ: %q", got)
 	}
 	b[3].outcome = "failed"
 	b[7].body = "y"
 	for i, try := range traffic() {
 		if strings.HasPrefix(try.body, "slow") {
-			b[i].took += apart + time.Millisecond
+			b[i].latency += maxTimingDifference + time.Millisecond
 		}
 	}
-	if got := append(differ(a, b), drift(a, b)...); len(got) != 3 {
-		t.Errorf("%d differences of 3 are seen: %q", len(got), got)
+	if got := append(outcomeDifferences(a, b), timingDifferences(a, b)...); len(got) != 3 {
+		t.Errorf("%d of 3 differences detected: %q", len(got), got)
 	}
 }
 
+// Each kind of outcome and of malformed request has its HTTP status, and an answer
+// with status 503, and no other, has Retry-After.
 func TestUWSGIStatuses(t *testing.T) {
 	t.Parallel()
-	backend := standin.NewBackend(t, work)
-	r := start(t, "127.0.0.1:1", "", operatorTOML(backend.Address))
+	backend := standin.NewBackend(t, workByBody)
+	srv := start(t, "127.0.0.1:1", "", operatorTOML(backend.Address))
 	vars := func(class, key string, timeout time.Duration) []uwsgi.Var {
 		return standin.Vars(class, "red", key, timeout)
 	}
 	second := time.Second
 	packet := func(vars []uwsgi.Var, body string) []byte { return standin.Packet(t, vars, body) }
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name   string
 		packet []byte
 		status int
@@ -300,10 +307,10 @@
 		{"by path", packet([]uwsgi.Var{{Name: "PATH_INFO", Value: "/look/here"}, {Name: uwsgi.VarTenant, Value: "red"}}, "quick"), 200},
 		{"no body", packet(vars("look", "", second), ""), 200},
 		{"never run", packet(vars("look", "", 0), "quick"), 503},
-		{"due time passed", packet(vars("look", "", 200*time.Millisecond), "long"), 504},
+		{"deadline passed", packet(vars("look", "", 200*time.Millisecond), "long"), 504},
 		{"failed run", packet(vars("look", "", second), "bad"), 502},
-		{"breaks off in the response", packet(vars("look", "", second), "break"), 502},
-		{"breaks off before it", packet(vars("note", "k", second), "close"), 502},
+		{"backend closes within the response", packet(vars("look", "", second), "break"), 502},
+		{"backend closes before the response", packet(vars("note", "k", second), "close"), 502},
 		{"unknown class", packet(vars("nil", "", second), "quick"), 400},
 		{"unknown tenant", packet(standin.Vars("look", "green", "", second), "quick"), 400},
 		{"no class", packet(nil, "quick"), 400},
@@ -311,220 +318,224 @@
 		{"bad length", packet(append(vars("look", "", second), uwsgi.Var{Name: uwsgi.VarLength, Value: "-1"}), ""), 400},
 		{"bad timeout", packet([]uwsgi.Var{{Name: uwsgi.VarTimeout, Value: "soon"}}, ""), 400},
 		{"other modifier", []byte{5, 0, 0, 0}, 400},
-		{"variable cut short", []byte{0, 3, 0, 0, 9, 0, 'x'}, 400},
+		{"truncated variable", []byte{0, 3, 0, 0, 9, 0, 'x'}, 400},
 		{"too large", packet(vars("look", "", second), strings.Repeat("x", 65)), 413},
 		{"far too large", packet(vars("look", "", second), strings.Repeat("x", 1<<20)), 413},
 		{"too slow", packet(vars("look", "", second), "quick")[:30], 408},
 	} {
-		reply := standin.Post(r.uwsgiAddr, c.packet)
-		if reply.Status != c.status {
-			t.Errorf("%s: status %d %q, want %d", c.name, reply.Status, reply.Body, c.status)
+		reply := standin.Post(srv.uwsgiAddr, tc.packet)
+		if reply.Status != tc.status {
+			t.Errorf("%s: got status %d %q, want %d", tc.name, reply.Status, reply.Body, tc.status)
 		}
-		if after := reply.Fields["retry-after"]; (c.status == 503) != (after != "") {
-			t.Errorf("%s: Retry-After %q", c.name, after)
+		if after := reply.Fields["retry-after"]; (tc.status == 503) != (after != "") {
+			t.Errorf("%s: got Retry-After %q", tc.name, after)
 		}
 	}
 }
 
-// A uwsgi server that was never reached has run nothing: refused, not failed.
+// A request for a backend that can't be reached never ran: it is refused, not failed.
 func TestUnreachableBackendRefuses(t *testing.T) {
 	t.Parallel()
 	r := start(t, "127.0.0.1:1", "", operatorTOML("127.0.0.1:1"))
 	if reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k", time.Second), "x")); reply.Status != 503 {
-		t.Errorf("%+v", reply)
+		t.Errorf("got %+v, want status 503", reply)
 	}
 }
 
-// sendPartial opens a uwsgi connection and sends n bytes of the packet.
-func sendPartial(t *testing.T, r *testServer, packet []byte, n int) net.Conn {
+// sendPartial opens a uwsgi connection and sends the first n bytes of the packet.
+func sendPartial(t *testing.T, srv *testServer, packet []byte, n int) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", r.uwsgiAddr)
+	conn, err := net.Dial("tcp", srv.uwsgiAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write(packet[:n]); err != nil {
+	if _, err := conn.Write(packet[:n]); err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return conn
 }
 
-// allReleased says that no connection, request or half-read byte is left.
+// allReleased reports whether no connection, request or partial input is left.
 func (r *testServer) allReleased() bool {
 	requests, _ := r.core.Tracked()
 	return len(r.conns) == 1 && r.partialBytes == 0 && requests == 0 && r.uwsgiConns == 0 && len(r.slots) == len(r.listeners)
 }
 
+// A uwsgi caller that disconnects within its request, after any number of bytes,
+// leaves nothing behind, and nothing runs.
 func TestUWSGICallerDisconnectsMidRequest(t *testing.T) {
 	t.Parallel()
-	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operatorTOML(""))
+	engine := standin.NewEngine(t, workByBody)
+	srv := start(t, engine.Address, "", operatorTOML(""))
 	packet := standin.Packet(t, standin.Vars("look", "red", "", time.Second), "quick one")
 	for n := range len(packet) {
-		c := sendPartial(t, r, packet, n)
+		c := sendPartial(t, srv, packet, n)
 		if n%7 == 3 {
-			time.Sleep(5 * time.Millisecond) // let the part be read
+			time.Sleep(5 * time.Millisecond) // until the part is read
 		}
 		c.Close()
 	}
-	r.eventually(t, "all is freed", r.allReleased)
-	r.onLoopWait(func() {
-		if n := r.core.Counts().Received; n != 0 {
-			t.Errorf("%d half-sent requests entered the core", n)
+	srv.eventually(t, "all resources released", srv.allReleased)
+	srv.onLoopWait(func() {
+		if n := srv.core.Counts().Received; n != 0 {
+			t.Errorf("%d partial requests reached the policy, want 0", n)
 		}
 	})
 	if runs := engine.Runs(); len(runs) != 0 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs: got %v, want none", runs)
 	}
 }
 
+// When the uwsgi caller of a keyed request disconnects, the run goes on, and a retry
+// gets its result without a second run.
 func TestUWSGICallerDisconnectsAfterRequest(t *testing.T) {
 	t.Parallel()
-	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operatorTOML(""))
+	engine := standin.NewEngine(t, workByBody)
+	srv := start(t, engine.Address, "", operatorTOML(""))
 	packet := standin.Packet(t, standin.Vars("note", "red", "k", time.Second), "slow one")
-	c := sendPartial(t, r, packet, len(packet))
-	r.eventually(t, "the request is in", func() bool { return r.core.Counts().Received == 1 })
-	c.Close()
-	r.eventually(t, "the caller is gone", func() bool { return r.core.Counts().Disconnected == 1 })
-	// The run goes on, and the next try takes its result.
-	if reply := standin.Post(r.uwsgiAddr, packet); reply.Status != 200 || reply.Body != "did slow one" {
-		t.Errorf("next try: %+v", reply)
-	}
-	r.eventually(t, "all is freed", r.allReleased)
+	conn := sendPartial(t, srv, packet, len(packet))
+	srv.eventually(t, "request received", func() bool { return srv.core.Counts().Received == 1 })
+	conn.Close()
+	srv.eventually(t, "disconnect detected", func() bool { return srv.core.Counts().Disconnected == 1 })
+	if reply := standin.Post(srv.uwsgiAddr, packet); reply.Status != 200 || reply.Body != "did slow one" {
+		t.Errorf("retry: unexpected answer %+v", reply)
+	}
+	srv.eventually(t, "all resources released", srv.allReleased)
 	if n := engine.Runs()["slow one"]; n != 1 {
-		t.Errorf("%d runs", n)
+		t.Errorf("%d runs, want 1", n)
 	}
 }
 
+// Tries of one key through both front ends share one run.
 func TestKeyRunsOnceAcrossFrontends(t *testing.T) {
 	t.Parallel()
-	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operatorTOML(""))
-	c := standin.Dial(t, r.framesAddr)
+	engine := standin.NewEngine(t, workByBody)
+	srv := start(t, engine.Address, "", operatorTOML(""))
+	caller := standin.Dial(t, srv.framesAddr)
 	for i := range 3 {
-		c.Send(uint32(i+1), standin.Fields("note", "red", "k", uint64(i+1), 2*time.Second), "slow note")
-		reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k", 2*time.Second), "slow note"))
+		caller.Send(uint32(i+1), standin.Fields("note", "red", "k", uint64(i+1), 2*time.Second), "slow note")
+		reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k", 2*time.Second), "slow note"))
 		if reply.Status != 200 || reply.Body != "did slow note" {
-			t.Errorf("uwsgi: %+v", reply)
+			t.Errorf("uwsgi: unexpected answer %+v", reply)
 		}
-		if got, _ := c.Next(); got.Code != frame.Served || got.Body != "did slow note" {
-			t.Errorf("frames: %+v", got)
+		if got, _ := caller.Next(); got.Code != frame.Served || got.Body != "did slow note" {
+			t.Errorf("frames: unexpected answer %+v", got)
 		}
 	}
 	if runs := engine.Runs(); runs["slow note"] != 1 {
-		t.Errorf("runs %v", runs)
+		t.Errorf("runs: got %v, want 1 of slow note", runs)
 	}
 }
 
-// A drain under a mixed load: each request that was sent is answered, or its
-// connection was refused, and the process ends by itself.
+// During a drain under load on both front ends, each request that was sent is
+// answered or its connection refused, and the process ends by itself.
 func TestMixedLoadDuringDrain(t *testing.T) {
 	t.Parallel()
-	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operatorTOML(""))
-	r.eventually(t, "the engine's link", r.link.Ready)
+	engine := standin.NewEngine(t, workByBody)
+	srv := start(t, engine.Address, "", operatorTOML(""))
+	srv.eventually(t, "engine link ready", srv.link.Ready)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	seen := map[string]int{}
-	c := standin.Dial(t, r.framesAddr)
-	sent, away := 0, false
-	signals := r.signals
+	outcomes := map[string]int{}
+	caller := standin.Dial(t, srv.framesAddr)
+	outstanding, goAway := 0, false
+	signals := srv.signals
 	for i := range 150 {
 		if i == 50 {
 			signals <- syscall.SIGTERM
 		}
-		for len(c.Replies) > 0 {
-			reply := <-c.Replies
-			if away = reply.Type == frame.GoAway || away; reply.Type == frame.Answer {
-				sent--
+		for len(caller.Replies) > 0 {
+			reply := <-caller.Replies
+			if goAway = reply.Type == frame.GoAway || goAway; reply.Type == frame.Answer {
+				outstanding--
 			}
 		}
-		if !away && sent >= 0 && i < 100 {
-			c.Send(uint32(i+1), standin.Fields("look", "red", "", uint64(i+1), time.Second), fmt.Sprint("slow ", i))
-			sent++
+		if !goAway && outstanding >= 0 && i < 100 {
+			caller.Send(uint32(i+1), standin.Fields("look", "red", "", uint64(i+1), time.Second), fmt.Sprint("slow ", i))
+			outstanding++
 		}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("find", "blue", "", time.Second), fmt.Sprint("quick ", i)))
+			reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars("find", "blue", "", time.Second), fmt.Sprint("quick ", i)))
 			mu.Lock()
 			defer mu.Unlock()
 			if reply.Status == 0 && strings.Contains(reply.Body, "refused") {
-				seen["connection refused"]++
+				outcomes["connection refused"]++
 				return
 			}
-			seen[outcome(reply)]++
+			outcomes[outcome(reply)]++
 		}()
 		time.Sleep(15 * time.Millisecond)
 	}
 	wait.Wait()
-	for sent > 0 {
-		reply, ok := c.Next()
+	for outstanding > 0 {
+		reply, ok := caller.Next()
 		if !ok {
-			t.Fatalf("the connection ended with %d requests unanswered", sent)
+			t.Fatalf("the connection ended with %d requests unanswered", outstanding)
 		}
 		if reply.Type == frame.Answer {
-			sent--
+			outstanding--
 		}
 	}
-	r.signals = nil
+	srv.signals = nil
 	select {
-	case err := <-r.serveErr:
+	case err := <-srv.serveErr:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the drain does not end")
+		t.Fatal("the drain did not end within 20 s")
 	}
-	for what := range seen {
+	for what := range outcomes {
 		if what != "served" && what != "refused" && what != "connection refused" {
-			t.Errorf("outcome %s", what)
+			t.Errorf("unexpected outcome: %s", what)
 		}
 	}
-	if seen["served"] < 50 || seen["connection refused"] == 0 {
-		t.Errorf("outcomes %v: want the load before the drain served, and connections refused at its end", seen)
+	if outcomes["served"] < 50 || outcomes["connection refused"] == 0 {
+		t.Errorf("outcomes %v: want at least 50 served before the drain, and connections refused at its end", outcomes)
 	}
 }
 
-// A uwsgi connection, written in any pieces and left at any point: a whole
-// request is answered once, a part of one is never entered.
+// Over a uwsgi connection that is written in random pieces and closed at a random
+// point, a whole request is answered once and a partial one never accepted.
 func TestUWSGIConnectionAgainstModel(t *testing.T) {
 	t.Parallel()
-	engine := standin.NewEngine(t, work)
-	r := start(t, engine.Address, "", operatorTOML(""))
-	r.eventually(t, "the engine's link", r.link.Ready)
-	whole := 0
+	engine := standin.NewEngine(t, workByBody)
+	srv := start(t, engine.Address, "", operatorTOML(""))
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	wholeRequests := 0
 	rapid.Check(t, func(t *rapid.T) {
 		body := fmt.Sprint("quick ", strings.Repeat("x", rapid.IntRange(0, 58).Draw(t, "size")))
-		rest := standin.Packet(r.test, standin.Vars("look", "red", "", 2*time.Second), body)
-		c, err := net.Dial("tcp", r.uwsgiAddr)
+		unsent := standin.Packet(srv.test, standin.Vars("look", "red", "", 2*time.Second), body)
+		conn, err := net.Dial("tcp", srv.uwsgiAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		stop := rapid.IntRange(0, 2*len(rest)).Draw(t, "leaves after") // half of them stay
-		for sent := 0; len(rest) > 0; {
-			n := rapid.IntRange(1, len(rest)).Draw(t, "piece")
-			if sent += n; sent > stop {
+		defer conn.Close()
+		closeAfter := rapid.IntRange(0, 2*len(unsent)).Draw(t, "disconnects after") // half of them send the whole request
+		for sent := 0; len(unsent) > 0; {
+			n := rapid.IntRange(1, len(unsent)).Draw(t, "piece")
+			if sent += n; sent > closeAfter {
 				return
 			}
-			if _, err := c.Write(rest[:n]); err != nil {
+			if _, err := conn.Write(unsent[:n]); err != nil {
 				t.Fatal(err)
 			}
-			rest = rest[n:]
+			unsent = unsent[n:]
 		}
-		whole++
-		c.SetDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // a TCP connection takes it
-		answer, err := io.ReadAll(c)
+		wholeRequests++
+		conn.SetDeadline(time.Now().Add(20 * time.Second)) //nolint:errcheck // a TCP connection takes it
+		answer, err := io.ReadAll(conn)
 		if want := "did " + body; err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 200 OK\r\n") ||
 			!strings.HasSuffix(string(answer), "\r\n\r\n"+want) || strings.Count(string(answer), "HTTP/1.1") != 1 {
-			t.Fatalf("%q, %v", answer, err)
+			t.Fatalf("unexpected answer: %q, %v", answer, err)
 		}
 	})
-	r.eventually(t, "all is freed", r.allReleased)
-	r.onLoopWait(func() {
-		if n := r.core.Counts(); n.Received != whole || n.Served != whole {
-			t.Errorf("%d whole requests, counts %+v", whole, n)
+	srv.eventually(t, "all resources released", srv.allReleased)
+	srv.onLoopWait(func() {
+		if n := srv.core.Counts(); n.Received != wholeRequests || n.Served != wholeRequests {
+			t.Errorf("%d whole requests sent, but counts are %+v", wholeRequests, n)
 		}
 	})
 }
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -17,74 +17,77 @@
 	"kiteslip/internal/standin"
 )
 
-func keysFile(folder string) string {
+// keysTOML returns an operator's file that keeps keys in folder.
+func keysTOML(folder string) string {
 	return fmt.Sprintf("[keys]\nfolder = %q\ndurability = \"process\"\n", folder)
 }
 
-// A server that starts anew gives the results of the one before, and runs
-// nothing again; a key that comes with another body is an error as ever.
+// After a restart, retries of keyed requests get the results of the earlier
+// process without a second run; a key that is reused with another body is still an
+// error, and many retries of one key add no records to the store.
 func TestKeysSurviveRestart(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	folder := filepath.Join(t.TempDir(), "keys")
-	r := start(t, engine.Address, "", keysFile(folder))
-	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.framesAddr)
+	srv := start(t, engine.Address, "", keysTOML(folder))
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	caller := standin.Dial(t, srv.framesAddr)
 	for i := range 20 {
-		c.Send(uint32(i+1), standin.Fields("note", "red", fmt.Sprint("k", i), uint64(i+1), 3*time.Second), fmt.Sprint("body ", i))
+		caller.Send(uint32(i+1), standin.Fields("note", "red", fmt.Sprint("k", i), uint64(i+1), 3*time.Second), fmt.Sprint("body ", i))
 	}
 	for range 20 {
-		if got, ok := c.Next(); !ok || got.Code != frame.Served {
-			t.Fatalf("%+v", got)
+		if got, ok := caller.Next(); !ok || got.Code != frame.Served {
+			t.Fatalf("unexpected answer: %+v", got)
 		}
 	}
-	r.stop(t)
-	r = start(t, engine.Address, "", keysFile(folder)+"[uwsgi]\nlisten = \"127.0.0.1:0\"\n")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	if got := r.adminCall(t, "show-stat"); !strings.Contains(got, "app.keys.restored:20|g") || !strings.Contains(got, "app.keys.unknown:0|g") {
-		t.Errorf("it shows %s", got)
+	srv.stop(t)
+	srv = start(t, engine.Address, "", keysTOML(folder)+"[uwsgi]\nlisten = \"127.0.0.1:0\"\n")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	if got := srv.adminCall(t, "show-stat"); !strings.Contains(got, "app.keys.restored:20|g") || !strings.Contains(got, "app.keys.unknown:0|g") {
+		t.Errorf("metrics after the restart:\n%s", got)
 	}
-	c = standin.Dial(t, r.framesAddr)
+	caller = standin.Dial(t, srv.framesAddr)
 	for i := range 20 {
-		c.Send(uint32(i+1), standin.Fields("note", "red", fmt.Sprint("k", i), uint64(100+i), 3*time.Second), fmt.Sprint("body ", i))
-		if got, ok := c.Next(); !ok || got.Code != frame.Served || got.Body != fmt.Sprint("did body ", i) {
-			t.Errorf("repeat %d: %+v", i, got)
+		caller.Send(uint32(i+1), standin.Fields("note", "red", fmt.Sprint("k", i), uint64(100+i), 3*time.Second), fmt.Sprint("body ", i))
+		if got, ok := caller.Next(); !ok || got.Code != frame.Served || got.Body != fmt.Sprint("did body ", i) {
+			t.Errorf("retry %d: unexpected answer %+v", i, got)
 		}
 	}
-	c.Send(50, standin.Fields("note", "red", "k1", 200, 3*time.Second), "another body")
-	if got, _ := c.Next(); got.Code != frame.Failed {
-		t.Errorf("another body for a key of the life before: %+v", got)
+	caller.Send(50, standin.Fields("note", "red", "k1", 200, 3*time.Second), "another body")
+	if got, _ := caller.Next(); got.Code != frame.Failed {
+		t.Errorf("key of the earlier process with another body: got %+v, want failed", got)
 	}
-	web := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k2", 3*time.Second), "body 2"))
-	if web.Status != 200 || web.Body != "did body 2" {
-		t.Errorf("through the other front: %+v", web)
+	reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k2", 3*time.Second), "body 2"))
+	if reply.Status != 200 || reply.Body != "did body 2" {
+		t.Errorf("through the uwsgi front end: unexpected answer %+v", reply)
 	}
 	var records int64
-	r.onLoopWait(func() { records = r.keys.worker.Stats().Operations })
-	for i := range 500 { // one that is very popular takes no more room
-		c.Send(uint32(100+i), standin.Fields("note", "red", "k3", uint64(1000+i), 3*time.Second), "body 3")
-		if got, ok := c.Next(); !ok || got.Code != frame.Served {
-			t.Fatalf("%+v", got)
+	srv.onLoopWait(func() { records = srv.keys.worker.Stats().Operations })
+	for i := range 500 { // retries of one key need no further records
+		caller.Send(uint32(100+i), standin.Fields("note", "red", "k3", uint64(1000+i), 3*time.Second), "body 3")
+		if got, ok := caller.Next(); !ok || got.Code != frame.Served {
+			t.Fatalf("unexpected answer: %+v", got)
 		}
 	}
-	r.onLoopWait(func() {
-		if n := r.keys.worker.Stats().Operations; n != records {
-			t.Errorf("500 repeats of one key left %d records", n-records)
+	srv.onLoopWait(func() {
+		if n := srv.keys.worker.Stats().Operations; n != records {
+			t.Errorf("500 retries of one key added %d records, want 0", n-records)
 		}
 	})
 	for body, n := range engine.Runs() {
 		if n != 1 {
-			t.Errorf("%s ran %d times", body, n)
+			t.Errorf("%s ran %d times, want 1", body, n)
 		}
 	}
 }
 
-// slowFS takes its time for each sync.
+// slowFS is a file system whose log files take the time in syncDelay for each sync.
 type slowFS struct {
 	vfs.FS
-	each *atomic.Int64
+	syncDelay *atomic.Int64
 }
 
+// slowFile is a log file of a slowFS.
 type slowFile struct {
 	vfs.File
 	fs slowFS
@@ -102,14 +105,15 @@
 	return f.Create(newname, c)
 }
 
-func (f slowFile) wait() { time.Sleep(time.Duration(f.fs.each.Load())) }
+func (f slowFile) delaySync() { time.Sleep(time.Duration(f.fs.syncDelay.Load())) }
 
-func (f slowFile) Sync() error                  { f.wait(); return f.File.Sync() }
-func (f slowFile) SyncData() error              { f.wait(); return f.File.SyncData() }
-func (f slowFile) SyncTo(n int64) (bool, error) { f.wait(); return f.File.SyncTo(n) }
+func (f slowFile) Sync() error                  { f.delaySync(); return f.File.Sync() }
+func (f slowFile) SyncData() error              { f.delaySync(); return f.File.SyncData() }
+func (f slowFile) SyncTo(n int64) (bool, error) { f.delaySync(); return f.File.SyncTo(n) }
 
-// A disk that takes a second for each commit delays no other class, and keyed
-// requests still have their answer by their due time.
+// A disk that needs a second for each commit delays keyed requests only, and these
+// are still answered by their deadline. The failure: the loop waits for the commit,
+// and all classes with it.
 func TestSlowStoreDelaysNoOtherClass(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(5*time.Millisecond))
@@ -119,10 +123,10 @@
 		t.Fatal(err)
 	}
 	slow := slowFS{vfs.Default, &atomic.Int64{}}
-	r := launchWith(t, cfg, func(s *Server) { s.keys.fs = slow })
-	r.eventually(t, "it serves", func() bool { return r.serving && r.link.Ready() })
-	slow.each.Store(int64(time.Second))
-	keyed, reads := standin.Dial(t, r.framesAddr), standin.Dial(t, r.framesAddr)
+	srv := launchWith(t, cfg, func(s *Server) { s.keys.fs = slow })
+	srv.eventually(t, "server serves requests", func() bool { return srv.serving && srv.link.Ready() })
+	slow.syncDelay.Store(int64(time.Second))
+	keyed, reads := standin.Dial(t, srv.framesAddr), standin.Dial(t, srv.framesAddr)
 	for i := range 24 {
 		keyed.Send(uint32(i+1), standin.Fields("note", "red", fmt.Sprint("k", i), uint64(1000+i), 1500*time.Millisecond), "n")
 	}
@@ -131,46 +135,47 @@
 		reads.Send(uint32(i+1), standin.Fields("look", "red", "", uint64(i+1), 3*time.Second), "b")
 		got, ok := reads.Next()
 		if took := got.At.Sub(began); !ok || got.Code != frame.Served || took > 500*time.Millisecond {
-			t.Fatalf("read %d: %+v after %v", i, got, took)
+			t.Fatalf("read %d: got %+v after %v, want served within 500 ms", i, got, took)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	for range 24 {
 		if got, ok := keyed.Next(); !ok {
-			t.Fatalf("a keyed request has no answer: %+v", got)
+			t.Fatalf("a keyed request got no answer: %+v", got)
 		}
 	}
-	slow.each.Store(0)
+	slow.syncDelay.Store(0)
 	keyed.Send(40, standin.Fields("note", "red", "late", 5000, 3*time.Second), "n")
 	if got, ok := keyed.Next(); !ok || got.Code != frame.Served {
-		t.Errorf("once the disk is well: %+v", got)
+		t.Errorf("after the disk has recovered: got %+v, want served", got)
 	}
 }
 
-// Two servers told to use one folder: the second one does not start, and says why.
+// A second server with the same key folder does not start, and its error names the cause and the folder.
 func TestTwoServersOneFolder(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	folder := filepath.Join(t.TempDir(), "keys")
-	start(t, engine.Address, "", keysFile(folder))
-	for _, more := range []string{"", "on_error = \"memory\"\n"} {
-		cfg, err := config.ParseOperator(keysFile(folder)+more, platformConfig(t, engine.Address, ""))
+	start(t, engine.Address, "", keysTOML(folder))
+	for _, onError := range []string{"", "on_error = \"memory\"\n"} {
+		cfg, err := config.ParseOperator(keysTOML(folder)+onError, platformConfig(t, engine.Address, ""))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := New(cfg, zap.NewNop())
+		srv, err := New(cfg, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err = s.Serve(Signals{}); err == nil || !strings.Contains(err.Error(), "another process uses the folder") ||
+		if err = srv.Serve(Signals{}); err == nil || !strings.Contains(err.Error(), "another process uses the folder") ||
 			!strings.Contains(err.Error(), folder) {
-			t.Errorf("%q: %v", more, err)
+			t.Errorf("operator's file with %q: got error %v", onError, err)
 		}
 	}
 }
 
-// A folder that can't be used ends the start, or is gone without: then keys are
-// in doubt for a window, and the operators see it.
+// A key folder that can't be used makes the start fail. With on_error = "memory"
+// the server starts without it; then keys are in doubt for a window, and the error
+// shows in the metrics.
 func TestFolderThatCannotBeUsed(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
@@ -178,73 +183,73 @@
 	if err := os.WriteFile(folder, []byte("not a folder"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.ParseOperator(keysFile(folder), platformConfig(t, engine.Address, ""))
+	cfg, err := config.ParseOperator(keysTOML(folder), platformConfig(t, engine.Address, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(cfg, zap.NewNop())
+	unstarted, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = s.Serve(Signals{}); err == nil || !strings.Contains(err.Error(), folder) {
-		t.Errorf("the start: %v", err)
+	if err = unstarted.Serve(Signals{}); err == nil || !strings.Contains(err.Error(), folder) {
+		t.Errorf("start: got error %v, want one that names the folder", err)
 	}
-	r := start(t, engine.Address, "", keysFile(folder)+"on_error = \"memory\"\n")
-	r.eventually(t, "the engine's link", r.link.Ready)
-	if got := r.adminCall(t, "show-stat"); !strings.Contains(got, "app.keys.errors:1|c") {
-		t.Errorf("it shows %s", got)
+	srv := start(t, engine.Address, "", keysTOML(folder)+"on_error = \"memory\"\n")
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	if got := srv.adminCall(t, "show-stat"); !strings.Contains(got, "app.keys.errors:1|c") {
+		t.Errorf("metrics without the store:\n%s", got)
 	}
-	c := standin.Dial(t, r.framesAddr)
-	c.Send(1, standin.Fields("note", "red", "k", 1, 3*time.Second), "b")
-	if got, _ := c.Next(); got.Code != frame.Failed || engine.Runs()["b"] != 0 {
-		t.Errorf("a key that an earlier life may have run: %+v", got)
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Send(1, standin.Fields("note", "red", "k", 1, 3*time.Second), "b")
+	if got, _ := caller.Next(); got.Code != frame.Failed || engine.Runs()["b"] != 0 {
+		t.Errorf("key that an earlier process may have run: got %+v, want failed without a run", got)
 	}
 }
 
-// In an upgrade the store goes over with the keys: the next process opens it,
-// grants claims once they are on record, and a third start knows all of it.
+// In an upgrade the key store moves with the keys: the successor opens it and
+// grants claims once they are on record, and a later start restores all keys.
 func TestKeyStoreMovesWithUpgrade(t *testing.T) {
 	t.Parallel()
-	s := newSharedListener(t)
+	shared := newSharedListener(t)
 	folder := filepath.Join(t.TempDir(), "keys")
 	engine := standin.NewEngine(t, standin.Echo(20*time.Millisecond))
-	old := launch(t, s.processConfig(t, engine.Address, keysFile(folder)))
-	old.waitReady(t)
-	c := old.dialUntilMine(t)
-	send := func(c *standin.Caller, stream uint32, key string, name uint64) standin.Reply {
+	predecessor := launch(t, shared.processConfig(t, engine.Address, keysTOML(folder)))
+	predecessor.waitReady(t)
+	caller := predecessor.dialUntilMine(t)
+	request := func(caller *standin.Caller, stream uint32, key string, tryID uint64) standin.Reply {
 		t.Helper()
-		c.Send(stream, standin.Fields("note", "red", key, name, 3*time.Second), "of "+key)
-		got, ok := c.Next()
+		caller.Send(stream, standin.Fields("note", "red", key, tryID, 3*time.Second), "of "+key)
+		got, ok := caller.Next()
 		if !ok || got.Code != frame.Served || got.Body != "did of "+key {
-			t.Errorf("%s: %+v", key, got)
+			t.Errorf("key %s: unexpected answer %+v", key, got)
 		}
 		return got
 	}
-	send(c, 1, "first", 1)
-	other := standin.NewEngine(t, standin.Echo(20*time.Millisecond))
-	next := launch(t, s.processConfig(t, other.Address, keysFile(folder)))
-	next.waitReady(t)
-	next.eventually(t, "it owns the keys and keeps them", func() bool { return next.core.OwnsKeys() && next.keys.worker != nil })
-	old.onLoopWait(func() {
-		if old.keys.worker != nil {
-			t.Error("the old process still has the store")
+	request(caller, 1, "first", 1)
+	successorEngine := standin.NewEngine(t, standin.Echo(20*time.Millisecond))
+	successor := launch(t, shared.processConfig(t, successorEngine.Address, keysTOML(folder)))
+	successor.waitReady(t)
+	successor.eventually(t, "key owner with an open store", func() bool { return successor.core.OwnsKeys() && successor.keys.worker != nil })
+	predecessor.onLoopWait(func() {
+		if predecessor.keys.worker != nil {
+			t.Error("the old process still has the store open")
 		}
 	})
-	send(c, 2, "claimed", 2) // by the old process, granted by the new one
-	d := next.dialUntilMine(t)
-	send(d, 1, "first", 3)
-	send(d, 2, "claimed", 4)
-	send(d, 3, "own", 5)
-	old.stop(t)
-	next.stop(t)
-	third := start(t, engine.Address, "", keysFile(folder))
+	request(caller, 2, "claimed", 2) // by the old process, granted by the new one
+	newCaller := successor.dialUntilMine(t)
+	request(newCaller, 1, "first", 3)
+	request(newCaller, 2, "claimed", 4)
+	request(newCaller, 3, "own", 5)
+	predecessor.stop(t)
+	successor.stop(t)
+	third := start(t, engine.Address, "", keysTOML(folder))
 	if third.keys.restored != 3 || third.keys.unknownOutcome != 0 {
-		t.Errorf("the third start knows %d keys, %d without an end", third.keys.restored, third.keys.unknownOutcome)
+		t.Errorf("third start: %d keys restored, %d with unknown outcome, want 3 and 0", third.keys.restored, third.keys.unknownOutcome)
 	}
-	for _, e := range []*standin.Engine{engine, other} {
-		for body, n := range e.Runs() {
+	for _, engine := range []*standin.Engine{engine, successorEngine} {
+		for body, n := range engine.Runs() {
 			if n != 1 {
-				t.Errorf("%s ran %d times", body, n)
+				t.Errorf("%s ran %d times, want 1", body, n)
 			}
 		}
 	}
--- a/internal/server/reload_latency_test.go
+++ b/internal/server/reload_latency_test.go
@@ -12,118 +12,118 @@
 	"kiteslip/internal/control/document"
 )
 
-// The settings that the fleet is to bear.
+// Size of the fleet's configuration in the test.
 const (
 	fleetTeams   = 21_000
 	fleetClasses = 2_800
 )
 
-// newFleetServer is a server, not started, that serves by a version of that size, in which
-// each of so many pools has ten classes.
+// newFleetServer returns a server, not started, with a version of that size in
+// force, in which each of the given number of pools has ten classes.
 func newFleetServer(t testing.TB, pools int) (*Server, *config.Updater, *document.Document) {
 	t.Helper()
-	var all []document.Change
+	var changes []document.Change
 	for i := range fleetTeams {
-		all = append(all, team(fmt.Sprint("team", i), 3))
+		changes = append(changes, teamChange(fmt.Sprint("team", i), 3))
 	}
 	for i := range fleetClasses {
-		all = append(all, service(fmt.Sprint("class", i)))
+		changes = append(changes, serviceChange(fmt.Sprint("class", i)))
 	}
 	for i := range pools {
-		p := &document.Pool{Name: fmt.Sprint("pool", i), Share: 0.5 / float64(pools)}
+		pool := &document.Pool{Name: fmt.Sprint("pool", i), Share: 0.5 / float64(pools)}
 		for k := range 10 {
-			p.Classes = append(p.Classes, fmt.Sprint("class", 10*i+k))
+			pool.Classes = append(pool.Classes, fmt.Sprint("class", 10*i+k))
 		}
-		all = append(all, document.Change{Pool: p})
+		changes = append(changes, document.Change{Pool: pool})
 	}
-	doc, _ := nextVersion(t, document.Empty(), all...)
-	places := config.NewUpdater(platformConfig(t, "127.0.0.1:1", ""))
-	ch, err := places.PrepareVersion(doc, nil)
+	doc, _ := nextVersion(t, document.Empty(), changes...)
+	updater := config.NewUpdater(platformConfig(t, "127.0.0.1:1", ""))
+	change, err := updater.PrepareVersion(doc, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	places.Commit(ch)
-	s, err := New(ch.Config, zap.NewNop())
+	updater.Commit(change)
+	srv, err := New(change.Config, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.scheduled = true // there is no loop that would run the round
-	return s, places, doc
+	srv.scheduled = true // there is no loop to run the iteration
+	return srv, updater, doc
 }
 
-// loopBlockTimes says how long the loop is held by each of a number of changes, and how
-// long each is made ready beside it, in order, and what it takes to make the last
-// one ready at the cost of all, the fastest of three.
-func loopBlockTimes(t *testing.T, pools, times int, change func(i int) []document.Change) (beside, loop []time.Duration, whole time.Duration) {
+// loopBlockTimes applies a number of changes and returns, each sorted, how long their
+// preparation beside the loop took and how long they blocked the loop; wholeTime is the
+// fastest of three preparations of the last version from its whole content.
+func loopBlockTimes(t *testing.T, pools, times int, changes func(i int) []document.Change) (prepareTimes, blockTimes []time.Duration, wholeTime time.Duration) {
 	t.Helper()
-	s, places, doc := newFleetServer(t, pools)
+	srv, updater, doc := newFleetServer(t, pools)
 	for i := range times {
-		next, delta := nextVersion(t, doc, change(i)...)
+		next, delta := nextVersion(t, doc, changes(i)...)
 		began := time.Now()
-		ch, err := places.PrepareVersion(next, delta)
+		change, err := updater.PrepareVersion(next, delta)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ready := time.Now()
-		if err := s.applyChange(ch); err != nil {
+		prepared := time.Now()
+		if err := srv.applyChange(change); err != nil {
 			t.Fatal(err)
 		}
-		loop, beside = append(loop, time.Since(ready)), append(beside, ready.Sub(began))
-		places.Commit(ch)
+		blockTimes, prepareTimes = append(blockTimes, time.Since(prepared)), append(prepareTimes, prepared.Sub(began))
+		updater.Commit(change)
 		doc = next
 	}
-	whole = time.Hour
+	wholeTime = time.Hour
 	for range 3 {
 		began := time.Now()
-		if _, err := places.PrepareVersion(doc, nil); err != nil {
+		if _, err := updater.PrepareVersion(doc, nil); err != nil {
 			t.Fatal(err)
 		}
-		whole = min(whole, time.Since(began))
+		wholeTime = min(wholeTime, time.Since(began))
 	}
-	slices.Sort(loop)
-	slices.Sort(beside)
-	return beside, loop, whole
+	slices.Sort(blockTimes)
+	slices.Sort(prepareTimes)
+	return prepareTimes, blockTimes, wholeTime
 }
 
-// A change holds the loop by what it changes, and not by all. What is asserted is
-// a part of what all costs in the same run: a time by itself says more of a busy
-// machine than of the loop.
+// A change blocks the loop for a time that depends on the size of the change, not of
+// the configuration. The limit is a fraction of the time to prepare the whole
+// configuration in the same run, since absolute times vary with the load of the machine.
 func TestConfigChangeBlocksLoopBriefly(t *testing.T) {
-	for _, c := range []struct {
-		what  string
-		pools int
-		part  int // of what all costs
-		times int
-		make  func(i int) []document.Change
+	for _, tc := range []struct {
+		name    string
+		pools   int
+		divisor int // of the time to prepare the whole version
+		times   int
+		changes func(i int) []document.Change
 	}{
-		{"one team's budget", 0, 10, 31, func(i int) []document.Change { return []document.Change{team("team7", float64(i+10))} }},
-		{"a new team", 0, 10, 31, func(i int) []document.Change { return []document.Change{team(fmt.Sprint("new", i), 1)} }},
-		{"a new class", 0, 10, 31, func(i int) []document.Change { return []document.Change{service(fmt.Sprint("new", i))} }},
-		{"one team's budget, with 60 pools", 60, 10, 31, func(i int) []document.Change { return []document.Change{team("team7", float64(i+10))} }},
-		{"a new class, with 60 pools", 60, 10, 31, func(i int) []document.Change { return []document.Change{service(fmt.Sprint("new", i))} }},
+		{"one team's budget", 0, 10, 31, func(i int) []document.Change { return []document.Change{teamChange("team7", float64(i+10))} }},
+		{"a new team", 0, 10, 31, func(i int) []document.Change { return []document.Change{teamChange(fmt.Sprint("new", i), 1)} }},
+		{"a new class", 0, 10, 31, func(i int) []document.Change { return []document.Change{serviceChange(fmt.Sprint("new", i))} }},
+		{"one team's budget, with 60 pools", 60, 10, 31, func(i int) []document.Change { return []document.Change{teamChange("team7", float64(i+10))} }},
+		{"a new class, with 60 pools", 60, 10, 31, func(i int) []document.Change { return []document.Change{serviceChange(fmt.Sprint("new", i))} }},
 		{"5,000 teams", 0, 2, 11, func(i int) []document.Change {
-			var all []document.Change
+			var changes []document.Change
 			for k := range 5_000 {
-				all = append(all, team(fmt.Sprint("team", 4*k), float64(i+10)))
+				changes = append(changes, teamChange(fmt.Sprint("team", 4*k), float64(i+10)))
 			}
-			return all
+			return changes
 		}},
 		{"5,000 teams dropped, 2,000 new", 0, 2, 3, func(i int) []document.Change {
-			var all []document.Change
+			var changes []document.Change
 			for k := range 5_000 {
-				all = append(all, drop(team(fmt.Sprint("team", 5_000*i+k), 0)))
+				changes = append(changes, dropChange(teamChange(fmt.Sprint("team", 5_000*i+k), 0)))
 			}
 			for k := range 2_000 {
-				all = append(all, team(fmt.Sprint("more", 2_000*i+k), 1))
+				changes = append(changes, teamChange(fmt.Sprint("more", 2_000*i+k), 1))
 			}
-			return all
+			return changes
 		}},
 	} {
-		beside, loop, whole := loopBlockTimes(t, c.pools, c.times, c.make)
-		t.Logf("%s of %d, %d classes: the loop is held %v (median of %d, worst %v), beside it %v; all costs %v",
-			c.what, fleetTeams, fleetClasses, loop[c.times/2], c.times, loop[c.times-1], beside[c.times/2], whole)
-		if loop[0]*time.Duration(c.part) > whole {
-			t.Errorf("%s: the loop is held %v at least, want a part in %d of %v", c.what, loop[0], c.part, whole)
+		prepareTimes, blockTimes, wholeTime := loopBlockTimes(t, tc.pools, tc.times, tc.changes)
+		t.Logf("%s of %d, %d classes: loop blocked %v (median of %d, greatest %v), preparation %v; whole version %v",
+			tc.name, fleetTeams, fleetClasses, blockTimes[tc.times/2], tc.times, blockTimes[tc.times-1], prepareTimes[tc.times/2], wholeTime)
+		if blockTimes[0]*time.Duration(tc.divisor) > wholeTime {
+			t.Errorf("%s: loop blocked %v at least, want at most 1/%d of %v", tc.name, blockTimes[0], tc.divisor, wholeTime)
 		}
 	}
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -14,8 +14,8 @@
 	"kiteslip/internal/standin"
 )
 
-// settings are those of a small site: three classes, two tenants, room for all.
-const settings = `{"classes": [
+// settingsJSON are the policy's settings for tests: three classes and two tenants with ample quotas.
+const settingsJSON = `{"classes": [
   {"name": "look", "effect": "repeatable", "on_time_us": 2000000, "hard_limit_us": 4000000, "worth": 1},
   {"name": "find", "effect": "repeatable", "on_time_us": 2000000, "hard_limit_us": 4000000, "worth": 2},
   {"name": "note", "effect": "by_key", "on_time_us": 2000000, "hard_limit_us": 4000000, "worth": 4, "window_us": 9000000}],
@@ -25,23 +25,23 @@
  "rules": {"answer_slack_us": 60000, "drain_grace_us": 2000000, "fall_multiple": 8, "fall_us": 1500000},
  "goal": {"whole": 1}, "tick_us": 4000, "group_size": 1}`
 
-// testServer is a server under test.
+// testServer is a running server under test.
 type testServer struct {
 	*Server
 	test                  testing.TB
-	framesAddr, uwsgiAddr string // addresses
+	framesAddr, uwsgiAddr string // of the front ends
 	signals               chan os.Signal
 	serveErr              chan error
 }
 
-// platformJSON is the file that the platform would write.
+// platformJSON returns a configuration file as the platform writes it.
 func platformJSON(engine, registry string) string {
 	return fmt.Sprintf(`{"name": "t", "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "engine": %q, "registry": %q,
 		"seed": "1", "stop_ms": 2000, "limits": {"cores": 1, "memory_mb": 64, "sockets": 288}, "settings": %s}`,
-		engine, registry, settings)
+		engine, registry, settingsJSON)
 }
 
-// platformConfig is what the platform would configure.
+// platformConfig returns the configuration parsed from platformJSON.
 func platformConfig(t testing.TB, engine, registry string) *config.Config {
 	t.Helper()
 	cfg, err := config.Parse([]byte(platformJSON(engine, registry)), func(string) string { return "" })
@@ -51,8 +51,8 @@
 	return cfg
 }
 
-// start runs a server against an engine and, if operator is given, with that
-// operator's file, in which %s stands for a free loopback address.
+// start runs a server with the given engine and registry addresses and, if
+// operator is not empty, that operator's file, and waits until it serves.
 func start(t testing.TB, engine, registry, operator string) *testServer {
 	t.Helper()
 	cfg := platformConfig(t, engine, registry)
@@ -63,30 +63,30 @@
 		}
 	}
 	r := launch(t, cfg)
-	r.eventually(t, "it serves", func() bool { return r.serving })
+	r.eventually(t, "server serves requests", func() bool { return r.serving })
 	return r
 }
 
-// launch runs a server set up by cfg, which need not serve yet.
+// launch runs a server configured by cfg; it may not serve yet when launch returns.
 func launch(t testing.TB, cfg *config.Config) *testServer {
 	t.Helper()
 	return launchWith(t, cfg, func(*Server) {})
 }
 
-// launchWith does the same with a server that is changed before it starts.
+// launchWith is launch with a function that changes the server before it starts.
 func launchWith(t testing.TB, cfg *config.Config, change func(*Server)) *testServer {
 	t.Helper()
-	s, err := New(cfg, zap.NewNop())
+	srv, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	change(s)
+	change(srv)
 	if cfg.InheritedFD == 0 {
-		if err := s.Listen(); err != nil {
+		if err := srv.Listen(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r := &testServer{Server: s, test: t, signals: make(chan os.Signal, 1), serveErr: make(chan error, 1)}
+	running := &testServer{Server: srv, test: t, signals: make(chan os.Signal, 1), serveErr: make(chan error, 1)}
 	stop, reload := make(chan ShutdownNotice, 1), make(chan os.Signal, 1)
 	go func(signals <-chan os.Signal) {
 		for {
@@ -97,26 +97,26 @@
 				} else {
 					stop <- ShutdownNotice{sig, time.Now()}
 				}
-			case <-s.runCtx.Done():
+			case <-srv.runCtx.Done():
 				return
 			}
 		}
-	}(r.signals)
-	go func() { r.serveErr <- s.Serve(Signals{Stop: stop, Reload: reload}) }()
+	}(running.signals)
+	go func() { running.serveErr <- srv.Serve(Signals{Stop: stop, Reload: reload}) }()
 	select {
-	case <-s.started:
-	case err := <-r.serveErr:
-		t.Fatalf("it does not start: %v", err)
+	case <-srv.started:
+	case err := <-running.serveErr:
+		t.Fatalf("start failed: %v", err)
 	}
-	r.framesAddr = s.Addresses()[0]
+	running.framesAddr = srv.Addresses()[0]
 	if cfg.UWSGI.Listen != "" {
-		r.uwsgiAddr = s.Addresses()[1]
+		running.uwsgiAddr = srv.Addresses()[1]
 	}
-	t.Cleanup(func() { r.stop(t) })
-	return r
+	t.Cleanup(func() { running.stop(t) })
+	return running
 }
 
-// stop drains the server and fails the test unless it ends well in time.
+// stop sends SIGTERM and fails the test unless the drain ends without an error in time.
 func (r *testServer) stop(t testing.TB) {
 	t.Helper()
 	if r.signals == nil {
@@ -127,27 +127,27 @@
 	select {
 	case err := <-r.serveErr:
 		if err != nil {
-			t.Errorf("the drain ended with: %v", err)
+			t.Errorf("drain: %v", err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the drain does not end")
+		t.Error("the drain did not end in time")
 	}
 }
 
-// onLoopWait runs f on the loop.
+// onLoopWait runs f on the loop and waits for it.
 func (r *testServer) onLoopWait(f func()) {
 	done := make(chan struct{})
 	r.onLoop(func() { f(); close(done) })
 	<-done
 }
 
-// eventually waits for what the loop reports, bounded.
+// eventually polls ok on the loop and fails the test if it is not true within 10 s.
 func (r *testServer) eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for range 1000 {
-		is := false
-		r.onLoopWait(func() { is = ok() })
-		if is {
+		met := false
+		r.onLoopWait(func() { met = ok() })
+		if met {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -155,52 +155,54 @@
 	t.Fatalf("%s: not within 10 s", what)
 }
 
+// A server answers a request, reports its state to the registry until the end,
+// and tells its callers of the drain with GOAWAY.
 func TestServesAndReports(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(5*time.Millisecond))
 	registry, reports := standin.NewRegistry(t)
-	r := start(t, engine.Address, registry, "")
-	c := standin.Dial(t, r.framesAddr)
-	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "\x00\r\nbody")
-	if got, _ := c.Next(); got.Code != 79 || got.Stream != 1 || got.Body != "did \x00\r\nbody" {
-		t.Errorf("answer %+v", got)
+	srv := start(t, engine.Address, registry, "")
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Send(1, standin.Fields("look", "red", "", 1, time.Second), "\x00\r\nbody")
+	if got, _ := caller.Next(); got.Code != 79 || got.Stream != 1 || got.Body != "did \x00\r\nbody" {
+		t.Errorf("unexpected answer: %+v", got)
 	}
 	if got := <-reports; got != "BEAT t ready" {
-		t.Errorf("report %q", got)
+		t.Errorf("first report: got %q", got)
 	}
-	r.stop(t)
+	srv.stop(t)
 	last := ""
 	for len(reports) > 0 {
 		last = <-reports
 	}
 	if last != "BEAT t draining" {
-		t.Errorf("last report %q", last)
+		t.Errorf("last report: got %q", last)
 	}
-	if got, ok := c.Next(); !ok || got.Type != 90 {
-		t.Errorf("want GOAWAY at the drain, got %+v", got)
+	if got, ok := caller.Next(); !ok || got.Type != 90 {
+		t.Errorf("at the drain: got %+v, want GOAWAY", got)
 	}
 }
 
-// A registry that is down costs its reports and nothing else, and hears again
-// of the server, by its state of then, when it is back.
+// While the registry is down, only its reports fail and requests are served; when
+// it is back, it gets reports of the server's present state again.
 func TestRegistryDownAndBack(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
 	registry, reports, down := standin.NewRegistryAt(t, "127.0.0.1:0")
-	r := start(t, engine.Address, registry, "")
+	srv := start(t, engine.Address, registry, "")
 	<-reports
 	down()
-	c := standin.Dial(t, r.framesAddr)
-	for i := range uint64(20) { // over more than three reports
-		c.Send(uint32(i+1), standin.Fields("look", "red", "", i+1, time.Second), "b")
-		if got, _ := c.Next(); got.Code != frame.Served {
-			t.Errorf("while the registry is down: %+v", got)
+	caller := standin.Dial(t, srv.framesAddr)
+	for i := range uint64(20) { // longer than three report intervals
+		caller.Send(uint32(i+1), standin.Fields("look", "red", "", i+1, time.Second), "b")
+		if got, _ := caller.Next(); got.Code != frame.Served {
+			t.Errorf("while the registry is down: got %+v, want served", got)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	r.adminCall(t, "drain")
+	srv.adminCall(t, "drain")
 	_, reports, _ = standin.NewRegistryAt(t, registry)
 	if got := <-reports; got != "BEAT t draining" {
-		t.Errorf("report %q when it is back", got)
+		t.Errorf("first report after the registry is back: got %q", got)
 	}
 }
--- a/internal/server/shutdown_test.go
+++ b/internal/server/shutdown_test.go
@@ -15,10 +15,10 @@
 	"kiteslip/internal/standin"
 )
 
-// The end of the process, the crossings of it: docs/design/crossings.md lists them.
-// The order that does harm is forced by holding the loop, a slot or a file.
+// Races at the shutdown of the process; docs/design/crossings.md lists them. The
+// harmful order of events is forced by blocking the loop, a connection slot or a file.
 
-// runUnlessEnded runs f on the loop, unless the process has ended.
+// runUnlessEnded runs f on the loop and reports whether it did before the server ended.
 func (r *testServer) runUnlessEnded(f func()) bool {
 	done := make(chan struct{})
 	r.onLoop(func() { f(); close(done) })
@@ -31,77 +31,77 @@
 	}
 }
 
-// What the system has accepted when the listeners close, and the process has
-// not, is taken in and answered.
+// Connections that wait in the listen queue when the listeners are to close are
+// accepted and answered. The failure: the system resets them with the listener.
 func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(3*time.Second))
 	cfg := platformConfig(t, engine.Address, "")
 	cfg.Policy.DrainGrace = 0
-	r := launch(t, cfg)
-	r.eventually(t, "the engine's link", r.link.Ready)
-	ask := func(name uint64) *standin.Caller {
-		c := standin.Dial(t, r.framesAddr)
-		c.Send(1, standin.Fields("look", "red", "", name, 3*time.Second), "b")
+	srv := launch(t, cfg)
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	request := func(tryID uint64) *standin.Caller {
+		c := standin.Dial(t, srv.framesAddr)
+		c.Send(1, standin.Fields("look", "red", "", tryID, 3*time.Second), "b")
 		return c
 	}
-	held := 0
-	for len(r.slots) < cap(r.slots) { // but for the place that is held for the next one
-		r.slots <- struct{}{}
-		held++
+	occupied := 0
+	for len(srv.slots) < cap(srv.slots) { // leaves the slot that is acquired for the next one
+		srv.slots <- struct{}{}
+		occupied++
 	}
-	first := ask(1) // takes that place, and is in use until after the listeners close
-	r.eventually(t, "it runs", func() bool { return r.link.Running() == 1 })
-	second, third := ask(2), ask(3) // stand in the system's queue
-	r.signals <- syscall.SIGTERM
-	r.eventually(t, "the listeners are to close", r.closingListeners.Load)
-	r.onLoopWait(func() {
-		if r.frameConnCount() != 1 {
-			t.Errorf("%d callers are in, want 1", r.frameConnCount())
+	first := request(1) // takes that slot until after the listeners have closed
+	srv.eventually(t, "request running", func() bool { return srv.link.Running() == 1 })
+	second, third := request(2), request(3) // wait in the listen queue
+	srv.signals <- syscall.SIGTERM
+	srv.eventually(t, "listeners closing", srv.closingListeners.Load)
+	srv.onLoopWait(func() {
+		if srv.frameConnCount() != 1 {
+			t.Errorf("%d callers connected, want 1", srv.frameConnCount())
 		}
 	})
-	for range held {
-		<-r.slots
+	for range occupied {
+		<-srv.slots
 	}
 	for what, c := range map[string]*standin.Caller{"first": first, "second": second, "third": third} {
 		if _, refused, failed, _ := countByCode(readAll(c)); refused+failed != 1 {
-			t.Errorf("%s: %d answers, want 1", what, refused+failed)
+			t.Errorf("%s caller: %d answers, want 1", what, refused+failed)
 		}
 	}
-	r.signals = nil
-	if err := <-r.serveErr; err != nil {
+	srv.signals = nil
+	if err := <-srv.serveErr; err != nil {
 		t.Error(err)
 	}
 }
 
-// However short the time from the notice to the kill, all that was read is
-// answered, and the answers arrive.
+// Even if the time from the shutdown notice to the kill is very short, all requests
+// that were read are answered, and the answers arrive.
 func TestShortStopAnswersAll(t *testing.T) {
 	t.Parallel()
 	for _, stop := range []int64{1_000, 40_000, 120_000, 400_000} {
 		engine := standin.NewEngine(t, standin.Echo(3*time.Second))
 		cfg := platformConfig(t, engine.Address, "")
 		cfg.StopTimeoutUS = stop
-		r := launch(t, cfg)
-		r.eventually(t, "the engine's link", r.link.Ready)
-		c := standin.Dial(t, r.framesAddr)
-		c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
-		c.Send(2, standin.Fields("note", "red", "key", 2, 3*time.Second), "b")
-		r.eventually(t, "both run", func() bool { return r.link.Running() == 2 })
-		r.signals <- syscall.SIGTERM
-		r.signals = nil
-		if _, refused, failed, _ := countByCode(readAll(c)); refused+failed != 2 {
-			t.Errorf("stop after %d us: %d of 2 answered", stop, refused+failed)
+		srv := launch(t, cfg)
+		srv.eventually(t, "engine link ready", srv.link.Ready)
+		caller := standin.Dial(t, srv.framesAddr)
+		caller.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
+		caller.Send(2, standin.Fields("note", "red", "key", 2, 3*time.Second), "b")
+		srv.eventually(t, "both requests running", func() bool { return srv.link.Running() == 2 })
+		srv.signals <- syscall.SIGTERM
+		srv.signals = nil
+		if _, refused, failed, _ := countByCode(readAll(caller)); refused+failed != 2 {
+			t.Errorf("stop timeout %d us: %d of 2 answered", stop, refused+failed)
 		}
-		if err := <-r.serveErr; err != nil {
-			t.Errorf("stop after %d us: %v", stop, err)
+		if err := <-srv.serveErr; err != nil {
+			t.Errorf("stop timeout %d us: %v", stop, err)
 		}
 	}
 }
 
-// Two files and a notice to leave cross: the notice is not lost behind the files.
+// A shutdown notice that arrives behind SIGHUPs that nobody has handled yet is not lost.
 func TestShutdownNoticeIsNotLostBehindReloads(t *testing.T) {
-	s := Notify()
+	signals := Notify()
 	for range 20 {
 		for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM} {
 			if err := syscall.Kill(syscall.Getpid(), sig); err != nil {
@@ -110,14 +110,15 @@
 		}
 	}
 	began := time.Now()
-	n := <-s.Stop // nobody has taken a SIGHUP
-	if n.Signal != syscall.SIGTERM || n.At.After(began.Add(time.Second)) {
-		t.Errorf("%+v", n)
+	notice := <-signals.Stop // no SIGHUP has been received from the channel
+	if notice.Signal != syscall.SIGTERM || notice.At.After(began.Add(time.Second)) {
+		t.Errorf("unexpected shutdown notice: %+v", notice)
 	}
-	<-s.Reload
+	<-signals.Reload
 }
 
-// A file taken over while the process leaves lengthens neither its time nor its grace.
+// A configuration applied during a drain extends neither the time to the kill nor the
+// grace period in which late requests are still run.
 func TestReloadDuringDrain(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
@@ -129,38 +130,38 @@
 		}
 		return cfg
 	}
-	next := parse(strings.Replace(platformJSON(engine.Address, ""), `"stop_ms": 2000`, `"stop_ms": 9000`, 1))
-	r := launchWith(t, parse(text), func(s *Server) { s.LoadConfig = func() (*config.Config, error) { return next, nil } })
-	r.eventually(t, "the engine's link", r.link.Ready)
-	c := standin.Dial(t, r.framesAddr)
-	c.Send(1, standin.Fields("look", "red", "", 1, time.Second), "before")
-	c.Next()
-	r.signals <- syscall.SIGTERM
-	r.eventually(t, "it leaves", func() bool { return r.killAt != 0 })
-	r.signals <- syscall.SIGHUP
-	r.eventually(t, "the file is taken", func() bool { return r.reloadsApplied == 1 })
-	c.Send(2, standin.Fields("look", "red", "", 2, time.Second), "after")
-	for got, ok := c.Next(); ok; got, ok = c.Next() {
+	longer := parse(strings.Replace(platformJSON(engine.Address, ""), `"stop_ms": 2000`, `"stop_ms": 9000`, 1))
+	srv := launchWith(t, parse(text), func(s *Server) { s.LoadConfig = func() (*config.Config, error) { return longer, nil } })
+	srv.eventually(t, "engine link ready", srv.link.Ready)
+	caller := standin.Dial(t, srv.framesAddr)
+	caller.Send(1, standin.Fields("look", "red", "", 1, time.Second), "before")
+	caller.Next()
+	srv.signals <- syscall.SIGTERM
+	srv.eventually(t, "shutdown notice received", func() bool { return srv.killAt != 0 })
+	srv.signals <- syscall.SIGHUP
+	srv.eventually(t, "file applied", func() bool { return srv.reloadsApplied == 1 })
+	caller.Send(2, standin.Fields("look", "red", "", 2, time.Second), "after")
+	for got, ok := caller.Next(); ok; got, ok = caller.Next() {
 		if got.Stream == 2 && got.Code != frame.Refused {
-			t.Errorf("a request after the grace: %+v", got)
+			t.Errorf("request after the grace period: got %+v, want refused", got)
 		}
 	}
-	r.signals = nil
+	srv.signals = nil
 	select {
-	case err := <-r.serveErr:
+	case err := <-srv.serveErr:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the longer time of the new file is taken")
+		t.Error("not ended within 5 s: the longer stop timeout of the new file is in force")
 	}
 	if n := engine.Runs()["after"]; n > 0 {
-		t.Error("what came after the grace ran")
+		t.Error("a request after the grace period ran")
 	}
 }
 
-// Descriptors of connections in all their states stay within what the limits
-// grant, for small limits and large, and something is left for callers.
+// The shares of the descriptor budget add up to no more than the limit, for small
+// limits and large, and leave enough for callers.
 func TestDescriptorBudgetAddsUp(t *testing.T) {
 	for _, sockets := range []int{32, 48, 64, 100, 256, 512, 1024, 65536} {
 		for _, change := range []func(*config.Config){
@@ -173,126 +174,127 @@
 			cfg := platformConfig(t, "127.0.0.1:1", "")
 			cfg.Limits.Sockets = sockets
 			change(cfg)
-			p := NewDescriptorBudget(cfg)
-			sum := p.Internal + p.Admin + p.Ledger + enrolDescriptors*p.BackendCalls + p.CallerDescriptors
-			if sockets >= 64 && sum > sockets || p.CallerConnections < minCallerConnections || p.CallerConnections > p.CallerDescriptors {
-				t.Errorf("%d sockets: %+v, %d in all", sockets, p, sum)
+			budget := NewDescriptorBudget(cfg)
+			sum := budget.Internal + budget.Admin + budget.Ledger + enrolDescriptors*budget.BackendCalls + budget.CallerDescriptors
+			if sockets >= 64 && sum > sockets || budget.CallerConnections < minCallerConnections || budget.CallerConnections > budget.CallerDescriptors {
+				t.Errorf("limit of %d sockets: budget %+v, %d in all", sockets, budget, sum)
 			}
-			if sockets >= 256 && p.CallerConnections < sockets/3 {
-				t.Errorf("%d sockets leave %d to callers", sockets, p.CallerConnections)
+			if sockets >= 256 && budget.CallerConnections < sockets/3 {
+				t.Errorf("limit of %d sockets: only %d for callers", sockets, budget.CallerConnections)
 			}
 		}
 	}
 }
 
-// The notice to leave comes while the keys are on their way to the next process:
-// this one stays until they have all gone out, or the next one is in doubt of them.
+// A shutdown notice arrives while the keys are being handed over to the successor.
+// The process stays until all of them are sent. The failure: it ends before, and the
+// remaining keys are in doubt at the successor.
 func TestShutdownNoticeDuringKeyHandover(t *testing.T) {
 	t.Parallel()
-	s := newSharedListener(t)
+	shared := newSharedListener(t)
 	engines := [2]*standin.Engine{standin.NewEngine(t, standin.Echo(time.Millisecond)), standin.NewEngine(t, standin.Echo(time.Millisecond))}
-	old := launch(t, s.processConfig(t, engines[0].Address, ""))
-	old.waitReady(t)
-	young := launch(t, s.processConfig(t, engines[1].Address, ""))
-	young.waitReady(t)
-	old.onLoopWait(func() { old.upgrade.peer.sendingTable, old.upgrade.peer.storeClosing = true, true }) // as while the store is closed
-	old.signals <- syscall.SIGTERM
-	old.signals = nil
-	for left, rounds := false, 0; rounds < 20; {
-		if !old.runUnlessEnded(func() {
-			if left = old.killAt != 0; left {
-				old.advanceShutdown(now() + 10*shutdownLingerUS)
-				rounds++
+	predecessor := launch(t, shared.processConfig(t, engines[0].Address, ""))
+	predecessor.waitReady(t)
+	successor := launch(t, shared.processConfig(t, engines[1].Address, ""))
+	successor.waitReady(t)
+	predecessor.onLoopWait(func() { predecessor.upgrade.peer.sendingTable, predecessor.upgrade.peer.storeClosing = true, true }) // as while the key store is closing
+	predecessor.signals <- syscall.SIGTERM
+	predecessor.signals = nil
+	for noticed, iterations := false, 0; iterations < 20; {
+		if !predecessor.runUnlessEnded(func() {
+			if noticed = predecessor.killAt != 0; noticed {
+				predecessor.advanceShutdown(now() + 10*shutdownLingerUS)
+				iterations++
 			}
 		}) {
-			t.Fatal("it ends with keys in its hands")
+			t.Fatal("the process ended before the keys were handed over")
 		}
 	}
-	old.onLoopWait(func() { old.upgrade.peer.sendingTable, old.upgrade.peer.storeClosing = false, false })
-	if err := <-old.serveErr; err != nil {
+	predecessor.onLoopWait(func() { predecessor.upgrade.peer.sendingTable, predecessor.upgrade.peer.storeClosing = false, false })
+	if err := <-predecessor.serveErr; err != nil {
 		t.Error(err)
 	}
 }
 
-// The notice comes before the listener stands, twice, and before the engine has
-// said a word; the time to the kill counts from when it came.
+// A shutdown notice that arrives, twice, before the server listens or before the
+// engine has answered is acted on, and the time to the kill counts from its arrival.
 func TestShutdownNoticeDuringStart(t *testing.T) {
 	t.Parallel()
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes links, and never says HELLO
+	silentEngine, err := net.Listen("tcp", "127.0.0.1:0") // accepts links, and never sends HELLO
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { silent.Close() })
+	t.Cleanup(func() { silentEngine.Close() })
 	for _, early := range []bool{true, false} {
-		s, err := New(platformConfig(t, silent.Addr().String(), ""), zap.NewNop())
+		srv, err := New(platformConfig(t, silentEngine.Addr().String(), ""), zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		stop := make(chan ShutdownNotice, 2)
-		at := time.Now().Add(-500 * time.Millisecond)
+		noticeAt := time.Now().Add(-500 * time.Millisecond)
 		if early {
-			stop <- ShutdownNotice{syscall.SIGTERM, at}
+			stop <- ShutdownNotice{syscall.SIGTERM, noticeAt}
 			stop <- ShutdownNotice{syscall.SIGTERM, time.Now()}
 		}
-		end := make(chan error, 1)
-		go func() { end <- s.Serve(Signals{Stop: stop}) }()
+		ended := make(chan error, 1)
+		go func() { ended <- srv.Serve(Signals{Stop: stop}) }()
 		if !early {
-			<-s.started
-			c := standin.Dial(t, s.Addresses()[0])
-			c.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
-			c.Send(2, standin.Fields("note", "red", "k", 2, 3*time.Second), "b")
-			r := &testServer{Server: s}
-			r.eventually(t, "both are read", func() bool { return s.core.Outstanding() == 2 })
-			stop <- ShutdownNotice{syscall.SIGTERM, at}
-			if _, refused, failed, _ := countByCode(readAll(c)); refused+failed != 2 {
+			<-srv.started
+			caller := standin.Dial(t, srv.Addresses()[0])
+			caller.Send(1, standin.Fields("look", "red", "", 1, 3*time.Second), "b")
+			caller.Send(2, standin.Fields("note", "red", "k", 2, 3*time.Second), "b")
+			running := &testServer{Server: srv}
+			running.eventually(t, "both requests read", func() bool { return srv.core.Outstanding() == 2 })
+			stop <- ShutdownNotice{syscall.SIGTERM, noticeAt}
+			if _, refused, failed, _ := countByCode(readAll(caller)); refused+failed != 2 {
 				t.Errorf("%d of 2 answered", refused+failed)
 			}
 		}
-		if err := <-end; err != nil {
+		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		if s.killAt != at.UnixMicro()+s.cfg.StopTimeoutUS {
-			t.Errorf("early %v: the kill is expected %d us after the notice, not %d", early, s.killAt-at.UnixMicro(), s.cfg.StopTimeoutUS)
+		if srv.killAt != noticeAt.UnixMicro()+srv.cfg.StopTimeoutUS {
+			t.Errorf("early=%v: kill expected %d us after the notice, want %d", early, srv.killAt-noticeAt.UnixMicro(), srv.cfg.StopTimeoutUS)
 		}
 	}
 }
 
-// The notice comes while a file is being read that does not come to its end: the
-// drain begins and ends without it.
+// A shutdown notice that arrives while the reading of a configuration file blocks is
+// acted on: the drain begins and ends without the file.
 func TestShutdownNoticeDuringReload(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	reading, held := make(chan struct{}), make(chan struct{})
-	t.Cleanup(func() { close(held) })
-	r := launchWith(t, platformConfig(t, engine.Address, ""), func(s *Server) {
+	reading, release := make(chan struct{}), make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	srv := launchWith(t, platformConfig(t, engine.Address, ""), func(s *Server) {
 		s.LoadConfig = func() (*config.Config, error) {
 			close(reading)
-			<-held
-			return nil, errors.New("it never came")
+			<-release
+			return nil, errors.New("file not read")
 		}
 	})
-	r.signals <- syscall.SIGHUP
+	srv.signals <- syscall.SIGHUP
 	<-reading
-	r.signals <- syscall.SIGTERM
-	r.signals = nil
+	srv.signals <- syscall.SIGTERM
+	srv.signals = nil
 	select {
-	case err := <-r.serveErr:
+	case err := <-srv.serveErr:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("the notice waits for the file")
+		t.Fatal("the drain did not end within 5 s: it waits for the file")
 	}
 }
 
-// failingListener is a listener whose accepts fail at once, as without descriptors, a few times.
+// failingListener is a listener whose next accepts fail at once, as without free descriptors.
 type failingListener struct {
 	net.Listener
-	left int
+	remaining int
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if l.left--; l.left < 0 {
+	if l.remaining--; l.remaining < 0 {
 		return nil, net.ErrClosed
 	}
 	return nil, syscall.EMFILE
@@ -300,16 +302,16 @@
 
 func (l *failingListener) Close() error { return nil }
 
-// Accepts that fail at once are not repeated without a pause, and keep no place.
+// Accepts that fail at once are repeated after a pause only, and keep no connection slot.
 func TestAcceptErrorsAreThrottled(t *testing.T) {
 	t.Parallel()
 	engine := standin.NewEngine(t, standin.Echo(time.Millisecond))
-	r := start(t, engine.Address, "", "")
+	srv := start(t, engine.Address, "", "")
 	const tries = 20
 	slots := make(chan struct{}, 1)
 	began := time.Now()
-	r.acceptLoop(frontend{Listener: &failingListener{left: tries}, slots: slots, admin: true})
+	srv.acceptLoop(frontend{Listener: &failingListener{remaining: tries}, slots: slots, admin: true})
 	if took := time.Since(began); took < tries*acceptRetryInterval || len(slots) > 0 {
-		t.Errorf("%d tries in %v, %d places held", tries, took, len(slots))
+		t.Errorf("%d accepts in %v, %d connection slots in use", tries, took, len(slots))
 	}
 }
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -18,13 +18,14 @@
 	"kiteslip/internal/standin"
 )
 
-// sharedListener is the clients' listening socket, as the platform holds it.
+// sharedListener is the callers' listening socket that the platform passes to each
+// process, with the handover folder.
 type sharedListener struct {
 	*net.TCPListener
 	folder string
 }
 
-// newSharedListener prepares what the processes of one server share: the folder and the socket.
+// newSharedListener creates the socket and the folder that the processes of one server share.
 func newSharedListener(t *testing.T) sharedListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,14 +36,15 @@
 	return sharedListener{l.(*net.TCPListener), t.TempDir()}
 }
 
-// processConfig configures one process of the server, with an engine's address of its own.
-func (s sharedListener) processConfig(t *testing.T, engine, more string) *config.Config {
+// processConfig returns the configuration of one process with the given engine address
+// and, if operator is not empty, that operator's file.
+func (s sharedListener) processConfig(t *testing.T, engine, operator string) *config.Config {
 	t.Helper()
 	cfg := platformConfig(t, engine, "")
 	cfg.HandoverDir = s.folder
-	if more != "" {
+	if operator != "" {
 		var err error
-		if cfg, err = config.ParseOperator(more, cfg); err != nil {
+		if cfg, err = config.ParseOperator(operator, cfg); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -56,7 +58,7 @@
 	return cfg
 }
 
-// waitReady waits until the process takes clients, as the platform does.
+// waitReady waits until the process accepts callers, as the platform does.
 func (r *testServer) waitReady(t *testing.T) {
 	t.Helper()
 	for began := time.Now(); r.adminCall(t, "ready") != "done ready\n"; time.Sleep(10 * time.Millisecond) {
@@ -66,323 +68,328 @@
 	}
 }
 
-// dialUntilMine connects until a connection is one of r's.
+// dialUntilMine opens connections until r, and not the other process, accepts one, and
+// returns its caller.
 func (r *testServer) dialUntilMine(t *testing.T) *standin.Caller {
 	t.Helper()
 	for range 200 {
-		c := standin.Dial(t, r.framesAddr)
+		caller := standin.Dial(t, r.framesAddr)
 		for range 50 {
 			mine := false
 			r.onLoopWait(func() {
 				for h := range r.conns {
-					f, ok := h.(*frameConn)
-					mine = mine || ok && !f.disconnected && f.conn.RemoteAddr().String() == c.Conn.LocalAddr().String()
+					candidate, ok := h.(*frameConn)
+					mine = mine || ok && !candidate.disconnected && candidate.conn.RemoteAddr().String() == caller.Conn.LocalAddr().String()
 				}
 			})
 			if mine {
-				return c
+				return caller
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}
-	t.Fatal("no connection reaches this process")
+	t.Fatal("no connection of 200 reached this process")
 	return nil
 }
 
-// The whole way: keys that the old process ran, runs and is asked for run once
-// whichever process their tries come to; the old one answers all that it read
-// and ends; callers are let in all along, on both fronts.
+// A complete upgrade: keys that the old process has run, is running or is asked for
+// run once, whichever process gets their tries; the old process answers all that it
+// has read and ends; callers are accepted throughout, on both front ends.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
-	at := newSharedListener(t)
-	first := standin.NewEngine(t, work)
-	old := launch(t, at.processConfig(t, first.Address, operatorTOML("")))
-	old.waitReady(t)
-	c := old.dialUntilMine(t)
-	c.Send(1, standin.Fields("note", "red", "had", 1, 3*time.Second), "had")
-	if got, _ := c.Next(); got.Code != frame.Served {
-		t.Fatalf("%+v", got)
-	}
-	c.Send(2, standin.Fields("note", "red", "under", 2, 3*time.Second), "slow under")
-	old.eventually(t, "a run", func() bool { return old.link.Running() == 1 })
+	shared := newSharedListener(t)
+	predecessorEngine := standin.NewEngine(t, workByBody)
+	predecessor := launch(t, shared.processConfig(t, predecessorEngine.Address, operatorTOML("")))
+	predecessor.waitReady(t)
+	caller := predecessor.dialUntilMine(t)
+	caller.Send(1, standin.Fields("note", "red", "had", 1, 3*time.Second), "had")
+	if got, _ := caller.Next(); got.Code != frame.Served {
+		t.Fatalf("unexpected answer: %+v", got)
+	}
+	caller.Send(2, standin.Fields("note", "red", "under", 2, 3*time.Second), "slow under")
+	predecessor.eventually(t, "request running", func() bool { return predecessor.link.Running() == 1 })
 
-	second := standin.NewEngine(t, work)
-	next := at.processConfig(t, second.Address, operatorTOML(""))
-	next.UWSGI.Listen = old.uwsgiAddr // the same address: it is passed on
-	young := launch(t, next)
-	young.waitReady(t)
-	if got := young.uwsgiAddr; got != old.uwsgiAddr {
-		t.Errorf("the uwsgi front is at %s, not at %s", got, old.uwsgiAddr)
-	}
-	d := young.dialUntilMine(t)
-	d.Send(1, standin.Fields("note", "red", "had", 3, 3*time.Second), "had")
-	d.Send(2, standin.Fields("note", "red", "under", 4, 3*time.Second), "slow under")
+	successorEngine := standin.NewEngine(t, workByBody)
+	successorConfig := shared.processConfig(t, successorEngine.Address, operatorTOML(""))
+	successorConfig.UWSGI.Listen = predecessor.uwsgiAddr // the same address: the listener is handed over
+	successor := launch(t, successorConfig)
+	successor.waitReady(t)
+	if got := successor.uwsgiAddr; got != predecessor.uwsgiAddr {
+		t.Errorf("uwsgi address: got %s, want %s", got, predecessor.uwsgiAddr)
+	}
+	newCaller := successor.dialUntilMine(t)
+	newCaller.Send(1, standin.Fields("note", "red", "had", 3, 3*time.Second), "had")
+	newCaller.Send(2, standin.Fields("note", "red", "under", 4, 3*time.Second), "slow under")
 	for range 2 {
-		if got, _ := d.Next(); got.Code != frame.Served {
-			t.Errorf("a key of the old process: %+v", got)
+		if got, _ := newCaller.Next(); got.Code != frame.Served {
+			t.Errorf("key of the old process: got %+v, want served", got)
 		}
 	}
-	c.Next()
-	d.Send(3, standin.Fields("note", "red", "young", 5, 3*time.Second), "slow young")
-	young.eventually(t, "a run", func() bool { return young.link.Running() == 1 })
-	c.Send(3, standin.Fields("note", "red", "young", 6, 3*time.Second), "slow young")
-	c.Send(4, standin.Fields("note", "red", "asked", 7, 3*time.Second), "asked")
-	c.Send(5, standin.Fields("look", "red", "", 8, 3*time.Second), "slow look")
+	caller.Next()
+	newCaller.Send(3, standin.Fields("note", "red", "young", 5, 3*time.Second), "slow young")
+	successor.eventually(t, "request running", func() bool { return successor.link.Running() == 1 })
+	caller.Send(3, standin.Fields("note", "red", "young", 6, 3*time.Second), "slow young")
+	caller.Send(4, standin.Fields("note", "red", "asked", 7, 3*time.Second), "asked")
+	caller.Send(5, standin.Fields("look", "red", "", 8, 3*time.Second), "slow look")
 	for range 3 {
-		if got, _ := c.Next(); got.Code != frame.Served {
-			t.Errorf("at the old process: %+v", got)
+		if got, _ := caller.Next(); got.Code != frame.Served {
+			t.Errorf("at the old process: got %+v, want served", got)
 		}
 	}
 
-	old.signals <- syscall.SIGTERM
-	if got, _ := c.Next(); got.Type != frame.GoAway {
-		t.Errorf("want GOAWAY, got %+v", got)
+	predecessor.signals <- syscall.SIGTERM
+	if got, _ := caller.Next(); got.Type != frame.GoAway {
+		t.Errorf("got %+v, want GOAWAY", got)
 	}
-	old.eventually(t, "leaving", func() bool { return old.killAt != 0 })
-	if got := old.adminCall(t, "ready"); got != "error stopping\n" {
-		t.Errorf("the old process: %q", got)
+	predecessor.eventually(t, "shutdown notice received", func() bool { return predecessor.killAt != 0 })
+	if got := predecessor.adminCall(t, "ready"); got != "error stopping\n" {
+		t.Errorf("ready at the old process: got %q", got)
 	}
-	c.Send(6, standin.Fields("note", "red", "crossed", 9, 3*time.Second), "crossed") // it crosses GOAWAY
-	if got, _ := c.Next(); got.Code != frame.Served {
-		t.Errorf("a request that crossed GOAWAY: %+v", got)
+	caller.Send(6, standin.Fields("note", "red", "crossed", 9, 3*time.Second), "crossed") // as if sent before GOAWAY was read
+	if got, _ := caller.Next(); got.Code != frame.Served {
+		t.Errorf("request that races with GOAWAY: got %+v, want served", got)
 	}
-	c.Conn.Close()
+	caller.Conn.Close()
 	for i := range 30 { // each reaches the new process
-		e := standin.Dial(t, old.framesAddr)
-		e.Send(1, standin.Fields("look", "red", "", uint64(100+i), 3*time.Second), "look")
-		got, _ := e.Next()
+		lateCaller := standin.Dial(t, predecessor.framesAddr)
+		lateCaller.Send(1, standin.Fields("look", "red", "", uint64(100+i), 3*time.Second), "look")
+		got, _ := lateCaller.Next()
 		if got.Type == frame.GoAway {
-			got, _ = e.Next()
+			got, _ = lateCaller.Next()
 		}
 		if got.Code != frame.Served {
-			t.Fatalf("a caller during the upgrade: %+v", got)
+			t.Fatalf("caller during the upgrade: got %+v, want served", got)
 		}
 	}
 	vars := standin.Vars("note", "red", "asked", 3*time.Second)
-	if got := standin.Post(old.uwsgiAddr, standin.Packet(t, vars, "asked")); got.Status != 200 {
-		t.Errorf("uwsgi: %+v", got)
+	if got := standin.Post(predecessor.uwsgiAddr, standin.Packet(t, vars, "asked")); got.Status != 200 {
+		t.Errorf("uwsgi: got %+v, want status 200", got)
 	}
 	select {
-	case err := <-old.serveErr:
+	case err := <-predecessor.serveErr:
 		if err != nil {
-			t.Errorf("the old process ends with %v", err)
+			t.Errorf("drain of the old process: %v", err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("the old process does not end")
+		t.Fatal("the old process did not end within 5 s")
 	}
-	old.signals = nil
-	d.Send(4, standin.Fields("note", "red", "crossed", 11, 3*time.Second), "crossed")
+	predecessor.signals = nil
+	newCaller.Send(4, standin.Fields("note", "red", "crossed", 11, 3*time.Second), "crossed")
 	for range 2 {
-		if got, _ := d.Next(); got.Code != frame.Served {
-			t.Errorf("after the end of the old process: %+v", got)
+		if got, _ := newCaller.Next(); got.Code != frame.Served {
+			t.Errorf("after the end of the old process: got %+v, want served", got)
 		}
 	}
-	for _, engine := range []*standin.Engine{first, second} {
+	for _, engine := range []*standin.Engine{predecessorEngine, successorEngine} {
 		for body, n := range engine.Runs() {
 			if body != "look" && n != 1 {
-				t.Errorf("%q ran %d times", body, n)
+				t.Errorf("%q ran %d times, want 1", body, n)
 			}
 		}
 	}
-	one, two := first.Runs(), second.Runs()
+	predecessorRuns, successorRuns := predecessorEngine.Runs(), successorEngine.Runs()
 	for _, body := range []string{"had", "slow under", "slow young", "asked", "crossed"} {
-		if one[body]+two[body] != 1 {
-			t.Errorf("%q ran %d times at the old process and %d at the new one", body, one[body], two[body])
+		if predecessorRuns[body]+successorRuns[body] != 1 {
+			t.Errorf("%q ran %d times at the old process and %d at the new one, want 1 in all", body, predecessorRuns[body], successorRuns[body])
 		}
 	}
-	young.eventually(t, "its places are its own again", func() bool { return young.upgrade.reservedSlots == 0 && young.upgrade.peer == nil })
+	successor.eventually(t, "no connection slot reserved for the peer", func() bool { return successor.upgrade.reservedSlots == 0 && successor.upgrade.peer == nil })
 }
 
-// A third process can take the place of the second.
+// The successor of an upgrade can be upgraded in turn, and keys are kept throughout.
 func TestUpgradeAgain(t *testing.T) {
 	t.Parallel()
-	at := newSharedListener(t)
-	engine := standin.NewEngine(t, work)
-	before := launch(t, at.processConfig(t, engine.Address, ""))
-	before.waitReady(t)
-	c := before.dialUntilMine(t)
-	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
-	c.Next()
-	c.Conn.Close()
+	shared := newSharedListener(t)
+	engine := standin.NewEngine(t, workByBody)
+	current := launch(t, shared.processConfig(t, engine.Address, ""))
+	current.waitReady(t)
+	caller := current.dialUntilMine(t)
+	caller.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
+	caller.Next()
+	caller.Conn.Close()
 	for i := range 2 {
-		engine := standin.NewEngine(t, work)
-		next := launch(t, at.processConfig(t, engine.Address, ""))
-		next.waitReady(t)
-		before.signals <- syscall.SIGTERM
-		if err := <-before.serveErr; err != nil {
-			t.Errorf("process %d ends with %v", i, err)
+		engine := standin.NewEngine(t, workByBody)
+		successor := launch(t, shared.processConfig(t, engine.Address, ""))
+		successor.waitReady(t)
+		current.signals <- syscall.SIGTERM
+		if err := <-current.serveErr; err != nil {
+			t.Errorf("drain of process %d: %v", i, err)
 		}
-		before.signals = nil
-		d := next.dialUntilMine(t)
-		d.Send(1, standin.Fields("note", "red", "key", uint64(10+i), 3*time.Second), "once")
-		if got, _ := d.Next(); got.Code != frame.Served || engine.Runs()["once"] != 0 {
-			t.Errorf("process %d: %+v, runs %v", i+1, got, engine.Runs())
+		current.signals = nil
+		newCaller := successor.dialUntilMine(t)
+		newCaller.Send(1, standin.Fields("note", "red", "key", uint64(10+i), 3*time.Second), "once")
+		if got, _ := newCaller.Next(); got.Code != frame.Served || engine.Runs()["once"] != 0 {
+			t.Errorf("process %d: got %+v, runs %v, want served without a run", i+1, got, engine.Runs())
 		}
-		d.Conn.Close()
-		before = next
+		newCaller.Conn.Close()
+		current = successor
 	}
 }
 
-// A process that starts while another drains gets its keys all the same.
+// A process that starts while its predecessor is already draining gets the keys too.
 func TestStartDuringDrain(t *testing.T) {
 	t.Parallel()
-	at := newSharedListener(t)
-	engine := standin.NewEngine(t, work)
-	old := launch(t, at.processConfig(t, engine.Address, ""))
-	old.waitReady(t)
-	c := old.dialUntilMine(t)
-	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
-	c.Next()
-	old.signals <- syscall.SIGTERM
-	old.eventually(t, "the notice", func() bool { return old.killAt != 0 })
-	next := standin.NewEngine(t, work)
-	young := launch(t, at.processConfig(t, next.Address, ""))
-	young.waitReady(t)
-	if err := <-old.serveErr; err != nil {
-		t.Errorf("the drain ends with %v", err)
-	}
-	old.signals = nil
-	d := young.dialUntilMine(t)
-	d.Send(1, standin.Fields("note", "red", "key", 2, 3*time.Second), "once")
-	if got, _ := d.Next(); got.Code != frame.Served || next.Runs()["once"] != 0 {
-		t.Errorf("the key of the one that drained: %+v, runs %v", got, next.Runs())
-	}
-	d.Send(2, standin.Fields("note", "red", "fresh", 3, 3*time.Second), "fresh")
-	if got, _ := d.Next(); got.Code != frame.Served {
-		t.Errorf("a fresh key: %+v", got)
+	shared := newSharedListener(t)
+	engine := standin.NewEngine(t, workByBody)
+	predecessor := launch(t, shared.processConfig(t, engine.Address, ""))
+	predecessor.waitReady(t)
+	caller := predecessor.dialUntilMine(t)
+	caller.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
+	caller.Next()
+	predecessor.signals <- syscall.SIGTERM
+	predecessor.eventually(t, "shutdown notice received", func() bool { return predecessor.killAt != 0 })
+	successorEngine := standin.NewEngine(t, workByBody)
+	successor := launch(t, shared.processConfig(t, successorEngine.Address, ""))
+	successor.waitReady(t)
+	if err := <-predecessor.serveErr; err != nil {
+		t.Errorf("drain: %v", err)
+	}
+	predecessor.signals = nil
+	newCaller := successor.dialUntilMine(t)
+	newCaller.Send(1, standin.Fields("note", "red", "key", 2, 3*time.Second), "once")
+	if got, _ := newCaller.Next(); got.Code != frame.Served || successorEngine.Runs()["once"] != 0 {
+		t.Errorf("key of the old process: got %+v, runs %v, want served without a run", got, successorEngine.Runs())
+	}
+	newCaller.Send(2, standin.Fields("note", "red", "fresh", 3, 3*time.Second), "fresh")
+	if got, _ := newCaller.Next(); got.Code != frame.Served {
+		t.Errorf("new key: got %+v, want served", got)
 	}
 }
 
-// A new process that dies before it is told to be alone leaves the server to
-// the old one: what it may have started is in doubt and fails, all else is served.
+// When the successor dies before the old process has left, the old one acquires the
+// keys again: keys that the successor may have started are in doubt and fail,
+// everything else is served.
 func TestNewProcessDies(t *testing.T) {
 	t.Parallel()
-	at := newSharedListener(t)
-	engine := standin.NewEngine(t, work)
-	old := launch(t, at.processConfig(t, engine.Address, ""))
-	old.waitReady(t)
-	c := old.dialUntilMine(t)
-	c.Send(1, standin.Fields("note", "red", "had", 1, 3*time.Second), "had")
-	c.Next()
-	young := launch(t, at.processConfig(t, "127.0.0.1:1", "")) // its engine never answers, so it takes no clients
-	old.eventually(t, "the keys are handed over", func() bool { return old.upgrade.keysHandedOver })
-	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
-	young.onLoopWait(func() { // its death, as the system makes it
-		young.upgrade.endpoint.Unlock() //nolint:errcheck // as above
-		closeNow(young.upgrade.peer.conn)
+	shared := newSharedListener(t)
+	engine := standin.NewEngine(t, workByBody)
+	predecessor := launch(t, shared.processConfig(t, engine.Address, ""))
+	predecessor.waitReady(t)
+	caller := predecessor.dialUntilMine(t)
+	caller.Send(1, standin.Fields("note", "red", "had", 1, 3*time.Second), "had")
+	caller.Next()
+	successor := launch(t, shared.processConfig(t, "127.0.0.1:1", "")) // its engine never answers, so it accepts no callers
+	predecessor.eventually(t, "keys handed over", func() bool { return predecessor.upgrade.keysHandedOver })
+	successor.eventually(t, "keys owned", successor.core.OwnsKeys)
+	successor.onLoopWait(func() { // what the system does at its death
+		successor.upgrade.endpoint.Unlock() //nolint:errcheck // as above
+		closeNow(successor.upgrade.peer.conn)
 	})
-	old.eventually(t, "the keys are back", func() bool { return old.core.OwnsKeys() && !old.upgrade.keysHandedOver })
-	c.Send(2, standin.Fields("note", "red", "had", 2, 3*time.Second), "had")
-	if got, _ := c.Next(); got.Code != frame.Served {
-		t.Errorf("a known key: %+v", got)
+	predecessor.eventually(t, "keys owned by the old process again", func() bool { return predecessor.core.OwnsKeys() && !predecessor.upgrade.keysHandedOver })
+	caller.Send(2, standin.Fields("note", "red", "had", 2, 3*time.Second), "had")
+	if got, _ := caller.Next(); got.Code != frame.Served {
+		t.Errorf("known key: got %+v, want served", got)
 	}
-	c.Send(3, standin.Fields("note", "red", "other", 3, 3*time.Second), "other")
-	if got, _ := c.Next(); got.Code != frame.Failed {
-		t.Errorf("a key in doubt: %+v", got)
+	caller.Send(3, standin.Fields("note", "red", "other", 3, 3*time.Second), "other")
+	if got, _ := caller.Next(); got.Code != frame.Failed {
+		t.Errorf("key in doubt: got %+v, want failed", got)
 	}
-	c.Send(4, standin.Fields("look", "red", "", 4, 3*time.Second), "look")
-	if got, _ := c.Next(); got.Code != frame.Served {
-		t.Errorf("a read: %+v", got)
+	caller.Send(4, standin.Fields("look", "red", "", 4, 3*time.Second), "look")
+	if got, _ := caller.Next(); got.Code != frame.Served {
+		t.Errorf("unkeyed request: got %+v, want served", got)
 	}
 	if n := engine.Runs()["other"] + engine.Runs()["had"]; n != 1 {
-		t.Errorf("%d runs of keys", n)
+		t.Errorf("%d runs of keyed requests, want 1", n)
 	}
-	third := launch(t, at.processConfig(t, standin.NewEngine(t, work).Address, "")) // finds the old one, whose name the dead one took
+	third := launch(t, shared.processConfig(t, standin.NewEngine(t, workByBody).Address, "")) // connects to the old one, though the dead one had taken over the endpoint's name
 	third.waitReady(t)
 	third.onLoopWait(func() {
 		if !third.core.OwnsKeys() || third.core.ReleaseKeys(nil) == 0 {
-			t.Error("the keys, or the doubt about some, do not pass on")
+			t.Error("the keys, or the doubt about some of them, were not handed over")
 		}
 	})
 }
 
-// An old process that comes back to itself hands its keys over after all.
+// An old process that did not answer at the handover endpoint when its successor
+// started, and recovers, still hands its keys over.
 func TestOldProcessRecovers(t *testing.T) {
 	t.Parallel()
-	at := newSharedListener(t)
-	engine := standin.NewEngine(t, work)
-	old := launch(t, at.processConfig(t, engine.Address, ""))
-	old.waitReady(t)
-	c := old.dialUntilMine(t)
-	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
-	c.Next()
-	old.onLoopWait(func() { old.upgrade.listener.Close() })
-	stuck, err := old.upgrade.endpoint.Listen() // greets nobody
+	shared := newSharedListener(t)
+	engine := standin.NewEngine(t, workByBody)
+	predecessor := launch(t, shared.processConfig(t, engine.Address, ""))
+	predecessor.waitReady(t)
+	caller := predecessor.dialUntilMine(t)
+	caller.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "once")
+	caller.Next()
+	predecessor.onLoopWait(func() { predecessor.upgrade.listener.Close() })
+	silentListener, err := predecessor.upgrade.endpoint.Listen() // answers nobody
 	if err != nil {
 		t.Fatal(err)
 	}
-	young := launch(t, at.processConfig(t, standin.NewEngine(t, work).Address, ""))
-	stuck.Close()
-	old.onLoopWait(old.awaitSuccessor)
-	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
-	young.waitReady(t)
-	d := young.dialUntilMine(t)
-	d.Send(1, standin.Fields("note", "red", "key", 2, 3*time.Second), "once")
-	if got, _ := d.Next(); got.Code != frame.Served {
-		t.Errorf("a key of the old process: %+v", got)
+	successor := launch(t, shared.processConfig(t, standin.NewEngine(t, workByBody).Address, ""))
+	silentListener.Close()
+	predecessor.onLoopWait(predecessor.awaitSuccessor)
+	successor.eventually(t, "keys owned", successor.core.OwnsKeys)
+	successor.waitReady(t)
+	newCaller := successor.dialUntilMine(t)
+	newCaller.Send(1, standin.Fields("note", "red", "key", 2, 3*time.Second), "once")
+	if got, _ := newCaller.Next(); got.Code != frame.Served {
+		t.Errorf("key of the old process: got %+v, want served", got)
 	}
 }
 
-// An old process that is stuck holds the new one up for some seconds only. The
-// keys stay out of its hands until the other is dead and a window has passed.
+// An old process that hangs delays its successor for some seconds only. The successor
+// serves, but does not own the keys until the old process is dead, and then they are
+// in doubt for a window.
 func TestOldProcessStalls(t *testing.T) {
 	t.Parallel()
-	at := newSharedListener(t)
-	engine := standin.NewEngine(t, work)
-	old := launch(t, at.processConfig(t, engine.Address, ""))
-	old.waitReady(t)
-	old.onLoopWait(func() { old.upgrade.listener.Close() })
-	stuck, err := old.upgrade.endpoint.Listen() // greets nobody
+	shared := newSharedListener(t)
+	engine := standin.NewEngine(t, workByBody)
+	predecessor := launch(t, shared.processConfig(t, engine.Address, ""))
+	predecessor.waitReady(t)
+	predecessor.onLoopWait(func() { predecessor.upgrade.listener.Close() })
+	silentListener, err := predecessor.upgrade.endpoint.Listen() // answers nobody
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stuck.Close()
-	young := launch(t, at.processConfig(t, engine.Address, ""))
-	young.waitReady(t)
-	c := young.dialUntilMine(t)
-	c.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "key")
-	if got, _ := c.Next(); got.Code != frame.Failed {
-		t.Errorf("a key that the old process owns: %+v", got)
+	defer silentListener.Close()
+	successor := launch(t, shared.processConfig(t, engine.Address, ""))
+	successor.waitReady(t)
+	caller := successor.dialUntilMine(t)
+	caller.Send(1, standin.Fields("note", "red", "key", 1, 3*time.Second), "key")
+	if got, _ := caller.Next(); got.Code != frame.Failed {
+		t.Errorf("key owned by the old process: got %+v, want failed", got)
 	}
-	c.Send(2, standin.Fields("look", "red", "", 2, 3*time.Second), "look")
-	if got, _ := c.Next(); got.Code != frame.Served {
-		t.Errorf("a read: %+v", got)
+	caller.Send(2, standin.Fields("look", "red", "", 2, 3*time.Second), "look")
+	if got, _ := caller.Next(); got.Code != frame.Served {
+		t.Errorf("unkeyed request: got %+v, want served", got)
 	}
-	old.onLoopWait(func() { old.upgrade.endpoint.Unlock() }) //nolint:errcheck // its death
-	young.eventually(t, "the keys are owned", young.core.OwnsKeys)
+	predecessor.onLoopWait(func() { predecessor.upgrade.endpoint.Unlock() }) //nolint:errcheck // what its death does
+	successor.eventually(t, "keys owned", successor.core.OwnsKeys)
 	if engine.Runs()["key"] != 0 {
-		t.Error("a key in doubt ran")
+		t.Error("a key in doubt was run")
 	}
 }
 
-// What other connections at the meeting place say ends them and nothing else.
+// Invalid data from unknown peers at the handover endpoint closes their connections
+// and has no other effect.
 func TestUnknownPeersAtHandoverEndpoint(t *testing.T) {
 	t.Parallel()
-	at := newSharedListener(t)
-	engine := standin.NewEngine(t, work)
-	old := launch(t, at.processConfig(t, engine.Address, ""))
-	old.waitReady(t)
+	shared := newSharedListener(t)
+	engine := standin.NewEngine(t, workByBody)
+	predecessor := launch(t, shared.processConfig(t, engine.Address, ""))
+	predecessor.waitReady(t)
 	for _, bytes := range []string{"\xff\xff\xff\xff", strings.Repeat("\x00", 99), "\x00\x00\x00\x2b\x03" + strings.Repeat("\x00", 42)} {
-		c := old.upgrade.endpoint.Dial()
-		if c == nil {
-			t.Fatal("nobody listens")
+		conn := predecessor.upgrade.endpoint.Dial()
+		if conn == nil {
+			t.Fatal("nobody listens at the handover endpoint")
 		}
-		c.Write([]byte(bytes))                             //nolint:errcheck // the end shows
-		c.SetReadDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // as above
+		conn.Write([]byte(bytes))                             //nolint:errcheck // the end shows
+		conn.SetReadDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // as above
 		buf := make([]byte, 99)
-		for n, err := 1, error(nil); err == nil; n, err = c.Read(buf) {
+		for n, err := 1, error(nil); err == nil; n, err = conn.Read(buf) {
 			_ = n
 		}
-		c.Close()
+		conn.Close()
 	}
-	old.onLoopWait(func() {
-		if !old.core.OwnsKeys() || old.upgrade.peer != nil || old.upgrade.waitingSuccessor != nil {
-			t.Error("a stranger has taken the keys")
+	predecessor.onLoopWait(func() {
+		if !predecessor.core.OwnsKeys() || predecessor.upgrade.peer != nil || predecessor.upgrade.waitingSuccessor != nil {
+			t.Error("an unknown peer changed the ownership of the keys")
 		}
 	})
 }
 
-// A descriptor that is no listening socket is a plain error at the start.
+// An inherited descriptor that is no listening socket is an error at the start.
 func TestBadInheritedDescriptor(t *testing.T) {
 	newSharedListener(t)
 	cfg := platformConfig(t, "127.0.0.1:1", "")
@@ -392,37 +399,37 @@
 		t.Fatal(err)
 	}
 	if err := s.Serve(Signals{}); err == nil || !strings.Contains(err.Error(), "descriptor 524288") {
-		t.Errorf("Serve: %v", err)
+		t.Errorf("Serve: got error %v, want one that names the descriptor", err)
 	}
 }
 
-// A table of keys larger than what may wait unsent passes over whole, and what
-// is said meanwhile comes after it.
+// A key table larger than the limit of unsent bytes to a peer is handed over
+// completely, and claims sent meanwhile are answered after it.
 func TestLargeTable(t *testing.T) {
 	t.Parallel()
-	at := newSharedListener(t)
-	engine := standin.NewEngine(t, work)
-	old := launch(t, at.processConfig(t, engine.Address, ""))
-	old.waitReady(t)
+	shared := newSharedListener(t)
+	engine := standin.NewEngine(t, workByBody)
+	predecessor := launch(t, shared.processConfig(t, engine.Address, ""))
+	predecessor.waitReady(t)
 	const keys = 2 * maxPeerUnsentBytes / frame.MaxResult
-	old.onLoopWait(func() {
+	predecessor.onLoopWait(func() {
 		result := make([]byte, frame.MaxResult)
 		for i := range keys {
-			old.core.ImportRecord(core.Record{Class: 2, Key: fmt.Sprint("key", i), Arrived: now(), WindowEnd: now() + 60_000_000, Finished: true,
+			predecessor.core.ImportRecord(core.Record{Class: 2, Key: fmt.Sprint("key", i), Arrived: now(), WindowEnd: now() + 60_000_000, Finished: true,
 				Outcome: kiteslip.OK, Result: result})
 		}
 	})
-	young := launch(t, at.processConfig(t, standin.NewEngine(t, work).Address, ""))
-	old.eventually(t, "the table is under way", func() bool { return old.upgrade.keysHandedOver })
-	c := old.dialUntilMine(t)
-	c.Send(1, standin.Fields("note", "red", "asked meanwhile", 1, 3*time.Second), "asked")
-	if got, _ := c.Next(); got.Code != frame.Served {
-		t.Errorf("a key that is asked for meanwhile: %+v", got)
-	}
-	young.waitReady(t)
-	young.onLoopWait(func() {
-		if _, n := young.core.Tracked(); n != keys+1 {
-			t.Errorf("%d keys of %d have come", n, keys+1)
+	successor := launch(t, shared.processConfig(t, standin.NewEngine(t, workByBody).Address, ""))
+	predecessor.eventually(t, "handover of the key table begun", func() bool { return predecessor.upgrade.keysHandedOver })
+	caller := predecessor.dialUntilMine(t)
+	caller.Send(1, standin.Fields("note", "red", "asked meanwhile", 1, 3*time.Second), "asked")
+	if got, _ := caller.Next(); got.Code != frame.Served {
+		t.Errorf("key claimed during the handover: got %+v, want served", got)
+	}
+	successor.waitReady(t)
+	successor.onLoopWait(func() {
+		if _, n := successor.core.Tracked(); n != keys+1 {
+			t.Errorf("%d of %d keys handed over", n, keys+1)
 		}
 	})
 }
