--- a/internal/faultnet/faultnet.go
+++ b/internal/faultnet/faultnet.go
@@ -1,10 +1,10 @@
-// Package faultnet is a proxy that stands on a TCP link between two processes of
-// a test and does to it what networks do: delay, silence in one direction or
-// both, refusal, and an end half-way through what is sent.
+// Package faultnet is a TCP proxy for tests that injects network faults between
+// two processes: delay, silence in one direction or both, refused connections,
+// and connections that close in the middle of a message.
 //
-// A Link passes bytes until it is told otherwise. What it is told holds for open
-// connections and later ones, until it is told something else. Bytes that were
-// silenced are lost only when their connection ends; Heal lets them go on.
+// A Link forwards bytes unchanged at first. A fault applies to open and to new
+// connections until it is replaced or Heal removes it. Silenced bytes are held
+// back, and are lost only if their connection ends before Heal forwards them.
 package faultnet
 
 import (
@@ -14,44 +14,45 @@
 	"time"
 )
 
-// Way is a direction of a link.
-type Way uint8
+// Direction is the direction of data on a link.
+type Direction uint8
 
-// The ways.
+// The directions, as seen from the side that opens the connection.
 const (
-	There Way = iota // from the side that connects
-	Back             // to it
-	ways
+	There Direction = iota // from the connecting side to the target
+	Back                   // from the target to the connecting side
+	directions
 )
 
-// Link is one link. Its methods may be called from any goroutine.
+// Link is a proxy in front of one target address. Its methods may be called from
+// any goroutine.
 type Link struct {
-	Address string // to connect to
-	to      string
-
-	mu       sync.Mutex
-	moved    *sync.Cond
-	listener net.Listener
-	silent   [ways]bool
-	delay    time.Duration
-	left     int // bytes until both ends are closed; below 0 = no such end
-	open     map[net.Conn]struct{}
-	carried  [ways]int
-	closed   bool
+	Address string // where the link listens
+	target  string
+
+	mu        sync.Mutex
+	changed   *sync.Cond
+	listener  net.Listener
+	silent    [directions]bool
+	delay     time.Duration
+	bytesLeft int // bytes to forward before connections are closed; below 0 = no limit
+	conns     map[net.Conn]struct{}
+	forwarded [directions]int
+	closed    bool
 }
 
-// chunk is the most that is read at once, and so the least that is cut.
-const chunk = 4 << 10
+// chunkBytes is the size of one read, and so the unit that faults apply to.
+const chunkBytes = 4 << 10
 
-// New returns a link to the address, on a free loopback one.
-func New(to string) (*Link, error) {
-	l := &Link{to: to, left: -1, open: map[net.Conn]struct{}{}}
-	l.moved = sync.NewCond(&l.mu)
+// New starts a link to the target address, listening on a free loopback port.
+func New(target string) (*Link, error) {
+	l := &Link{target: target, bytesLeft: -1, conns: map[net.Conn]struct{}{}}
+	l.changed = sync.NewCond(&l.mu)
 	return l, l.listen("127.0.0.1:0")
 }
 
-func (l *Link) listen(at string) error {
-	listener, err := net.Listen("tcp", at)
+func (l *Link) listen(address string) error {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("faultnet: %w", err)
 	}
@@ -64,14 +65,14 @@
 			if err != nil {
 				return
 			}
-			go l.carry(c)
+			go l.serve(c)
 		}
 	}()
 	return nil
 }
 
-func (l *Link) carry(near net.Conn) {
-	far, err := net.Dial("tcp", l.to)
+func (l *Link) serve(near net.Conn) {
+	far, err := net.Dial("tcp", l.target)
 	if err != nil {
 		near.Close()
 		return
@@ -83,19 +84,19 @@
 		far.Close()
 		return
 	}
-	l.open[near], l.open[far] = struct{}{}, struct{}{}
+	l.conns[near], l.conns[far] = struct{}{}, struct{}{}
 	l.mu.Unlock()
-	go l.pass(near, far, There)
-	l.pass(far, near, Back)
+	go l.copyBytes(near, far, There)
+	l.copyBytes(far, near, Back)
 }
 
-// pass carries bytes one way until either end closes.
-func (l *Link) pass(from, to net.Conn, way Way) {
-	defer l.drop(from, to)
-	buf := make([]byte, chunk)
+// copyBytes forwards bytes in one direction until either end closes.
+func (l *Link) copyBytes(from, to net.Conn, direction Direction) {
+	defer l.closeConns(from, to)
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !l.forward(to, buf[:n], way) {
+		if n > 0 && !l.forward(to, buf[:n], direction) {
 			return
 		}
 		if err != nil {
@@ -104,19 +105,20 @@
 	}
 }
 
-// forward writes b as the link stands, and reports whether the link goes on.
-func (l *Link) forward(to net.Conn, b []byte, way Way) bool {
+// forward writes b, subject to the faults in force, and reports whether the
+// connection stays open.
+func (l *Link) forward(to net.Conn, b []byte, direction Direction) bool {
 	l.mu.Lock()
-	for l.silent[way] && !l.closed {
-		l.moved.Wait()
+	for l.silent[direction] && !l.closed {
+		l.changed.Wait()
 	}
 	delay, last := l.delay, false
-	if l.left >= 0 {
-		last = len(b) >= l.left
-		b = b[:min(len(b), l.left)]
-		l.left -= len(b)
+	if l.bytesLeft >= 0 {
+		last = len(b) >= l.bytesLeft
+		b = b[:min(len(b), l.bytesLeft)]
+		l.bytesLeft -= len(b)
 	}
-	l.carried[way] += len(b)
+	l.forwarded[direction] += len(b)
 	l.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
@@ -125,49 +127,49 @@
 	return err == nil && !last
 }
 
-func (l *Link) drop(conns ...net.Conn) {
+func (l *Link) closeConns(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
 		c.Close()
-		delete(l.open, c)
+		delete(l.conns, c)
 	}
 }
 
-// Silence holds back all that goes that way.
-func (l *Link) Silence(way Way) { l.set(func() { l.silent[way] = true }) }
+// Silence holds back all bytes in one direction.
+func (l *Link) Silence(direction Direction) { l.update(func() { l.silent[direction] = true }) }
 
-// Delay holds each piece back for so long.
-func (l *Link) Delay(d time.Duration) { l.set(func() { l.delay = d }) }
+// Delay delays each chunk by d.
+func (l *Link) Delay(d time.Duration) { l.update(func() { l.delay = d }) }
 
-// EndAfter closes a connection once n more bytes have been carried, in the
-// middle of what they belong to.
-func (l *Link) EndAfter(n int) { l.set(func() { l.left = n }) }
+// EndAfter closes a connection once n more bytes have been forwarded, which may
+// be in the middle of a message.
+func (l *Link) EndAfter(n int) { l.update(func() { l.bytesLeft = n }) }
 
-// Heal takes back all that was told, and listens again after a Cut.
+// Heal removes all faults, and listens again after Cut.
 func (l *Link) Heal() error {
-	l.set(func() { l.silent, l.delay, l.left = [ways]bool{}, 0, -1 })
+	l.update(func() { l.silent, l.delay, l.bytesLeft = [directions]bool{}, 0, -1 })
 	l.mu.Lock()
-	cut, at := l.listener == nil, l.Address
+	refusing, address := l.listener == nil, l.Address
 	l.mu.Unlock()
-	if cut {
-		return l.listen(at)
+	if refusing {
+		return l.listen(address)
 	}
 	return nil
 }
 
-// Break closes all open connections; new ones are taken.
+// Break closes all open connections; new ones are accepted.
 func (l *Link) Break() {
-	l.set(func() {
-		for c := range l.open {
+	l.update(func() {
+		for c := range l.conns {
 			c.Close()
 		}
 	})
 }
 
-// Cut refuses connections, and closes those that are open.
+// Cut refuses new connections and closes those that are open.
 func (l *Link) Cut() {
-	l.set(func() {
+	l.update(func() {
 		if l.listener != nil {
 			l.listener.Close()
 			l.listener = nil
@@ -176,22 +178,22 @@
 	l.Break()
 }
 
-// Close ends the link for good.
+// Close ends the link permanently.
 func (l *Link) Close() {
-	l.set(func() { l.closed = true })
+	l.update(func() { l.closed = true })
 	l.Cut()
 }
 
-// Carried is how many bytes went that way.
-func (l *Link) Carried(way Way) int {
+// Carried returns the number of bytes forwarded in one direction.
+func (l *Link) Carried(direction Direction) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.carried[way]
+	return l.forwarded[direction]
 }
 
-func (l *Link) set(f func()) {
+func (l *Link) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
-	l.moved.Broadcast()
+	l.changed.Broadcast()
 }
--- a/internal/testfleet/control.go
+++ b/internal/testfleet/control.go
@@ -10,50 +10,50 @@
 	"time"
 )
 
-// ControlSpec says what a control machine is to be.
+// ControlSpec describes a control machine to start.
 type ControlSpec struct {
 	Path    string   // of the binary
-	Env     []string // besides the test's own
+	Env     []string // added to the environment of the test
 	Name    string
 	Region  string
-	Listen  string // "" = a free address
-	Folder  string // of the log; "" = one of its own
+	Listen  string // "" = a free loopback address
+	Folder  string // of the version log; "" = a temporary folder
 	Deltas  int    // 0 = the default
 	Follow  []ControlTarget
-	Trouble bool // it may end before it serves: Again says so and does not fail the test
+	MayFail bool // if it ends before it serves, Again returns an error and does not fail the test
 }
 
-// ControlTarget is a control machine that another follows.
+// ControlTarget is a publisher that a control machine follows.
 type ControlTarget struct{ Address, Region string }
 
-// Control is one control machine, over all of its lives: its address and its
-// folder stay the same.
+// Control is a control machine that can be restarted: its address and its folder
+// stay the same for all of its processes.
 type Control struct {
-	Address string
-	Folder  string
-	Spec    ControlSpec // may be changed between two lives
-	program *Program
-	dir     string
+	Address    string
+	Folder     string
+	Spec       ControlSpec // may be changed before a restart
+	program    *Program
+	workFolder string
 }
 
-// StartControl starts a control machine and waits until it serves. It is ended,
-// by its id, when the test ends; its log is shown where the test fails.
+// StartControl starts a control machine and waits until it serves. It is killed
+// when the test ends; its log is shown if the test fails.
 func StartControl(t testing.TB, spec ControlSpec) *Control {
 	t.Helper()
-	c := &Control{Address: spec.Listen, Folder: spec.Folder, Spec: spec, dir: t.TempDir()}
+	c := &Control{Address: spec.Listen, Folder: spec.Folder, Spec: spec, workFolder: t.TempDir()}
 	if c.Address == "" {
 		c.Address = Address(t)
 	}
 	if c.Folder == "" {
-		c.Folder = filepath.Join(c.dir, "log")
+		c.Folder = filepath.Join(c.workFolder, "log")
 	}
-	c.program = &Program{spec: Spec{Name: spec.Name}, t: t, Folder: c.dir}
+	c.program = &Program{spec: Spec{Name: spec.Name}, t: t, Folder: c.workFolder}
 	t.Cleanup(func() {
 		if c.program.cmd != nil {
 			c.Kill()
 		}
 		if t.Failed() {
-			t.Logf("the log of %s:\n%s", spec.Name, strings.Join(c.Lines(), "\n"))
+			t.Logf("the log of %s:\n%s", spec.Name, strings.Join(c.LogLines(), "\n"))
 		}
 	})
 	if err := c.Again(); err != nil {
@@ -62,9 +62,9 @@
 	return c
 }
 
-// Again starts a life, after the one before has ended, and returns when it
-// serves. What keeps it from serving fails the test, or is returned where the
-// spec asks for that.
+// Again starts a new process after the previous one has ended, and returns when
+// it serves. A process that ends before it serves fails the test, or is reported
+// as an error if Spec.MayFail is set.
 func (c *Control) Again() error {
 	p := c.program
 	p.t.Helper()
@@ -76,7 +76,7 @@
 	for _, f := range c.Spec.Follow {
 		fmt.Fprintf(&text, "[[follow]]\naddress = %q\nregion = %q\n", f.Address, f.Region)
 	}
-	file := filepath.Join(c.dir, "control.toml")
+	file := filepath.Join(c.workFolder, "control.toml")
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
@@ -89,45 +89,45 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	serving, read := make(chan struct{}), make(chan struct{})
-	go func() { defer close(read); p.follow(out, serving) }()
+	serving, logEnd := make(chan struct{}), make(chan struct{})
+	go func() { defer close(logEnd); p.readLog(out, serving) }()
 	p.ended = make(chan error, 1)
-	go func(cmd *exec.Cmd, ended chan<- error) { <-read; ended <- cmd.Wait() }(p.cmd, p.ended)
+	go func(cmd *exec.Cmd, ended chan<- error) { <-logEnd; ended <- cmd.Wait() }(p.cmd, p.ended)
 	select {
 	case <-serving:
 		return nil
 	case err := <-p.ended:
 		p.ended <- err
-		err = fmt.Errorf("%s ends before it serves: %w", c.Spec.Name, err)
-		if !c.Spec.Trouble {
+		err = fmt.Errorf("%s ended before it served: %w", c.Spec.Name, err)
+		if !c.Spec.MayFail {
 			p.t.Fatal(err)
 		}
 		return err
-	case <-time.After(patience):
-		p.t.Fatalf("%s does not serve within %v", c.Spec.Name, patience)
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s did not serve within %v", c.Spec.Name, waitTimeout)
 	}
 	return nil
 }
 
-// Kill ends the process at once, and returns when it is gone.
+// Kill sends SIGKILL and waits for the end of the process.
 func (c *Control) Kill() { c.program.Kill() }
 
 // Leave sends SIGTERM and waits for the end of the process.
 func (c *Control) Leave() { c.program.t.Helper(); c.program.Leave() }
 
-// PID is the id of the process.
+// PID returns the process ID.
 func (c *Control) PID() int { return c.program.cmd.Process.Pid }
 
-// Lines are the last lines of its log, of all lives.
-func (c *Control) Lines() []string {
+// LogLines returns the last lines of the log, over all processes of the machine.
+func (c *Control) LogLines() []string {
 	c.program.mu.Lock()
 	defer c.program.mu.Unlock()
-	return append([]string(nil), c.program.lines...)
+	return append([]string(nil), c.program.logLines...)
 }
 
-// Logged says whether a line of its log has the text.
+// Logged reports whether a line of LogLines contains text.
 func (c *Control) Logged(text string) bool {
-	for _, line := range c.Lines() {
+	for _, line := range c.LogLines() {
 		if strings.Contains(line, text) {
 			return true
 		}
--- a/internal/testfleet/testfleet.go
+++ b/internal/testfleet/testfleet.go
@@ -1,6 +1,6 @@
-// Package testfleet starts whole programs on loopback for tests: each a process
-// with a folder and addresses of its own, awaited by the line that its log has
-// once it serves, and ended by its id, also when the test fails.
+// Package testfleet starts servers and control machines as processes on loopback
+// for tests. Each has a folder and addresses of its own; Start waits for the log
+// line "serving", and every process is killed when its test ends.
 package testfleet
 
 import (
@@ -21,38 +21,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// patience bounds every wait: far longer than anything takes, so that what does
-// not come fails the test and does not hang it.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait. It is far longer than any of them takes, so that
+// an event that never comes fails the test instead of blocking it.
+const waitTimeout = 20 * time.Second
 
-// linesKept bounds the log that is shown where a test fails.
-const linesKept = 200
+// maxLogLines bounds the log that is shown when a test fails.
+const maxLogLines = 200
 
-// Spec says what a program is to be.
+// Spec describes a server to start.
 type Spec struct {
 	Path     string         // of the binary
-	Env      []string       // besides the test's own
+	Env      []string       // added to the environment of the test
 	Name     string         // of the server
-	Config   map[string]any // the platform's file; name, listen and ops are filled in
-	Operator string         // the operator's file; "" = none
-	Folder   string         // "" = one of its own
+	Config   map[string]any // content of the platform's file; name, listen and ops are filled in
+	Operator string         // content of the operator's file; "" = none
+	Folder   string         // "" = a temporary folder
 }
 
-// Program is one server, over all of its lives: its addresses and its folder
-// stay the same.
+// Program is a server that can be restarted: its addresses and its folder stay
+// the same for all of its processes.
 type Program struct {
-	Clients, Ops string
+	Clients, Ops string // addresses of the listener for callers and of the admin endpoint
 	Folder       string
 	spec         Spec
 	t            testing.TB
 	cmd          *exec.Cmd
 	ended        chan error
 
-	mu    sync.Mutex
-	lines []string
+	mu       sync.Mutex
+	logLines []string
 }
 
-// Start starts a program and waits until it serves.
+// Start starts a server and waits until it serves. It is killed when the test
+// ends; its log is shown if the test fails.
 func Start(t testing.TB, spec Spec) *Program {
 	t.Helper()
 	p := &Program{spec: spec, t: t, Folder: spec.Folder, Clients: Address(t), Ops: Address(t)}
@@ -64,14 +65,14 @@
 		if t.Failed() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			t.Logf("the log of %s:\n%s", spec.Name, strings.Join(p.lines, "\n"))
+			t.Logf("the log of %s:\n%s", spec.Name, strings.Join(p.logLines, "\n"))
 		}
 	})
 	p.Again()
 	return p
 }
 
-// Address is a loopback address that nothing listens on.
+// Address returns a loopback address that nothing listens on.
 func Address(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,22 +83,23 @@
 	return l.Addr().String()
 }
 
-// Again starts a life of the program, after the one before has ended.
+// Again starts a new process of the server after the previous one has ended, and
+// waits until it serves.
 func (p *Program) Again() {
 	p.t.Helper()
 	config := map[string]any{"name": p.spec.Name, "listen": p.Clients, "ops": p.Ops}
 	for key, value := range p.spec.Config {
 		config[key] = value
 	}
-	file := p.write("config.json", config)
+	file := p.writeFile("config.json", config)
 	p.cmd = exec.Command(p.spec.Path)
 	p.cmd.Env = append(append(os.Environ(), "TMPDIR="+p.Folder, "EDGE_CONFIG="+file), p.spec.Env...)
 	if p.spec.Operator != "" {
-		over := filepath.Join(p.Folder, "operator.toml")
-		if err := os.WriteFile(over, []byte(p.spec.Operator), 0o600); err != nil {
+		operatorFile := filepath.Join(p.Folder, "operator.toml")
+		if err := os.WriteFile(operatorFile, []byte(p.spec.Operator), 0o600); err != nil {
 			p.t.Fatal(err)
 		}
-		p.cmd.Env = append(p.cmd.Env, "KITESLIP_OPERATOR="+over)
+		p.cmd.Env = append(p.cmd.Env, "KITESLIP_OPERATOR="+operatorFile)
 	}
 	out, err := p.cmd.StderrPipe()
 	if err == nil {
@@ -107,33 +109,35 @@
 		p.t.Fatal(err)
 	}
 	serving := make(chan struct{})
-	read := make(chan struct{})
-	go func() { defer close(read); p.follow(out, serving) }()
+	logEnd := make(chan struct{})
+	go func() { defer close(logEnd); p.readLog(out, serving) }()
 	p.ended = make(chan error, 1)
-	go func(cmd *exec.Cmd, ended chan<- error) { <-read; ended <- cmd.Wait() }(p.cmd, p.ended)
+	go func(cmd *exec.Cmd, ended chan<- error) { <-logEnd; ended <- cmd.Wait() }(p.cmd, p.ended)
 	select {
 	case <-serving:
 	case err := <-p.ended:
 		p.ended <- err
-		p.t.Fatalf("%s ends before it serves: %v", p.spec.Name, err)
-	case <-time.After(patience):
-		p.t.Fatalf("%s does not serve within %v", p.spec.Name, patience)
+		p.t.Fatalf("%s ended before it served: %v", p.spec.Name, err)
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s did not serve within %v", p.spec.Name, waitTimeout)
 	}
 }
 
-// Reload writes another platform's file and sends SIGHUP.
+// Reload replaces the platform's file and sends SIGHUP.
 func (p *Program) Reload(config map[string]any) {
 	p.t.Helper()
 	p.spec.Config = config
-	whole := map[string]any{"name": p.spec.Name, "listen": p.Clients, "ops": p.Ops}
+	complete := map[string]any{"name": p.spec.Name, "listen": p.Clients, "ops": p.Ops}
 	for key, value := range config {
-		whole[key] = value
+		complete[key] = value
 	}
-	p.write("config.json", whole)
+	p.writeFile("config.json", complete)
 	p.Signal(syscall.SIGHUP)
 }
 
-func (p *Program) write(name string, value map[string]any) string {
+// writeFile writes value as JSON to a file in the server's folder, which replaces
+// an existing one atomically.
+func (p *Program) writeFile(name string, value map[string]any) string {
 	p.t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -149,18 +153,18 @@
 	return file
 }
 
-// follow reads the log until it ends.
-func (p *Program) follow(log io.Reader, serving chan<- struct{}) {
-	said := false
+// readLog reads the log to its end, and closes serving once the server serves.
+func (p *Program) readLog(log io.Reader, serving chan<- struct{}) {
+	isServing := false
 	for scan := bufio.NewScanner(log); scan.Scan(); {
 		line := scan.Text()
 		p.mu.Lock()
-		if p.lines = append(p.lines, line); len(p.lines) > linesKept {
-			p.lines = p.lines[1:]
+		if p.logLines = append(p.logLines, line); len(p.logLines) > maxLogLines {
+			p.logLines = p.logLines[1:]
 		}
 		p.mu.Unlock()
-		if !said && strings.Contains(line, `"msg":"serving"`) {
-			said = true
+		if !isServing && strings.Contains(line, `"msg":"serving"`) {
+			isServing = true
 			close(serving)
 		}
 	}
@@ -168,10 +172,10 @@
 
 // Signal sends a signal to the process.
 func (p *Program) Signal(sig syscall.Signal) {
-	p.cmd.Process.Signal(sig) //nolint:errcheck // it may have ended
+	p.cmd.Process.Signal(sig) //nolint:errcheck // the process may have ended
 }
 
-// Kill ends the process at once, and returns when it is gone.
+// Kill sends SIGKILL and waits for the end of the process.
 func (p *Program) Kill() {
 	p.Signal(syscall.SIGKILL)
 	if p.ended != nil {
@@ -188,24 +192,24 @@
 	case err := <-p.ended:
 		p.ended <- err
 		if err != nil {
-			p.t.Errorf("%s leaves with: %v", p.spec.Name, err)
+			p.t.Errorf("%s ended after SIGTERM with: %v", p.spec.Name, err)
 		}
-	case <-time.After(patience):
-		p.t.Errorf("%s does not leave within %v", p.spec.Name, patience)
+	case <-time.After(waitTimeout):
+		p.t.Errorf("%s did not end within %v of SIGTERM", p.spec.Name, waitTimeout)
 	}
 }
 
-// Eventually waits until ok, and fails the test if that does not come.
+// Eventually waits until ok returns true, and fails the test after waitTimeout.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatalf("%s: not within %v", what, patience)
+		if time.Since(began) > waitTimeout {
+			t.Fatalf("%s: condition not met within %v", what, waitTimeout)
 		}
 	}
 }
 
-// Descriptors is how many descriptors the process holds.
+// Descriptors returns the number of file descriptors that the process has open.
 func (p *Program) Descriptors() int {
 	p.t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
@@ -215,7 +219,7 @@
 	return len(entries)
 }
 
-// Grant holds the process to so many descriptors, as the platform does.
+// Grant limits the file descriptors of the process, as the platform does.
 func (p *Program) Grant(descriptors uint64) {
 	p.t.Helper()
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: descriptors, Max: descriptors}, nil); err != nil {
