--- a/internal/lab/site.go
+++ b/internal/lab/broker.go
@@ -18,8 +18,8 @@
 // ClassNames are the names of the classes.
 var ClassNames = [...]string{"code-to-point", "point-to-code", "landmark-search", "register-address"}
 
-// mix is each class's part of the requests, and its work in milliseconds.
-var mix = [...]struct{ part, least, most float64 }{{0.35, 240, 420}, {0.25, 240, 420}, {0.25, 150, 260}, {0.15, 240, 420}}
+// trafficMix is each class's part of the requests, and its work in milliseconds.
+var trafficMix = [...]struct{ part, least, most float64 }{{0.35, 240, 420}, {0.25, 240, 420}, {0.25, 150, 260}, {0.15, 240, 420}}
 
 // Broker is the module's settings of a small broker.
 func Broker(cores int) kiteslip.Settings {
@@ -52,22 +52,22 @@
 // BrokerBox is the machine behind it: it gets less done beyond four runs a core.
 func BrokerBox(cores int) box.Spec { return box.Spec{Cores: cores, Speed: 1, Knee: 4, Loss: 0.1} }
 
-// Mixed is the usual mix of classes at a part of what the cores can do.
-func Mixed(cores int, load float64) []Stream {
+// MixedTraffic is the usual mix of classes at a part of what the cores can do.
+func MixedTraffic(cores int, load float64) []Stream {
 	mean := 0.0
-	for _, c := range mix {
+	for _, c := range trafficMix {
 		mean += c.part * (c.least + c.most) / 2
 	}
 	total := load * float64(cores) * 1000 / mean
 	var streams []Stream
-	for i, c := range mix {
-		streams = append(streams, Stream{Class: i, Rate: Steady(total * c.part), Work: Even(c.least, c.most)})
+	for i, c := range trafficMix {
+		streams = append(streams, Stream{Class: i, Rate: ConstantRate(total * c.part), Work: UniformWork(c.least, c.most)})
 	}
 	return streams
 }
 
-// Only is traffic of one class at a part of what the cores can do.
-func Only(cores int, class int, load float64) Stream {
-	c := mix[class]
-	return Stream{Class: class, Rate: Steady(load * float64(cores) * 1000 / ((c.least + c.most) / 2)), Work: Even(c.least, c.most)}
+// SingleClass is traffic of one class at a part of what the cores can do.
+func SingleClass(cores int, class int, load float64) Stream {
+	c := trafficMix[class]
+	return Stream{Class: class, Rate: ConstantRate(load * float64(cores) * 1000 / ((c.least + c.most) / 2)), Work: UniformWork(c.least, c.most)}
 }
--- a/internal/lab/calls/calls.go
+++ b/internal/lab/calls/calls.go
@@ -26,11 +26,11 @@
 
 // The classes, by what they do.
 const (
-	Plain    = "look" // safe to repeat, may go on without its call
-	Needing  = "find" // safe to repeat
-	Keyed    = "note" // must not run twice, and so must its call
-	deadline = 2 * time.Second
-	slack    = 110 * time.Millisecond // of the rules, on sockets
+	ClassCallOptional = "look" // safe to repeat, may go on without its call
+	ClassCallRequired = "find" // safe to repeat
+	ClassKeyed        = "note" // must not run twice, and so must its call
+	classTimeout      = 2 * time.Second
+	answerSlack       = 110 * time.Millisecond // of the rules, on sockets
 )
 
 // Open starts the program with an engine and a ledger that follows script.
@@ -52,11 +52,11 @@
 		return fail(err)
 	}
 	class := func(name, effect string) map[string]any {
-		return map[string]any{"name": name, "effect": effect, "on_time_us": deadline.Microseconds(), "hard_limit_us": deadline.Microseconds(),
+		return map[string]any{"name": name, "effect": effect, "on_time_us": classTimeout.Microseconds(), "hard_limit_us": classTimeout.Microseconds(),
 			"window_us": (20 * time.Second).Microseconds(), "worth": 1}
 	}
 	settings, err := probe.PlatformFile(l.listen, l.engine.Address, 1000, map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, 256, 1,
-		class(Plain, "repeatable"), class(Needing, "repeatable"), class(Keyed, "by_key"))
+		class(ClassCallOptional, "repeatable"), class(ClassCallRequired, "repeatable"), class(ClassKeyed, "by_key"))
 	if err == nil {
 		settings, err = probe.WithLedger(settings, l.ledger.Address, []bool{true, true, true}, []float64{0.5, 0, 0})
 	}
@@ -83,9 +83,9 @@
 	os.RemoveAll(l.dir)
 }
 
-// rightly says whether a result is what the run made: its body, and for each
+// resultCorrect says whether a result is what the run made: its body, and for each
 // call the ledger's own reply to that call, or that it was left out.
-func rightly(body, result string, mayLack bool) bool {
+func resultCorrect(body, result string, mayLack bool) bool {
 	rest, ok := strings.CutPrefix(result, body)
 	for left := box.Calls([]byte(body)) - 1; ok && left >= 0; left-- {
 		reply := "|" + ledger.Reply(fmt.Sprintf("call %d of %s", left, body))
--- a/internal/lab/calls/cost.go
+++ b/internal/lab/calls/cost.go
@@ -20,19 +20,19 @@
 	Median, P99 time.Duration
 }
 
-const costLanes = 2
+const costConnections = 2
 
 // Cost asks for runs that take no time and make that many calls, a few at once.
 func (l *Lab) Cost(requests, calls int) (Cost, error) {
-	before, err := cpu(l.program.Process.Pid)
+	before, err := cpuTime(l.program.Process.Pid)
 	if err != nil {
 		return Cost{}, err
 	}
 	var mu sync.Mutex
 	times := hdrhistogram.New(1, 10_000_000, 3)
 	var all sync.WaitGroup
-	errs := make(chan error, costLanes)
-	for lane := range costLanes {
+	errs := make(chan error, costConnections)
+	for lane := range costConnections {
 		all.Go(func() {
 			c, err := probe.Dial(l.listen)
 			if err != nil {
@@ -40,9 +40,9 @@
 				return
 			}
 			defer c.Close()
-			for i := lane; i < requests; i += costLanes {
+			for i := lane; i < requests; i += costConnections {
 				began := time.Now()
-				if _, err = c.Ask(Needing, "", fmt.Sprintf("0*%d c%d", calls, i), deadline); err != nil {
+				if _, err = c.SendTry(ClassCallRequired, "", fmt.Sprintf("0*%d c%d", calls, i), classTimeout); err != nil {
 					errs <- err
 					return
 				}
@@ -66,13 +66,13 @@
 		return Cost{}, err
 	default:
 	}
-	after, err := cpu(l.program.Process.Pid)
+	after, err := cpuTime(l.program.Process.Pid)
 	return Cost{CPU: (after - before) / time.Duration(requests), Median: time.Duration(times.ValueAtQuantile(50)) * time.Microsecond,
 		P99: time.Duration(times.ValueAtQuantile(99)) * time.Microsecond}, err
 }
 
-// cpu is the processor time that a process has used. The system counts it in hundredths of a second.
-func cpu(pid int) (time.Duration, error) {
+// cpuTime is the processor time that a process has used. The system counts it in hundredths of a second.
+func cpuTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
--- a/internal/lab/calls/faults.go
+++ b/internal/lab/calls/faults.go
@@ -62,8 +62,8 @@
 		o.Failed, o.Calls, o.GivenUp, o.Late, o.Wrong, o.Unanswered, o.SecondRuns, o.SecondEffect, o.Unended)
 }
 
-// lanes are connections that ask, one request after the other each.
-const lanes = 96
+// faultConnections are connections that ask, one request after the other each.
+const faultConnections = 96
 
 // Faults lets runs meet all faults that there are.
 func (l *Lab) Faults(runs int, seed uint64) (*Outcome, error) {
@@ -71,9 +71,9 @@
 	var mu sync.Mutex
 	var all, breaker sync.WaitGroup
 	done := make(chan struct{})
-	breaker.Go(func() { l.breakThings(o, rand.New(rand.NewPCG(seed, 1)), done) })
-	errs := make(chan error, lanes)
-	for lane := range lanes {
+	breaker.Go(func() { l.injectFaults(o, rand.New(rand.NewPCG(seed, 1)), done) })
+	errs := make(chan error, faultConnections)
+	for lane := range faultConnections {
 		all.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(lane)+2))
 			c, err := probe.Dial(l.listen)
@@ -82,8 +82,8 @@
 				return
 			}
 			defer c.Close()
-			for i := lane; i < runs; i += lanes {
-				if err := l.one(c, o, &mu, rng, i); err != nil {
+			for i := lane; i < runs; i += faultConnections {
+				if err := l.requestOne(c, o, &mu, rng, i); err != nil {
 					errs <- err
 					return
 				}
@@ -98,18 +98,18 @@
 		return nil, err
 	default:
 	}
-	return o, l.settle(o)
+	return o, l.collect(o)
 }
 
-// one asks for a run and judges what comes back.
-func (l *Lab) one(c *probe.Caller, o *Outcome, mu *sync.Mutex, rng *rand.Rand, i int) error {
-	class, key := []string{Plain, Needing, Keyed}[rng.IntN(3)], ""
-	if class == Keyed {
+// requestOne asks for a run and judges what comes back.
+func (l *Lab) requestOne(c *probe.Caller, o *Outcome, mu *sync.Mutex, rng *rand.Rand, i int) error {
+	class, key := []string{ClassCallOptional, ClassCallRequired, ClassKeyed}[rng.IntN(3)], ""
+	if class == ClassKeyed {
 		key = fmt.Sprint("k", i)
 	}
 	body := fmt.Sprintf("%d*%d %s%d", 100+rng.IntN(2000), 1+rng.IntN(10)/9, class, i)
-	due := time.Now().Add(deadline)
-	name, err := c.Ask(class, key, body, deadline)
+	due := time.Now().Add(classTimeout)
+	name, err := c.SendTry(class, key, body, classTimeout)
 	if err != nil {
 		return err
 	}
@@ -122,13 +122,13 @@
 		o.Unanswered++
 		return err
 	}
-	if took.After(due.Add(slack)) {
+	if took.After(due.Add(answerSlack)) {
 		o.Late++
 	}
 	switch r.Code {
 	case frame.Served:
 		o.Served++
-		if !rightly(body, r.Body, class == Plain) {
+		if !resultCorrect(body, r.Body, class == ClassCallOptional) {
 			o.Wrong++
 		}
 	case frame.Refused:
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// breakThings takes the ledger down and cuts the engine's link, until done.
-func (l *Lab) breakThings(o *Outcome, rng *rand.Rand, done <-chan struct{}) {
+// injectFaults takes the ledger down and cuts the engine's link, until done.
+func (l *Lab) injectFaults(o *Outcome, rng *rand.Rand, done <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
 		case <-done:
@@ -161,28 +161,28 @@
 	}
 }
 
-// settle waits until nothing is in hand, and counts what the engine and the ledger saw.
-func (l *Lab) settle(o *Outcome) error {
+// collect waits until nothing is in hand, and counts what the engine and the ledger saw.
+func (l *Lab) collect(o *Outcome) error {
 	for began := time.Now(); l.engine.Open() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 5*time.Second {
 			break
 		}
 	}
 	log := l.engine.Log()
-	o.Unended = l.engine.Open() + log.Needs - log.Fed - log.Skipped - log.Ended
+	o.Unended = l.engine.Open() + log.RequestedCalls - log.Fed - log.SkippedCalls - log.EndedAtCall
 	o.Calls, o.GivenUp = l.ledger.Seen()
 	for body, n := range log.Begun {
-		if n > 1 && keyed(body) {
+		if n > 1 && isKeyed(body) {
 			o.SecondRuns++
 		}
 	}
 	for body, n := range l.ledger.Effects() {
-		if _, run, _ := strings.Cut(body, " of "); n > 1 && keyed(run) {
+		if _, run, _ := strings.Cut(body, " of "); n > 1 && isKeyed(run) {
 			o.SecondEffect++
 		}
 	}
 	return nil
 }
 
-// keyed says whether the run of that body is of the keyed class.
-func keyed(body string) bool { return strings.Contains(body, " "+Keyed) }
+// isKeyed says whether the run of that body is of the keyed class.
+func isKeyed(body string) bool { return strings.Contains(body, " "+ClassKeyed) }
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -20,10 +20,10 @@
 func (s *sink) Run(r *core.Request)        { s.runs = append(s.runs, r) }
 func (s *sink) Answer(uint32, core.Answer) { s.answered++ }
 
-// Decisions returns the processor time that one request takes in the core and
+// DecisionCost returns the processor time that one request takes in the core and
 // the module while so many are open: as many arrive as end, a few at a
 // time, until n have ended. The time is the machine's own, so only ratios of one run mean anything.
-func Decisions(pools bool, open, n int) (time.Duration, error) {
+func DecisionCost(pools bool, open, n int) (time.Duration, error) {
 	m := Broker(8)
 	m.MemoryKB = 1e9
 	for i := range m.Classes {
@@ -98,7 +98,7 @@
 	quickest := [2]time.Duration{1 << 62, 1 << 62}
 	for range plays {
 		for i := range quickest {
-			took, err := Decisions(i == 1, open, n)
+			took, err := DecisionCost(i == 1, open, n)
 			if err != nil {
 				return 0, 0, 0, err
 			}
--- a/internal/lab/cost_test.go
+++ b/internal/lab/cost_test.go
@@ -8,7 +8,7 @@
 		for _, open := range []int{100, 2000} {
 			b.Run(pools+"/"+map[int]string{100: "100", 2000: "2000"}[open], func(b *testing.B) {
 				b.ReportAllocs()
-				if _, err := Decisions(pools == "on", open, b.N); err != nil {
+				if _, err := DecisionCost(pools == "on", open, b.N); err != nil {
 					b.Fatal(err)
 				}
 			})
--- a/internal/lab/keys/keys.go
+++ b/internal/lab/keys/keys.go
@@ -85,7 +85,7 @@
 // Folder is where the measurements keep their files.
 func (l *Lab) Folder() string { return l.dir }
 
-func (l *Lab) file(durability, folder string) string {
+func (l *Lab) operatorFile(durability, folder string) string {
 	if durability == "" {
 		return ""
 	}
@@ -93,30 +93,32 @@
 }
 
 func (l *Lab) start(durability, folder string) (*live.Program, error) {
-	return live.Start(l.Program, l.dir, l.listen, l.settings, l.file(durability, folder))
+	return live.Start(l.Program, l.dir, l.listen, l.settings, l.operatorFile(durability, folder))
 }
 
-// Killed is the outcome of the kills, in requests.
-type Killed struct {
-	Repeats, Served, Unknown, Began, Refused int
-	Second                                   int // keys that ran more than once
-	Changed                                  int // repeats that got other bytes than the run made
-	Lost                                     int // results that had been answered and were not given again
+// KillOutcome is the outcome of the kills, in requests.
+type KillOutcome struct {
+	Repeats, ServedRepeats, UnknownOutcomes, FirstRuns, RefusedRepeats int
+	Second                                                             int // keys that ran more than once
+	Changed                                                            int // repeats that got other bytes than the run made
+	Lost                                                               int // results that had been answered and were not given again
 }
 
 // UnknownShare is the share of repeats answered as begun and unknown.
-func (k *Killed) UnknownShare() float64 { return float64(k.Unknown) / float64(max(1, k.Repeats)) }
+func (k *KillOutcome) UnknownShare() float64 {
+	return float64(k.UnknownOutcomes) / float64(max(1, k.Repeats))
+}
 
-func (k *Killed) String() string {
+func (k *KillOutcome) String() string {
 	return fmt.Sprintf("kills: %d repeats: %d got the result, %d ran for the first time, %.1f%% begun and unknown, %d refused; %d second runs, %d with other bytes, %d lost",
-		k.Repeats, k.Served-k.Began, k.Began, 100*k.UnknownShare(), k.Refused, k.Second, k.Changed, k.Lost)
+		k.Repeats, k.ServedRepeats-k.FirstRuns, k.FirstRuns, 100*k.UnknownShare(), k.RefusedRepeats, k.Second, k.Changed, k.Lost)
 }
 
 // Kills lets the program be killed at random points, with repeats of all that
 // was asked in the life before.
-func (l *Lab) Kills() (*Killed, error) {
+func (l *Lab) Kills() (*KillOutcome, error) {
 	rng := rand.New(rand.NewPCG(11, 1))
-	k := &Killed{}
+	k := &KillOutcome{}
 	var mu sync.Mutex
 	runs := map[string]int{}
 	l.engine.OnBegin(func(body string) {
@@ -138,7 +140,7 @@
 			keys[i] = fmt.Sprintf("k%d.%d", n, i)
 			bodies[keys[i]] = fmt.Sprintf("%d %s", 1+rng.IntN(15_000), keys[i])
 		}
-		first, err := l.ask(keys[:l.Each/2], bodies, time.Duration(rng.IntN(30))*time.Millisecond)
+		first, err := l.sendKeyed(keys[:l.Each/2], bodies, time.Duration(rng.IntN(30))*time.Millisecond)
 		if err != nil {
 			return nil, err
 		}
@@ -156,7 +158,7 @@
 		}
 		mu.Unlock()
 		// Each key twice at once: one of them is a repeat in this life too.
-		again, err := l.ask(append(slices.Clone(keys[:l.Each/2]), keys[:l.Each/2]...), bodies, 5*time.Second)
+		again, err := l.sendKeyed(append(slices.Clone(keys[:l.Each/2]), keys[:l.Each/2]...), bodies, 5*time.Second)
 		if err != nil {
 			return nil, err
 		}
@@ -166,18 +168,18 @@
 			case r.Code == frame.Served && r.Body != bodies[key]:
 				k.Changed++
 			case r.Code == frame.Served:
-				k.Served += 2
+				k.ServedRepeats += 2
 			case r.Code == frame.Failed:
-				k.Unknown += 2
+				k.UnknownOutcomes += 2
 			default:
-				k.Refused += 2
+				k.RefusedRepeats += 2
 			}
 			if answered[key] && r.Code != frame.Served {
 				k.Lost++
 			}
 			mu.Lock()
 			if before[key] == 0 && runs[bodies[key]] == 1 {
-				k.Began += 2
+				k.FirstRuns += 2
 			}
 			mu.Unlock()
 		}
@@ -192,9 +194,9 @@
 	return k, nil
 }
 
-// ask sends keyed requests, 16 on a connection, and takes answers for so long;
+// sendKeyed sends keyed requests, 16 on a connection, and takes answers for so long;
 // the last answer for a key counts.
-func (l *Lab) ask(keys []string, bodies map[string]string, wait time.Duration) (map[string]probe.Reply, error) {
+func (l *Lab) sendKeyed(keys []string, bodies map[string]string, wait time.Duration) (map[string]probe.Reply, error) {
 	var mu sync.Mutex
 	got := map[string]probe.Reply{}
 	var all sync.WaitGroup
@@ -363,8 +365,8 @@
 // Times are those of some requests.
 type Times struct{ Median, P99 time.Duration }
 
-// load sends requests of a class one after another on some connections.
-func (l *Lab) load(class, prefix, work string, connections int, span time.Duration) (*hdrhistogram.Histogram, error) {
+// runLoad sends requests of a class one after another on some connections.
+func (l *Lab) runLoad(class, prefix, work string, connections int, span time.Duration) (*hdrhistogram.Histogram, error) {
 	h := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -416,10 +418,10 @@
 		return Times{}, err
 	}
 	defer p.Kill()
-	if _, err = l.load("note", "warm", "0", 16, 300*time.Millisecond); err != nil {
+	if _, err = l.runLoad("note", "warm", "0", 16, 300*time.Millisecond); err != nil {
 		return Times{}, err
 	}
-	h, err := l.load("note", "k", "0", 16, 1200*time.Millisecond)
+	h, err := l.runLoad("note", "k", "0", 16, 1200*time.Millisecond)
 	if err != nil {
 		return Times{}, err
 	}
@@ -438,10 +440,10 @@
 			}
 			beside := make(chan error, 1)
 			go func() {
-				_, err := l.load("note", "k", "5000", 8, 1500*time.Millisecond)
+				_, err := l.runLoad("note", "k", "5000", 8, 1500*time.Millisecond)
 				beside <- err
 			}()
-			h, err := l.load("look", "", "20000", 8, 1400*time.Millisecond)
+			h, err := l.runLoad("look", "", "20000", 8, 1400*time.Millisecond)
 			err = errors.Join(err, <-beside)
 			p.Kill()
 			if err != nil {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -29,67 +29,67 @@
 	Work          func(at int64) (least, most float64)
 }
 
-// Steady is a rate that never changes.
-func Steady(perSecond float64) func(int64) float64 {
+// ConstantRate is a rate that never changes.
+func ConstantRate(perSecond float64) func(int64) float64 {
 	return func(int64) float64 { return perSecond }
 }
 
-// Even is work between two bounds in milliseconds that never change.
-func Even(least, most float64) func(int64) (float64, float64) {
+// UniformWork is work between two bounds in milliseconds that never change.
+func UniformWork(least, most float64) func(int64) (float64, float64) {
 	return func(int64) (float64, float64) { return least * 1000, most * 1000 }
 }
 
 // Change is something that happens to the day at a time since its start.
 type Change struct {
-	At int64
-	Do func(w *World)
+	At    int64
+	Apply func(w *Simulation)
 }
 
-// Day is what a World plays.
-type Day struct {
-	Policy  kiteslip.Settings
-	Pools   *pool.Settings
-	Box     box.Spec
-	Streams []Stream
-	Script  []Change // in order of time
-	Length  int64    // of the arrivals; all is played to its end
-	From    int64    // what came before this is not counted
-	Seed    uint64
-	Gauges  bool                     // the box tells how busy its cores are
-	Again   bool                     // refused callers come back once when they were told to, if that is in time
-	Watch   func(w *World, at int64) // called four times a second, if set
+// Spec is what a World plays.
+type Spec struct {
+	Policy       kiteslip.Settings
+	Pools        *pool.Settings
+	Box          box.Spec
+	Streams      []Stream
+	Changes      []Change // in order of time
+	Length       int64    // of the arrivals; all is played to its end
+	CountFrom    int64    // what came before this is not counted
+	Seed         uint64
+	Gauges       bool                          // the box tells how busy its cores are
+	RetryRefused bool                          // refused callers come back once when they were told to, if that is in time
+	Observe      func(w *Simulation, at int64) // called four times a second, if set
 }
 
-// Tally is what became of the requests of one class.
-type Tally struct {
-	Asked, InTime, Late, Refused, Failed int
-	AskedWork, InTimeWork, LateWork      float64 // microseconds at the yardstick's speed
+// ClassCounts is what became of the requests of one class.
+type ClassCounts struct {
+	Requests, OnTime, Late, Refused, Failed int
+	RequestedWork, OnTimeWork, LateWork     float64 // microseconds at the yardstick's speed
 }
 
-// Share is the part answered within its wanted time; 1 where nothing was asked.
-func (t *Tally) Share() float64 {
-	if t.Asked == 0 {
+// OnTimeShare is the part answered within its wanted time; 1 where nothing was asked.
+func (t *ClassCounts) OnTimeShare() float64 {
+	if t.Requests == 0 {
 		return 1
 	}
-	return float64(t.InTime) / float64(t.Asked)
+	return float64(t.OnTime) / float64(t.Requests)
 }
 
 // Result is the outcome of a day.
 type Result struct {
-	Classes  []Tally
+	Classes  []ClassCounts
 	Overdue  int // answers after their due time: none may be
 	Answered int // must be all that was asked
 	Runs     int
 }
 
-// Worth is what was answered over what was asked, weighed by the worth of the
+// WorthShare is what was answered over what was asked, weighed by the worth of the
 // classes for each unit of work.
-func (r *Result) Worth(classes []kiteslip.Class) float64 {
+func (r *Result) WorthShare(classes []kiteslip.Class) float64 {
 	asked, got := 0.0, 0.0
 	for i := range r.Classes {
 		t, c := &r.Classes[i], &classes[i]
-		asked += c.Worth * t.AskedWork
-		got += c.Worth * (t.InTimeWork + c.LateWorth*t.LateWork)
+		asked += c.Worth * t.RequestedWork
+		got += c.Worth * (t.OnTimeWork + c.LateWorth*t.LateWork)
 	}
 	if asked == 0 {
 		return 1
@@ -99,81 +99,81 @@
 
 // try is one request of the day.
 type try struct {
-	class, tenant int
-	first, due    int64
-	work          float64
-	counted       bool
-	again         bool
-	key           string
+	class, tenant     int
+	arrived, deadline int64
+	work              float64
+	counted           bool
+	retried           bool
+	key               string
 }
 
-type back struct {
+type retry struct {
 	at int64
 	t  *try
 }
 
-// World is a day in play.
-type World struct {
-	Core  *core.Core
-	Box   *box.Box
-	day   *Day
-	rng   *rand.Rand
-	now   int64
-	next  []int64 // by stream
-	tries []*try
-	live  map[uint64]*core.Request // on the box
-	ids   uint64
-	backs []back // callers that come again, in order of time
+// Simulation is a day in play.
+type Simulation struct {
+	Core         *core.Core
+	Box          *box.Box
+	spec         *Spec
+	rng          *rand.Rand
+	now          int64
+	nextArrivals []int64 // by stream
+	tries        []*try
+	running      map[uint64]*core.Request // on the box
+	lastID       uint64
+	retries      []retry // callers that come again, in order of time
 	Result
 }
 
-// Play plays a day to its end.
-func Play(day Day) (*Result, error) {
-	w := &World{day: &day, rng: rand.New(rand.NewPCG(day.Seed, 1)), now: epoch, live: map[uint64]*core.Request{}}
+// Simulate plays a day to its end.
+func Simulate(day Spec) (*Result, error) {
+	w := &Simulation{spec: &day, rng: rand.New(rand.NewPCG(day.Seed, 1)), now: epoch, running: map[uint64]*core.Request{}}
 	w.Box = box.New(day.Box, epoch)
-	w.Classes = make([]Tally, len(day.Policy.Classes))
+	w.Classes = make([]ClassCounts, len(day.Policy.Classes))
 	var err error
 	if w.Core, err = core.New(core.Settings{Policy: day.Policy, Seed: day.Seed, Pools: day.Pools}, w); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	w.next = make([]int64, len(day.Streams))
-	for i := range w.next {
-		w.next[i] = w.draw(i, epoch)
+	w.nextArrivals = make([]int64, len(day.Streams))
+	for i := range w.nextArrivals {
+		w.nextArrivals[i] = w.nextArrival(i, epoch)
 	}
 	watch := int64(epoch)
-	script := day.Script
+	script := day.Changes
 	for {
-		at := w.until(script)
+		at := w.nextEvent(script)
 		if at == math.MaxInt64 {
 			break
 		}
 		w.now = max(w.now, at)
 		for len(script) > 0 && script[0].At+epoch <= w.now {
-			script[0].Do(w)
+			script[0].Apply(w)
 			script = script[1:]
 		}
-		w.finish()
-		w.arrive()
+		w.completeRuns()
+		w.submitArrivals()
 		if day.Gauges {
 			n := float32(w.Box.Runs())
 			w.Core.SetGauges(kiteslip.Gauges{Valid: true, Busy: min(1, n/float32(day.Box.Cores)), Runnable: n})
 		}
 		w.Core.Step(w.now)
-		if day.Watch != nil && w.now >= watch {
+		if day.Observe != nil && w.now >= watch {
 			watch = w.now + Second/4
-			day.Watch(w, w.now-epoch)
+			day.Observe(w, w.now-epoch)
 		}
-		if w.now > epoch+day.Length && w.Core.Outstanding() == 0 && w.Box.Runs() == 0 && len(w.backs) == 0 {
+		if w.now > epoch+day.Length && w.Core.Outstanding() == 0 && w.Box.Runs() == 0 && len(w.retries) == 0 {
 			break
 		}
 	}
 	return &w.Result, nil
 }
 
-// until is when something happens next.
-func (w *World) until(script []Change) int64 {
+// nextEvent is when something happens next.
+func (w *Simulation) nextEvent(script []Change) int64 {
 	at := int64(math.MaxInt64)
-	for _, t := range w.next {
+	for _, t := range w.nextArrivals {
 		at = min(at, t)
 	}
 	for _, t := range []int64{w.Box.Next(), w.Core.NextStep()} {
@@ -184,16 +184,16 @@
 	if len(script) > 0 {
 		at = min(at, script[0].At+epoch)
 	}
-	if len(w.backs) > 0 {
-		at = min(at, w.backs[0].at)
+	if len(w.retries) > 0 {
+		at = min(at, w.retries[0].at)
 	}
 	return at
 }
 
-// draw returns when stream i brings its next request after at.
-func (w *World) draw(i int, at int64) int64 {
-	s := &w.day.Streams[i]
-	for at < epoch+w.day.Length {
+// nextArrival returns when stream i brings its next request after at.
+func (w *Simulation) nextArrival(i int, at int64) int64 {
+	s := &w.spec.Streams[i]
+	for at < epoch+w.spec.Length {
 		rate := s.Rate(at - epoch)
 		if rate <= 0 {
 			at += Second / 20
@@ -201,7 +201,7 @@
 		}
 		gap := w.rng.ExpFloat64() / rate * Second
 		if gap < Second/4 || rate > 4 {
-			if at += int64(gap) + 1; at >= epoch+w.day.Length {
+			if at += int64(gap) + 1; at >= epoch+w.spec.Length {
 				break
 			}
 			return at
@@ -211,76 +211,76 @@
 	return math.MaxInt64
 }
 
-func (w *World) arrive() {
-	for i := range w.next {
-		for w.next[i] <= w.now {
-			s := &w.day.Streams[i]
+func (w *Simulation) submitArrivals() {
+	for i := range w.nextArrivals {
+		for w.nextArrivals[i] <= w.now {
+			s := &w.spec.Streams[i]
 			least, most := s.Work(w.now - epoch)
-			t := &try{class: s.Class, tenant: s.Tenant, first: w.next[i], work: least + (most-least)*w.rng.Float64()}
-			t.due = t.first + w.day.Policy.Classes[t.class].Timeout
-			t.counted = t.first >= epoch+w.day.From
+			t := &try{class: s.Class, tenant: s.Tenant, arrived: w.nextArrivals[i], work: least + (most-least)*w.rng.Float64()}
+			t.deadline = t.arrived + w.spec.Policy.Classes[t.class].Timeout
+			t.counted = t.arrived >= epoch+w.spec.CountFrom
 			t.key = strconv.Itoa(len(w.tries))
 			if t.counted {
 				c := &w.Classes[t.class]
-				c.Asked++
-				c.AskedWork += t.work
+				c.Requests++
+				c.RequestedWork += t.work
 			}
-			w.send(t)
-			w.next[i] = w.draw(i, w.next[i])
+			w.submit(t)
+			w.nextArrivals[i] = w.nextArrival(i, w.nextArrivals[i])
 		}
 	}
-	for len(w.backs) > 0 && w.backs[0].at <= w.now {
-		t := w.backs[0].t
-		w.backs = w.backs[1:]
-		w.send(t)
+	for len(w.retries) > 0 && w.retries[0].at <= w.now {
+		t := w.retries[0].t
+		w.retries = w.retries[1:]
+		w.submit(t)
 	}
 }
 
-// send hands a try to the core.
-func (w *World) send(t *try) {
+// submit hands a try to the core.
+func (w *Simulation) submit(t *try) {
 	w.tries = append(w.tries, t)
 	stream := uint32(len(w.tries) - 1)
 	err := w.Core.Submit(w.now, &core.Request{TryID: strconv.Itoa(int(stream)), Class: t.class, Tenant: t.tenant, Caller: 1, Key: t.key,
-		Arrived: w.now, Deadline: t.due, SizeKB: 16, Body: strconv.AppendInt(nil, int64(t.work), 10), Stream: stream, ReplyTo: w})
+		Arrived: w.now, Deadline: t.deadline, SizeKB: 16, Body: strconv.AppendInt(nil, int64(t.work), 10), Stream: stream, ReplyTo: w})
 	if err != nil {
 		panic(err) // the laboratory's own fault
 	}
 }
 
 // Run puts a request on the box.
-func (w *World) Run(r *core.Request) {
-	w.ids++
+func (w *Simulation) Run(r *core.Request) {
+	w.lastID++
 	w.Runs++
-	w.live[w.ids] = r
-	w.Box.Begin(w.now, w.ids, box.Work(r.Body))
+	w.running[w.lastID] = r
+	w.Box.Begin(w.now, w.lastID, box.Work(r.Body))
 }
 
-func (w *World) finish() {
+func (w *Simulation) completeRuns() {
 	for _, e := range w.Box.Advance(w.now) {
-		r := w.live[e.ID]
-		delete(w.live, e.ID)
-		w.Core.Done(r, kiteslip.OK, e.At-e.Began, r.Body)
+		r := w.running[e.ID]
+		delete(w.running, e.ID)
+		w.Core.Done(r, kiteslip.OK, e.At-e.Started, r.Body)
 	}
 }
 
 // Answer takes a final answer.
-func (w *World) Answer(stream uint32, a core.Answer) {
+func (w *Simulation) Answer(stream uint32, a core.Answer) {
 	t := w.tries[stream]
 	w.tries[stream] = nil
 	w.Answered++
-	if w.now > t.due {
+	if w.now > t.deadline {
 		w.Overdue++
 	}
-	if w.day.Again && a.Code == core.Refused && !a.NoFailover && !t.again && a.RetryAfter > 0 && w.now+a.RetryAfter < t.due {
-		t.again = true
+	if w.spec.RetryRefused && a.Code == core.Refused && !a.NoFailover && !t.retried && a.RetryAfter > 0 && w.now+a.RetryAfter < t.deadline {
+		t.retried = true
 		at := w.now + a.RetryAfter
-		i := len(w.backs)
-		for i > 0 && w.backs[i-1].at > at {
+		i := len(w.retries)
+		for i > 0 && w.retries[i-1].at > at {
 			i--
 		}
-		w.backs = append(w.backs, back{})
-		copy(w.backs[i+1:], w.backs[i:])
-		w.backs[i] = back{at, t}
+		w.retries = append(w.retries, retry{})
+		copy(w.retries[i+1:], w.retries[i:])
+		w.retries[i] = retry{at, t}
 		return
 	}
 	if !t.counted {
@@ -292,9 +292,9 @@
 		c.Refused++
 	case a.Code == core.Failed:
 		c.Failed++
-	case w.now <= t.first+w.day.Policy.Classes[t.class].TargetTime:
-		c.InTime++
-		c.InTimeWork += t.work
+	case w.now <= t.arrived+w.spec.Policy.Classes[t.class].TargetTime:
+		c.OnTime++
+		c.OnTimeWork += t.work
 	default:
 		c.Late++
 		c.LateWork += t.work
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -10,48 +10,54 @@
 // Scenario is a day on which pools are compared with none.
 type Scenario struct {
 	Name string
-	Day  func() Day
+	Spec func() Spec
 }
 
-// boxCores are those of the small broker that the scenarios play.
-const boxCores = 4
+// brokerCores are those of the small broker that the scenarios play.
+const brokerCores = 4
 
 // PoolScenarios are the days of the pools' measurement. All are of the small
 // broker with four places.
 func PoolScenarios() []Scenario {
-	day := func(streams func() []Stream, script ...Change) func() Day {
-		return func() Day {
-			return Day{Policy: Broker(boxCores), Box: BrokerBox(boxCores), Streams: streams(), Length: 60 * Second,
-				From: 5 * Second, Script: script}
+	day := func(streams func() []Stream, script ...Change) func() Spec {
+		return func() Spec {
+			return Spec{Policy: Broker(brokerCores), Box: BrokerBox(brokerCores), Streams: streams(), Length: 60 * Second,
+				CountFrom: 5 * Second, Changes: script}
 		}
 	}
-	mixed := func(load float64) func() []Stream { return func() []Stream { return Mixed(boxCores, load) } }
+	mixed := func(load float64) func() []Stream { return func() []Stream { return MixedTraffic(brokerCores, load) } }
 	list := []Scenario{
 		{"calm", day(mixed(0.6))},
 		{"full", day(mixed(1.1))},
-		{"halved", day(mixed(1.1), Change{20 * Second, Scale(0.5)}, Change{40 * Second, Scale(1)})},
-		{"slow-flood", day(func() []Stream { return []Stream{Mixed(boxCores, 1)[LandmarkSearch], Only(boxCores, CodeToPoint, 3)} })},
-		{"cheap-flood", day(func() []Stream { return append(Mixed(boxCores, 1), Only(boxCores, LandmarkSearch, 3)) })},
+		{"halved", day(mixed(1.1), Change{20 * Second, SetSpeed(0.5)}, Change{40 * Second, SetSpeed(1)})},
+		{"slow-flood", day(func() []Stream {
+			return []Stream{MixedTraffic(brokerCores, 1)[LandmarkSearch], SingleClass(brokerCores, CodeToPoint, 3)}
+		})},
+		{"cheap-flood", day(func() []Stream {
+			return append(MixedTraffic(brokerCores, 1), SingleClass(brokerCores, LandmarkSearch, 3))
+		})},
 		{"twice", day(mixed(2))},
 	}
 	for class, name := range ClassNames {
-		list = append(list, Scenario{"alone-" + name, day(func() []Stream { return []Stream{Only(boxCores, class, 1.5)} })})
+		list = append(list, Scenario{"alone-" + name, day(func() []Stream { return []Stream{SingleClass(brokerCores, class, 1.5)} })})
 	}
 	return list
 }
 
-// Scale sets the speed of the box to a part of the usual.
-func Scale(factor float64) func(*World) { return func(w *World) { w.Box.Scale(w.now, factor) } }
+// SetSpeed sets the speed of the box to a part of the usual.
+func SetSpeed(factor float64) func(*Simulation) {
+	return func(w *Simulation) { w.Box.Scale(w.now, factor) }
+}
 
-// Cold starts a warm-up of the box.
-func Cold(from float64, within int64) func(*World) {
-	return func(w *World) { w.Box.Cold(w.now, from, within) }
+// StartWarmup starts a warm-up of the box.
+func StartWarmup(from float64, within int64) func(*Simulation) {
+	return func(w *Simulation) { w.Box.Cold(w.now, from, within) }
 }
 
-// Retune takes over other pools, as SIGHUP does.
-func Retune(pools *pool.Settings) func(*World) {
-	return func(w *World) {
-		if err := w.Core.Reconfigure(w.day.Policy, nil, pools); err != nil {
+// Reconfigure takes over other pools, as SIGHUP does.
+func Reconfigure(pools *pool.Settings) func(*Simulation) {
+	return func(w *Simulation) {
+		if err := w.Core.Reconfigure(w.spec.Policy, nil, pools); err != nil {
 			panic(err) // the scenario's own fault
 		}
 	}
@@ -74,31 +80,31 @@
 	c := Compared{Name: s.Name, Gauges: gauges, CheapOff: 1, CheapOn: 1, Worth: math.Inf(1), Done: math.Inf(1), Kept: math.Inf(1)}
 	for seed := 1; seed <= seeds; seed++ {
 		var results [2]*Result
-		var day Day
+		var day Spec
 		for on := range results {
-			day = s.Day()
+			day = s.Spec()
 			day.Seed, day.Gauges = uint64(seed), gauges
 			if on == 1 {
 				day.Pools = BrokerPools(&day.Policy)
 			}
-			r, err := Play(day)
+			r, err := Simulate(day)
 			if err != nil {
 				return c, err
 			}
-			if asked := r.asked(); asked != r.counted() {
-				return c, fmt.Errorf("lab: %s, seed %d: %d requests, %d final answers", s.Name, seed, asked, r.counted())
+			if asked := r.requests(); asked != r.answers() {
+				return c, fmt.Errorf("lab: %s, seed %d: %d requests, %d final answers", s.Name, seed, asked, r.answers())
 			}
 			c.Overdue += r.Overdue
 			results[on] = r
 		}
 		off, on := results[0], results[1]
-		c.CheapOff = min(c.CheapOff, off.Classes[LandmarkSearch].Share())
-		c.CheapOn = min(c.CheapOn, on.Classes[LandmarkSearch].Share())
-		worthOff, worthOn := off.Worth(day.Policy.Classes), on.Worth(day.Policy.Classes)
+		c.CheapOff = min(c.CheapOff, off.Classes[LandmarkSearch].OnTimeShare())
+		c.CheapOn = min(c.CheapOn, on.Classes[LandmarkSearch].OnTimeShare())
+		worthOff, worthOn := off.WorthShare(day.Policy.Classes), on.WorthShare(day.Policy.Classes)
 		c.WorthOff += worthOff / float64(seeds)
 		c.WorthOn += worthOn / float64(seeds)
 		c.Worth = min(c.Worth, worthOn/worthOff)
-		c.Done = min(c.Done, on.done()/off.done())
+		c.Done = min(c.Done, on.answeredWork()/off.answeredWork())
 		for i := range day.Pools.Pools {
 			p := &day.Pools.Pools[i]
 			if p.Classes[0] == LandmarkSearch {
@@ -106,10 +112,10 @@
 			}
 			asked, got := 0.0, 0.0
 			for _, class := range p.Classes {
-				asked += on.Classes[class].AskedWork
-				got += on.Classes[class].InTimeWork
+				asked += on.Classes[class].RequestedWork
+				got += on.Classes[class].OnTimeWork
 			}
-			carries := p.Share * boxCores * float64(day.Length-day.From)
+			carries := p.Share * brokerCores * float64(day.Length-day.CountFrom)
 			if asked > 0 {
 				c.Kept = min(c.Kept, got/min(asked, carries))
 			}
@@ -118,26 +124,26 @@
 	return c, nil
 }
 
-func (r *Result) asked() (n int) {
+func (r *Result) requests() (n int) {
 	for i := range r.Classes {
-		n += r.Classes[i].Asked
+		n += r.Classes[i].Requests
 	}
 	return n
 }
 
-// counted is the number of final answers to what was asked.
-func (r *Result) counted() (n int) {
+// answers is the number of final answers to what was asked.
+func (r *Result) answers() (n int) {
 	for i := range r.Classes {
 		t := &r.Classes[i]
-		n += t.InTime + t.Late + t.Refused + t.Failed
+		n += t.OnTime + t.Late + t.Refused + t.Failed
 	}
 	return n
 }
 
-// done is the work that was answered, late or not.
-func (r *Result) done() (work float64) {
+// answeredWork is the work that was answered, late or not.
+func (r *Result) answeredWork() (work float64) {
 	for i := range r.Classes {
-		work += r.Classes[i].InTimeWork + r.Classes[i].LateWork
+		work += r.Classes[i].OnTimeWork + r.Classes[i].LateWork
 	}
 	return work
 }
--- a/internal/lab/pools_test.go
+++ b/internal/lab/pools_test.go
@@ -7,8 +7,8 @@
 	"kiteslip/internal/pool"
 )
 
-// scenario returns the scenario of that name.
-func scenario(t *testing.T, name string) Scenario {
+// findScenario returns the scenario of that name.
+func findScenario(t *testing.T, name string) Scenario {
 	t.Helper()
 	for _, s := range PoolScenarios() {
 		if s.Name == name {
@@ -21,14 +21,14 @@
 
 // The days that the pools are for: the cheapest class keeps its answers, and
 // without pools it does not, so that the test could fail.
-func TestCheapClassIsKept(t *testing.T) {
+func TestPoolsProtectCheapestClass(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name       string
 		least, off float64
 	}{{"full", 0.98, 0.97}, {"halved", 0.95, 0.9}, {"twice", 0.95, 0.9}} {
 		for _, gauges := range []bool{false, true} {
-			r, err := Compare(scenario(t, c.name), gauges, 2)
+			r, err := Compare(findScenario(t, c.name), gauges, 2)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -40,16 +40,16 @@
 }
 
 // Floods of one class leave the others what is their own.
-func TestFloodsOfOneClass(t *testing.T) {
+func TestOverloadOfOneClassLeavesOthersTheirShare(t *testing.T) {
 	t.Parallel()
-	r, err := Compare(scenario(t, "slow-flood"), false, 2)
+	r, err := Compare(findScenario(t, "slow-flood"), false, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r.CheapOn < 0.95 || r.CheapOff > 0.97 || r.Worth < 0.98 {
 		t.Errorf("slow flood: %+v", r)
 	}
-	if r, err = Compare(scenario(t, "cheap-flood"), false, 2); err != nil {
+	if r, err = Compare(findScenario(t, "cheap-flood"), false, 2); err != nil {
 		t.Fatal(err)
 	}
 	if r.Kept < 0.9 {
@@ -58,16 +58,16 @@
 }
 
 // All pools over their share at once: each gets most of its own done in time.
-func TestEveryPoolOverItsShare(t *testing.T) {
+func TestAllPoolsOverloaded(t *testing.T) {
 	t.Parallel()
-	day := scenario(t, "twice").Day()
+	day := findScenario(t, "twice").Spec()
 	day.Seed = 3
 	day.Streams = nil
 	for class, load := range []float64{0.5, 0.3, 1.2, 0.9} {
-		day.Streams = append(day.Streams, Only(boxCores, class, load))
+		day.Streams = append(day.Streams, SingleClass(brokerCores, class, load))
 	}
 	day.Pools = BrokerPools(&day.Policy)
-	r, err := Play(day)
+	r, err := Simulate(day)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,9 +75,9 @@
 		p := &day.Pools.Pools[i]
 		got := 0.0
 		for _, c := range p.Classes {
-			got += r.Classes[c].InTimeWork + r.Classes[c].LateWork
+			got += r.Classes[c].OnTimeWork + r.Classes[c].LateWork
 		}
-		if own := p.Share * boxCores * float64(day.Length-day.From); got < 0.85*own {
+		if own := p.Share * brokerCores * float64(day.Length-day.CountFrom); got < 0.85*own {
 			t.Errorf("pool %s got %.2f of its share done", p.Name, got/own)
 		}
 	}
@@ -88,40 +88,40 @@
 func TestColdStartUnderFullLoad(t *testing.T) {
 	t.Parallel()
 	play := func(pools bool) *Result {
-		day := scenario(t, "full").Day()
-		day.Streams, day.Length, day.From, day.Seed = Mixed(boxCores, 0.9), 30*Second, 0, 5
-		day.Script = []Change{{0, Cold(0.21, 17*Second)}}
+		day := findScenario(t, "full").Spec()
+		day.Streams, day.Length, day.CountFrom, day.Seed = MixedTraffic(brokerCores, 0.9), 30*Second, 0, 5
+		day.Changes = []Change{{0, StartWarmup(0.21, 17*Second)}}
 		if pools {
 			day.Pools = BrokerPools(&day.Policy)
 		}
-		r, err := Play(day)
+		r, err := Simulate(day)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
 	on, off := play(true), play(false)
-	if on.Overdue > 0 || on.Classes[LandmarkSearch].Share() < 0.85 || off.Classes[LandmarkSearch].Share() > 0.8 {
-		t.Errorf("landmark-search in time: %.3f with pools, %.3f without; %d overdue", on.Classes[LandmarkSearch].Share(),
-			off.Classes[LandmarkSearch].Share(), on.Overdue)
+	if on.Overdue > 0 || on.Classes[LandmarkSearch].OnTimeShare() < 0.85 || off.Classes[LandmarkSearch].OnTimeShare() > 0.8 {
+		t.Errorf("landmark-search in time: %.3f with pools, %.3f without; %d overdue", on.Classes[LandmarkSearch].OnTimeShare(),
+			off.Classes[LandmarkSearch].OnTimeShare(), on.Overdue)
 	}
 }
 
 // Pools are dropped, resized and brought back while work waits and runs: each
 // request has its answer, the book has what the box has all along, and a pool
 // that is back keeps its promise again.
-func TestPoolsChangeInFlight(t *testing.T) {
+func TestReconfigurePoolsUnderLoad(t *testing.T) {
 	t.Parallel()
-	day := scenario(t, "full").Day()
+	day := findScenario(t, "full").Spec()
 	day.Seed = 4
 	day.Pools = BrokerPools(&day.Policy)
 	whole := BrokerPools(&day.Policy)
 	dropped, resized := *whole, *whole
 	dropped.Pools = []pool.Spec{whole.Pools[0], whole.Pools[2]}
 	resized.Pools = []pool.Spec{whole.Pools[1], {Name: "all", Classes: []int{CodeToPoint, PointToCode, RegisterAddress}, Share: 0.5}}
-	day.Script = []Change{{10 * Second, Retune(&dropped)}, {20 * Second, Retune(&resized)}, {25 * Second, Retune(nil)}, {30 * Second, Retune(whole)}}
+	day.Changes = []Change{{10 * Second, Reconfigure(&dropped)}, {20 * Second, Reconfigure(&resized)}, {25 * Second, Reconfigure(nil)}, {30 * Second, Reconfigure(whole)}}
 	looks := 0
-	day.Watch = func(w *World, at int64) {
+	day.Observe = func(w *Simulation, at int64) {
 		figures := w.Core.Pools()
 		if (figures == nil) != (at >= 25*Second && at < 30*Second) {
 			t.Fatalf("at %d ms there are %d pools", at/1000, len(figures))
@@ -136,19 +136,19 @@
 		}
 		looks++
 	}
-	r, err := Play(day)
+	r, err := Simulate(day)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.asked() != r.counted() || r.Overdue > 0 || looks < 200 {
-		t.Errorf("%d asked, %d answered, %d overdue, %d looks", r.asked(), r.counted(), r.Overdue, looks)
+	if r.requests() != r.answers() || r.Overdue > 0 || looks < 200 {
+		t.Errorf("%d asked, %d answered, %d overdue, %d looks", r.requests(), r.answers(), r.Overdue, looks)
 	}
 }
 
 // The costs of two classes swap places mid-day: the reserve follows.
-func TestCostsSwapPlaces(t *testing.T) {
+func TestCheapestClassFollowsWork(t *testing.T) {
 	t.Parallel()
-	day := scenario(t, "full").Day()
+	day := findScenario(t, "full").Spec()
 	day.Seed, day.Length = 6, 90*Second
 	day.Pools = BrokerPools(&day.Policy)
 	work := func(class int, before, after float64) {
@@ -162,14 +162,14 @@
 	work(LandmarkSearch, 200, 400)
 	work(RegisterAddress, 330, 150)
 	cheapest := map[string]int64{}
-	day.Watch = func(w *World, at int64) {
+	day.Observe = func(w *Simulation, at int64) {
 		for _, f := range w.Core.Pools() {
 			if f.HasCheapest {
 				cheapest[f.Name] = at
 			}
 		}
 	}
-	if _, err := Play(day); err != nil {
+	if _, err := Simulate(day); err != nil {
 		t.Fatal(err)
 	}
 	if at := cheapest["landmarks"]; at < 39*Second || at > 60*Second {
@@ -181,13 +181,13 @@
 }
 
 // The same seed gives the same day.
-func TestDaysRepeat(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
 	play := func() *Result {
-		day := scenario(t, "halved").Day()
-		day.Seed, day.Again = 9, true
+		day := findScenario(t, "halved").Spec()
+		day.Seed, day.RetryRefused = 9, true
 		day.Pools = BrokerPools(&day.Policy)
-		r, err := Play(day)
+		r, err := Simulate(day)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/probe/caller.go
+++ b/internal/lab/probe/caller.go
@@ -28,7 +28,7 @@
 	Body   string
 }
 
-var tries atomic.Uint64 // names each try
+var lastTryID atomic.Uint64 // names each try
 
 // Dial connects to the program's frames front at address.
 func Dial(address string) (*Caller, error) {
@@ -51,14 +51,14 @@
 // Send asks for a run of class with body, keyed where key is not empty, and
 // waits so long for it; it returns the stream.
 func (c *Caller) Send(class, key, body string, wait time.Duration) (uint32, error) {
-	_, err := c.Ask(class, key, body, wait)
+	_, err := c.SendTry(class, key, body, wait)
 	return c.stream, err
 }
 
-// Ask is Send, and returns the name of the try.
-func (c *Caller) Ask(class, key, body string, wait time.Duration) (name string, err error) {
+// SendTry is Send, and returns the name of the try.
+func (c *Caller) SendTry(class, key, body string, wait time.Duration) (name string, err error) {
 	c.stream++
-	name = fmt.Sprintf("%016x", tries.Add(1))
+	name = fmt.Sprintf("%016x", lastTryID.Add(1))
 	f := Fields(class, name, time.Now(), wait)
 	if key != "" {
 		f = append(f, frame.Field{Name: "opkey", Value: key})
--- a/internal/lab/shutdown/shutdown.go
+++ b/internal/lab/shutdown/shutdown.go
@@ -32,19 +32,19 @@
 
 // The site that is played.
 const (
-	deadline  = 3 * time.Second
-	slack     = 110 * time.Millisecond // of the rules, on sockets
-	stop      = 2500 * time.Millisecond
-	grace     = 400 * time.Millisecond
-	window    = 20 * time.Second
-	callsOver = 2 * time.Second
-	share     = 0.4 // of calls below, for each process
-	warm      = 4 * time.Second
-	coldFrom  = 0.25
-	call      = 60 * time.Millisecond // what the ledger takes once it is warm
-	callCold  = 5                     // ... and how many times that at first
-	phase     = 5 * time.Second       // between two waves of restarts
-	refusing  = 1500 * time.Millisecond
+	classTimeout    = 3 * time.Second
+	answerSlack     = 110 * time.Millisecond // of the rules, on sockets
+	stopTimeout     = 2500 * time.Millisecond
+	drainGrace      = 400 * time.Millisecond
+	keyWindow       = 20 * time.Second
+	callShareWindow = 2 * time.Second
+	callShare       = 0.4 // of calls below, for each process
+	warmupTime      = 4 * time.Second
+	coldSpeed       = 0.25
+	callTime        = 60 * time.Millisecond // what the ledger takes once it is warm
+	coldCallFactor  = 5                     // ... and how many times that at first
+	waveInterval    = 5 * time.Second       // between two waves of restarts
+	refusalTime     = 1500 * time.Millisecond
 )
 
 // Outcome is what was seen.
@@ -80,21 +80,21 @@
 	dir     string
 	seed    uint64
 	servers []*server
-	below   *ledger.Ledger
+	ledger  *ledger.Ledger
 
-	mu       sync.Mutex
-	out      Outcome
-	calls    []time.Time // when each came to the ledger
-	ends     []time.Time // when each of those in hand is over
-	coldAt   time.Time
-	refuseAt time.Time
-	stopping atomic.Bool // callers send nothing new
-	callers  sync.WaitGroup
+	mu         sync.Mutex
+	outcome    Outcome
+	callTimes  []time.Time // when each came to the ledger
+	callEnds   []time.Time // when each of those in hand is over
+	coldAt     time.Time
+	refuseFrom time.Time
+	stopping   atomic.Bool // callers send nothing new
+	callers    sync.WaitGroup
 }
 
 // server is one address, over its lives.
 type server struct {
-	f       *fleet
+	fleet   *fleet
 	name    string
 	dir     string
 	listen  string
@@ -110,21 +110,21 @@
 // send, and returns what was seen.
 func Play(program string, processes, waves int, seed uint64) (*Outcome, error) {
 	f := &fleet{program: program, seed: seed}
-	f.out.Processes = processes
-	f.out.Budget = float64(processes) * share
-	f.out.SentBudget = f.out.Budget * float64(callsOver) / float64(call)
+	f.outcome.Processes = processes
+	f.outcome.Budget = float64(processes) * callShare
+	f.outcome.SentBudget = f.outcome.Budget * float64(callShareWindow) / float64(callTime)
 	var err error
 	if f.dir, err = os.MkdirTemp("", "kitelab"); err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(f.dir)
-	if f.below, err = ledger.Serve(f.post); err != nil {
+	if f.ledger, err = ledger.Serve(f.handleCall); err != nil {
 		return nil, err
 	}
-	defer f.below.Down()
-	defer f.kill()
+	defer f.ledger.Down()
+	defer f.killAll()
 	for i := range processes {
-		s := &server{f: f, name: fmt.Sprint("n", i), dir: filepath.Join(f.dir, fmt.Sprint(i))}
+		s := &server{fleet: f, name: fmt.Sprint("n", i), dir: filepath.Join(f.dir, fmt.Sprint(i))}
 		if err = os.Mkdir(s.dir, 0o700); err != nil {
 			return nil, err
 		}
@@ -143,79 +143,79 @@
 	for i, s := range f.servers {
 		for c := range 2 {
 			f.callers.Add(1)
-			go f.caller(s, rand.New(rand.NewPCG(seed, uint64(10*i+c))), i*10+c)
+			go f.runCaller(s, rand.New(rand.NewPCG(seed, uint64(10*i+c))), i*10+c)
 		}
 	}
 	for range waves {
-		f.strike()
+		f.disturbLinks()
 		if err = f.restartAll(); err != nil {
 			return nil, err
 		}
 	}
-	f.strike()
+	f.disturbLinks()
 	f.stopping.Store(true)
 	f.callers.Wait()
 	for _, s := range f.servers {
 		s.cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
 	}
 	for _, s := range f.servers {
-		f.ended(s)
+		f.awaitEnd(s)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge()
-	return &f.out, nil
+	f.evaluate()
+	return &f.outcome, nil
 }
 
-// judge counts what is known once all is over.
-func (f *fleet) judge() {
-	slices.Sort(f.out.Ready)
+// evaluate counts what is known once all is over.
+func (f *fleet) evaluate() {
+	slices.Sort(f.outcome.Ready)
 	for _, s := range f.servers {
 		for _, e := range append(s.retired, s.engine) {
 			for body, n := range e.Log().Begun {
-				if n > 1 && strings.Contains(body, note) { // what is safe to repeat may be begun again after a cut
-					f.out.SecondRuns += n - 1
+				if n > 1 && strings.Contains(body, classKeyed) { // what is safe to repeat may be begun again after a cut
+					f.outcome.SecondRuns += n - 1
 				}
 			}
 		}
 	}
 	from := 0
-	for i, at := range f.calls {
-		for f.calls[from].Before(at.Add(-callsOver)) {
+	for i, at := range f.callTimes {
+		for f.callTimes[from].Before(at.Add(-callShareWindow)) {
 			from++
 		}
-		f.out.Sent = max(f.out.Sent, i-from+1)
+		f.outcome.Sent = max(f.outcome.Sent, i-from+1)
 	}
 }
 
-// post is the ledger: cold after each wave, and now and then it turns all away.
-func (f *fleet) post(ledger.Call) ledger.Act {
+// handleCall is the ledger: cold after each wave, and now and then it turns all away.
+func (f *fleet) handleCall(ledger.Call) ledger.Act {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	f.calls = append(f.calls, now)
-	if since := now.Sub(f.refuseAt); since >= 0 && since < refusing {
+	f.callTimes = append(f.callTimes, now)
+	if since := now.Sub(f.refuseFrom); since >= 0 && since < refusalTime {
 		return ledger.Act{Status: 503, Untouched: true}
 	}
-	slow := 1 + (callCold-1)*max(0, 1-float64(now.Sub(f.coldAt))/float64(warm))
-	takes := time.Duration(float64(call) * slow)
-	f.ends = slices.DeleteFunc(f.ends, func(end time.Time) bool { return !end.After(now) })
-	f.ends = append(f.ends, now.Add(takes)) // one that is given up counts to its end
-	f.out.InHand = max(f.out.InHand, len(f.ends))
+	slow := 1 + (coldCallFactor-1)*max(0, 1-float64(now.Sub(f.coldAt))/float64(warmupTime))
+	takes := time.Duration(float64(callTime) * slow)
+	f.callEnds = slices.DeleteFunc(f.callEnds, func(end time.Time) bool { return !end.After(now) })
+	f.callEnds = append(f.callEnds, now.Add(takes)) // one that is given up counts to its end
+	f.outcome.InHand = max(f.outcome.InHand, len(f.callEnds))
 	return ledger.Act{After: takes}
 }
 
-// cool has the ledger start cold, and turn all away for a while later on.
-func (f *fleet) cool() {
+// restartLedgerCold has the ledger start cold, and turn all away for a while later on.
+func (f *fleet) restartLedgerCold() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.coldAt = time.Now()
-	f.refuseAt = f.coldAt.Add(phase / 2)
+	f.refuseFrom = f.coldAt.Add(waveInterval / 2)
 }
 
 // startAll starts every process in the same moment, on one core.
 func (f *fleet) startAll() error {
-	f.cool()
+	f.restartLedgerCold()
 	errs := make(chan error, len(f.servers))
 	for _, s := range f.servers {
 		go func() { errs <- s.start() }()
@@ -236,14 +236,14 @@
 	for _, s := range f.servers {
 		go func() {
 			s.cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
-			f.ended(s)
-			first.Do(f.cool) // the ledger starts anew with the first that does
+			f.awaitEnd(s)
+			first.Do(f.restartLedgerCold) // the ledger starts anew with the first that does
 			errs <- s.start()
 		}()
 	}
 	var failed error
 	for range f.servers {
-		f.out.Restarts++
+		f.outcome.Restarts++
 		if err := <-errs; err != nil && failed == nil {
 			failed = err
 		}
@@ -251,28 +251,28 @@
 	return failed
 }
 
-// ended waits for the end of a process, which must come by itself.
-func (f *fleet) ended(s *server) {
+// awaitEnd waits for the end of a process, which must come by itself.
+func (f *fleet) awaitEnd(s *server) {
 	select {
 	case err := <-s.ended:
 		s.ended <- err
 		if err == nil {
 			return
 		}
-	case <-time.After(stop + time.Second):
+	case <-time.After(stopTimeout + time.Second):
 		s.cmd.Process.Kill() //nolint:errcheck // it may have ended
 		err := <-s.ended
 		s.ended <- err
 	}
 	f.mu.Lock()
-	f.out.Unclean++
+	f.outcome.Unclean++
 	f.mu.Unlock()
 }
 
-// strike breaks the engine's links of some servers in the next while, silences others, and heals them.
-func (f *fleet) strike() {
-	rng := rand.New(rand.NewPCG(f.seed, uint64(len(f.out.Ready))))
-	end := time.Now().Add(phase)
+// disturbLinks breaks the engine's links of some servers in the next while, silences others, and heals them.
+func (f *fleet) disturbLinks() {
+	rng := rand.New(rand.NewPCG(f.seed, uint64(len(f.outcome.Ready))))
+	end := time.Now().Add(waveInterval)
 	for time.Now().Before(end) {
 		s := f.servers[rng.IntN(len(f.servers))]
 		s.mu.Lock()
@@ -292,7 +292,7 @@
 	}
 }
 
-func (f *fleet) kill() {
+func (f *fleet) killAll() {
 	for _, s := range f.servers {
 		if s.cmd != nil {
 			s.cmd.Process.Kill() //nolint:errcheck // it may have ended
@@ -316,7 +316,7 @@
 		return err
 	}
 	engine.Watch()
-	engine.Cold(coldFrom, warm)
+	engine.Cold(coldSpeed, warmupTime)
 	link, err := faultnet.New(engine.Address)
 	if err != nil {
 		engine.Close()
@@ -329,7 +329,7 @@
 	}
 	s.engine, s.link = engine, link
 	s.mu.Unlock()
-	text, err := s.file()
+	text, err := s.platformFile()
 	if err != nil {
 		return err
 	}
@@ -337,7 +337,7 @@
 	if err = os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(s.f.program, "serve", "--log-level", "error")
+	cmd := exec.Command(s.fleet.program, "serve", "--log-level", "error")
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path, "TMPDIR="+s.dir)
 	cmd.Stderr = os.Stderr
 	began := time.Now()
@@ -355,23 +355,23 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	s.f.mu.Lock()
-	s.f.out.Ready = append(s.f.out.Ready, time.Since(began))
-	s.f.mu.Unlock()
+	s.fleet.mu.Lock()
+	s.fleet.outcome.Ready = append(s.fleet.outcome.Ready, time.Since(began))
+	s.fleet.mu.Unlock()
 	return nil
 }
 
-func (s *server) file() ([]byte, error) {
+func (s *server) platformFile() ([]byte, error) {
 	class := func(name, effect string) map[string]any {
-		return map[string]any{"name": name, "effect": effect, "on_time_us": deadline.Microseconds() / 2,
-			"hard_limit_us": deadline.Microseconds(), "window_us": window.Microseconds(), "worth": 1}
+		return map[string]any{"name": name, "effect": effect, "on_time_us": classTimeout.Microseconds() / 2,
+			"hard_limit_us": classTimeout.Microseconds(), "window_us": keyWindow.Microseconds(), "worth": 1}
 	}
-	text, err := probe.PlatformFile(s.listen, s.link.Address, int(stop.Milliseconds()),
-		map[string]any{"cores": 1, "memory_mb": 96, "sockets": 256}, 6, 1, class(look, "repeatable"), class(note, "by_key"))
+	text, err := probe.PlatformFile(s.listen, s.link.Address, int(stopTimeout.Milliseconds()),
+		map[string]any{"cores": 1, "memory_mb": 96, "sockets": 256}, 6, 1, class(classRepeatable, "repeatable"), class(classKeyed, "by_key"))
 	if err != nil {
 		return nil, err
 	}
-	if text, err = probe.WithLedger(text, s.f.below.Address, []bool{false, true}, []float64{0, 0}); err != nil {
+	if text, err = probe.WithLedger(text, s.fleet.ledger.Address, []bool{false, true}, []float64{0, 0}); err != nil {
 		return nil, err
 	}
 	var file map[string]any
@@ -379,12 +379,12 @@
 		return nil, err
 	}
 	file["name"] = s.name
-	file["seed"] = fmt.Sprintf("%x", s.f.seed<<32+uint64(time.Now().UnixNano()&0xffffffff))
+	file["seed"] = fmt.Sprintf("%x", s.fleet.seed<<32+uint64(time.Now().UnixNano()&0xffffffff))
 	settings := file["settings"].(map[string]any)
 	family := settings["family_info"].(map[string]any)
-	family["below"], family["dep_share"], family["calls_over_us"] = "one_for_all", share, callsOver.Microseconds()
+	family["below"], family["dep_share"], family["calls_over_us"] = "one_for_all", callShare, callShareWindow.Microseconds()
 	rules := settings["rules"].(map[string]any)
-	rules["drain_grace_us"], rules["cold_from"], rules["warm_within_us"] = grace.Microseconds(), coldFrom, warm.Microseconds()
+	rules["drain_grace_us"], rules["cold_from"], rules["warm_within_us"] = drainGrace.Microseconds(), coldSpeed, warmupTime.Microseconds()
 	rules["fall_multiple"], rules["fall_us"] = 8, 1_500_000
 	return json.Marshal(file)
 }
--- a/internal/standin/box/box.go
+++ b/internal/standin/box/box.go
@@ -1,8 +1,11 @@
-// Package box stands in for the machine that does the work: cores that are
-// shared by all that runs, get less done in total when crowded, start cold and
-// may change their speed. A Box knows no clock: it is advanced by its owner, in
-// simulated time or by a real one (see Engine). It is a model, not a
-// measurement: processor sharing (Kleinrock 1967) with a loss per excess run.
+// Package box models the machine that runs the work of requests: cores that are
+// shared by all runs, lose throughput when there are too many of them, start cold
+// and may change their speed. A Box has no clock of its own: its owner advances it,
+// in simulated time or by the system clock (see Engine). The model is processor
+// sharing (Kleinrock 1967) with a loss of throughput for each excess run; it is not
+// derived from measurements of a real machine.
+//
+// Times and work are microseconds.
 package box
 
 import (
@@ -10,188 +13,192 @@
 	"math"
 )
 
-// Spec describes a box.
+// Spec describes a Box.
 type Spec struct {
 	Cores int
-	Speed float64 // work done in a second by one core; 1 = the yardstick
-	Knee  float64 // runs a core beyond which the cores get less done; 0 = never
-	Loss  float64 // part of the throughput lost for each run a core beyond the knee
-	Falls float64 // runs a core, in the mean of FallsOver, beyond which it falls over; 0 = never
+	Speed float64 // relative speed of a core; 1 = a run takes its stated work when it has a core of its own
+	Knee  float64 // runs per core beyond which throughput is lost; 0 = never
+	Loss  float64 // throughput is divided by 1 + Loss × (runs per core - Knee) beyond the knee
+	Falls float64 // mean runs per core beyond which the machine crashes; 0 = never
 }
 
-// fallsOver is the time over which runs are averaged before a box falls, microseconds.
-const fallsOver = 1_500_000
+// meanRunsWindowUS is the time constant of the mean number of runs per core that
+// is compared with Spec.Falls.
+const meanRunsWindowUS = 1_500_000
 
-// End is a run that is over.
-type End struct {
-	ID    uint64
-	Began int64 // microseconds
-	At    int64
+// Completion is a run that has ended.
+type Completion struct {
+	ID      uint64
+	Started int64
+	At      int64
 }
 
-// Box is one machine. Times are microseconds on its owner's clock.
+// Box is a model of one machine. Its times are on the clock of its owner.
 type Box struct {
-	spec     Spec
-	now      int64
-	factor   float64 // of the speed, as set last
-	coldFrom float64 // share of the speed at coldAt
-	coldAt   int64
-	warmAt   int64 // 0 = warm
-	share    float64
-	crowd    float64 // runs a core, in the fading mean of fallsOver
-	fallen   bool
-	runs     runs
-	ends     []End
+	spec        Spec
+	now         int64
+	speedFactor float64 // set by Scale
+	coldSpeed   float64 // share of the full speed at coldAt
+	coldAt      int64
+	warmAt      int64   // end of the warm-up; 0 = none
+	virtualTime float64 // work done by one run under processor sharing
+	meanRuns    float64 // decaying mean of the runs per core
+	crashed     bool
+	runs        runHeap
+	completions []Completion
 }
 
 type run struct {
-	id     uint64
-	began  int64
-	finish float64 // on the share clock
+	id      uint64
+	started int64
+	finish  float64 // in virtual time
 }
 
-type runs []run
+// runHeap has the run that ends first at its top.
+type runHeap []run
 
-func (h runs) Len() int { return len(h) }
-func (h runs) Less(i, j int) bool {
+func (h runHeap) Len() int { return len(h) }
+func (h runHeap) Less(i, j int) bool {
 	return h[i].finish < h[j].finish || h[i].finish == h[j].finish && h[i].id < h[j].id
 }
-func (h runs) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *runs) Push(x any)   { *h = append(*h, x.(run)) }
-func (h *runs) Pop() any {
+func (h runHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *runHeap) Push(x any)   { *h = append(*h, x.(run)) }
+func (h *runHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// warmStep is how often the speed of a warming box is looked at anew.
-const warmStep = 20_000
+// warmupStepUS is the interval at which the speed is adjusted during a warm-up.
+const warmupStepUS = 20_000
 
-// New returns a warm box at time now.
+// New returns a warm Box at time now.
 func New(spec Spec, now int64) *Box {
 	if spec.Speed <= 0 {
 		spec.Speed = 1
 	}
-	return &Box{spec: spec, now: now, factor: 1}
+	return &Box{spec: spec, now: now, speedFactor: 1}
 }
 
-// Scale sets the speed to a part of the usual, from now on.
-func (b *Box) Scale(now int64, factor float64) { b.to(now); b.factor = max(factor, 1e-3) }
+// Scale multiplies Spec.Speed by factor from now on.
+func (b *Box) Scale(now int64, factor float64) { b.advanceTo(now); b.speedFactor = max(factor, 1e-3) }
 
-// Cold starts a warm-up: from a share of the speed to all of it within that time.
+// Cold starts a warm-up: the speed rises linearly from a share of the full speed
+// to all of it within the given time.
 func (b *Box) Cold(now int64, from float64, within int64) {
-	b.to(now)
-	b.coldFrom, b.coldAt, b.warmAt = max(from, 1e-3), now, now+within
+	b.advanceTo(now)
+	b.coldSpeed, b.coldAt, b.warmAt = max(from, 1e-3), now, now+within
 }
 
-// Runs is the number of requests on the cores.
+// Runs returns the number of runs on the cores.
 func (b *Box) Runs() int { return len(b.runs) }
 
-// Cores is the number of cores.
+// Cores returns the number of cores.
 func (b *Box) Cores() int { return b.spec.Cores }
 
-// Begin puts work (microseconds at the yardstick's speed) on the cores.
+// Begin starts a run; work is the core time that it takes at speed 1.
 func (b *Box) Begin(now int64, id uint64, work float64) {
-	b.to(now)
-	heap.Push(&b.runs, run{id, now, b.share + max(work, 0)})
+	b.advanceTo(now)
+	heap.Push(&b.runs, run{id, now, b.virtualTime + max(work, 0)})
 }
 
-// rate is how fast the share clock runs: the work that each run gets done in a microsecond.
+// rate returns the speed of virtual time: the work done for each run in a microsecond.
 func (b *Box) rate(at int64) float64 {
 	n := len(b.runs)
 	if n == 0 {
 		return 0
 	}
-	speed := b.spec.Speed * b.factor
+	speed := b.spec.Speed * b.speedFactor
 	if at < b.warmAt {
 		done := float64(at-b.coldAt) / float64(b.warmAt-b.coldAt)
-		speed *= b.coldFrom + (1-b.coldFrom)*done
+		speed *= b.coldSpeed + (1-b.coldSpeed)*done
 	}
-	crowd := float64(n)/float64(b.spec.Cores) - b.spec.Knee
-	if b.spec.Knee > 0 && crowd > 0 {
-		speed /= 1 + b.spec.Loss*crowd
+	excess := float64(n)/float64(b.spec.Cores) - b.spec.Knee
+	if b.spec.Knee > 0 && excess > 0 {
+		speed /= 1 + b.spec.Loss*excess
 	}
 	return speed * min(1, float64(b.spec.Cores)/float64(n))
 }
 
-// Next is when a run ends if nothing else happens, 0 = nothing runs. While the
-// box warms up it is when to look again at the latest.
+// Next returns when Advance is to be called next if nothing else happens: at the
+// end of the first run, or earlier during a warm-up. 0 means that nothing runs.
 func (b *Box) Next() int64 {
 	switch {
-	case len(b.ends) > 0:
+	case len(b.completions) > 0:
 		return b.now
 	case len(b.runs) == 0:
 		return 0
 	}
-	return b.look()
+	return b.nextCheck()
 }
 
-// look is when the first run ends at the speed of now, or when to look again.
-func (b *Box) look() int64 {
-	left := b.runs[0].finish - b.share
-	at := b.now + int64(left/b.rate(b.now)) + 1
+// nextCheck returns when the first run ends at the present speed, limited to one
+// step of a warm-up.
+func (b *Box) nextCheck() int64 {
+	remaining := b.runs[0].finish - b.virtualTime
+	at := b.now + int64(remaining/b.rate(b.now)) + 1
 	if b.now < b.warmAt {
-		at = min(at, b.now+warmStep)
+		at = min(at, b.now+warmupStepUS)
 	}
 	return at
 }
 
-// to moves the clocks, and the runs that end meanwhile to the ends.
-func (b *Box) to(now int64) {
+// advanceTo advances the time and virtual time, and records the runs that end.
+func (b *Box) advanceTo(now int64) {
 	for b.now < now {
 		if len(b.runs) == 0 {
-			b.crowded(now - b.now)
+			b.updateMeanRuns(now - b.now)
 			b.now = now
 			return
 		}
-		at := min(now, b.look())
-		b.crowded(at - b.now)
-		b.share += float64(at-b.now) * b.rate(b.now)
+		at := min(now, b.nextCheck())
+		b.updateMeanRuns(at - b.now)
+		b.virtualTime += float64(at-b.now) * b.rate(b.now)
 		b.now = at
-		for len(b.runs) > 0 && b.runs[0].finish <= b.share+0.5 {
+		for len(b.runs) > 0 && b.runs[0].finish <= b.virtualTime+0.5 {
 			r := heap.Pop(&b.runs).(run)
-			b.ends = append(b.ends, End{r.id, r.began, b.now})
+			b.completions = append(b.completions, Completion{r.id, r.started, b.now})
 		}
 	}
 }
 
-// crowded takes the runs of a span into the mean.
-func (b *Box) crowded(span int64) {
+// updateMeanRuns adds an interval with the present number of runs to the mean.
+func (b *Box) updateMeanRuns(span int64) {
 	if b.spec.Falls <= 0 {
 		return
 	}
 	runs := float64(len(b.runs)) / float64(b.spec.Cores)
-	b.crowd += (runs - b.crowd) * -math.Expm1(-float64(span)/fallsOver)
-	b.fallen = b.fallen || b.crowd > b.spec.Falls
+	b.meanRuns += (runs - b.meanRuns) * -math.Expm1(-float64(span)/meanRunsWindowUS)
+	b.crashed = b.crashed || b.meanRuns > b.spec.Falls
 }
 
-// Fallen says whether too many runs have shared the cores for too long. What a
-// fallen box does next is its owner's matter.
-func (b *Box) Fallen() bool { return b.fallen }
+// Fallen reports whether the mean number of runs per core has exceeded Spec.Falls.
+// The owner decides what a crashed machine does.
+func (b *Box) Fallen() bool { return b.crashed }
 
-// Advance moves the box to now and returns what has ended since the last call,
-// in order. The slice is the caller's until the next call.
-func (b *Box) Advance(now int64) []End {
-	b.to(now)
-	ends := b.ends
-	b.ends = nil
-	return ends
+// Advance advances the Box to now and returns the runs that have ended since the
+// last call, in order. The slice is valid until the next call.
+func (b *Box) Advance(now int64) []Completion {
+	b.advanceTo(now)
+	completions := b.completions
+	b.completions = nil
+	return completions
 }
 
-// Die drops all that runs, as a killed machine does.
+// Die discards all runs, as the death of the machine does.
 func (b *Box) Die(now int64) {
-	b.to(now)
-	b.runs, b.ends = b.runs[:0], nil
+	b.advanceTo(now)
+	b.runs, b.completions = b.runs[:0], nil
 }
 
-// Take takes a run off the cores and returns the work that is left of it;
-// false = no such run is on them.
-func (b *Box) Take(now int64, id uint64) (left float64, ok bool) {
-	b.to(now)
+// Take removes a run from the cores and returns its remaining work, or false if
+// there is no such run.
+func (b *Box) Take(now int64, id uint64) (remaining float64, ok bool) {
+	b.advanceTo(now)
 	for i := range b.runs {
 		if r := b.runs[i]; r.id == id {
 			heap.Remove(&b.runs, i)
-			return r.finish - b.share, true
+			return r.finish - b.virtualTime, true
 		}
 	}
 	return 0, false
--- a/internal/standin/box/box_test.go
+++ b/internal/standin/box/box_test.go
@@ -15,19 +15,19 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// Whatever is begun, and however the speed changes: each run gets the work done
-// that it states, in the time that the shared cores take for it.
-func TestWorkIsDone(t *testing.T) {
+// With random runs and changes of the speed, every run ends, and the work done is
+// that of all runs: no core time is lost or counted twice.
+func TestEachRunGetsItsWorkDone(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		cores := rapid.IntRange(1, 4).Draw(t, "cores")
 		b := New(Spec{Cores: cores}, 0)
 		total, now, speed := 0.0, int64(0), 1.0
-		capacity := 0.0 // work that the cores could do
-		begun, ended := 0, 0
-		step := func(to int64) {
-			for now < to {
-				at := to
+		capacity := 0.0 // work that the cores have done
+		started, ended := 0, 0
+		advanceTo := func(end int64) {
+			for now < end {
+				at := end
 				if next := b.Next(); next != 0 && next < at {
 					at = next
 				}
@@ -40,24 +40,24 @@
 			work := float64(rapid.IntRange(1, 100_000).Draw(t, "work"))
 			total += work
 			b.Begin(now, uint64(id), work)
-			begun++
-			step(now + rapid.Int64Range(0, 50_000).Draw(t, "gap"))
+			started++
+			advanceTo(now + rapid.Int64Range(0, 50_000).Draw(t, "gap"))
 			if rapid.Bool().Draw(t, "change") {
 				speed = rapid.Float64Range(0.2, 2).Draw(t, "speed")
 				b.Scale(now, speed)
 			}
 		}
-		step(now + 1e9)
-		if ended != begun || b.Runs() != 0 || math.Abs(capacity-total) > float64(begun)*8*float64(cores) {
-			t.Fatalf("%d of %d runs ended, %v of %v work done", ended, begun, capacity, total)
+		advanceTo(now + 1e9)
+		if ended != started || b.Runs() != 0 || math.Abs(capacity-total) > float64(started)*8*float64(cores) {
+			t.Fatalf("%d of %d runs ended, %v of %v work done", ended, started, capacity, total)
 		}
 	})
 }
 
-// A crowd costs throughput, and a cold box is slow until it is warm.
-func TestCrowdAndCold(t *testing.T) {
+// Runs beyond the knee cost throughput, and a cold machine is slow until it is warm.
+func TestThroughputLossAndWarmup(t *testing.T) {
 	t.Parallel()
-	last := func(b *Box) (at int64) {
+	lastEnd := func(b *Box) (at int64) {
 		for b.Next() != 0 {
 			for _, e := range b.Advance(b.Next()) {
 				at = e.At
@@ -69,32 +69,33 @@
 	for id := range uint64(4) {
 		b.Begin(0, id, 100_000)
 	}
-	if at := last(b); at < 790_000 || at > 810_000 {
-		t.Errorf("four runs of 100 ms on one core, crowded from two: over after %d us, want 800,000", at)
+	if at := lastEnd(b); at < 790_000 || at > 810_000 {
+		t.Errorf("four runs of 100 ms on one core, knee at two: ended after %d us, want 800,000", at)
 	}
 	b = New(Spec{Cores: 1}, 0)
 	b.Cold(0, 0.5, 1_000_000)
 	b.Begin(0, 1, 750_000)
-	if at := last(b); at < 980_000 || at > 1_020_000 {
-		t.Errorf("750 ms of work while the speed rises from half within a second: over after %d us, want 1,000,000", at)
+	if at := lastEnd(b); at < 980_000 || at > 1_020_000 {
+		t.Errorf("750 ms of work while the speed rises from half to full within 1 s: ended after %d us, want 1,000,000", at)
 	}
 }
 
-// On a socket the engine speaks its protocol; a link that comes back hears what it missed.
-func TestEngineOnASocket(t *testing.T) {
+// The engine answers every command of its protocol, starts a repeated RUN only
+// once, and sends a server that attaches again the notices that it missed.
+func TestEngineProtocolAndReattach(t *testing.T) {
 	t.Parallel()
 	e, err := Serve(Spec{Cores: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer e.Close()
-	attach := func(n int) (net.Conn, *bufio.Reader) {
+	attach := func(heard int) (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", e.Address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // a TCP connection takes it
-		fmt.Fprintf(c, "ATTACH %d\r\n", n)
+		c.SetDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // supported by TCP connections
+		fmt.Fprintf(c, "ATTACH %d\r\n", heard)
 		return c, bufio.NewReader(c)
 	}
 	expect := func(r *bufio.Reader, prefix string) {
@@ -106,7 +107,7 @@
 	c, r := attach(0)
 	expect(r, "HELLO hot")
 	began := time.Now()
-	io.WriteString(c, "RUN a look 5\r\n40000\r\nRUN a look 5\r\n40000\r\nRUN b look 1\r\nx\r\nSTAT g\r\nTEST t\r\n") //nolint:errcheck // it shows
+	io.WriteString(c, "RUN a look 5\r\n40000\r\nRUN a look 5\r\n40000\r\nRUN b look 1\r\nx\r\nSTAT g\r\nTEST t\r\n") //nolint:errcheck // a failure shows in what is read
 	expect(r, "DONE 1 b complete 0 1")
 	expect(r, "x")
 	expect(r, "STATS g 1.00 0")
@@ -123,8 +124,8 @@
 	expect(r, "DONE 2 a complete")
 }
 
-// Where it is asked to, a result tells what its run took here.
-func TestEngineTellsWhatARunTook(t *testing.T) {
+// After TellTook a result ends with the duration of its run.
+func TestEngineReportsRunDuration(t *testing.T) {
 	t.Parallel()
 	e, err := Serve(Spec{Cores: 1})
 	if err != nil {
@@ -137,11 +138,11 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // a TCP connection takes it
+	c.SetDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // supported by TCP connections
 	began := time.Now()
-	io.WriteString(c, "ATTACH 0\r\nRUN a look 7\r\n20000 x\r\n") //nolint:errcheck // it shows
+	io.WriteString(c, "ATTACH 0\r\nRUN a look 7\r\n20000 x\r\n") //nolint:errcheck // a failure shows in what is read
 	r := bufio.NewReader(c)
-	for range 2 { // what greets, and the notice
+	for range 2 { // HELLO and the first line of the notice
 		if _, err = r.ReadString('\n'); err != nil {
 			t.Fatal(err)
 		}
@@ -152,12 +153,12 @@
 		t.Fatalf("%q, %v, %v", line, err, bad)
 	}
 	if took < 20_000 || took > int(time.Since(began).Microseconds()) {
-		t.Errorf("20 ms of work took %d us, by its own word", took)
+		t.Errorf("20 ms of work took %d us, by its result", took)
 	}
 }
 
-// Two faces, one set of cores: what comes by uwsgi shares them with the engine's runs.
-func TestEngineSpeaksUWSGI(t *testing.T) {
+// Requests by uwsgi share the engine's cores.
+func TestUWSGICallsShareCores(t *testing.T) {
 	t.Parallel()
 	e, err := Serve(Spec{Cores: 1})
 	if err != nil {
@@ -183,7 +184,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			c.Write(append(packet, "50000"...)) //nolint:errcheck // a missing answer shows
+			c.Write(append(packet, "50000"...)) //nolint:errcheck // a missing answer fails the test
 			answer, err := io.ReadAll(c)
 			if err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 200") || !strings.HasSuffix(string(answer), "\r\n\r\n50000") {
 				t.Errorf("%q, %v", answer, err)
@@ -196,21 +197,22 @@
 	}
 }
 
-// A box falls over when too many runs share its cores for too long, not before.
-func TestFallsOver(t *testing.T) {
+// A machine crashes when too many runs share its cores for long: not at a short
+// peak, and not with fewer runs.
+func TestCrashAfterSustainedOverload(t *testing.T) {
 	t.Parallel()
-	for runs, falls := range map[uint64]bool{6: false, 12: true} {
+	for runs, crashes := range map[uint64]bool{6: false, 12: true} {
 		b := New(Spec{Cores: 1, Falls: 8}, 0)
 		for id := range runs {
 			b.Begin(0, id, 1e9)
 		}
 		b.Advance(500_000)
 		if b.Fallen() {
-			t.Errorf("%d runs: it falls within half a second", runs)
+			t.Errorf("%d runs: crashed within 0.5 s", runs)
 		}
 		b.Advance(10_000_000)
-		if b.Fallen() != falls {
-			t.Errorf("%d runs a core: fallen %v", runs, b.Fallen())
+		if b.Fallen() != crashes {
+			t.Errorf("%d runs per core: crashed %v", runs, b.Fallen())
 		}
 	}
 }
--- a/internal/standin/box/calls.go
+++ b/internal/standin/box/calls.go
@@ -8,36 +8,36 @@
 	"strconv"
 )
 
-// callsMost bounds the calls of one run.
-const callsMost = 16
+// maxCalls bounds the downstream calls of one run.
+const maxCalls = 16
 
-// Log is what an Engine saw of its runs, by the names of the tries.
+// Log counts what an Engine has seen of its runs.
 type Log struct {
-	Begun   map[string]int // by body, where it is watched
-	Fed     int            // replies taken
-	Skipped int
-	Halted  int
-	Resumed int
-	Needs   int // calls asked for
-	Ended   int // runs that ended while they stood at a call
-	Stray   int // replies and skips for what stood at no call, or at another
+	Begun          map[string]int // runs started, by body; counted after Watch only
+	Fed            int            // replies to downstream calls that a run accepted
+	SkippedCalls   int
+	Halted         int
+	ResumedRuns    int
+	RequestedCalls int // downstream calls requested
+	EndedAtCall    int // runs that ended while they waited for a call
+	Stray          int // commands for an unknown run, and replies and skips for a call that no run waits for
 }
 
-// KeepStopped says whether a run that is stopped keeps its work.
+// KeepStopped sets whether a halted run keeps its work.
 func (e *Engine) KeepStopped(keep bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keep = keep
+	e.keepHalted = keep
 }
 
-// Watch counts from now on how often each body is begun.
+// Watch starts counting Log.Begun.
 func (e *Engine) Watch() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.log.Begun = map[string]int{}
 }
 
-// Log returns what was seen so far.
+// Log returns the counts so far.
 func (e *Engine) Log() Log {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,70 +49,71 @@
 	return log
 }
 
-// Open is the number of runs that have begun and not ended.
+// Open returns the number of runs that have started and not ended.
 func (e *Engine) Open() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.names)
+	return len(e.byName)
 }
 
-// Over tells that the request of that name is over: its caller has its answer,
-// or has gone. Its run ends at its next call; the platform's engine sees this
-// for itself.
-func (e *Engine) Over(name string) {
+// Over reports that a request has its final answer or that its caller has
+// disconnected: its run ends at its next downstream call. The platform's engine
+// notices this by itself.
+func (e *Engine) Over(tryID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := e.names[name]
+	r := e.byName[tryID]
 	if r == nil {
 		return
 	}
-	e.over[name] = true
-	if r.need != 0 || r.halted {
+	e.requestsOver[tryID] = true
+	if r.awaitedNotice != 0 || r.halted {
 		e.cancel(r)
 	}
 }
 
-func (e *Engine) cancel(r *running) {
-	delete(e.over, r.name)
-	if r.need != 0 {
-		e.log.Ended++
+// cancel ends a run whose request is over.
+func (e *Engine) cancel(r *activeRun) {
+	delete(e.requestsOver, r.name)
+	if r.awaitedNotice != 0 {
+		e.log.EndedAtCall++
 	}
-	e.end(r, "cancelled", clock())
+	e.finishRun(r, "cancelled", nowUS())
 }
 
-// proceed puts the next piece of a run on the cores.
-func (e *Engine) proceed(r *running) {
-	now := clock()
-	r.need = 0
-	if r.piece <= 0 {
-		e.pieceOver(r, now)
+// startSegment puts the next segment of a run on the cores.
+func (e *Engine) startSegment(r *activeRun) {
+	now := nowUS()
+	r.awaitedNotice = 0
+	if r.segmentWork <= 0 {
+		e.segmentDone(r, now)
 		return
 	}
-	e.next++
-	r.id = e.next
-	e.live[r.id] = r
-	e.box.Begin(now, r.id, r.piece)
+	e.lastID++
+	r.id = e.lastID
+	e.onCores[r.id] = r
+	e.box.Begin(now, r.id, r.segmentWork)
 }
 
-// pieceOver ends a piece: the run comes to a call, or to its end.
-func (e *Engine) pieceOver(r *running, now int64) {
-	if r.calls == 0 {
-		delete(e.over, r.name)
-		e.end(r, "complete", now)
+// segmentDone ends a segment: the run comes to a downstream call, or to its end.
+func (e *Engine) segmentDone(r *activeRun, now int64) {
+	if r.callsLeft == 0 {
+		delete(e.requestsOver, r.name)
+		e.finishRun(r, "complete", now)
 		return
 	}
-	if e.over[r.name] {
+	if e.requestsOver[r.name] {
 		e.cancel(r)
 		return
 	}
-	r.calls--
-	body := fmt.Appendf(nil, "call %d of %s", r.calls, r.body)
-	e.notice(fmt.Appendf(nil, "%s %d\r\n%s\r\n", r.name, len(body), body), "NEED")
-	r.need = e.sent
-	e.log.Needs++
+	r.callsLeft--
+	body := fmt.Appendf(nil, "call %d of %s", r.callsLeft, r.body)
+	e.sendNotice(fmt.Appendf(nil, "%s %d\r\n%s\r\n", r.name, len(body), body), "NEED")
+	r.awaitedNotice = e.lastNotice
+	e.log.RequestedCalls++
 }
 
-// Calls is how many calls a body states.
+// Calls returns the number of downstream calls that a body states.
 func Calls(body []byte) int {
 	work, rest, _ := bytes.Cut(body, []byte("*"))
 	if len(work) > 15 || len(bytes.TrimLeft(work, "0123456789")) > 0 {
@@ -123,95 +124,95 @@
 	if err != nil {
 		return 0
 	}
-	return min(max(0, n), callsMost)
+	return min(max(0, n), maxCalls)
 }
 
-// callCommand carries out what is said about a run that has begun.
-func (e *Engine) callCommand(in *bufio.Reader, words [][]byte) error {
+// handleRunCommand executes a command about a run that has started.
+func (e *Engine) handleRunCommand(input *bufio.Reader, words [][]byte) error {
 	kind, name := string(words[0]), string(words[1])
 	var reply []byte
 	if kind == "FEED" {
 		if len(words) != 3 {
-			return errCommand
+			return errMalformed
 		}
 		size, err := strconv.Atoi(string(words[2]))
-		if err != nil || size < 0 || size > bodyMost {
-			return errCommand
+		if err != nil || size < 0 || size > maxBodyBytes {
+			return errMalformed
 		}
 		reply = make([]byte, size+2)
-		if _, err := io.ReadFull(in, reply); err != nil {
+		if _, err := io.ReadFull(input, reply); err != nil {
 			return err
 		}
 		reply = reply[:size]
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := e.names[name]
+	r := e.byName[name]
 	if r == nil {
 		e.log.Stray++
-		e.say(fmt.Appendf(nil, "NO %s %s\r\n", kind, name))
+		e.send(fmt.Appendf(nil, "NO %s %s\r\n", kind, name))
 		return nil
 	}
 	switch kind {
 	case "FEED":
-		if r.need == 0 {
+		if r.awaitedNotice == 0 {
 			e.log.Stray++
 			return nil
 		}
 		e.log.Fed++
-		r.out = append(append(r.out, '|'), reply...)
-		e.proceed(r)
+		r.result = append(append(r.result, '|'), reply...)
+		e.startSegment(r)
 	case "SKIP":
-		if len(words) != 3 || strconv.Itoa(r.need) != string(words[2]) {
+		if len(words) != 3 || strconv.Itoa(r.awaitedNotice) != string(words[2]) {
 			e.log.Stray++
 			return nil
 		}
-		e.log.Skipped++
-		r.out = append(r.out, "|skipped"...)
-		e.proceed(r)
+		e.log.SkippedCalls++
+		r.result = append(r.result, "|skipped"...)
+		e.startSegment(r)
 	case "HALT":
 		e.halt(r)
 	case "RESUME":
 		if r.halted {
-			e.log.Resumed++
+			e.log.ResumedRuns++
 			r.halted = false
-			e.next++
-			r.id = e.next
-			e.live[r.id] = r
-			e.box.Begin(clock(), r.id, r.left)
+			e.lastID++
+			r.id = e.lastID
+			e.onCores[r.id] = r
+			e.box.Begin(nowUS(), r.id, r.remainingWork)
 		}
 	default:
-		return errCommand
+		return errMalformed
 	}
-	e.settle()
+	e.advance()
 	return nil
 }
 
-// halt stops a run that is on the cores: with its work kept it waits for
-// RESUME, else it is gone and may be run anew.
-func (e *Engine) halt(r *running) {
-	left, ok := e.box.Take(clock(), r.id)
-	if !ok || r.need != 0 || r.halted {
+// halt stops a run that is on the cores. If halted runs keep their work, it waits
+// for RESUME; otherwise it is cancelled and may be started again.
+func (e *Engine) halt(r *activeRun) {
+	remaining, ok := e.box.Take(nowUS(), r.id)
+	if !ok || r.awaitedNotice != 0 || r.halted {
 		return
 	}
 	e.log.Halted++
-	delete(e.live, r.id)
-	if !e.keep || e.over[r.name] {
+	delete(e.onCores, r.id)
+	if !e.keepHalted || e.requestsOver[r.name] {
 		e.cancel(r)
 		return
 	}
-	r.left, r.halted = left, true
-	e.notice(fmt.Appendf(nil, "%s cancelled %d 0\r\n\r\n", r.name, (clock()-r.began)/1000), "DONE")
+	r.remainingWork, r.halted = remaining, true
+	e.sendNotice(fmt.Appendf(nil, "%s cancelled %d 0\r\n\r\n", r.name, (nowUS()-r.started)/1000), "DONE")
 }
 
-func (e *Engine) say(line []byte) {
+func (e *Engine) send(line []byte) {
 	if e.out != nil {
-		e.out.Write(line) //nolint:errcheck // a lost link shows to its reader
-		e.wake()
+		e.out.Write(line) //nolint:errcheck // the reader of the link sees the error
+		e.scheduleFlush()
 	}
 }
 
-// Cut ends the link; the server may attach again.
+// Cut closes the link to the server, which may attach again.
 func (e *Engine) Cut() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/box/engine.go
+++ b/internal/standin/box/engine.go
@@ -12,59 +12,60 @@
 	"time"
 )
 
-// Engine is a Box on a loopback socket that speaks the engine's protocol, on
-// the machine's clock. The body of a request states its work as the number of
-// microseconds that it begins with; a body without one takes no time at all.
-// Where a '*' and a number follow it, the run stands at that many calls, evenly
-// through its work (see calls.go). The result of a run is its body, and after
-// it what each call brought.
+// Engine is a Box on the system clock that serves the engine's protocol on a
+// loopback socket. The body of a request begins with its work, a number of
+// microseconds; a body without one takes no time. If '*' and a number follow, the
+// run makes that many downstream calls, which divide its work into equal segments
+// (see calls.go). The result of a run is its body, followed by the result of each
+// call.
 type Engine struct {
 	Address string
 
-	l     net.Listener
-	web   net.Listener // of uwsgi; nil = none
-	mu    sync.Mutex
-	cond  *sync.Cond
-	box   *Box
-	next  uint64
-	live  map[uint64]*running // on the cores
-	names map[string]*running // all that has begun and not ended
-	log   Log
-	keep  bool // a run that is stopped keeps its work
-	tells bool // results end with the time that the run took here
-	over  map[string]bool
-	sent  int      // notices since the start
-	kept  [][]byte // the last of them, for a link that comes back
-	out   *bufio.Writer
-	link  net.Conn
-	dirty bool
-	timer *time.Timer
-	began func(body string)
-	born  int64 // when its cores came up cold; 0 = they are warm
-	done  bool
+	listener       net.Listener
+	uwsgiListener  net.Listener // nil = no uwsgi
+	mu             sync.Mutex
+	cond           *sync.Cond
+	box            *Box
+	lastID         uint64
+	onCores        map[uint64]*activeRun // runs on the cores, by ID
+	byName         map[string]*activeRun // runs that have started and not ended, by try ID
+	log            Log
+	keepHalted     bool            // halted runs keep their work
+	reportDuration bool            // results end with the duration of the run
+	requestsOver   map[string]bool // try IDs of runs that end at their next call
+	lastNotice     int             // number of the last notice
+	keptNotices    [][]byte        // the last notices, for a server that attaches again
+	out            *bufio.Writer
+	link           net.Conn
+	unflushed      bool
+	timer          *time.Timer
+	onBegin        func(body string)
+	coldSince      int64 // start of the warm-up; 0 = none
+	closed         bool
 }
 
-type running struct {
-	id     uint64
-	name   string
-	body   []byte
-	done   chan struct{} // of a call by uwsgi; nil = the engine's own protocol
-	piece  float64       // of the work, between two calls
-	calls  int           // that are still to come
-	need   int           // the notice by which it stands at a call; 0 = it does not
-	began  int64
-	left   float64 // of its piece, while it is stopped
-	halted bool
-	out    []byte // its result so far
+// activeRun is a run that has started and not ended.
+type activeRun struct {
+	id            uint64
+	name          string
+	body          []byte
+	done          chan struct{} // closed at the end of a run by uwsgi; nil = a run by the engine's protocol
+	segmentWork   float64       // work between two calls
+	callsLeft     int           // downstream calls still to be made
+	awaitedNotice int           // number of the notice of the call that it waits for; 0 = none
+	started       int64
+	remainingWork float64 // of its segment, while it is halted
+	halted        bool
+	result        []byte // so far
 }
 
 const (
-	bodyMost = 1 << 20
-	lineMost = 4 << 10
-	keptMost = 1 << 14 // notices that a link which comes back can still hear
+	maxBodyBytes   = 1 << 20
+	maxLineBytes   = 4 << 10
+	maxKeptNotices = 1 << 14 // a server that attaches again gets at least this many earlier notices
 )
 
-func clock() int64 { return time.Now().UnixMicro() }
+func nowUS() int64 { return time.Now().UnixMicro() }
 
 // Serve starts an engine on a free loopback address.
 func Serve(spec Spec) (*Engine, error) {
@@ -72,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("engine stand-in: %w", err)
 	}
-	e := &Engine{Address: l.Addr().String(), l: l, box: New(spec, clock()), live: map[uint64]*running{}, names: map[string]*running{}, over: map[string]bool{}}
+	e := &Engine{Address: l.Addr().String(), listener: l, box: New(spec, nowUS()), onCores: map[uint64]*activeRun{}, byName: map[string]*activeRun{}, requestsOver: map[string]bool{}}
 	e.cond = sync.NewCond(&e.mu)
 	e.timer = time.AfterFunc(time.Hour, e.tick)
 	go func() {
@@ -81,144 +82,146 @@
 			if err != nil {
 				return
 			}
-			go e.talk(c)
+			go e.serve(c)
 		}
 	}()
 	go e.flush()
 	return e, nil
 }
 
-// Close ends the engine; an open link ends with its caller.
+// Close stops the engine. Open links stay until the server closes them.
 func (e *Engine) Close() {
-	e.l.Close()
+	e.listener.Close()
 	e.mu.Lock()
-	e.done = true
-	if e.web != nil {
-		e.web.Close()
+	e.closed = true
+	if e.uwsgiListener != nil {
+		e.uwsgiListener.Close()
 	}
 	e.timer.Stop()
 	e.cond.Broadcast()
 	e.mu.Unlock()
 }
 
-// OnBegin calls f with the body of each run that begins from now on.
+// OnBegin calls f with the body of each run that starts from now on.
 func (e *Engine) OnBegin(f func(body string)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.began = f
+	e.onBegin = f
 }
 
-// TellTook has the result of each run end with a blank and the microseconds that
-// it took here, from its command to its notice, waits of this process included:
-// what a caller waited beyond that was added on the way.
+// TellTook appends to the result of each run a space and the microseconds from its
+// RUN command to its notice, delays of this process included. The rest of what a
+// caller waits is due to the way between.
 func (e *Engine) TellTook() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.tells = true
+	e.reportDuration = true
 }
 
-// Cold has the cores come up cold now, from a share of their speed to all of it
-// within that time.
+// Cold starts a warm-up of the cores: the speed rises from a share of the full
+// speed to all of it within the given time.
 func (e *Engine) Cold(from float64, within time.Duration) {
 	e.Change(func(b *Box, now int64) {
-		e.born = now
+		e.coldSince = now
 		b.Cold(now, from, within.Microseconds())
 	})
 }
 
-// Change lets f act on the box, at the time now.
+// Change calls f with the Box and the present time, under the engine's lock.
 func (e *Engine) Change(f func(b *Box, now int64)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	f(e.box, clock())
-	e.settle()
+	f(e.box, nowUS())
+	e.advance()
 }
 
 func (e *Engine) tick() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settle()
+	e.advance()
 }
 
-// settle sends what has ended and sets the timer; the lock is held.
-func (e *Engine) settle() {
-	for _, end := range e.box.Advance(clock()) {
-		r := e.live[end.ID]
-		delete(e.live, end.ID)
-		e.pieceOver(r, end.At)
+// advance handles the segments that have ended and sets the timer; e.mu is held.
+func (e *Engine) advance() {
+	for _, ended := range e.box.Advance(nowUS()) {
+		r := e.onCores[ended.ID]
+		delete(e.onCores, ended.ID)
+		e.segmentDone(r, ended.At)
 	}
-	if next := e.box.Next(); next != 0 && !e.done {
-		e.timer.Reset(time.Duration(next-clock()) * time.Microsecond)
+	if next := e.box.Next(); next != 0 && !e.closed {
+		e.timer.Reset(time.Duration(next-nowUS()) * time.Microsecond)
 	}
 }
 
-func (e *Engine) end(r *running, how string, now int64) {
+// finishRun sends the outcome of a run.
+func (e *Engine) finishRun(r *activeRun, outcome string, now int64) {
 	if r.done != nil {
 		close(r.done)
 		return
 	}
-	if how != "complete" {
-		r.out = nil
-	} else if e.tells {
-		r.out = fmt.Appendf(r.out, " %d", clock()-r.began)
+	if outcome != "complete" {
+		r.result = nil
+	} else if e.reportDuration {
+		r.result = fmt.Appendf(r.result, " %d", nowUS()-r.started)
 	}
-	delete(e.names, r.name)
-	e.notice(fmt.Appendf(nil, "%s %s %d %d\r\n%s\r\n", r.name, how, (now-r.began)/1000, len(r.out), r.out), "DONE")
+	delete(e.byName, r.name)
+	e.sendNotice(fmt.Appendf(nil, "%s %s %d %d\r\n%s\r\n", r.name, outcome, (now-r.started)/1000, len(r.result), r.result), "DONE")
 }
 
-// notice numbers, keeps and sends a notice.
-func (e *Engine) notice(text []byte, kind string) {
-	e.sent++
-	notice := append(fmt.Appendf(nil, "%s %d ", kind, e.sent), text...)
-	if e.kept = append(e.kept, notice); len(e.kept) > 2*keptMost {
-		e.kept = append([][]byte(nil), e.kept[keptMost:]...)
+// sendNotice numbers, stores and sends a notice.
+func (e *Engine) sendNotice(text []byte, kind string) {
+	e.lastNotice++
+	notice := append(fmt.Appendf(nil, "%s %d ", kind, e.lastNotice), text...)
+	if e.keptNotices = append(e.keptNotices, notice); len(e.keptNotices) > 2*maxKeptNotices {
+		e.keptNotices = append([][]byte(nil), e.keptNotices[maxKeptNotices:]...)
 	}
 	if e.out != nil {
-		e.out.Write(notice) //nolint:errcheck // a lost link shows to its reader
-		e.wake()
+		e.out.Write(notice) //nolint:errcheck // the reader of the link sees the error
+		e.scheduleFlush()
 	}
 }
 
-func (e *Engine) wake() {
-	e.dirty = true
+func (e *Engine) scheduleFlush() {
+	e.unflushed = true
 	e.cond.Signal()
 }
 
-// flush writes what has gathered, as a busy engine does.
+// flush writes the buffered output, several notices at once under load, as a real
+// engine does.
 func (e *Engine) flush() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for !e.done {
-		if !e.dirty {
+	for !e.closed {
+		if !e.unflushed {
 			e.cond.Wait()
 			continue
 		}
-		e.dirty = false
+		e.unflushed = false
 		if e.out != nil {
-			e.out.Flush() //nolint:errcheck // a lost link shows to its reader
+			e.out.Flush() //nolint:errcheck // the reader of the link sees the error
 		}
 	}
 }
 
-var errCommand = errors.New("engine stand-in: not a command")
+var errMalformed = errors.New("engine stand-in: malformed command")
 
-func (e *Engine) talk(c net.Conn) {
+func (e *Engine) serve(c net.Conn) {
 	defer c.Close()
-	in := bufio.NewReaderSize(c, 256<<10)
+	input := bufio.NewReaderSize(c, 256<<10)
 	for {
-		line, err := in.ReadSlice('\n')
-		if err != nil || len(line) > lineMost {
+		line, err := input.ReadSlice('\n')
+		if err != nil || len(line) > maxLineBytes {
 			return
 		}
-		if err := e.command(c, in, bytes.Fields(line)); err != nil {
+		if err := e.handleCommand(c, input, bytes.Fields(line)); err != nil {
 			return
 		}
 	}
 }
 
-func (e *Engine) command(c net.Conn, in *bufio.Reader, words [][]byte) error {
+func (e *Engine) handleCommand(c net.Conn, input *bufio.Reader, words [][]byte) error {
 	if len(words) < 2 {
-		return errCommand
+		return errMalformed
 	}
 	tag := string(words[1])
 	switch string(words[0]) {
@@ -227,29 +230,29 @@
 		defer e.mu.Unlock()
 		e.out, e.link = bufio.NewWriterSize(c, 256<<10), c
 		hello := "HELLO hot 60000\r\n"
-		if e.born != 0 {
-			hello = fmt.Sprintf("HELLO chilly %d\r\n", (clock()-e.born)/1000)
+		if e.coldSince != 0 {
+			hello = fmt.Sprintf("HELLO chilly %d\r\n", (nowUS()-e.coldSince)/1000)
 		}
-		e.out.WriteString(hello) //nolint:errcheck // a lost link shows to its reader
+		e.out.WriteString(hello) //nolint:errcheck // the reader of the link sees the error
 		heard, _ := strconv.Atoi(tag)
-		for _, notice := range e.kept[min(max(0, len(e.kept)-(e.sent-heard)), len(e.kept)):] {
-			e.out.Write(notice) //nolint:errcheck // a lost link shows to its reader
+		for _, notice := range e.keptNotices[min(max(0, len(e.keptNotices)-(e.lastNotice-heard)), len(e.keptNotices)):] {
+			e.out.Write(notice) //nolint:errcheck // the reader of the link sees the error
 		}
-		e.wake()
+		e.scheduleFlush()
 		return nil
 	case "RUN":
 		if len(words) != 4 {
-			return errCommand
+			return errMalformed
 		}
 		size, err := strconv.Atoi(string(words[3]))
-		if err != nil || size < 0 || size > bodyMost {
-			return errCommand
+		if err != nil || size < 0 || size > maxBodyBytes {
+			return errMalformed
 		}
 		body := make([]byte, size+2)
-		if _, err := io.ReadFull(in, body); err != nil {
+		if _, err := io.ReadFull(input, body); err != nil {
 			return err
 		}
-		e.begin(tag, body[:size])
+		e.startRun(tag, body[:size])
 		return nil
 	case "STAT":
 		e.mu.Lock()
@@ -257,7 +260,7 @@
 		if e.out != nil {
 			n := e.box.Runs()
 			fmt.Fprintf(e.out, "STATS %s %.2f %d 0.1 4\r\n", tag, min(1, float64(n)/float64(e.box.Cores())), max(0, n-e.box.Cores()))
-			e.wake()
+			e.scheduleFlush()
 		}
 		return nil
 	case "TEST":
@@ -265,40 +268,40 @@
 		defer e.mu.Unlock()
 		if e.out != nil {
 			fmt.Fprintf(e.out, "TESTED %s complete\r\n", tag)
-			e.wake()
+			e.scheduleFlush()
 		}
 		return nil
 	}
-	return e.callCommand(in, words)
+	return e.handleRunCommand(input, words)
 }
 
-// begin starts a run; one under a name that runs already is the same run.
-func (e *Engine) begin(name string, body []byte) {
+// startRun starts a run, unless one with the same name has not ended.
+func (e *Engine) startRun(name string, body []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.names[name] != nil {
+	if e.byName[name] != nil {
 		return
 	}
 	if e.log.Begun != nil {
 		e.log.Begun[string(body)]++
 	}
-	if e.began != nil {
-		e.began(string(body))
+	if e.onBegin != nil {
+		e.onBegin(string(body))
 	}
 	calls := Calls(body)
-	r := &running{name: name, body: body, calls: calls, piece: Work(body) / float64(calls+1), began: clock(),
-		out: append([]byte(nil), body...)}
-	e.names[name] = r
-	e.proceed(r)
-	e.settle()
+	r := &activeRun{name: name, body: body, callsLeft: calls, segmentWork: Work(body) / float64(calls+1), started: nowUS(),
+		result: append([]byte(nil), body...)}
+	e.byName[name] = r
+	e.startSegment(r)
+	e.advance()
 }
 
-// Work is what a body states as its work, in microseconds.
+// Work returns the work that a body states, in microseconds.
 func Work(body []byte) float64 {
-	n := 0
-	for n < len(body) && n < 15 && body[n] >= '0' && body[n] <= '9' {
-		n++
+	digits := 0
+	for digits < len(body) && digits < 15 && body[digits] >= '0' && body[digits] <= '9' {
+		digits++
 	}
-	work, _ := strconv.ParseFloat(string(body[:n]), 64)
+	work, _ := strconv.ParseFloat(string(body[:digits]), 64)
 	return work
 }
--- a/internal/standin/box/uwsgi.go
+++ b/internal/standin/box/uwsgi.go
@@ -10,18 +10,18 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// A call by uwsgi must be whole within this, and its answer be taken.
-const uwsgiPatience = 30 * time.Second
+// uwsgiTimeout bounds the reading of a uwsgi request, its run and the answer.
+const uwsgiTimeout = 30 * time.Second
 
-// ServeUWSGI lets the same cores do work for uwsgi clients on a loopback address
-// of its own. It ends with the engine.
+// ServeUWSGI also serves uwsgi requests, on a loopback address of its own and on
+// the same cores, until Close.
 func (e *Engine) ServeUWSGI() (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("uwsgi stand-in: %w", err)
 	}
 	e.mu.Lock()
-	e.web = l
+	e.uwsgiListener = l
 	e.mu.Unlock()
 	go func() {
 		for {
@@ -29,16 +29,16 @@
 			if err != nil {
 				return
 			}
-			go e.call(c)
+			go e.handleUWSGI(c)
 		}
 	}()
 	return l.Addr().String(), nil
 }
 
-// call serves one connection, which carries one request.
-func (e *Engine) call(c net.Conn) {
+// handleUWSGI serves a connection, which carries one request.
+func (e *Engine) handleUWSGI(c net.Conn) {
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(uwsgiPatience)) //nolint:errcheck // a TCP connection takes it
+	c.SetDeadline(time.Now().Add(uwsgiTimeout)) //nolint:errcheck // supported by TCP connections
 	body, err := ReadCall(c)
 	if err != nil {
 		return
@@ -46,20 +46,20 @@
 	if work := Work(body); work > 0 {
 		done := make(chan struct{})
 		e.mu.Lock()
-		if e.began != nil {
-			e.began(string(body))
+		if e.onBegin != nil {
+			e.onBegin(string(body))
 		}
-		e.next++
-		e.live[e.next] = &running{body: body, done: done}
-		e.box.Begin(clock(), e.next, work)
-		e.settle()
+		e.lastID++
+		e.onCores[e.lastID] = &activeRun{body: body, done: done}
+		e.box.Begin(nowUS(), e.lastID, work)
+		e.advance()
 		e.mu.Unlock()
 		<-done
 	}
-	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body) //nolint:errcheck // a lost caller needs no answer
+	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body) //nolint:errcheck // the client may have closed the connection
 }
 
-// ReadCall reads one uwsgi request and returns its body.
+// ReadCall reads a uwsgi request and returns its body.
 func ReadCall(c io.Reader) ([]byte, error) {
 	var buf []byte
 	chunk := make([]byte, 4096)
@@ -77,15 +77,15 @@
 					length, _ = strconv.Atoi(string(value))
 				}
 			}
-			if length < 0 || length > bodyMost {
-				return nil, errCommand
+			if length < 0 || length > maxBodyBytes {
+				return nil, errMalformed
 			}
 			if len(buf) >= size+length {
 				return buf[size : size+length], nil
 			}
 		}
-		if err != nil || len(buf) > bodyMost {
-			return nil, fmt.Errorf("uwsgi stand-in: the request breaks off: %w", err)
+		if err != nil || len(buf) > maxBodyBytes {
+			return nil, fmt.Errorf("uwsgi stand-in: request incomplete: %w", err)
 		}
 	}
 }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -18,73 +18,73 @@
 	"kiteslip/internal/uwsgi"
 )
 
-// patience bounds every wait of a stand-in: far longer than any answer takes,
-// so that a missing one fails the test and does not hang it.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of a stand-in. It is far longer than any answer
+// takes, so that a missing one fails the test instead of blocking it.
+const waitTimeout = 20 * time.Second
 
-// Backend stands in for a uwsgi server. It runs each request as work says; the
-// end "error" answers 500, "break" closes after a part of the response, "close"
-// before any.
+// Backend is a stand-in for a uwsgi server. Its work function decides how each
+// request ends: Work.End "error" answers 500, "break" closes the connection after
+// a part of the response, "close" before any of it.
 type Backend struct {
-	Address string
-	mu      sync.Mutex
-	bodies  map[string]int
+	Address    string
+	mu         sync.Mutex
+	runsByBody map[string]int
 }
 
-// NewBackend starts a uwsgi server.
+// NewBackend starts a uwsgi server on a free loopback address.
 func NewBackend(t testing.TB, work func(body string) Work) *Backend {
-	b := &Backend{bodies: map[string]int{}}
+	b := &Backend{runsByBody: map[string]int{}}
 	b.Address, _ = listen(t, func(c net.Conn) {
 		defer c.Close()
-		read, err := box.ReadCall(c)
+		content, err := box.ReadCall(c)
 		if err != nil {
 			return
 		}
-		body := string(read)
+		body := string(content)
 		b.mu.Lock()
-		b.bodies[body]++
+		b.runsByBody[body]++
 		b.mu.Unlock()
-		w := work(body)
-		time.Sleep(w.For)
-		switch w.End {
+		run := work(body)
+		time.Sleep(run.For)
+		switch run.End {
 		case "error":
 			fmt.Fprint(c, "HTTP/1.1 500 Oops\r\n\r\n")
 		case "break":
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\npart")
 		case "close":
 		default:
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(w.Result), w.Result)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(run.Result), run.Result)
 		}
 	})
 	return b
 }
 
-// Runs returns how often each body was run.
+// Runs returns the number of runs of each body.
 func (b *Backend) Runs() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return maps.Clone(b.bodies)
+	return maps.Clone(b.runsByBody)
 }
 
-// Reply is an answer as a caller saw it, in the terms that both fronts share.
+// Reply is an answer as a caller received it from either front end.
 type Reply struct {
 	Stream uint32
 	Type   byte
-	Code   byte // of the frame front
-	Status int  // of the uwsgi front
+	Code   byte // frame front end only
+	Status int  // uwsgi front end only
 	Fields map[string]string
 	Body   string
 	At     time.Time
 }
 
-// Caller is one connection on the platform's protocol.
+// Caller is a caller's connection to the frame front end.
 type Caller struct {
 	t       testing.TB
 	Conn    net.Conn
-	Replies chan Reply // closed with the connection
+	Replies chan Reply // closed when the connection ends
 }
 
-// Dial opens a caller's connection.
+// Dial connects to the frame front end at address.
 func Dial(t testing.TB, address string) *Caller {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -128,22 +128,22 @@
 	}
 }
 
-// Next returns the next frame from the server, or false when the connection ended.
+// Next returns the next frame from the server, or false if the connection has ended.
 func (c *Caller) Next() (Reply, bool) {
 	select {
 	case r, ok := <-c.Replies:
 		return r, ok
-	case <-time.After(patience):
-		c.t.Errorf("no frame and no end of the connection within %v", patience)
+	case <-time.After(waitTimeout):
+		c.t.Errorf("neither a frame nor the end of the connection within %v", waitTimeout)
 		return Reply{}, false
 	}
 }
 
-// Fields are those of a request that comes to the machine now.
-func Fields(class, tenant, key string, name uint64, timeout time.Duration) []frame.Field {
+// Fields returns the header fields of a request that reaches the machine now.
+func Fields(class, tenant, key string, tryID uint64, timeout time.Duration) []frame.Field {
 	f := []frame.Field{
 		{Name: "kind", Value: class}, {Name: "owner", Value: tenant},
-		{Name: "req", Value: fmt.Sprintf("%016x", name)}, {Name: "via", Value: "1"},
+		{Name: "req", Value: fmt.Sprintf("%016x", tryID)}, {Name: "via", Value: "1"},
 		{Name: "ts", Value: strconv.FormatInt(time.Now().UnixMilli(), 10)},
 		{Name: "timeout", Value: strconv.FormatInt(timeout.Milliseconds(), 10)},
 		{Name: "ms", Value: "10.0"}, {Name: "need", Value: "16"}, {Name: "level", Value: "0.5"},
@@ -159,10 +159,10 @@
 	c.Write(frame.AppendRequest(nil, stream, fields, []byte(body)))
 }
 
-// Write writes bytes as they are; a closed connection shows in the replies.
+// Write writes raw bytes. Errors are ignored: a closed connection shows in Replies.
 func (c *Caller) Write(b []byte) { c.Conn.Write(b) } //nolint:errcheck // see above
 
-// Vars are those of the same request on the uwsgi front.
+// Vars returns the variables of such a request on the uwsgi front end.
 func Vars(class, tenant, key string, timeout time.Duration) []uwsgi.Var {
 	v := []uwsgi.Var{{Name: uwsgi.VarClass, Value: class}, {Name: uwsgi.VarTenant, Value: tenant},
 		{Name: uwsgi.VarTimeout, Value: strconv.FormatInt(timeout.Milliseconds(), 10)}}
@@ -172,7 +172,7 @@
 	return v
 }
 
-// Packet is a whole uwsgi request.
+// Packet returns a complete uwsgi request.
 func Packet(t testing.TB, vars []uwsgi.Var, body string) []byte {
 	t.Helper()
 	vars = append([]uwsgi.Var{{Name: uwsgi.VarLength, Value: strconv.Itoa(len(body))}}, vars...)
@@ -183,16 +183,16 @@
 	return append(b, body...)
 }
 
-// Post sends bytes to a uwsgi front and reads the response to its end. A
-// status of 0 says that none came.
+// Post sends packet to a uwsgi front end and reads the whole response. Status is 0
+// if there was none; Body then has the error.
 func Post(address string, packet []byte) Reply {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return Reply{Body: err.Error()}
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience)) //nolint:errcheck // a TCP connection takes it
-	conn.Write(packet)                         //nolint:errcheck // an early answer may close the connection
+	conn.SetDeadline(time.Now().Add(waitTimeout)) //nolint:errcheck // supported by TCP connections
+	conn.Write(packet)                            //nolint:errcheck // an early answer may close the connection
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return Reply{Body: err.Error()}
@@ -208,39 +208,40 @@
 	return r
 }
 
-// Ask makes one call at the operators' door, in pieces if there are several,
-// and returns the whole answer.
-func Ask(t testing.TB, address string, call ...string) string {
+// Ask sends one command to the admin endpoint, in several writes if it is given in
+// pieces, and returns the whole answer.
+func Ask(t testing.TB, address string, command ...string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(time.Second)) //nolint:errcheck // a TCP connection takes it
-	for _, piece := range call[:len(call)-1] {
-		io.WriteString(conn, piece) //nolint:errcheck // a missing answer shows
+	conn.SetDeadline(time.Now().Add(time.Second)) //nolint:errcheck // supported by TCP connections
+	for _, piece := range command[:len(command)-1] {
+		io.WriteString(conn, piece) //nolint:errcheck // a missing answer fails the test
 		time.Sleep(time.Millisecond)
 	}
-	fmt.Fprintf(conn, "%s\n", call[len(call)-1])
+	fmt.Fprintf(conn, "%s\n", command[len(command)-1])
 	answer, err := io.ReadAll(conn)
 	if err != nil {
-		t.Errorf("%s: no answer within a second: %v", call, err)
+		t.Errorf("%s: no answer within 1 s: %v", command, err)
 	}
 	return string(answer)
 }
 
-// NewRegistry returns the address of a registry and the reports that reach it.
+// NewRegistry starts a registry and returns its address and the reports that it
+// receives.
 func NewRegistry(t testing.TB) (string, <-chan string) {
 	t.Helper()
 	address, reports, _ := NewRegistryAt(t, "127.0.0.1:0")
 	return address, reports
 }
 
-// NewRegistryAt is NewRegistry at an address, with what takes it down.
-func NewRegistryAt(t testing.TB, at string) (address string, got <-chan string, down func()) {
+// NewRegistryAt is NewRegistry at a given address; stop closes the registry.
+func NewRegistryAt(t testing.TB, listen string) (address string, received <-chan string, stop func()) {
 	t.Helper()
-	conn, err := net.ListenPacket("udp", at)
+	conn, err := net.ListenPacket("udp", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,6 @@
-// Package standin holds the parties that a server talks with, for tests: the
-// engine, uwsgi servers, callers of both fronts and the registry, each written
-// from its protocol's page. All of them listen on and dial loopback addresses.
+// Package standin has stand-ins for the parties that a server talks to, for tests:
+// the engine, uwsgi backends, callers of both front ends and the registry. Each is
+// written from the description of its protocol. They use loopback addresses only.
 package standin
 
 import (
@@ -16,39 +16,41 @@
 	"time"
 )
 
-// Work says what becomes of one run.
+// Work describes one run.
 type Work struct {
-	For    time.Duration
-	End    string // complete, error, ...; "" = complete
+	For    time.Duration // how long the run takes
+	End    string        // outcome: complete, error, ...; "" = complete
 	Result string
 }
 
-// Echo is work of one length whose result is made from the body.
-func Echo(length time.Duration) func(body string) Work {
-	return func(body string) Work { return Work{For: length, Result: "did " + body} }
+// Echo returns a work function whose runs take a fixed time and return "did " and
+// the body.
+func Echo(duration time.Duration) func(body string) Work {
+	return func(body string) Work { return Work{For: duration, Result: "did " + body} }
 }
 
-// Engine stands in for the process that owns the cores.
+// Engine is a stand-in for the engine. Each run takes the time that the work
+// function gives it, however many run at once.
 type Engine struct {
-	Address string
-	work    func(body string) Work
-	stop    func() // takes no new link at Address
+	Address       string
+	work          func(body string) Work
+	stopListening func() // stops listening at Address
 
-	mu      sync.Mutex
-	link    net.Conn
-	bodies  map[string]int // how often each was run
-	live    map[string]bool
-	notices []string
+	mu         sync.Mutex
+	link       net.Conn
+	runsByBody map[string]int // number of runs of each body
+	running    map[string]bool
+	notices    []string
 }
 
-// NewEngine starts an engine that is up and does work.
+// NewEngine starts an engine on a free loopback address.
 func NewEngine(t testing.TB, work func(body string) Work) *Engine {
-	e := &Engine{work: work, bodies: map[string]int{}, live: map[string]bool{}}
-	e.Address, e.stop = listen(t, e.serve)
+	e := &Engine{work: work, runsByBody: map[string]int{}, running: map[string]bool{}}
+	e.Address, e.stopListening = listen(t, e.serve)
 	return e
 }
 
-// listen starts a listener that lives until it is stopped or the test ends.
+// listen accepts connections until it is stopped or the test ends.
 func listen(t testing.TB, serve func(net.Conn)) (address string, stop func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,41 +72,41 @@
 
 func (e *Engine) serve(c net.Conn) {
 	defer c.Close()
-	in := bufio.NewReader(c)
+	input := bufio.NewReader(c)
 	for {
-		line, err := in.ReadString('\n')
+		line, err := input.ReadString('\n')
 		if err != nil {
 			return
 		}
 		words := strings.Fields(line)
 		switch {
 		case len(words) == 2 && words[0] == "ATTACH":
-			n, _ := strconv.Atoi(words[1])
+			heard, _ := strconv.Atoi(words[1]) // notices that the server has received
 			e.mu.Lock()
 			e.link = c
 			fmt.Fprint(c, "HELLO hot 60000\r\n")
-			for _, notice := range e.notices[min(n, len(e.notices)):] {
+			for _, notice := range e.notices[min(heard, len(e.notices)):] {
 				io.WriteString(c, notice)
 			}
 			e.mu.Unlock()
 		case len(words) == 4 && words[0] == "RUN":
 			size, _ := strconv.Atoi(words[3])
 			body := make([]byte, size+2)
-			if _, err := io.ReadFull(in, body); err != nil {
+			if _, err := io.ReadFull(input, body); err != nil {
 				return
 			}
-			e.start(words[1], string(body[:size]))
+			e.startRun(words[1], string(body[:size]))
 		case len(words) == 2 && words[0] == "STAT":
-			e.say("STATS " + words[1] + " 0.5 1 0.1 4\r\n")
+			e.send("STATS " + words[1] + " 0.5 1 0.1 4\r\n")
 		case len(words) == 2 && words[0] == "TEST":
-			e.say("TESTED " + words[1] + " complete\r\n")
+			e.send("TESTED " + words[1] + " complete\r\n")
 		default:
 			return
 		}
 	}
 }
 
-func (e *Engine) say(line string) {
+func (e *Engine) send(line string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.link != nil {
@@ -112,25 +114,25 @@
 	}
 }
 
-func (e *Engine) start(id, body string) {
+func (e *Engine) startRun(id, body string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.live[id] {
+	if e.running[id] {
 		return
 	}
-	e.live[id] = true
-	e.bodies[body]++
-	w := e.work(body)
-	time.AfterFunc(w.For, func() {
+	e.running[id] = true
+	e.runsByBody[body]++
+	run := e.work(body)
+	time.AfterFunc(run.For, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.live, id)
-		end := w.End
-		if end == "" {
-			end = "complete"
+		delete(e.running, id)
+		outcome := run.End
+		if outcome == "" {
+			outcome = "complete"
 		}
-		notice := fmt.Sprintf("DONE %d %s %s %d %d\r\n%s\r\n", len(e.notices)+1, id, end,
-			w.For.Milliseconds(), len(w.Result), w.Result)
+		notice := fmt.Sprintf("DONE %d %s %s %d %d\r\n%s\r\n", len(e.notices)+1, id, outcome,
+			run.For.Milliseconds(), len(run.Result), run.Result)
 		e.notices = append(e.notices, notice)
 		if e.link != nil {
 			io.WriteString(e.link, notice)
@@ -138,14 +140,14 @@
 	})
 }
 
-// Move gives the engine another address; the old one takes nothing new. Runs
-// and notices go on, and an open link stays until the server replaces it.
+// Move gives the engine another address; the old one accepts no new connections.
+// Runs and notices go on, and an open link stays until the server replaces it.
 func (e *Engine) Move(t testing.TB) {
-	e.stop()
-	e.Address, e.stop = listen(t, e.serve)
+	e.stopListening()
+	e.Address, e.stopListening = listen(t, e.serve)
 }
 
-// Cut ends the link; the server may attach again.
+// Cut closes the link to the server, which may attach again.
 func (e *Engine) Cut() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,9 +157,9 @@
 	}
 }
 
-// Runs returns how often each body was run.
+// Runs returns the number of runs of each body.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return maps.Clone(e.bodies)
+	return maps.Clone(e.runsByBody)
 }
--- a/internal/standin/ledger/ledger.go
+++ b/internal/standin/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger stands in for what lies below: an HTTP/1.1 server on a loopback
-// address that answers each call as a script says, and keeps a record of which
-// calls had their effect.
+// Package ledger is a stand-in for the ledger: an HTTP/1.1 server on a loopback
+// address that answers each downstream call as a script says, and records which
+// calls took effect.
 package ledger
 
 import (
@@ -14,41 +14,42 @@
 	"time"
 )
 
-// Call is one call as it came.
+// Call is a downstream call as it was received.
 type Call struct {
-	Ref   string
-	Body  string
-	Limit time.Duration // how long the server will wait
-	Try   int           // calls of this ref before, this one included
+	Ref     string
+	Body    string
+	Timeout time.Duration // how long the server waits for the answer
+	Try     int           // number of this call among those with the same Ref, from 1
 }
 
-// Act is what becomes of a call. Its zero value is a good end at once.
+// Act says how a call is answered. The zero value is an immediate success.
 type Act struct {
-	After     time.Duration // a call given up meanwhile has its effect only if Ran says so
+	After     time.Duration // delay of the answer; a call given up before its end takes effect only if Ran is set
 	Status    int           // 0 = 200
-	Untouched bool
-	Ran       bool // it has its effect though its status is not 200
-	Break     bool // the connection breaks instead of an answer
-	Garble    bool // what comes is no HTTP
-	Size      int  // of the reply; 0 = what Reply gives
+	Untouched bool          // the answer says that the call took no effect
+	Ran       bool          // the call takes effect though its status is not 200
+	Break     bool          // the connection closes in the middle of the answer
+	Garble    bool          // the answer is not HTTP
+	Size      int           // of the reply in bytes; 0 = the reply is Reply(body)
 }
 
-// Ledger is one ledger.
+// Ledger is a running stand-in.
 type Ledger struct {
 	Address string
 	script  func(Call) Act
 
-	mu      sync.Mutex
-	server  *http.Server
-	tries   map[string]int
-	effects map[string]int // by body
-	seen    int
-	givenUp int
-	conns   int // open now
-	most    int // ... at most so far
+	mu        sync.Mutex
+	server    *http.Server
+	tries     map[string]int
+	effects   map[string]int // calls that took effect, by body
+	received  int
+	givenUp   int
+	openConns int // open connections
+	maxConns  int // maximum of openConns
 }
 
-// Serve starts a ledger that follows script; nil = all goes well at once.
+// Serve starts a ledger that answers as script says; nil = every call succeeds at
+// once.
 func Serve(script func(Call) Act) (*Ledger, error) {
 	if script == nil {
 		script = func(Call) Act { return Act{} }
@@ -57,93 +58,93 @@
 	return l, l.Up()
 }
 
-// Up takes calls again, at the same address.
+// Up accepts calls again, at the same address.
 func (l *Ledger) Up() error {
-	at := l.Address
-	if at == "" {
-		at = "127.0.0.1:0"
+	address := l.Address
+	if address == "" {
+		address = "127.0.0.1:0"
 	}
-	listener, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("ledger stand-in: %w", err)
 	}
-	server := &http.Server{Handler: l, IdleTimeout: 10 * time.Second, ConnState: l.count}
+	server := &http.Server{Handler: l, IdleTimeout: 10 * time.Second, ConnState: l.countConn}
 	l.mu.Lock()
 	l.Address, l.server = listener.Addr().String(), server
 	l.mu.Unlock()
-	go server.Serve(listener) //nolint:errcheck // it ends with Down
+	go server.Serve(listener) //nolint:errcheck // it returns after Down
 	return nil
 }
 
-// Down refuses connections from now on and breaks those that are open.
+// Down refuses new connections and closes those that are open.
 func (l *Ledger) Down() {
 	l.mu.Lock()
 	server := l.server
 	l.mu.Unlock()
-	server.Close() //nolint:errcheck // it is gone either way
+	server.Close() //nolint:errcheck // the server is closed in any case
 }
 
-func (l *Ledger) count(_ net.Conn, state http.ConnState) {
+func (l *Ledger) countConn(_ net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		l.conns++
-		l.most = max(l.most, l.conns)
+		l.openConns++
+		l.maxConns = max(l.maxConns, l.openConns)
 	case http.StateClosed, http.StateHijacked:
-		l.conns--
+		l.openConns--
 	}
 }
 
-// Reply is the body of a call that goes well.
+// Reply returns the answer to a call that succeeds.
 func Reply(body string) string { return "posted " + body }
 
-// ServeHTTP takes one call.
+// ServeHTTP answers one call.
 func (l *Ledger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	limit, _ := strconv.Atoi(r.Header.Get("X-Limit-Ms"))
-	if err != nil || r.Method != http.MethodPost || r.URL.Path != "/post" || r.Header.Get("X-Txn-Ref") == "" || limit <= 0 {
+	timeoutMS, _ := strconv.Atoi(r.Header.Get("X-Limit-Ms"))
+	if err != nil || r.Method != http.MethodPost || r.URL.Path != "/post" || r.Header.Get("X-Txn-Ref") == "" || timeoutMS <= 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	call := Call{Ref: r.Header.Get("X-Txn-Ref"), Body: string(body), Limit: time.Duration(limit) * time.Millisecond}
+	call := Call{Ref: r.Header.Get("X-Txn-Ref"), Body: string(body), Timeout: time.Duration(timeoutMS) * time.Millisecond}
 	l.mu.Lock()
-	l.seen++
+	l.received++
 	l.tries[call.Ref]++
 	call.Try = l.tries[call.Ref]
 	l.mu.Unlock()
 	act := l.script(call)
 	if act.Ran {
-		l.effect(call.Body)
+		l.recordEffect(call.Body)
 	}
-	if !wait(r.Context(), act.After) {
+	if !waitDelay(r.Context(), act.After) {
 		l.mu.Lock()
 		l.givenUp++
 		l.mu.Unlock()
 		return
 	}
 	if act.Break || act.Garble {
-		l.spoil(w, act)
+		l.breakAnswer(w, act)
 		return
 	}
 	if act.Untouched {
 		w.Header().Set("X-Untouched", "1")
 	}
 	if act.Status == 0 || act.Status == http.StatusOK {
-		l.effect(call.Body)
+		l.recordEffect(call.Body)
 		reply := []byte(Reply(call.Body))
 		if act.Size > 0 {
 			reply = make([]byte, act.Size)
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(reply)))
-		w.Write(reply) //nolint:errcheck // a lost caller needs no answer
+		w.Write(reply) //nolint:errcheck // the server may have closed the connection
 		return
 	}
 	w.WriteHeader(act.Status)
 }
 
-// wait returns false if the call is given up first.
-func wait(ctx context.Context, d time.Duration) bool {
+// waitDelay waits for d, and returns false if the call is given up first.
+func waitDelay(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -157,47 +158,48 @@
 	}
 }
 
-// spoil answers what is none, or nothing, and closes the connection.
-func (l *Ledger) spoil(w http.ResponseWriter, act Act) {
+// breakAnswer sends bytes that are not HTTP, or a partial answer, and closes the
+// connection.
+func (l *Ledger) breakAnswer(w http.ResponseWriter, act Act) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	if act.Garble {
-		io.WriteString(c, "YES IT WENT WELL\r\n\r\n") //nolint:errcheck // as above
+		io.WriteString(c, "YES IT WENT WELL\r\n\r\n") //nolint:errcheck // the server may have closed the connection
 	} else {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\npart") //nolint:errcheck // as above
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\npart") //nolint:errcheck // the server may have closed the connection
 	}
 	c.Close()
 }
 
-func (l *Ledger) effect(body string) {
+func (l *Ledger) recordEffect(body string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.effects[body]++
 }
 
-// Seen is how many calls came, and how many of them were given up.
+// Seen returns the number of calls received, and how many of them were given up.
 func (l *Ledger) Seen() (calls, givenUp int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen, l.givenUp
+	return l.received, l.givenUp
 }
 
-// Effects is how often the call of each body had its effect.
+// Effects returns how often a call with each body took effect.
 func (l *Ledger) Effects() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := map[string]int{}
+	copied := map[string]int{}
 	for body, n := range l.effects {
-		all[body] = n
+		copied[body] = n
 	}
-	return all
+	return copied
 }
 
-// Connections is how many are open, and how many were at most.
+// Connections returns the number of open connections and its maximum so far.
 func (l *Ledger) Connections() (open, most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.conns, l.most
+	return l.openConns, l.maxConns
 }
