--- a/internal/lab/broker.go
+++ b/internal/lab/broker.go
@@ -6,7 +6,7 @@
 	"kiteslip/internal/standin/box"
 )
 
-// The classes of the small broker that measurements play: those of
+// The classes of the small broker of the measurements: those of
 // deploy/operator.toml, in that order.
 const (
 	CodeToPoint = iota
@@ -15,13 +15,14 @@
 	RegisterAddress
 )
 
-// ClassNames are the names of the classes.
+// ClassNames has the name of each class.
 var ClassNames = [...]string{"code-to-point", "point-to-code", "landmark-search", "register-address"}
 
-// trafficMix is each class's part of the requests, and its work in milliseconds.
-var trafficMix = [...]struct{ part, least, most float64 }{{0.35, 240, 420}, {0.25, 240, 420}, {0.25, 150, 260}, {0.15, 240, 420}}
+// trafficMix has the share of each class in the requests, and its least and most
+// work in milliseconds.
+var trafficMix = [...]struct{ share, least, most float64 }{{0.35, 240, 420}, {0.25, 240, 420}, {0.25, 150, 260}, {0.15, 240, 420}}
 
-// Broker is the module's settings of a small broker.
+// Broker returns the policy settings of the small broker.
 func Broker(cores int) kiteslip.Settings {
 	return kiteslip.Settings{
 		Cores: cores, MemoryKB: 256 * 1024, RunFactor: 4, KeyKB: 8, MaxRetryAfter: Second,
@@ -37,7 +38,7 @@
 	}
 }
 
-// BrokerPools are the pools of the same broker.
+// BrokerPools returns pools for the small broker.
 func BrokerPools(m *kiteslip.Settings) *pool.Settings {
 	s := pool.SettingsFor(m)
 	s.CheapReserve = 0.25
@@ -49,24 +50,27 @@
 	return s
 }
 
-// BrokerBox is the machine behind it: it gets less done beyond four runs a core.
+// BrokerBox returns the machine of the small broker: it loses throughput beyond four
+// runs per core.
 func BrokerBox(cores int) box.Spec { return box.Spec{Cores: cores, Speed: 1, Knee: 4, Loss: 0.1} }
 
-// MixedTraffic is the usual mix of classes at a part of what the cores can do.
+// MixedTraffic returns the usual mix of classes; load is relative to the capacity of
+// the cores.
 func MixedTraffic(cores int, load float64) []Stream {
 	mean := 0.0
 	for _, c := range trafficMix {
-		mean += c.part * (c.least + c.most) / 2
+		mean += c.share * (c.least + c.most) / 2
 	}
 	total := load * float64(cores) * 1000 / mean
 	var streams []Stream
 	for i, c := range trafficMix {
-		streams = append(streams, Stream{Class: i, Rate: ConstantRate(total * c.part), Work: UniformWork(c.least, c.most)})
+		streams = append(streams, Stream{Class: i, Rate: ConstantRate(total * c.share), Work: UniformWork(c.least, c.most)})
 	}
 	return streams
 }
 
-// SingleClass is traffic of one class at a part of what the cores can do.
+// SingleClass returns traffic of one class; load is relative to the capacity of the
+// cores.
 func SingleClass(cores int, class int, load float64) Stream {
 	c := trafficMix[class]
 	return Stream{Class: class, Rate: ConstantRate(load * float64(cores) * 1000 / ((c.least + c.most) / 2)), Work: UniformWork(c.least, c.most)}
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -11,7 +11,7 @@
 	"kiteslip/internal/pool"
 )
 
-// sink takes runs and answers and does nothing.
+// sink collects the runs that the core starts and counts its answers.
 type sink struct {
 	runs     []*core.Request
 	answered int
@@ -20,39 +20,39 @@
 func (s *sink) Run(r *core.Request)        { s.runs = append(s.runs, r) }
 func (s *sink) Answer(uint32, core.Answer) { s.answered++ }
 
-// DecisionCost returns the processor time that one request takes in the core and
-// the module while so many are open: as many arrive as end, a few at a
-// time, until n have ended. The time is the machine's own, so only ratios of one run mean anything.
+// DecisionCost returns the time that one request takes in the core and the policy
+// while a number of requests are open: batches of requests end and as many arrive,
+// until n have ended. Times are comparable only within one process on one machine.
 func DecisionCost(pools bool, open, n int) (time.Duration, error) {
-	m := Broker(8)
-	m.MemoryKB = 1e9
-	for i := range m.Classes {
-		m.Classes[i].TargetTime, m.Classes[i].Timeout = 3600*Second, 3600*Second
+	policy := Broker(8)
+	policy.MemoryKB = 1e9
+	for i := range policy.Classes {
+		policy.Classes[i].TargetTime, policy.Classes[i].Timeout = 3600*Second, 3600*Second
 	}
-	var s *pool.Settings
+	var poolSettings *pool.Settings
 	if pools {
-		s = BrokerPools(&m)
-		for i := range s.Pools {
-			s.Pools[i].MaxQueued = 1 << 30
+		poolSettings = BrokerPools(&policy)
+		for i := range poolSettings.Pools {
+			poolSettings.Pools[i].MaxQueued = 1 << 30
 		}
 	}
 	to := &sink{}
-	c, err := core.New(core.Settings{Policy: m, Pools: s}, to)
+	c, err := core.New(core.Settings{Policy: policy, Pools: poolSettings}, to)
 	if err != nil {
 		return 0, err
 	}
 	now, id := int64(epoch), 0
 	arrive := func() error {
 		id++
-		name := strconv.Itoa(id)
-		return c.Submit(now, &core.Request{TryID: name, Class: id % 3, Key: name, Arrived: now, Deadline: now + 3600*Second, SizeKB: 16, ReplyTo: to})
+		tryID := strconv.Itoa(id)
+		return c.Submit(now, &core.Request{TryID: tryID, Class: id % 3, Key: tryID, Arrived: now, Deadline: now + 3600*Second, SizeKB: 16, ReplyTo: to})
 	}
-	const batch = 8 // in both cases: what a batch costs is shared by its requests
-	play := func(n int) error {
+	const batch = 8 // the same with and without pools, as the requests of a batch share the cost of a step
+	runBatches := func(n int) error {
 		for done := 0; done < n; done += batch {
 			now += 4_000
 			if len(to.runs) < batch {
-				return fmt.Errorf("lab: %d requests run, want %d", len(to.runs), batch)
+				return fmt.Errorf("lab: %d requests are running, want %d", len(to.runs), batch)
 			}
 			ended := to.runs[:batch]
 			to.runs = append([]*core.Request(nil), to.runs[batch:]...)
@@ -62,7 +62,7 @@
 					return err
 				}
 			}
-			c.SetGauges(kiteslip.Gauges{Valid: true, Busy: 1, Runnable: batch}) // the running limit stays at the cores
+			c.SetGauges(kiteslip.Gauges{Valid: true, Busy: 1, Runnable: batch}) // keeps the running limit at the number of cores
 			c.Step(now)
 		}
 		return nil
@@ -76,12 +76,12 @@
 		c.Step(now)
 		return nil
 	}
-	// Until it has learned what the work is, the module takes little.
-	if err := errors.Join(fill(2*batch), play(200*batch), fill(open), play(50*batch), fill(open)); err != nil {
+	// The policy admits few requests until it has learned the work of the classes.
+	if err := errors.Join(fill(2*batch), runBatches(200*batch), fill(open), runBatches(50*batch), fill(open)); err != nil {
 		return 0, err
 	}
 	began := time.Now()
-	if err := play(n); err != nil {
+	if err := runBatches(n); err != nil {
 		return 0, err
 	}
 	took := time.Since(began) / time.Duration(n)
@@ -91,20 +91,20 @@
 	return took, nil
 }
 
-// CostRatio is the cost of a decision with pools over that without. Both are
-// played in turn, and the quickest play of each counts: what else the machine
-// does only ever makes one slower.
-func CostRatio(open, n, plays int) (ratio float64, off, on time.Duration, err error) {
-	quickest := [2]time.Duration{1 << 62, 1 << 62}
-	for range plays {
-		for i := range quickest {
+// CostRatio returns the cost of a decision with pools over that without. The two
+// are measured in turn, and the fastest of the rounds counts for each, because
+// other load on the machine can only make a round slower.
+func CostRatio(open, n, rounds int) (ratio float64, off, on time.Duration, err error) {
+	fastest := [2]time.Duration{1 << 62, 1 << 62}
+	for range rounds {
+		for i := range fastest {
 			took, err := DecisionCost(i == 1, open, n)
 			if err != nil {
 				return 0, 0, 0, err
 			}
-			quickest[i] = min(quickest[i], took)
+			fastest[i] = min(fastest[i], took)
 		}
 	}
-	off, on = quickest[0], quickest[1]
+	off, on = fastest[0], fastest[1]
 	return float64(on) / float64(off), off, on, nil
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,6 +1,8 @@
-// Package lab plays traffic against a core with its module and an emulated box,
-// in simulated time: the same seed gives the same day. It is for measurements
-// and tests; nothing that serves imports it.
+// Package lab simulates traffic against a core with its policy and a model of the
+// machine (box.Box), in simulated time: the same seed gives the same result. It is
+// for measurements and tests; the server does not import it.
+//
+// Instants and durations are microseconds.
 package lab
 
 import (
@@ -15,58 +17,61 @@
 	"kiteslip/internal/standin/box"
 )
 
-// Second is one second of the simulated clock, which counts microseconds.
+// Second is one second of simulated time.
 const Second = 1_000_000
 
-// epoch is when a day starts: no time stamp may be zero.
+// epoch is the instant at which a simulation starts; not 0, because instants of 0
+// mean "none".
 const epoch = 1_000 * Second
 
-// Stream is traffic of one class: independent arrivals at a rate that may
-// change, and work drawn evenly between two bounds.
+// Stream is traffic of one class: independent arrivals at a rate that may change
+// over time, and uniformly distributed work.
 type Stream struct {
 	Class, Tenant int
-	Rate          func(at int64) float64 // a second, at microseconds since the start
+	Rate          func(at int64) float64 // requests per second, by the time since the start
 	Work          func(at int64) (least, most float64)
 }
 
-// ConstantRate is a rate that never changes.
+// ConstantRate returns a rate that does not change over time.
 func ConstantRate(perSecond float64) func(int64) float64 {
 	return func(int64) float64 { return perSecond }
 }
 
-// UniformWork is work between two bounds in milliseconds that never change.
+// UniformWork returns work between two bounds in milliseconds that do not change
+// over time.
 func UniformWork(least, most float64) func(int64) (float64, float64) {
 	return func(int64) (float64, float64) { return least * 1000, most * 1000 }
 }
 
-// Change is something that happens to the day at a time since its start.
+// Change is an event of a simulation.
 type Change struct {
-	At    int64
+	At    int64 // since the start
 	Apply func(w *Simulation)
 }
 
-// Spec is what a World plays.
+// Spec describes a simulation.
 type Spec struct {
 	Policy       kiteslip.Settings
 	Pools        *pool.Settings
 	Box          box.Spec
 	Streams      []Stream
 	Changes      []Change // in order of time
-	Length       int64    // of the arrivals; all is played to its end
-	CountFrom    int64    // what came before this is not counted
+	Length       int64    // of the arrivals; the simulation goes on until every request is answered
+	CountFrom    int64    // requests that arrive before this are not counted
 	Seed         uint64
-	Gauges       bool                          // the box tells how busy its cores are
-	RetryRefused bool                          // refused callers come back once when they were told to, if that is in time
-	Observe      func(w *Simulation, at int64) // called four times a second, if set
+	Gauges       bool                          // the core is told how busy the machine is
+	RetryRefused bool                          // refused callers retry once at their retry-after, if that is before the deadline
+	Observe      func(w *Simulation, at int64) // if set, called four times per simulated second
 }
 
-// ClassCounts is what became of the requests of one class.
+// ClassCounts has the results of the requests of one class.
 type ClassCounts struct {
 	Requests, OnTime, Late, Refused, Failed int
-	RequestedWork, OnTimeWork, LateWork     float64 // microseconds at the yardstick's speed
+	RequestedWork, OnTimeWork, LateWork     float64 // core time at speed 1
 }
 
-// OnTimeShare is the part answered within its wanted time; 1 where nothing was asked.
+// OnTimeShare returns the share of requests served within their target time, or 1
+// if there were none.
 func (t *ClassCounts) OnTimeShare() float64 {
 	if t.Requests == 0 {
 		return 1
@@ -74,30 +79,30 @@
 	return float64(t.OnTime) / float64(t.Requests)
 }
 
-// Result is the outcome of a day.
+// Result is the outcome of a simulation.
 type Result struct {
 	Classes  []ClassCounts
-	Overdue  int // answers after their due time: none may be
-	Answered int // must be all that was asked
+	Overdue  int // answers after their deadline; must be 0
+	Answered int // answers, those of retries included
 	Runs     int
 }
 
-// WorthShare is what was answered over what was asked, weighed by the worth of the
-// classes for each unit of work.
+// WorthShare returns the work served over the work requested, weighted by the worth
+// of the classes.
 func (r *Result) WorthShare(classes []kiteslip.Class) float64 {
-	asked, got := 0.0, 0.0
+	requested, served := 0.0, 0.0
 	for i := range r.Classes {
-		t, c := &r.Classes[i], &classes[i]
-		asked += c.Worth * t.RequestedWork
-		got += c.Worth * (t.OnTimeWork + c.LateWorth*t.LateWork)
+		counts, c := &r.Classes[i], &classes[i]
+		requested += c.Worth * counts.RequestedWork
+		served += c.Worth * (counts.OnTimeWork + c.LateWorth*counts.LateWork)
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return 1
 	}
-	return got / asked
+	return served / requested
 }
 
-// try is one request of the day.
+// try is a request of the simulation.
 type try struct {
 	class, tenant     int
 	arrived, deadline int64
@@ -107,71 +112,72 @@
 	key               string
 }
 
+// retry is a refused request that is sent again later.
 type retry struct {
 	at int64
 	t  *try
 }
 
-// Simulation is a day in play.
+// Simulation is the state of a running simulation.
 type Simulation struct {
 	Core         *core.Core
 	Box          *box.Box
 	spec         *Spec
 	rng          *rand.Rand
 	now          int64
-	nextArrivals []int64 // by stream
+	nextArrivals []int64 // next arrival of each stream
 	tries        []*try
-	running      map[uint64]*core.Request // on the box
+	running      map[uint64]*core.Request // on the cores, by run
 	lastID       uint64
-	retries      []retry // callers that come again, in order of time
+	retries      []retry // in order of time
 	Result
 }
 
-// Simulate plays a day to its end.
-func Simulate(day Spec) (*Result, error) {
-	w := &Simulation{spec: &day, rng: rand.New(rand.NewPCG(day.Seed, 1)), now: epoch, running: map[uint64]*core.Request{}}
-	w.Box = box.New(day.Box, epoch)
-	w.Classes = make([]ClassCounts, len(day.Policy.Classes))
+// Simulate runs a simulation to its end.
+func Simulate(spec Spec) (*Result, error) {
+	w := &Simulation{spec: &spec, rng: rand.New(rand.NewPCG(spec.Seed, 1)), now: epoch, running: map[uint64]*core.Request{}}
+	w.Box = box.New(spec.Box, epoch)
+	w.Classes = make([]ClassCounts, len(spec.Policy.Classes))
 	var err error
-	if w.Core, err = core.New(core.Settings{Policy: day.Policy, Seed: day.Seed, Pools: day.Pools}, w); err != nil {
+	if w.Core, err = core.New(core.Settings{Policy: spec.Policy, Seed: spec.Seed, Pools: spec.Pools}, w); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	w.nextArrivals = make([]int64, len(day.Streams))
+	w.nextArrivals = make([]int64, len(spec.Streams))
 	for i := range w.nextArrivals {
 		w.nextArrivals[i] = w.nextArrival(i, epoch)
 	}
-	watch := int64(epoch)
-	script := day.Changes
+	nextObservation := int64(epoch)
+	changes := spec.Changes
 	for {
-		at := w.nextEvent(script)
+		at := w.nextEvent(changes)
 		if at == math.MaxInt64 {
 			break
 		}
 		w.now = max(w.now, at)
-		for len(script) > 0 && script[0].At+epoch <= w.now {
-			script[0].Apply(w)
-			script = script[1:]
+		for len(changes) > 0 && changes[0].At+epoch <= w.now {
+			changes[0].Apply(w)
+			changes = changes[1:]
 		}
 		w.completeRuns()
 		w.submitArrivals()
-		if day.Gauges {
+		if spec.Gauges {
 			n := float32(w.Box.Runs())
-			w.Core.SetGauges(kiteslip.Gauges{Valid: true, Busy: min(1, n/float32(day.Box.Cores)), Runnable: n})
+			w.Core.SetGauges(kiteslip.Gauges{Valid: true, Busy: min(1, n/float32(spec.Box.Cores)), Runnable: n})
 		}
 		w.Core.Step(w.now)
-		if day.Observe != nil && w.now >= watch {
-			watch = w.now + Second/4
-			day.Observe(w, w.now-epoch)
+		if spec.Observe != nil && w.now >= nextObservation {
+			nextObservation = w.now + Second/4
+			spec.Observe(w, w.now-epoch)
 		}
-		if w.now > epoch+day.Length && w.Core.Outstanding() == 0 && w.Box.Runs() == 0 && len(w.retries) == 0 {
+		if w.now > epoch+spec.Length && w.Core.Outstanding() == 0 && w.Box.Runs() == 0 && len(w.retries) == 0 {
 			break
 		}
 	}
 	return &w.Result, nil
 }
 
-// nextEvent is when something happens next.
-func (w *Simulation) nextEvent(script []Change) int64 {
+// nextEvent returns the instant of the next event.
+func (w *Simulation) nextEvent(changes []Change) int64 {
 	at := int64(math.MaxInt64)
 	for _, t := range w.nextArrivals {
 		at = min(at, t)
@@ -181,8 +187,8 @@
 			at = min(at, t)
 		}
 	}
-	if len(script) > 0 {
-		at = min(at, script[0].At+epoch)
+	if len(changes) > 0 {
+		at = min(at, changes[0].At+epoch)
 	}
 	if len(w.retries) > 0 {
 		at = min(at, w.retries[0].at)
@@ -190,7 +196,8 @@
 	return at
 }
 
-// nextArrival returns when stream i brings its next request after at.
+// nextArrival returns the instant of the first arrival of stream i after at. A long
+// gap is drawn again in steps, so that it follows changes of the rate.
 func (w *Simulation) nextArrival(i int, at int64) int64 {
 	s := &w.spec.Streams[i]
 	for at < epoch+w.spec.Length {
@@ -206,7 +213,7 @@
 			}
 			return at
 		}
-		at += Second / 4 // look at the rate anew; the gap has no memory
+		at += Second / 4 // exponential gaps are memoryless, so that drawing again does not bias them
 	}
 	return math.MaxInt64
 }
@@ -236,18 +243,18 @@
 	}
 }
 
-// submit hands a try to the core.
+// submit passes a try to the core.
 func (w *Simulation) submit(t *try) {
 	w.tries = append(w.tries, t)
 	stream := uint32(len(w.tries) - 1)
 	err := w.Core.Submit(w.now, &core.Request{TryID: strconv.Itoa(int(stream)), Class: t.class, Tenant: t.tenant, Caller: 1, Key: t.key,
 		Arrived: w.now, Deadline: t.deadline, SizeKB: 16, Body: strconv.AppendInt(nil, int64(t.work), 10), Stream: stream, ReplyTo: w})
 	if err != nil {
-		panic(err) // the laboratory's own fault
+		panic(err) // a bug in this package
 	}
 }
 
-// Run puts a request on the box.
+// Run starts a request on the cores.
 func (w *Simulation) Run(r *core.Request) {
 	w.lastID++
 	w.Runs++
@@ -263,7 +270,7 @@
 	}
 }
 
-// Answer takes a final answer.
+// Answer counts a final answer, or schedules the retry of a refused request.
 func (w *Simulation) Answer(stream uint32, a core.Answer) {
 	t := w.tries[stream]
 	w.tries[stream] = nil
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -7,92 +7,92 @@
 	"kiteslip/internal/pool"
 )
 
-// Scenario is a day on which pools are compared with none.
+// Scenario is a simulation on which pools are compared with none.
 type Scenario struct {
 	Name string
 	Spec func() Spec
 }
 
-// brokerCores are those of the small broker that the scenarios play.
+// brokerCores is the number of cores of the broker in the scenarios.
 const brokerCores = 4
 
-// PoolScenarios are the days of the pools' measurement. All are of the small
-// broker with four places.
+// PoolScenarios returns the scenarios of the measurement of pools, all of the small
+// broker (see Broker) with brokerCores cores.
 func PoolScenarios() []Scenario {
-	day := func(streams func() []Stream, script ...Change) func() Spec {
+	spec := func(streams func() []Stream, changes ...Change) func() Spec {
 		return func() Spec {
 			return Spec{Policy: Broker(brokerCores), Box: BrokerBox(brokerCores), Streams: streams(), Length: 60 * Second,
-				CountFrom: 5 * Second, Changes: script}
+				CountFrom: 5 * Second, Changes: changes}
 		}
 	}
 	mixed := func(load float64) func() []Stream { return func() []Stream { return MixedTraffic(brokerCores, load) } }
 	list := []Scenario{
-		{"calm", day(mixed(0.6))},
-		{"full", day(mixed(1.1))},
-		{"halved", day(mixed(1.1), Change{20 * Second, SetSpeed(0.5)}, Change{40 * Second, SetSpeed(1)})},
-		{"slow-flood", day(func() []Stream {
+		{"calm", spec(mixed(0.6))},
+		{"full", spec(mixed(1.1))},
+		{"halved", spec(mixed(1.1), Change{20 * Second, SetSpeed(0.5)}, Change{40 * Second, SetSpeed(1)})},
+		{"slow-flood", spec(func() []Stream {
 			return []Stream{MixedTraffic(brokerCores, 1)[LandmarkSearch], SingleClass(brokerCores, CodeToPoint, 3)}
 		})},
-		{"cheap-flood", day(func() []Stream {
+		{"cheap-flood", spec(func() []Stream {
 			return append(MixedTraffic(brokerCores, 1), SingleClass(brokerCores, LandmarkSearch, 3))
 		})},
-		{"twice", day(mixed(2))},
+		{"twice", spec(mixed(2))},
 	}
 	for class, name := range ClassNames {
-		list = append(list, Scenario{"alone-" + name, day(func() []Stream { return []Stream{SingleClass(brokerCores, class, 1.5)} })})
+		list = append(list, Scenario{"alone-" + name, spec(func() []Stream { return []Stream{SingleClass(brokerCores, class, 1.5)} })})
 	}
 	return list
 }
 
-// SetSpeed sets the speed of the box to a part of the usual.
+// SetSpeed returns a change that multiplies the speed of the cores by factor.
 func SetSpeed(factor float64) func(*Simulation) {
 	return func(w *Simulation) { w.Box.Scale(w.now, factor) }
 }
 
-// StartWarmup starts a warm-up of the box.
+// StartWarmup returns a change that starts a warm-up of the cores.
 func StartWarmup(from float64, within int64) func(*Simulation) {
 	return func(w *Simulation) { w.Box.Cold(w.now, from, within) }
 }
 
-// Reconfigure takes over other pools, as SIGHUP does.
+// Reconfigure returns a change that applies other pools, as a reload does.
 func Reconfigure(pools *pool.Settings) func(*Simulation) {
 	return func(w *Simulation) {
 		if err := w.Core.Reconfigure(w.spec.Policy, nil, pools); err != nil {
-			panic(err) // the scenario's own fault
+			panic(err) // the scenario has invalid pools
 		}
 	}
 }
 
-// Compared is a scenario with and without pools, over several seeds.
+// Compared is the result of a scenario with and without pools, over several seeds.
 type Compared struct {
 	Name              string
 	Gauges            bool
-	CheapOff, CheapOn float64 // worst share of landmark-search answered within its wanted time
-	Worth             float64 // worst ratio of the worth, on over off
-	WorthOff, WorthOn float64 // means
-	Done              float64 // worst ratio of the work answered at all, on over off
-	Kept              float64 // worst, over the other pools: work answered in time over what the share can carry or was asked
-	Overdue           int
+	CheapOff, CheapOn float64 // worst share of landmark-search served within its target time
+	Worth             float64 // worst ratio of the worth shares, on over off
+	WorthOff, WorthOn float64 // mean worth shares
+	Done              float64 // worst ratio of the work served, on over off
+	Kept              float64 // worst of the other pools: work served on time over the smaller of the pool's capacity and the work requested
+	Overdue           int     // answers after their deadline
 }
 
-// Compare plays a scenario with and without pools.
+// Compare simulates a scenario with and without pools for each of several seeds.
 func Compare(s Scenario, gauges bool, seeds int) (Compared, error) {
 	c := Compared{Name: s.Name, Gauges: gauges, CheapOff: 1, CheapOn: 1, Worth: math.Inf(1), Done: math.Inf(1), Kept: math.Inf(1)}
 	for seed := 1; seed <= seeds; seed++ {
 		var results [2]*Result
-		var day Spec
+		var spec Spec
 		for on := range results {
-			day = s.Spec()
-			day.Seed, day.Gauges = uint64(seed), gauges
+			spec = s.Spec()
+			spec.Seed, spec.Gauges = uint64(seed), gauges
 			if on == 1 {
-				day.Pools = BrokerPools(&day.Policy)
+				spec.Pools = BrokerPools(&spec.Policy)
 			}
-			r, err := Simulate(day)
+			r, err := Simulate(spec)
 			if err != nil {
 				return c, err
 			}
-			if asked := r.requests(); asked != r.answers() {
-				return c, fmt.Errorf("lab: %s, seed %d: %d requests, %d final answers", s.Name, seed, asked, r.answers())
+			if requests := r.requests(); requests != r.answers() {
+				return c, fmt.Errorf("lab: %s, seed %d: %d requests, %d final answers", s.Name, seed, requests, r.answers())
 			}
 			c.Overdue += r.Overdue
 			results[on] = r
@@ -100,24 +100,24 @@
 		off, on := results[0], results[1]
 		c.CheapOff = min(c.CheapOff, off.Classes[LandmarkSearch].OnTimeShare())
 		c.CheapOn = min(c.CheapOn, on.Classes[LandmarkSearch].OnTimeShare())
-		worthOff, worthOn := off.WorthShare(day.Policy.Classes), on.WorthShare(day.Policy.Classes)
+		worthOff, worthOn := off.WorthShare(spec.Policy.Classes), on.WorthShare(spec.Policy.Classes)
 		c.WorthOff += worthOff / float64(seeds)
 		c.WorthOn += worthOn / float64(seeds)
 		c.Worth = min(c.Worth, worthOn/worthOff)
 		c.Done = min(c.Done, on.answeredWork()/off.answeredWork())
-		for i := range day.Pools.Pools {
-			p := &day.Pools.Pools[i]
+		for i := range spec.Pools.Pools {
+			p := &spec.Pools.Pools[i]
 			if p.Classes[0] == LandmarkSearch {
 				continue
 			}
-			asked, got := 0.0, 0.0
+			requested, served := 0.0, 0.0
 			for _, class := range p.Classes {
-				asked += on.Classes[class].RequestedWork
-				got += on.Classes[class].OnTimeWork
+				requested += on.Classes[class].RequestedWork
+				served += on.Classes[class].OnTimeWork
 			}
-			carries := p.Share * brokerCores * float64(day.Length-day.CountFrom)
-			if asked > 0 {
-				c.Kept = min(c.Kept, got/min(asked, carries))
+			capacity := p.Share * brokerCores * float64(spec.Length-spec.CountFrom)
+			if requested > 0 {
+				c.Kept = min(c.Kept, served/min(requested, capacity))
 			}
 		}
 	}
@@ -131,7 +131,7 @@
 	return n
 }
 
-// answers is the number of final answers to what was asked.
+// answers returns the number of final answers to the requests that are counted.
 func (r *Result) answers() (n int) {
 	for i := range r.Classes {
 		t := &r.Classes[i]
@@ -140,7 +140,7 @@
 	return n
 }
 
-// answeredWork is the work that was answered, late or not.
+// answeredWork returns the work that was served, on time or late.
 func (r *Result) answeredWork() (work float64) {
 	for i := range r.Classes {
 		work += r.Classes[i].OnTimeWork + r.Classes[i].LateWork
--- a/internal/lab/pools_test.go
+++ b/internal/lab/pools_test.go
@@ -7,7 +7,7 @@
 	"kiteslip/internal/pool"
 )
 
-// findScenario returns the scenario of that name.
+// findScenario returns the scenario with the given name.
 func findScenario(t *testing.T, name string) Scenario {
 	t.Helper()
 	for _, s := range PoolScenarios() {
@@ -19,8 +19,8 @@
 	return Scenario{}
 }
 
-// The days that the pools are for: the cheapest class keeps its answers, and
-// without pools it does not, so that the test could fail.
+// Under overload or on slow cores the cheapest class is served on time with pools.
+// Without pools it is not, which shows that the scenarios are hard enough.
 func TestPoolsProtectCheapestClass(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -39,7 +39,7 @@
 	}
 }
 
-// Floods of one class leave the others what is their own.
+// Too much traffic of one class leaves the other pools their share.
 func TestOverloadOfOneClassLeavesOthersTheirShare(t *testing.T) {
 	t.Parallel()
 	r, err := Compare(findScenario(t, "slow-flood"), false, 2)
@@ -57,143 +57,145 @@
 	}
 }
 
-// All pools over their share at once: each gets most of its own done in time.
+// With more traffic than its share for every pool at once, each gets most of its
+// share of the work done.
 func TestAllPoolsOverloaded(t *testing.T) {
 	t.Parallel()
-	day := findScenario(t, "twice").Spec()
-	day.Seed = 3
-	day.Streams = nil
+	spec := findScenario(t, "twice").Spec()
+	spec.Seed = 3
+	spec.Streams = nil
 	for class, load := range []float64{0.5, 0.3, 1.2, 0.9} {
-		day.Streams = append(day.Streams, SingleClass(brokerCores, class, load))
+		spec.Streams = append(spec.Streams, SingleClass(brokerCores, class, load))
 	}
-	day.Pools = BrokerPools(&day.Policy)
-	r, err := Simulate(day)
+	spec.Pools = BrokerPools(&spec.Policy)
+	r, err := Simulate(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range day.Pools.Pools {
-		p := &day.Pools.Pools[i]
-		got := 0.0
+	for i := range spec.Pools.Pools {
+		p := &spec.Pools.Pools[i]
+		served := 0.0
 		for _, c := range p.Classes {
-			got += r.Classes[c].OnTimeWork + r.Classes[c].LateWork
+			served += r.Classes[c].OnTimeWork + r.Classes[c].LateWork
 		}
-		if own := p.Share * brokerCores * float64(day.Length-day.CountFrom); got < 0.85*own {
-			t.Errorf("pool %s got %.2f of its share done", p.Name, got/own)
+		if guaranteed := p.Share * brokerCores * float64(spec.Length-spec.CountFrom); served < 0.85*guaranteed {
+			t.Errorf("pool %s completed %.2f of its share", p.Name, served/guaranteed)
 		}
 	}
 }
 
-// A cold start under full load: nothing is answered too late, and the cheapest
-// class is served from the start.
+// At a cold start under full load no answer is overdue, and the cheapest class is
+// served from the start.
 func TestColdStartUnderFullLoad(t *testing.T) {
 	t.Parallel()
-	play := func(pools bool) *Result {
-		day := findScenario(t, "full").Spec()
-		day.Streams, day.Length, day.CountFrom, day.Seed = MixedTraffic(brokerCores, 0.9), 30*Second, 0, 5
-		day.Changes = []Change{{0, StartWarmup(0.21, 17*Second)}}
+	simulate := func(pools bool) *Result {
+		spec := findScenario(t, "full").Spec()
+		spec.Streams, spec.Length, spec.CountFrom, spec.Seed = MixedTraffic(brokerCores, 0.9), 30*Second, 0, 5
+		spec.Changes = []Change{{0, StartWarmup(0.21, 17*Second)}}
 		if pools {
-			day.Pools = BrokerPools(&day.Policy)
+			spec.Pools = BrokerPools(&spec.Policy)
 		}
-		r, err := Simulate(day)
+		r, err := Simulate(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	on, off := play(true), play(false)
+	on, off := simulate(true), simulate(false)
 	if on.Overdue > 0 || on.Classes[LandmarkSearch].OnTimeShare() < 0.85 || off.Classes[LandmarkSearch].OnTimeShare() > 0.8 {
-		t.Errorf("landmark-search in time: %.3f with pools, %.3f without; %d overdue", on.Classes[LandmarkSearch].OnTimeShare(),
+		t.Errorf("landmark-search on time: %.3f with pools, %.3f without; %d overdue", on.Classes[LandmarkSearch].OnTimeShare(),
 			off.Classes[LandmarkSearch].OnTimeShare(), on.Overdue)
 	}
 }
 
-// Pools are dropped, resized and brought back while work waits and runs: each
-// request has its answer, the book has what the box has all along, and a pool
-// that is back keeps its promise again.
+// Pools are removed, resized and restored while requests are queued and running:
+// every request has its final answer, none of them overdue, and the counts of the
+// pools match the runs on the cores throughout.
 func TestReconfigurePoolsUnderLoad(t *testing.T) {
 	t.Parallel()
-	day := findScenario(t, "full").Spec()
-	day.Seed = 4
-	day.Pools = BrokerPools(&day.Policy)
-	whole := BrokerPools(&day.Policy)
-	dropped, resized := *whole, *whole
-	dropped.Pools = []pool.Spec{whole.Pools[0], whole.Pools[2]}
-	resized.Pools = []pool.Spec{whole.Pools[1], {Name: "all", Classes: []int{CodeToPoint, PointToCode, RegisterAddress}, Share: 0.5}}
-	day.Changes = []Change{{10 * Second, Reconfigure(&dropped)}, {20 * Second, Reconfigure(&resized)}, {25 * Second, Reconfigure(nil)}, {30 * Second, Reconfigure(whole)}}
-	looks := 0
-	day.Observe = func(w *Simulation, at int64) {
-		figures := w.Core.Pools()
-		if (figures == nil) != (at >= 25*Second && at < 30*Second) {
-			t.Fatalf("at %d ms there are %d pools", at/1000, len(figures))
+	spec := findScenario(t, "full").Spec()
+	spec.Seed = 4
+	spec.Pools = BrokerPools(&spec.Policy)
+	original := BrokerPools(&spec.Policy)
+	reduced, resized := *original, *original
+	reduced.Pools = []pool.Spec{original.Pools[0], original.Pools[2]}
+	resized.Pools = []pool.Spec{original.Pools[1], {Name: "all", Classes: []int{CodeToPoint, PointToCode, RegisterAddress}, Share: 0.5}}
+	spec.Changes = []Change{{10 * Second, Reconfigure(&reduced)}, {20 * Second, Reconfigure(&resized)}, {25 * Second, Reconfigure(nil)}, {30 * Second, Reconfigure(original)}}
+	observations := 0
+	spec.Observe = func(w *Simulation, at int64) {
+		stats := w.Core.Pools()
+		if (stats == nil) != (at >= 25*Second && at < 30*Second) {
+			t.Fatalf("at %d ms there are %d pools", at/1000, len(stats))
 		}
 		running, waiting := 0, 0
-		for _, f := range figures {
-			running, waiting = running+f.Running, waiting+f.Waiting
+		for _, s := range stats {
+			running, waiting = running+s.Running, waiting+s.Waiting
 		}
 		requests, _ := w.Core.Tracked()
-		if figures != nil && (running != w.Box.Runs() || waiting != requests-running) {
-			t.Fatalf("at %d ms the book has %d running, %d waiting; the box runs %d, %d are open", at/1000, running, waiting, w.Box.Runs(), requests)
+		if stats != nil && (running != w.Box.Runs() || waiting != requests-running) {
+			t.Fatalf("at %d ms the pools count %d running, %d waiting; %d run on the cores, %d are open", at/1000, running, waiting, w.Box.Runs(), requests)
 		}
-		looks++
+		observations++
 	}
-	r, err := Simulate(day)
+	r, err := Simulate(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.requests() != r.answers() || r.Overdue > 0 || looks < 200 {
-		t.Errorf("%d asked, %d answered, %d overdue, %d looks", r.requests(), r.answers(), r.Overdue, looks)
+	if r.requests() != r.answers() || r.Overdue > 0 || observations < 200 {
+		t.Errorf("%d requests, %d answered, %d overdue, %d observations", r.requests(), r.answers(), r.Overdue, observations)
 	}
 }
 
-// The costs of two classes swap places mid-day: the reserve follows.
+// When the work of two classes is swapped during the simulation, the reserve for the
+// cheapest class moves to the pool of the other one.
 func TestCheapestClassFollowsWork(t *testing.T) {
 	t.Parallel()
-	day := findScenario(t, "full").Spec()
-	day.Seed, day.Length = 6, 90*Second
-	day.Pools = BrokerPools(&day.Policy)
-	work := func(class int, before, after float64) {
-		day.Streams[class].Work = func(at int64) (float64, float64) {
+	spec := findScenario(t, "full").Spec()
+	spec.Seed, spec.Length = 6, 90*Second
+	spec.Pools = BrokerPools(&spec.Policy)
+	changeWork := func(class int, before, after float64) {
+		spec.Streams[class].Work = func(at int64) (float64, float64) {
 			if at < 40*Second {
 				return before * 800, before * 1200
 			}
 			return after * 800, after * 1200
 		}
 	}
-	work(LandmarkSearch, 200, 400)
-	work(RegisterAddress, 330, 150)
-	cheapest := map[string]int64{}
-	day.Observe = func(w *Simulation, at int64) {
+	changeWork(LandmarkSearch, 200, 400)
+	changeWork(RegisterAddress, 330, 150)
+	lastCheapest := map[string]int64{} // by pool: when it last had the cheapest class
+	spec.Observe = func(w *Simulation, at int64) {
 		for _, f := range w.Core.Pools() {
 			if f.HasCheapest {
-				cheapest[f.Name] = at
+				lastCheapest[f.Name] = at
 			}
 		}
 	}
-	if _, err := Simulate(day); err != nil {
+	if _, err := Simulate(spec); err != nil {
 		t.Fatal(err)
 	}
-	if at := cheapest["landmarks"]; at < 39*Second || at > 60*Second {
-		t.Errorf("landmarks were the cheapest until %d ms, want some seconds after the swap at 40,000", at/1000)
+	if at := lastCheapest["landmarks"]; at < 39*Second || at > 60*Second {
+		t.Errorf("landmarks was the cheapest pool until %d ms, want some seconds after the swap at 40,000 ms", at/1000)
 	}
-	if cheapest["registrations"] < 85*Second {
-		t.Errorf("registrations are not the cheapest at the end: %v", cheapest)
+	if lastCheapest["registrations"] < 85*Second {
+		t.Errorf("registrations is not the cheapest pool at the end: %v", lastCheapest)
 	}
 }
 
-// The same seed gives the same day.
+// The same seed gives the same result.
 func TestSimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
-	play := func() *Result {
-		day := findScenario(t, "halved").Spec()
-		day.Seed, day.RetryRefused = 9, true
-		day.Pools = BrokerPools(&day.Policy)
-		r, err := Simulate(day)
+	simulate := func() *Result {
+		spec := findScenario(t, "halved").Spec()
+		spec.Seed, spec.RetryRefused = 9, true
+		spec.Pools = BrokerPools(&spec.Policy)
+		r, err := Simulate(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
-		t.Errorf("two plays of one day differ: %+v, %+v", a, b)
+	if a, b := simulate(), simulate(); !reflect.DeepEqual(a, b) {
+		t.Errorf("two simulations with one seed differ: %+v, %+v", a, b)
 	}
 }
