--- a/internal/lab/calls/calls.go
+++ b/internal/lab/calls/calls.go
@@ -1,7 +1,7 @@
-// Package calls measures calls below against the real program on loopback: many
-// runs with calls while the ledger fails in every way that the protocol knows
-// and the engine's link is cut, and what a call costs beside a run without one.
-// Each measurement returns its figures; what they must reach is the caller's.
+// Package calls measures downstream calls of a real server on loopback: many runs
+// with calls while the ledger fails in every way that the protocol has and the
+// engine's link is cut, and the cost of a call. Each measurement returns its
+// figures; the caller compares them with the required values.
 package calls
 
 import (
@@ -16,7 +16,7 @@
 	"kiteslip/internal/standin/ledger"
 )
 
-// Lab is where the program runs: an engine, a ledger and an address.
+// Lab is a server under measurement with its engine and its ledger.
 type Lab struct {
 	dir, listen string
 	engine      *box.Engine
@@ -24,16 +24,16 @@
 	program     *live.Program
 }
 
-// The classes, by what they do.
+// The classes, and the times of the platform's file.
 const (
-	ClassCallOptional = "look" // safe to repeat, may go on without its call
-	ClassCallRequired = "find" // safe to repeat
-	ClassKeyed        = "note" // must not run twice, and so must its call
+	ClassCallOptional = "look" // safe to repeat; its downstream call may be skipped
+	ClassCallRequired = "find" // safe to repeat; its downstream call may not be skipped
+	ClassKeyed        = "note" // neither a run nor its downstream call may be made twice
 	classTimeout      = 2 * time.Second
-	answerSlack       = 110 * time.Millisecond // of the rules, on sockets
+	answerSlack       = 110 * time.Millisecond // the answer slack of the server's rules, and the time on the sockets
 )
 
-// Open starts the program with an engine and a ledger that follows script.
+// Open starts a server with an engine and with a ledger that answers as script says.
 func Open(program string, script func(ledger.Call) ledger.Act) (*Lab, error) {
 	l := &Lab{}
 	var err error
@@ -69,7 +69,7 @@
 	return l, nil
 }
 
-// Close ends what Open started.
+// Close stops what Open started.
 func (l *Lab) Close() {
 	if l.program != nil {
 		l.program.Kill()
@@ -83,16 +83,17 @@
 	os.RemoveAll(l.dir)
 }
 
-// resultCorrect says whether a result is what the run made: its body, and for each
-// call the ledger's own reply to that call, or that it was left out.
-func resultCorrect(body, result string, mayLack bool) bool {
+// resultCorrect reports whether a result is complete: the body, and for each
+// downstream call the ledger's reply to that call or, where maySkip is set, the mark
+// that it was skipped.
+func resultCorrect(body, result string, maySkip bool) bool {
 	rest, ok := strings.CutPrefix(result, body)
-	for left := box.Calls([]byte(body)) - 1; ok && left >= 0; left-- {
-		reply := "|" + ledger.Reply(fmt.Sprintf("call %d of %s", left, body))
-		var fed bool
-		if rest, fed = strings.CutPrefix(rest, reply); !fed {
+	for callsLeft := box.Calls([]byte(body)) - 1; ok && callsLeft >= 0; callsLeft-- {
+		reply := "|" + ledger.Reply(fmt.Sprintf("call %d of %s", callsLeft, body))
+		var found bool
+		if rest, found = strings.CutPrefix(rest, reply); !found {
 			rest, ok = strings.CutPrefix(rest, "|skipped")
-			ok = ok && mayLack
+			ok = ok && maySkip
 		}
 	}
 	return ok && rest == ""
--- a/internal/lab/calls/cost.go
+++ b/internal/lab/calls/cost.go
@@ -14,15 +14,16 @@
 	"kiteslip/internal/lab/probe"
 )
 
-// Cost is what requests with so many calls cost the program and their callers.
+// Cost is the cost of requests with a given number of downstream calls.
 type Cost struct {
-	CPU         time.Duration // of the program, a request
-	Median, P99 time.Duration
+	CPU         time.Duration // of the server, per request
+	Median, P99 time.Duration // from sending to the answer
 }
 
+// costConnections is how many connections send at once, one request each.
 const costConnections = 2
 
-// Cost asks for runs that take no time and make that many calls, a few at once.
+// Cost measures requests whose runs take no time and make the given number of calls.
 func (l *Lab) Cost(requests, calls int) (Cost, error) {
 	before, err := cpuTime(l.program.Process.Pid)
 	if err != nil {
@@ -30,17 +31,17 @@
 	}
 	var mu sync.Mutex
 	times := hdrhistogram.New(1, 10_000_000, 3)
-	var all sync.WaitGroup
+	var connections sync.WaitGroup
 	errs := make(chan error, costConnections)
-	for lane := range costConnections {
-		all.Go(func() {
+	for first := range costConnections {
+		connections.Go(func() {
 			c, err := probe.Dial(l.listen)
 			if err != nil {
 				errs <- err
 				return
 			}
 			defer c.Close()
-			for i := lane; i < requests; i += costConnections {
+			for i := first; i < requests; i += costConnections {
 				began := time.Now()
 				if _, err = c.SendTry(ClassCallRequired, "", fmt.Sprintf("0*%d c%d", calls, i), classTimeout); err != nil {
 					errs <- err
@@ -48,19 +49,19 @@
 				}
 				r, err := c.Next()
 				if err == nil && r.Code != frame.Served {
-					err = fmt.Errorf("answered with %d", r.Code)
+					err = fmt.Errorf("answered with code %d", r.Code)
 				}
 				if err != nil {
 					errs <- err
 					return
 				}
 				mu.Lock()
-				times.RecordValue(time.Since(began).Microseconds()) //nolint:errcheck // within its bounds by far
+				times.RecordValue(time.Since(began).Microseconds()) //nolint:errcheck // within the bounds of the histogram
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	connections.Wait()
 	select {
 	case err := <-errs:
 		return Cost{}, err
@@ -71,24 +72,25 @@
 		P99: time.Duration(times.ValueAtQuantile(99)) * time.Microsecond}, err
 }
 
-// cpuTime is the processor time that a process has used. The system counts it in hundredths of a second.
+// cpuTime returns the CPU time that a process has used, which the system counts in
+// hundredths of a second.
 func cpuTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	at := strings.LastIndexByte(string(text), ')')
-	words := strings.Fields(string(text[at+1:]))
+	nameEnd := strings.LastIndexByte(string(text), ')')
+	words := strings.Fields(string(text[nameEnd+1:]))
 	if len(words) < 13 {
-		return 0, fmt.Errorf("/proc/%d/stat cannot be read", pid)
+		return 0, fmt.Errorf("/proc/%d/stat has too few fields", pid)
 	}
-	sum := 0
+	ticks := 0
 	for _, word := range words[11:13] {
 		n, err := strconv.Atoi(word)
 		if err != nil {
 			return 0, err
 		}
-		sum += n
+		ticks += n
 	}
-	return time.Duration(sum) * 10 * time.Millisecond, nil
+	return time.Duration(ticks) * 10 * time.Millisecond, nil
 }
--- a/internal/lab/calls/faults.go
+++ b/internal/lab/calls/faults.go
@@ -14,12 +14,12 @@
 	"kiteslip/internal/standin/ledger"
 )
 
-// Faulty is a script of the ledger in which one call in four goes wrong, each in
-// one of the ways that there are; the same call meets the same fate each time.
+// Faulty is a script of the ledger in which one call in four has a fault, of each
+// kind that the protocol has. It depends on the body and the number of the try only.
 func Faulty(c ledger.Call) ledger.Act {
-	h := fnv.New64a()
-	fmt.Fprint(h, c.Body, c.Try)
-	switch h.Sum64() % 40 {
+	hash := fnv.New64a()
+	fmt.Fprint(hash, c.Body, c.Try)
+	switch hash.Sum64() % 40 {
 	case 0:
 		return ledger.Act{Status: http.StatusServiceUnavailable, Untouched: true}
 	case 1:
@@ -39,50 +39,50 @@
 	case 8:
 		return ledger.Act{After: 200 * time.Millisecond}
 	case 9:
-		return ledger.Act{After: 10 * time.Second, Ran: h.Sum64()%80 == 9}
+		return ledger.Act{After: 10 * time.Second, Ran: hash.Sum64()%80 == 9}
 	}
 	return ledger.Act{}
 }
 
-// Outcome is what became of the runs under faults.
+// Outcome is the result of Faults.
 type Outcome struct {
 	Runs                     int
 	Served, Refused, Failed  int
 	Calls, GivenUp           int
-	Late, Wrong              int // answers after their time; results that no run made
-	Unanswered               int // requests without an answer; over all connections
-	SecondRuns, SecondEffect int // keyed runs begun twice; their calls with an effect made twice
-	Unended                  int // calls that the engine still waits for, or that ended more than once
-	Cuts, Downs              int
+	Late, Wrong              int // answers after the class timeout; results that do not belong to their request
+	Unanswered               int // requests without an answer
+	SecondRuns, SecondEffect int // keyed runs that were started, and calls of them that took effect, more than once
+	Unended                  int // 0 if no run is active and every call has ended exactly once
+	Cuts, Downs              int // of the engine's link; of the ledger
 }
 
 func (o *Outcome) String() string {
-	return fmt.Sprintf("%d runs over %d cuts of the engine's link and %d times without a ledger: %d served, %d refused, %d failed; %d calls, %d given up; "+
-		"%d answers late, %d wrong, %d absent; %d second runs, %d second effects, %d calls without one end", o.Runs, o.Cuts, o.Downs, o.Served, o.Refused,
+	return fmt.Sprintf("%d runs, %d cuts of the engine's link, %d outages of the ledger: %d served, %d refused, %d failed; %d calls, %d given up; "+
+		"%d answers late, %d wrong, %d missing; %d second runs, %d second effects, %d calls not ended exactly once", o.Runs, o.Cuts, o.Downs, o.Served, o.Refused,
 		o.Failed, o.Calls, o.GivenUp, o.Late, o.Wrong, o.Unanswered, o.SecondRuns, o.SecondEffect, o.Unended)
 }
 
-// faultConnections are connections that ask, one request after the other each.
+// faultConnections is how many connections send at once, one request each.
 const faultConnections = 96
 
-// Faults lets runs meet all faults that there are.
+// Faults sends requests while the ledger and the engine's link fail.
 func (l *Lab) Faults(runs int, seed uint64) (*Outcome, error) {
 	o := &Outcome{Runs: runs}
 	var mu sync.Mutex
-	var all, breaker sync.WaitGroup
+	var connections, faults sync.WaitGroup
 	done := make(chan struct{})
-	breaker.Go(func() { l.injectFaults(o, rand.New(rand.NewPCG(seed, 1)), done) })
+	faults.Go(func() { l.injectFaults(o, rand.New(rand.NewPCG(seed, 1)), done) })
 	errs := make(chan error, faultConnections)
-	for lane := range faultConnections {
-		all.Go(func() {
-			rng := rand.New(rand.NewPCG(seed, uint64(lane)+2))
+	for first := range faultConnections {
+		connections.Go(func() {
+			rng := rand.New(rand.NewPCG(seed, uint64(first)+2))
 			c, err := probe.Dial(l.listen)
 			if err != nil {
 				errs <- err
 				return
 			}
 			defer c.Close()
-			for i := lane; i < runs; i += faultConnections {
+			for i := first; i < runs; i += faultConnections {
 				if err := l.requestOne(c, o, &mu, rng, i); err != nil {
 					errs <- err
 					return
@@ -90,9 +90,9 @@
 			}
 		})
 	}
-	all.Wait()
+	connections.Wait()
 	close(done)
-	breaker.Wait()
+	faults.Wait()
 	select {
 	case err := <-errs:
 		return nil, err
@@ -101,28 +101,28 @@
 	return o, l.collect(o)
 }
 
-// requestOne asks for a run and judges what comes back.
+// requestOne sends a request and checks its answer.
 func (l *Lab) requestOne(c *probe.Caller, o *Outcome, mu *sync.Mutex, rng *rand.Rand, i int) error {
 	class, key := []string{ClassCallOptional, ClassCallRequired, ClassKeyed}[rng.IntN(3)], ""
 	if class == ClassKeyed {
 		key = fmt.Sprint("k", i)
 	}
 	body := fmt.Sprintf("%d*%d %s%d", 100+rng.IntN(2000), 1+rng.IntN(10)/9, class, i)
-	due := time.Now().Add(classTimeout)
-	name, err := c.SendTry(class, key, body, classTimeout)
+	deadline := time.Now().Add(classTimeout)
+	tryID, err := c.SendTry(class, key, body, classTimeout)
 	if err != nil {
 		return err
 	}
 	r, err := c.Next()
-	took := time.Now()
-	l.engine.Over(name) // as the platform's engine sees for itself
+	answered := time.Now()
+	l.engine.Over(tryID) // the platform's engine notices this by itself
 	mu.Lock()
 	defer mu.Unlock()
 	if err != nil {
 		o.Unanswered++
 		return err
 	}
-	if took.After(due.Add(answerSlack)) {
+	if answered.After(deadline.Add(answerSlack)) {
 		o.Late++
 	}
 	switch r.Code {
@@ -139,7 +139,8 @@
 	return nil
 }
 
-// injectFaults takes the ledger down and cuts the engine's link, until done.
+// injectFaults takes the ledger down and cuts the engine's link at random times,
+// until done is closed.
 func (l *Lab) injectFaults(o *Outcome, rng *rand.Rand, done <-chan struct{}) {
 	for n := 0; ; n++ {
 		select {
@@ -151,7 +152,7 @@
 			l.ledger.Down()
 			time.Sleep(time.Duration(50+rng.IntN(150)) * time.Millisecond)
 			if l.ledger.Up() != nil {
-				return // the program is told no other address; all calls fail from here, and show
+				return // the server knows no other address: all further calls fail, and show in the outcome
 			}
 			o.Downs++
 			continue
@@ -161,7 +162,8 @@
 	}
 }
 
-// collect waits until nothing is in hand, and counts what the engine and the ledger saw.
+// collect waits until no run is active, and adds the counts of the engine and the
+// ledger to the outcome.
 func (l *Lab) collect(o *Outcome) error {
 	for began := time.Now(); l.engine.Open() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 5*time.Second {
@@ -184,5 +186,5 @@
 	return nil
 }
 
-// isKeyed says whether the run of that body is of the keyed class.
+// isKeyed reports whether a body is of the keyed class.
 func isKeyed(body string) bool { return strings.Contains(body, " "+ClassKeyed) }
--- a/internal/lab/keys/keys.go
+++ b/internal/lab/keys/keys.go
@@ -1,9 +1,9 @@
-// Package keys measures keyed results that outlive the process, against the
-// real program on loopback and against the store alone: kills at random points
-// with repeats after each, emulated losses of power, the start on a folder of
-// many live keys, commits one by one and in groups, the latency that a store
-// adds, reads beside keyed requests, and an emulated hour of new keys. Each
-// measurement returns its figures; what they must reach is the caller's.
+// Package keys measures the durability of keyed results, with a real server on
+// loopback and with the key store alone: kills at random times with a repeat of
+// every request, simulated power losses, the start with many live keys, single and
+// grouped commits, the latency that a key store adds, unkeyed requests beside keyed
+// ones, and a simulated hour of new keys. Each measurement returns its figures; the
+// caller compares them with the required values.
 package keys
 
 import (
@@ -29,22 +29,23 @@
 	"kiteslip/internal/storage"
 )
 
-// What the program is given.
+// Settings of the server.
 const (
-	RecoverMB = 192               // the program's limit of memory, in MB
-	KeyWindow = 300 * time.Second // of the keyed class
+	RecoverMB = 192               // memory limit of the server
+	KeyWindow = 300 * time.Second // window of the keyed class
 )
 
-// Options say what is measured, and how much.
+// Options has the program to measure and the extent of each measurement.
 type Options struct {
-	Program string // the program that is measured
-	Kills   int    // times that it is killed
-	Each    int    // keys, and repeats, for each kill
-	Losses  int    // emulated losses of power
-	Live    int    // keys that a recovery reads
+	Program string // path of the server's binary
+	Kills   int    // number of kills
+	Each    int    // repeats per kill; half as many keys are used, each repeated twice
+	Losses  int    // number of simulated power losses
+	Live    int    // number of keys that Recovery loads
 }
 
-// Lab is where the program runs: a folder of its own, an engine and an address.
+// Lab is the environment of the server under measurement: a temporary folder, an
+// engine and an address.
 type Lab struct {
 	Options
 	dir, listen string
@@ -52,7 +53,7 @@
 	settings    []byte
 }
 
-// Open prepares a folder, an engine and the platform's file; Close ends them.
+// Open creates the folder, starts the engine and prepares the platform's file.
 func Open(o Options) (*Lab, error) {
 	dir, err := os.MkdirTemp("", "kitelab")
 	if err != nil {
@@ -76,13 +77,13 @@
 	return l, nil
 }
 
-// Close ends the engine and removes the folder.
+// Close stops the engine and removes the folder.
 func (l *Lab) Close() {
 	l.engine.Close()
 	os.RemoveAll(l.dir)
 }
 
-// Folder is where the measurements keep their files.
+// Folder returns the temporary folder.
 func (l *Lab) Folder() string { return l.dir }
 
 func (l *Lab) operatorFile(durability, folder string) string {
@@ -96,26 +97,26 @@
 	return live.Start(l.Program, l.dir, l.listen, l.settings, l.operatorFile(durability, folder))
 }
 
-// KillOutcome is the outcome of the kills, in requests.
+// KillOutcome counts the repeated requests of Kills by result.
 type KillOutcome struct {
 	Repeats, ServedRepeats, UnknownOutcomes, FirstRuns, RefusedRepeats int
 	Second                                                             int // keys that ran more than once
-	Changed                                                            int // repeats that got other bytes than the run made
-	Lost                                                               int // results that had been answered and were not given again
+	Changed                                                            int // repeats that got another result than that of the run
+	Lost                                                               int // keys served before the kill and not after it
 }
 
-// UnknownShare is the share of repeats answered as begun and unknown.
+// UnknownShare returns the share of repeats answered with an unknown outcome.
 func (k *KillOutcome) UnknownShare() float64 {
 	return float64(k.UnknownOutcomes) / float64(max(1, k.Repeats))
 }
 
 func (k *KillOutcome) String() string {
-	return fmt.Sprintf("kills: %d repeats: %d got the result, %d ran for the first time, %.1f%% begun and unknown, %d refused; %d second runs, %d with other bytes, %d lost",
+	return fmt.Sprintf("kills: %d repeats: %d got the earlier result, %d ran for the first time, %.1f%% unknown outcome, %d refused; %d second runs, %d with another result, %d lost",
 		k.Repeats, k.ServedRepeats-k.FirstRuns, k.FirstRuns, 100*k.UnknownShare(), k.RefusedRepeats, k.Second, k.Changed, k.Lost)
 }
 
-// Kills lets the program be killed at random points, with repeats of all that
-// was asked in the life before.
+// Kills kills the server at random times, and repeats after each restart the
+// requests that were sent before.
 func (l *Lab) Kills() (*KillOutcome, error) {
 	rng := rand.New(rand.NewPCG(11, 1))
 	k := &KillOutcome{}
@@ -157,7 +158,7 @@
 			before[key] = runs[body]
 		}
 		mu.Unlock()
-		// Each key twice at once: one of them is a repeat in this life too.
+		// Each key twice: one of the two is also a duplicate within the new process.
 		again, err := l.sendKeyed(append(slices.Clone(keys[:l.Each/2]), keys[:l.Each/2]...), bodies, 5*time.Second)
 		if err != nil {
 			return nil, err
@@ -194,12 +195,13 @@
 	return k, nil
 }
 
-// sendKeyed sends keyed requests, 16 on a connection, and takes answers for so long;
-// the last answer for a key counts.
+// sendKeyed sends keyed requests, 16 per connection, and collects answers for at most
+// wait; with several for a key it returns the last. A wait of more than 1 s means
+// that all answers are required.
 func (l *Lab) sendKeyed(keys []string, bodies map[string]string, wait time.Duration) (map[string]probe.Reply, error) {
 	var mu sync.Mutex
-	got := map[string]probe.Reply{}
-	var all sync.WaitGroup
+	replies := map[string]probe.Reply{}
+	var readers sync.WaitGroup
 	var failed atomic.Pointer[error]
 	for part := range slices.Chunk(keys, 16) {
 		c, err := probe.Dial(l.listen)
@@ -214,7 +216,7 @@
 			}
 			streams[stream] = key
 		}
-		all.Go(func() {
+		readers.Go(func() {
 			for range part {
 				r, err := c.Next()
 				if err != nil {
@@ -222,14 +224,14 @@
 					return
 				}
 				mu.Lock()
-				got[streams[r.Stream]] = r
+				replies[streams[r.Stream]] = r
 				mu.Unlock()
 			}
 		})
 		defer c.Close()
 	}
 	done := make(chan struct{})
-	go func() { all.Wait(); close(done) }()
+	go func() { readers.Wait(); close(done) }()
 	select {
 	case <-done:
 		if err := failed.Load(); err != nil {
@@ -237,43 +239,44 @@
 		}
 	case <-time.After(wait):
 		if wait > time.Second {
-			return nil, errors.New("requests have no answer")
+			return nil, errors.New("requests without an answer")
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	copied := map[string]probe.Reply{}
-	for key, r := range got {
+	for key, r := range replies {
 		copied[key] = r
 	}
 	return copied, nil
 }
 
-// Losses rehearses losses of power on all cores; it returns how many lost or
+// Losses simulates power losses on all cores, and returns how many of them lost or
 // damaged records, and the first error.
 func (l *Lab) Losses() (int, error) {
-	var bad atomic.Int64
+	var failures atomic.Int64
 	var first atomic.Pointer[error]
-	var next atomic.Int64
-	var all sync.WaitGroup
+	var lastSeed atomic.Int64
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
-			for seed := next.Add(1); seed <= int64(l.Options.Losses); seed = next.Add(1) {
+		workers.Go(func() {
+			for seed := lastSeed.Add(1); seed <= int64(l.Options.Losses); seed = lastSeed.Add(1) {
 				if err := keystore.SimulatePowerLoss(uint64(seed)); err != nil {
-					bad.Add(1)
+					failures.Add(1)
 					first.CompareAndSwap(nil, &err)
 				}
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	if err := first.Load(); err != nil {
-		return int(bad.Load()), *err
+		return int(failures.Load()), *err
 	}
 	return 0, nil
 }
 
-// Recovery starts the program on a folder with many live keys.
+// Recovery measures the start of the server with many live keys: the time until it
+// accepts connections, and its peak memory.
 func (l *Lab) Recovery() (took time.Duration, peakKB int, err error) {
 	now := storage.ReadClocks()
 	s, err := keystore.Open(keystore.Options{Folder: filepath.Join(l.dir, "live"), Durability: keystore.SurviveProcessExit, Now: now})
@@ -312,68 +315,70 @@
 	if _, err = c.Send("note", "live 7", "x", time.Second); err != nil {
 		return 0, 0, err
 	}
-	if r, err := c.Next(); err != nil || r.Code != frame.Failed { // known, with another body
-		return 0, 0, fmt.Errorf("a key that was restored: %+v, %v", r, err)
+	if r, err := c.Next(); err != nil || r.Code != frame.Failed { // the key is known, with another body
+		return 0, 0, fmt.Errorf("request with a restored key and another body: %+v, %v, want failed", r, err)
 	}
 	return took, peakKB, nil
 }
 
-// Groups compares commits of one key each with what the worker makes of many at once.
+// Groups returns the commits per second of single keys, and the keys per second that
+// the worker commits in groups.
 func Groups(folder string) (single, grouped float64, err error) {
 	s, err := keystore.Open(keystore.Options{Folder: folder, Now: storage.ReadClocks()})
 	if err != nil {
 		return 0, 0, err
 	}
-	rec := func(i int) keystore.Record {
+	record := func(i int) keystore.Record {
 		return keystore.Record{Class: "note", Key: fmt.Sprint("g", i), TryID: "n", Arrived: 1, WindowEnd: 1 << 40, Result: make([]byte, 100)}
 	}
 	n := 0
 	began := time.Now()
 	for time.Since(began) < time.Second {
-		if err = s.Commit(storage.ReadClocks(), []keystore.Op{{Record: rec(n)}}); err != nil {
+		if err = s.Commit(storage.ReadClocks(), []keystore.Op{{Record: record(n)}}); err != nil {
 			return 0, 0, err
 		}
 		n++
 	}
 	single = float64(n) / time.Since(began).Seconds()
-	const atOnce = 1024
-	room := make(chan struct{}, atOnce)
-	var bad atomic.Int64
-	w := storage.Start(s, storage.ReadClocks, func(list []storage.Outcome) {
+	const maxPending = 1024
+	pending := make(chan struct{}, maxPending)
+	var failures atomic.Int64
+	worker := storage.Start(s, storage.ReadClocks, func(list []storage.Outcome) {
 		for _, o := range list {
 			if o.Err != nil {
-				bad.Add(1)
+				failures.Add(1)
 			}
-			<-room
+			<-pending
 		}
 	})
 	n = 0
 	began = time.Now()
 	for time.Since(began) < time.Second {
-		room <- struct{}{}
+		pending <- struct{}{}
 		n++
-		w.Put(uint32(n), rec(n))
+		worker.Put(uint32(n), record(n))
 	}
-	<-w.Close()
+	<-worker.Close()
 	grouped = float64(n) / time.Since(began).Seconds()
-	if bad.Load() > 0 {
-		return 0, 0, fmt.Errorf("%d commits failed", bad.Load())
+	if failures.Load() > 0 {
+		return 0, 0, fmt.Errorf("%d commits failed", failures.Load())
 	}
 	return single, grouped, nil
 }
 
-// Times are those of some requests.
+// Times has quantiles of the time from sending to the answer.
 type Times struct{ Median, P99 time.Duration }
 
-// runLoad sends requests of a class one after another on some connections.
+// runLoad sends requests of a class for a given time, one after the other on each
+// connection, and returns the histogram of their times in microseconds.
 func (l *Lab) runLoad(class, prefix, work string, connections int, span time.Duration) (*hdrhistogram.Histogram, error) {
-	h := hdrhistogram.New(1, 10_000_000, 3)
+	times := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var senders sync.WaitGroup
 	errs := make(chan error, connections)
 	end := time.Now().Add(span)
 	for i := range connections {
-		all.Go(func() {
+		senders.Go(func() {
 			c, err := probe.Dial(l.listen)
 			if err != nil {
 				errs <- err
@@ -397,21 +402,21 @@
 					return
 				}
 				mu.Lock()
-				h.RecordValue(time.Since(began).Microseconds()) //nolint:errcheck // it lies within the bounds
+				times.RecordValue(time.Since(began).Microseconds()) //nolint:errcheck // within the bounds of the histogram
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	senders.Wait()
 	select {
 	case err := <-errs:
 		return nil, err
 	default:
-		return h, nil
+		return times, nil
 	}
 }
 
-// Latency measures keyed requests whose work takes no time.
+// Latency measures keyed requests whose work takes no time, on 16 connections.
 func (l *Lab) Latency(durability string) (Times, error) {
 	p, err := l.start(durability, "latency-"+durability)
 	if err != nil {
@@ -425,51 +430,52 @@
 	if err != nil {
 		return Times{}, err
 	}
-	us := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
-	return Times{us(50), us(99)}, nil
+	percentile := func(p float64) time.Duration { return time.Duration(h.ValueAtQuantile(p)) * time.Microsecond }
+	return Times{percentile(50), percentile(99)}, nil
 }
 
-// Others compares the time of reads beside keyed requests, with a store and without.
+// Others returns the time of unkeyed requests beside keyed ones with a key store,
+// over that without: the ratio of the medians of three rounds.
 func (l *Lab) Others() (float64, error) {
-	var medians [2][]float64
+	var means [2][]float64 // without and with a key store, by round
 	for round := range 3 {
 		for i, durability := range []string{"", "power"} {
 			p, err := l.start(durability, fmt.Sprint("others-", round))
 			if err != nil {
 				return 0, err
 			}
-			beside := make(chan error, 1)
+			keyedEnd := make(chan error, 1)
 			go func() {
 				_, err := l.runLoad("note", "k", "5000", 8, 1500*time.Millisecond)
-				beside <- err
+				keyedEnd <- err
 			}()
 			h, err := l.runLoad("look", "", "20000", 8, 1400*time.Millisecond)
-			err = errors.Join(err, <-beside)
+			err = errors.Join(err, <-keyedEnd)
 			p.Kill()
 			if err != nil {
 				return 0, err
 			}
-			medians[i] = append(medians[i], h.Mean())
+			means[i] = append(means[i], h.Mean())
 		}
 	}
-	for i := range medians {
-		slices.Sort(medians[i])
+	for i := range means {
+		slices.Sort(means[i])
 	}
-	return medians[1][1] / medians[0][1], nil
+	return means[1][1] / means[0][1], nil
 }
 
-// Hour emulates an hour of new keys, and returns disk and memory at its end
-// over what they were after ten minutes.
+// Hour simulates an hour of new keys, and returns the disk space and the memory at
+// its end relative to those after ten minutes.
 func Hour() (disk, heap float64, err error) {
-	mem := vfs.NewMem()
-	moment := func(s int64) keystore.ClockReading {
-		return keystore.ClockReading{Wall: 1e15 + s*1e6, Uptime: 1e9 + s*1e6, BootID: 1}
+	files := vfs.NewMem()
+	clockAt := func(second int64) keystore.ClockReading {
+		return keystore.ClockReading{Wall: 1e15 + second*1e6, Uptime: 1e9 + second*1e6, BootID: 1}
 	}
-	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: mem, Now: moment(0)})
+	s, err := keystore.Open(keystore.Options{Folder: "keys", FS: files, Now: clockAt(0)})
 	if err != nil {
 		return 0, 0, err
 	}
-	size := func() (float64, float64) {
+	sizes := func() (float64, float64) { // 1 MiB is added to both, which damps the ratios of small values
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
@@ -484,19 +490,19 @@
 			for j := range result {
 				result[j] = byte(rng.Uint32())
 			}
-			ops = append(ops, keystore.Op{Record: keystore.Record{Class: "note", Key: fmt.Sprint(now, ".", i), TryID: "n", Arrived: moment(now).Wall,
-				WindowEnd: moment(now + 16).Wall, Finished: true, Outcome: 1, Result: result}})
+			ops = append(ops, keystore.Op{Record: keystore.Record{Class: "note", Key: fmt.Sprint(now, ".", i), TryID: "n", Arrived: clockAt(now).Wall,
+				WindowEnd: clockAt(now + 16).Wall, Finished: true, Outcome: 1, Result: result}})
 		}
-		if err = s.Commit(moment(now), ops); err != nil {
+		if err = s.Commit(clockAt(now), ops); err != nil {
 			return 0, 0, err
 		}
-		if err = s.DeleteExpired(moment(now - 5).Wall); err != nil {
+		if err = s.DeleteExpired(clockAt(now - 5).Wall); err != nil {
 			return 0, 0, err
 		}
 		if now == 600 {
-			disk0, heap0 = size()
+			disk0, heap0 = sizes()
 		}
 	}
-	disk1, heap1 := size()
+	disk1, heap1 := sizes()
 	return disk1 / disk0, heap1 / heap0, s.Close()
 }
--- a/internal/lab/probe/caller.go
+++ b/internal/lab/probe/caller.go
@@ -1,6 +1,6 @@
-// Package probe asks the real program over the platform's frames, one
-// connection at a time, for measurements on loopback: a caller that sends and
-// waits, and a platform's file for a server that is never short of cores.
+// Package probe has what measurements of a real server on loopback need: a caller
+// of the frame front end, and a platform's file for a server that never runs short
+// of cores or memory.
 package probe
 
 import (
@@ -13,8 +13,8 @@
 	"kiteslip/internal/frame"
 )
 
-// Caller is one connection that asks and waits. It is not safe for use by
-// several goroutines at once.
+// Caller is a connection to the frame front end that sends requests and waits for
+// answers. It is not safe for concurrent use.
 type Caller struct {
 	net.Conn
 	buf    []byte
@@ -28,9 +28,9 @@
 	Body   string
 }
 
-var lastTryID atomic.Uint64 // names each try
+var lastTryID atomic.Uint64 // try IDs are unique over all callers
 
-// Dial connects to the program's frames front at address.
+// Dial connects to the frame front end at address.
 func Dial(address string) (*Caller, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -39,37 +39,38 @@
 	return &Caller{Conn: conn}, nil
 }
 
-// Fields are those of a request of team red that is sent at that time.
-func Fields(class, name string, at time.Time, wait time.Duration) []frame.Field {
+// Fields returns the header fields of a request of team red that is sent at a given
+// time.
+func Fields(class, tryID string, sent time.Time, timeout time.Duration) []frame.Field {
 	return []frame.Field{{Name: "kind", Value: class}, {Name: "owner", Value: "red"},
-		{Name: "req", Value: name}, {Name: "via", Value: "1"},
-		{Name: "ts", Value: strconv.FormatInt(at.UnixMilli(), 10)},
-		{Name: "timeout", Value: strconv.FormatInt(wait.Milliseconds(), 10)},
+		{Name: "req", Value: tryID}, {Name: "via", Value: "1"},
+		{Name: "ts", Value: strconv.FormatInt(sent.UnixMilli(), 10)},
+		{Name: "timeout", Value: strconv.FormatInt(timeout.Milliseconds(), 10)},
 		{Name: "ms", Value: "1.0"}, {Name: "need", Value: "16"}, {Name: "level", Value: "0.5"}}
 }
 
-// Send asks for a run of class with body, keyed where key is not empty, and
-// waits so long for it; it returns the stream.
-func (c *Caller) Send(class, key, body string, wait time.Duration) (uint32, error) {
-	_, err := c.SendTry(class, key, body, wait)
+// Send sends a request with the given timeout, keyed if key is not empty, and
+// returns its stream.
+func (c *Caller) Send(class, key, body string, timeout time.Duration) (uint32, error) {
+	_, err := c.SendTry(class, key, body, timeout)
 	return c.stream, err
 }
 
-// SendTry is Send, and returns the name of the try.
-func (c *Caller) SendTry(class, key, body string, wait time.Duration) (name string, err error) {
+// SendTry is Send, and returns the try ID.
+func (c *Caller) SendTry(class, key, body string, timeout time.Duration) (tryID string, err error) {
 	c.stream++
-	name = fmt.Sprintf("%016x", lastTryID.Add(1))
-	f := Fields(class, name, time.Now(), wait)
+	tryID = fmt.Sprintf("%016x", lastTryID.Add(1))
+	f := Fields(class, tryID, time.Now(), timeout)
 	if key != "" {
 		f = append(f, frame.Field{Name: "opkey", Value: key})
 	}
 	_, err = c.Write(frame.AppendRequest(nil, c.stream, f, []byte(body)))
-	return name, err
+	return tryID, err
 }
 
-// Next waits for the next final answer, 10 s at most.
+// Next waits for the next final answer, for at most 10 s.
 func (c *Caller) Next() (Reply, error) {
-	c.SetReadDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // a TCP connection takes it
+	c.SetReadDeadline(time.Now().Add(10 * time.Second)) //nolint:errcheck // supported by TCP connections
 	for {
 		f, n, err := frame.Split(c.buf)
 		if err != nil {
--- a/internal/lab/probe/platform.go
+++ b/internal/lab/probe/platform.go
@@ -2,8 +2,9 @@
 
 import "encoding/json"
 
-// PlatformFile is a platform's file for a server that is never short of cores
-// or memory for its work: cores places, keyKB booked for each key, team red.
+// PlatformFile returns a platform's file for a server whose policy never runs short
+// of cores or memory: cores is the number of cores, keyKB the memory accounted for
+// each key. The only team is red.
 func PlatformFile(listen, engine string, stopMS int, limits map[string]any, cores, keyKB int, classes ...map[string]any) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": "lab", "listen": listen, "engine": engine, "seed": "1", "stop_ms": stopMS, "limits": limits,
@@ -18,8 +19,9 @@
 	})
 }
 
-// WithLedger adds to a platform's file the ledger that classes call, where calls
-// says so, and the share of the worth that is left without a call.
+// WithLedger adds the ledger to a platform's file. By class, calls says whether its
+// runs make downstream calls, and skip is the share of the worth that a run keeps
+// whose call is skipped.
 func WithLedger(text []byte, ledger string, calls []bool, skip []float64) ([]byte, error) {
 	var file map[string]any
 	if err := json.Unmarshal(text, &file); err != nil {
--- a/internal/lab/shutdown/caller.go
+++ b/internal/lab/shutdown/caller.go
@@ -16,32 +16,33 @@
 // The classes.
 const (
 	classRepeatable = "look" // safe to repeat
-	classKeyed      = "note" // must not run twice, and calls below
+	classKeyed      = "note" // must not run twice; makes a downstream call
 )
 
-// raceWindow is how long a request may have been under way when its connection ends.
+// raceWindow is the age up to which an open request may have raced with the end of
+// its connection.
 const raceWindow = 50 * time.Millisecond
 
 var lastTryID atomic.Uint64
 
-// pendingRequest is a request without an answer.
+// pendingRequest is a request that has not been answered.
 type pendingRequest struct {
 	sent time.Time
 	body string
 }
 
-// callerConn is one connection of a caller.
+// callerConn is a connection of a caller.
 type callerConn struct {
 	fleet         *fleet
 	conn          net.Conn
 	frames        chan frame.Frame
-	readErr       error // of the connection, once frames is closed
+	readErr       error // why reading ended; valid once frames is closed
 	stream        uint32
 	pending       map[uint32]pendingRequest
 	answered      map[uint32]bool
-	goAway        bool // it was told to go
-	inputEnded    bool // the caller's side
-	sentMalformed bool // the caller has sent what is no whole frame, and is told so
+	goAway        bool // the server has asked to close the connection
+	inputEnded    bool // the caller sends nothing more on this connection
+	sentMalformed bool // the caller has sent a malformed or partial frame, which the server reports
 }
 
 func dial(f *fleet, address string) *callerConn {
@@ -77,7 +78,7 @@
 	}
 }
 
-// send sends a request; twice sends another try of it right behind.
+// send sends a request; if twice is set, a second try of it follows at once.
 func (l *callerConn) send(class, key, body string, twice bool) {
 	var out []byte
 	now := time.Now()
@@ -91,21 +92,21 @@
 		l.pending[l.stream] = pendingRequest{now, body}
 		l.fleet.update(func(o *Outcome) { o.Requests++ })
 	}
-	l.conn.Write(out) //nolint:errcheck // what becomes of it shows in what is read
+	l.conn.Write(out) //nolint:errcheck // a failure shows when reading
 }
 
-// handleFrame takes in one frame.
+// handleFrame handles a frame from the server.
 func (l *callerConn) handleFrame(fr *frame.Frame) {
 	switch {
 	case fr.Type == frame.GoAway:
 		l.goAway = true
 	case fr.Type != frame.Answer:
 	case fr.Stream == 0:
-		if !l.sentMalformed && l.stream > 0 { // one that has sent nothing yet is told that, too
+		if !l.sentMalformed && l.stream > 0 { // an error of the connection, expected only after malformed input or before the first request
 			l.fleet.update(func(o *Outcome) { o.Wrong++ })
 		}
 	default:
-		r, waits := l.pending[fr.Stream]
+		r, isPending := l.pending[fr.Stream]
 		delete(l.pending, fr.Stream)
 		body := ""
 		if _, b, err := frame.ParseFields(fr.Payload[1:]); err == nil {
@@ -114,9 +115,9 @@
 		late := time.Since(r.sent) > classTimeout+answerSlack
 		l.fleet.update(func(o *Outcome) {
 			switch {
-			case !waits && l.answered[fr.Stream]:
+			case !isPending && l.answered[fr.Stream]:
 				o.Twice++
-			case !waits:
+			case !isPending:
 				o.Wrong++
 			case late:
 				o.Late++
@@ -137,38 +138,41 @@
 	}
 }
 
-// finish judges the end of the connection: what was under way for a moment only
-// has crossed it, and is to be sent again; what was open for longer is lost.
+// finish closes a connection and counts its open requests: one no older than
+// raceWindow has raced with the end of the connection, and its caller would send it
+// again; an older one is lost.
 func (l *callerConn) finish() {
 	l.conn.Close()
 	now := time.Now()
-	owed := 0
+	lost := 0
 	for _, r := range l.pending {
 		if now.Sub(r.sent) <= raceWindow {
 			l.fleet.update(func(o *Outcome) { o.Crossed++ })
 		} else {
-			owed++
+			lost++
 		}
 	}
 	reset := errors.Is(l.readErr, syscall.ECONNRESET) || errors.Is(l.readErr, syscall.EPIPE)
 	l.fleet.update(func(o *Outcome) {
-		o.Lost += owed
-		if owed > 0 && reset {
+		o.Lost += lost
+		if lost > 0 && reset {
 			o.Reset++
 		}
 	})
 	clear(l.pending)
 }
 
+// update changes the outcome under the lock.
 func (f *fleet) update(change func(*Outcome)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(&f.outcome)
 }
 
-// runCaller sends to one server until the measurement ends: it goes on to a new
-// connection when it is told to go, rests now and then until the server ends the
-// connection, ends its own side early, or sends what is no frame.
+// runCaller sends requests to one server until the measurement ends. It opens a new
+// connection when the server asks for it; now and then it pauses until the server
+// closes an idle connection, shuts its write side with requests open, or sends a
+// malformed or partial frame.
 func (f *fleet) runCaller(s *server, rng *rand.Rand, id int) {
 	defer f.callers.Done()
 	var old []*callerConn
@@ -179,7 +183,7 @@
 	restUntil := time.Time{}
 	for {
 		if l == nil && !f.stopping.Load() {
-			l = dial(f, s.listen) // nil: the process is away, and nothing ran
+			l = dial(f, s.listen) // nil: no process is listening
 		}
 		var frames chan frame.Frame
 		if l != nil {
@@ -194,7 +198,7 @@
 			}
 			l.handleFrame(&fr)
 			if fr.Type == frame.GoAway && len(l.pending) == 0 && rng.IntN(3) == 0 {
-				l.send(classRepeatable, "", fmt.Sprintf("2000 crosses %d", id), false) // it crosses the notice to go
+				l.send(classRepeatable, "", fmt.Sprintf("2000 crosses %d", id), false) // a request that races with the shutdown
 			}
 		case <-tick.C:
 			for i := 0; i < len(old); i++ {
@@ -224,7 +228,7 @@
 	}
 }
 
-// sendNext sends what comes next.
+// sendNext sends a random next request or fault, or starts a pause.
 func (l *callerConn) sendNext(rng *rand.Rand, id int, key *int, restUntil *time.Time) {
 	body := fmt.Sprintf("%d look %d %d", 1000+rng.IntN(20_000), id, lastTryID.Load())
 	switch n := rng.IntN(200); {
@@ -232,17 +236,17 @@
 		*key++
 		name := fmt.Sprintf("%d-%d", id, *key)
 		l.send(classKeyed, name, fmt.Sprintf("%d*1 note %s", 500+rng.IntN(5000), name), rng.IntN(3) == 0)
-	case n == 12: // the caller's side ends with requests open
+	case n == 12: // half-closed with requests open
 		l.send(classRepeatable, "", body, false)
 		l.send(classRepeatable, "", body+" b", false)
-		l.conn.(*net.TCPConn).CloseWrite() //nolint:errcheck // it may be gone
+		l.conn.(*net.TCPConn).CloseWrite() //nolint:errcheck // the server may have closed the connection
 		l.inputEnded = true
-	case n == 13: // what is no frame, behind requests
+	case n == 13: // a malformed frame after a request
 		l.send(classRepeatable, "", body, false)
 		l.sentMalformed, l.inputEnded = true, true
-		l.conn.Write(frame.AppendHeader(nil, 99, 1, 0)) //nolint:errcheck // it may be gone
-	case n == 14: // half a line, and rest
-		l.conn.Write([]byte{0, 0}) //nolint:errcheck // it may be gone
+		l.conn.Write(frame.AppendHeader(nil, 99, 1, 0)) //nolint:errcheck // the server may have closed the connection
+	case n == 14: // a partial frame
+		l.conn.Write([]byte{0, 0}) //nolint:errcheck // the server may have closed the connection
 		l.sentMalformed, l.inputEnded = true, true
 	case n < 17:
 		*restUntil = time.Now().Add(time.Duration(rng.IntN(1500)) * time.Millisecond)
@@ -251,8 +255,9 @@
 	}
 }
 
-// drained takes in what is left of a connection that was told to go, and says
-// whether that is all: the caller closes it when everything on it is answered.
+// drained handles the frames that have arrived on a connection that sends nothing
+// more, and reports whether it is finished: the caller closes it once every request
+// on it is answered.
 func (l *callerConn) drained() bool {
 	for {
 		select {
@@ -273,14 +278,14 @@
 	}
 }
 
-// healthy asks for a deep health check on a connection of its own.
+// healthy reports whether a server passes a deep health check on a new connection.
 func healthy(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // a TCP connection takes it
+	conn.SetDeadline(time.Now().Add(5 * time.Second)) //nolint:errcheck // supported by TCP connections
 	if _, err = conn.Write(append(frame.AppendHeader(nil, frame.HealthCheck, 1, 1+1+4+2+1), "\x01\x04real\x00\x011"...)); err != nil {
 		return false
 	}
--- a/internal/lab/shutdown/shutdown.go
+++ b/internal/lab/shutdown/shutdown.go
@@ -1,8 +1,8 @@
-// Package shutdown measures restarts against the real program on loopback: many
-// processes on one core that are told to leave and start again, all at once,
-// while callers send and links are struck. Each process has an engine of its own
-// that comes up cold; all of them call one ledger that is cold too. What the
-// measurement returns are counts; what they must be is the caller's to say.
+// Package shutdown measures restarts of real servers on loopback: many processes on
+// one core are restarted at the same time while callers send requests and the links
+// to the engines fail. Each process has an engine of its own that starts cold; all
+// share one ledger, which starts cold too. The measurement returns counts; its
+// caller compares them with the required values.
 package shutdown
 
 import (
@@ -30,42 +30,43 @@
 	"kiteslip/internal/standin/ledger"
 )
 
-// The site that is played.
+// Settings of the servers, the engines and the ledger.
 const (
 	classTimeout    = 3 * time.Second
-	answerSlack     = 110 * time.Millisecond // of the rules, on sockets
+	answerSlack     = 110 * time.Millisecond // the answer slack of the server's rules, and the time on the sockets
 	stopTimeout     = 2500 * time.Millisecond
 	drainGrace      = 400 * time.Millisecond
 	keyWindow       = 20 * time.Second
 	callShareWindow = 2 * time.Second
-	callShare       = 0.4 // of calls below, for each process
+	callShare       = 0.4 // downstream calls at once for each process, on average
 	warmupTime      = 4 * time.Second
 	coldSpeed       = 0.25
-	callTime        = 60 * time.Millisecond // what the ledger takes once it is warm
-	coldCallFactor  = 5                     // ... and how many times that at first
+	callTime        = 60 * time.Millisecond // duration of a call to the warm ledger
+	coldCallFactor  = 5                     // duration of a call to the cold ledger, relative to callTime
 	waveInterval    = 5 * time.Second       // between two waves of restarts
 	refusalTime     = 1500 * time.Millisecond
 )
 
-// Outcome is what was seen.
+// Outcome counts what was observed.
 type Outcome struct {
 	Processes, Restarts       int
 	Requests, Served, Refused int
-	Failed, Crossed           int // Crossed: sent within 50 ms of the end of their connection, and sent again
+	Failed, Crossed           int // Crossed: unanswered requests sent at most 50 ms before the end of their connection
 	Lost, Twice, Late, Wrong  int
-	Reset                     int // connections that were reset with answers owed
+	Reset                     int // connections that were reset with final answers outstanding
 	SecondRuns                int
-	Ready                     []time.Duration // from the start of a process to its first good health answer, shortest first
-	InHand                    int             // calls in hand at the ledger at once, at most
-	Sent                      int             // calls within any span of CallsOver, at most
-	Budget, SentBudget        float64         // what the settings allow of both
-	Unclean                   int             // processes that did not end well by themselves
+	Ready                     []time.Duration // sorted times from the start of a process to its first passed health check
+	InHand                    int             // maximum number of calls in progress at the ledger
+	Sent                      int             // maximum number of calls within any callShareWindow
+	Budget, SentBudget        float64         // limits of InHand and Sent by the settings
+	Unclean                   int             // processes that did not end by themselves with exit status 0
 }
 
-// Bound is what may be sent beyond a budget of n by chance.
+// Bound returns a limit on a count whose mean is at most n: chance may exceed n by
+// two standard deviations, and by 2 more.
 func Bound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// ReadyWithin is the share of starts that were ready within d.
+// ReadyWithin returns the share of starts that were ready within d.
 func (o *Outcome) ReadyWithin(d time.Duration) float64 {
 	if len(o.Ready) == 0 {
 		return 0
@@ -74,7 +75,7 @@
 	return float64(n) / float64(len(o.Ready))
 }
 
-// fleet is the processes and all that they talk with.
+// fleet has the servers, their engines, the ledger and the callers.
 type fleet struct {
 	program string
 	dir     string
@@ -84,15 +85,15 @@
 
 	mu         sync.Mutex
 	outcome    Outcome
-	callTimes  []time.Time // when each came to the ledger
-	callEnds   []time.Time // when each of those in hand is over
+	callTimes  []time.Time // arrivals of the calls at the ledger
+	callEnds   []time.Time // ends of the calls in progress
 	coldAt     time.Time
 	refuseFrom time.Time
-	stopping   atomic.Bool // callers send nothing new
+	stopping   atomic.Bool // callers send no new requests
 	callers    sync.WaitGroup
 }
 
-// server is one address, over its lives.
+// server is one server over all of its processes, with its address and engine.
 type server struct {
 	fleet   *fleet
 	name    string
@@ -106,8 +107,8 @@
 	retired []*box.Engine
 }
 
-// Play starts so many processes, restarts all of them so often while callers
-// send, and returns what was seen.
+// Play starts the processes, restarts all of them once per wave while callers send
+// requests, and returns what was observed.
 func Play(program string, processes, waves int, seed uint64) (*Outcome, error) {
 	f := &fleet{program: program, seed: seed}
 	f.outcome.Processes = processes
@@ -128,7 +129,7 @@
 		if err = os.Mkdir(s.dir, 0o700); err != nil {
 			return nil, err
 		}
-		// An address of the loopback range of its own: nothing else takes its port while the process is away.
+		// A loopback address of its own, so that nothing else takes the port during a restart.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", i/250, 1+i%250))
 		if err != nil {
 			return nil, err
@@ -141,9 +142,9 @@
 		return nil, err
 	}
 	for i, s := range f.servers {
-		for c := range 2 {
+		for n := range 2 {
 			f.callers.Add(1)
-			go f.runCaller(s, rand.New(rand.NewPCG(seed, uint64(10*i+c))), i*10+c)
+			go f.runCaller(s, rand.New(rand.NewPCG(seed, uint64(10*i+n))), i*10+n)
 		}
 	}
 	for range waves {
@@ -156,7 +157,7 @@
 	f.stopping.Store(true)
 	f.callers.Wait()
 	for _, s := range f.servers {
-		s.cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
+		s.cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // the process may have ended
 	}
 	for _, s := range f.servers {
 		f.awaitEnd(s)
@@ -167,28 +168,29 @@
 	return &f.outcome, nil
 }
 
-// evaluate counts what is known once all is over.
+// evaluate computes the counts that are known only at the end.
 func (f *fleet) evaluate() {
 	slices.Sort(f.outcome.Ready)
 	for _, s := range f.servers {
 		for _, e := range append(s.retired, s.engine) {
 			for body, n := range e.Log().Begun {
-				if n > 1 && strings.Contains(body, classKeyed) { // what is safe to repeat may be begun again after a cut
+				if n > 1 && strings.Contains(body, classKeyed) { // other classes may be started again after the link was cut
 					f.outcome.SecondRuns += n - 1
 				}
 			}
 		}
 	}
-	from := 0
+	first := 0 // of the window that ends at the call
 	for i, at := range f.callTimes {
-		for f.callTimes[from].Before(at.Add(-callShareWindow)) {
-			from++
+		for f.callTimes[first].Before(at.Add(-callShareWindow)) {
+			first++
 		}
-		f.outcome.Sent = max(f.outcome.Sent, i-from+1)
+		f.outcome.Sent = max(f.outcome.Sent, i-first+1)
 	}
 }
 
-// handleCall is the ledger: cold after each wave, and now and then it turns all away.
+// handleCall is the script of the ledger: cold after each wave of restarts, and for
+// refusalTime in each interval it rejects all calls.
 func (f *fleet) handleCall(ledger.Call) ledger.Act {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,15 +199,16 @@
 	if since := now.Sub(f.refuseFrom); since >= 0 && since < refusalTime {
 		return ledger.Act{Status: 503, Untouched: true}
 	}
-	slow := 1 + (coldCallFactor-1)*max(0, 1-float64(now.Sub(f.coldAt))/float64(warmupTime))
-	takes := time.Duration(float64(callTime) * slow)
+	slowdown := 1 + (coldCallFactor-1)*max(0, 1-float64(now.Sub(f.coldAt))/float64(warmupTime))
+	duration := time.Duration(float64(callTime) * slowdown)
 	f.callEnds = slices.DeleteFunc(f.callEnds, func(end time.Time) bool { return !end.After(now) })
-	f.callEnds = append(f.callEnds, now.Add(takes)) // one that is given up counts to its end
+	f.callEnds = append(f.callEnds, now.Add(duration)) // a call that is given up counts until its end
 	f.outcome.InHand = max(f.outcome.InHand, len(f.callEnds))
-	return ledger.Act{After: takes}
+	return ledger.Act{After: duration}
 }
 
-// restartLedgerCold has the ledger start cold, and turn all away for a while later on.
+// restartLedgerCold makes the ledger cold, and schedules the time in which it rejects
+// all calls.
 func (f *fleet) restartLedgerCold() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -213,7 +216,7 @@
 	f.refuseFrom = f.coldAt.Add(waveInterval / 2)
 }
 
-// startAll starts every process in the same moment, on one core.
+// startAll starts all processes at the same time.
 func (f *fleet) startAll() error {
 	f.restartLedgerCold()
 	errs := make(chan error, len(f.servers))
@@ -229,15 +232,15 @@
 	return first
 }
 
-// restartAll tells every process to leave, and starts each anew as soon as it has ended.
+// restartAll sends SIGTERM to all processes, and starts each again once it has ended.
 func (f *fleet) restartAll() error {
 	errs := make(chan error, len(f.servers))
 	var first sync.Once
 	for _, s := range f.servers {
 		go func() {
-			s.cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
+			s.cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // the process may have ended
 			f.awaitEnd(s)
-			first.Do(f.restartLedgerCold) // the ledger starts anew with the first that does
+			first.Do(f.restartLedgerCold) // together with the first process that starts again
 			errs <- s.start()
 		}()
 	}
@@ -251,7 +254,8 @@
 	return failed
 }
 
-// awaitEnd waits for the end of a process, which must come by itself.
+// awaitEnd waits for the end of a process after SIGTERM, and kills it if it has not
+// ended within the stop timeout and a second.
 func (f *fleet) awaitEnd(s *server) {
 	select {
 	case err := <-s.ended:
@@ -260,7 +264,7 @@
 			return
 		}
 	case <-time.After(stopTimeout + time.Second):
-		s.cmd.Process.Kill() //nolint:errcheck // it may have ended
+		s.cmd.Process.Kill() //nolint:errcheck // the process may have ended
 		err := <-s.ended
 		s.ended <- err
 	}
@@ -269,7 +273,8 @@
 	f.mu.Unlock()
 }
 
-// disturbLinks breaks the engine's links of some servers in the next while, silences others, and heals them.
+// disturbLinks breaks, cuts short or silences the links between random servers and
+// their engines for waveInterval, and heals each shortly after.
 func (f *fleet) disturbLinks() {
 	rng := rand.New(rand.NewPCG(f.seed, uint64(len(f.outcome.Ready))))
 	end := time.Now().Add(waveInterval)
@@ -283,19 +288,20 @@
 			link.Break()
 		case 1:
 			link.EndAfter(rng.IntN(200))
-			time.AfterFunc(100*time.Millisecond, func() { link.Heal() }) //nolint:errcheck // it listens
+			time.AfterFunc(100*time.Millisecond, func() { link.Heal() }) //nolint:errcheck // fails only after Cut
 		case 2:
 			link.Silence(faultnet.Back)
-			time.AfterFunc(200*time.Millisecond, func() { link.Heal() }) //nolint:errcheck // it listens
+			time.AfterFunc(200*time.Millisecond, func() { link.Heal() }) //nolint:errcheck // fails only after Cut
 		}
 		time.Sleep(40 * time.Millisecond)
 	}
 }
 
+// killAll kills all processes, and closes their engines and links.
 func (f *fleet) killAll() {
 	for _, s := range f.servers {
 		if s.cmd != nil {
-			s.cmd.Process.Kill() //nolint:errcheck // it may have ended
+			s.cmd.Process.Kill() //nolint:errcheck // the process may have ended
 			err := <-s.ended
 			s.ended <- err
 		}
@@ -309,7 +315,8 @@
 	}
 }
 
-// start begins a life: an engine that comes up cold, the process, and its first good health answer.
+// start starts a cold engine and a new process, and waits until the process passes a
+// health check.
 func (s *server) start() error {
 	engine, err := box.Serve(box.Spec{Cores: 6})
 	if err != nil {
@@ -351,7 +358,7 @@
 	s.mu.Unlock()
 	for !healthy(s.listen) {
 		if time.Since(began) > 30*time.Second {
-			return fmt.Errorf("%s is not ready within 30 s", s.name)
+			return fmt.Errorf("%s did not pass a health check within 30 s", s.name)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -361,6 +368,7 @@
 	return nil
 }
 
+// platformFile returns the content of the platform's file.
 func (s *server) platformFile() ([]byte, error) {
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "on_time_us": classTimeout.Microseconds() / 2,
@@ -389,30 +397,32 @@
 	return json.Marshal(file)
 }
 
+// oneCore is held while the affinity of a thread of this process is changed.
 var oneCore sync.Mutex
 
-// startOnOneCore starts a process that shares one core with all others started so.
+// startOnOneCore starts a process on the first core that this process may use. The
+// child inherits the affinity of the thread that starts it, which is restored after.
 func startOnOneCore(cmd *exec.Cmd) error {
 	oneCore.Lock()
 	defer oneCore.Unlock()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var all, one unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &all); err != nil {
+	var allowed, firstCore unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
 		return err
 	}
 	for i := range 1024 {
-		if all.IsSet(i) {
-			one.Set(i)
+		if allowed.IsSet(i) {
+			firstCore.Set(i)
 			break
 		}
 	}
-	if err := unix.SchedSetaffinity(0, &one); err != nil {
+	if err := unix.SchedSetaffinity(0, &firstCore); err != nil {
 		return err
 	}
 	err := cmd.Start()
-	if back := unix.SchedSetaffinity(0, &all); err == nil {
-		err = back
+	if restoreErr := unix.SchedSetaffinity(0, &allowed); err == nil {
+		err = restoreErr
 	}
 	return err
 }
