--- a/internal/lab/calls/calls.go
+++ b/internal/lab/calls/calls.go
@@ -1,7 +1,7 @@
-// Package calls measures calls below against the real program on loopback: many
-// runs with calls while the ledger fails in every way that the protocol knows
-// and the engine's link is cut, and what a call costs beside a run without one.
-// Each measurement returns its figures; what they must reach is the caller's.
+// Package calls measures downstream calls of a real server on loopback: many runs
+// with calls while the ledger fails in every way that the protocol has and the
+// engine's link is cut, and the cost of a call. Each measurement returns its
+// figures; the caller compares them with the required values.
 package calls
 
 import (
@@ -16,7 +16,7 @@
 	"kiteslip/internal/standin/ledger"
 )
 
-// Lab is where the program runs: an engine, a ledger and an address.
+// Lab is a server under measurement with its engine and its ledger.
 type Lab struct {
 	dir, listen string
 	engine      *box.Engine
@@ -24,16 +24,16 @@
 	program     *live.Program
 }
 
-// The classes, by what they do.
+// The classes, and the times of the platform's file.
 const (
-	Plain    = "look" // safe to repeat, may go on without its call
-	Needing  = "find" // safe to repeat
-	Keyed    = "note" // must not run twice, and so must its call
-	deadline = 2 * time.Second
-	slack    = 110 * time.Millisecond // of the rules, on sockets
+	ClassCallOptional = "look" // safe to repeat; its downstream call may be skipped
+	ClassCallRequired = "find" // safe to repeat; its downstream call may not be skipped
+	ClassKeyed        = "note" // neither a run nor its downstream call may be made twice
+	classTimeout      = 2 * time.Second
+	answerSlack       = 110 * time.Millisecond // the answer slack of the server's rules, and the time on the sockets
 )
 
-// Open starts the program with an engine and a ledger that follows script.
+// Open starts a server with an engine and with a ledger that answers as script says.
 func Open(program string, script func(ledger.Call) ledger.Act) (*Lab, error) {
 	l := &Lab{}
 	var err error
@@ -52,11 +52,11 @@
 		return fail(err)
 	}
 	class := func(name, effect string) map[string]any {
-		return map[string]any{"name": name, "effect": effect, "on_time_us": deadline.Microseconds(), "hard_limit_us": deadline.Microseconds(),
+		return map[string]any{"name": name, "effect": effect, "on_time_us": classTimeout.Microseconds(), "hard_limit_us": classTimeout.Microseconds(),
 			"window_us": (20 * time.Second).Microseconds(), "worth": 1}
 	}
 	settings, err := probe.PlatformFile(l.listen, l.engine.Address, 1000, map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, 256, 1,
-		class(Plain, "repeatable"), class(Needing, "repeatable"), class(Keyed, "by_key"))
+		class(ClassCallOptional, "repeatable"), class(ClassCallRequired, "repeatable"), class(ClassKeyed, "by_key"))
 	if err == nil {
 		settings, err = probe.WithLedger(settings, l.ledger.Address, []bool{true, true, true}, []float64{0.5, 0, 0})
 	}
@@ -69,7 +69,7 @@
 	return l, nil
 }
 
-// Close ends what Open started.
+// Close stops what Open started.
 func (l *Lab) Close() {
 	if l.program != nil {
 		l.program.Kill()
@@ -83,16 +83,17 @@
 	os.RemoveAll(l.dir)
 }
 
-// rightly says whether a result is what the run made: its body, and for each
-// call the ledger's own reply to that call, or that it was left out.
-func rightly(body, result string, mayLack bool) bool {
+// resultCorrect reports whether a result is complete: the body, and for each
+// downstream call the ledger's reply to that call or, where maySkip is set, the mark
+// that it was skipped.
+func resultCorrect(body, result string, maySkip bool) bool {
 	rest, ok := strings.CutPrefix(result, body)
-	for left := box.Calls([]byte(body)) - 1; ok && left >= 0; left-- {
-		reply := "|" + ledger.Reply(fmt.Sprintf("call %d of %s", left, body))
-		var fed bool
-		if rest, fed = strings.CutPrefix(rest, reply); !fed {
+	for callsLeft := box.Calls([]byte(body)) - 1; ok && callsLeft >= 0; callsLeft-- {
+		reply := "|" + ledger.Reply(fmt.Sprintf("call %d of %s", callsLeft, body))
+		var found bool
+		if rest, found = strings.CutPrefix(rest, reply); !found {
 			rest, ok = strings.CutPrefix(rest, "|skipped")
-			ok = ok && mayLack
+			ok = ok && maySkip
 		}
 	}
 	return ok && rest == ""
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,6 +1,8 @@
-// Package lab plays traffic against a core with its module and an emulated box,
-// in simulated time: the same seed gives the same day. It is for measurements
-// and tests; nothing that serves imports it.
+// Package lab simulates traffic against a core with its policy and a model of the
+// machine (box.Box), in simulated time: the same seed gives the same result. It is
+// for measurements and tests; the server does not import it.
+//
+// Instants and durations are microseconds.
 package lab
 
 import (
@@ -15,165 +17,169 @@
 	"kiteslip/internal/standin/box"
 )
 
-// Second is one second of the simulated clock, which counts microseconds.
+// Second is one second of simulated time.
 const Second = 1_000_000
 
-// epoch is when a day starts: no time stamp may be zero.
+// epoch is the instant at which a simulation starts; not 0, because instants of 0
+// mean "none".
 const epoch = 1_000 * Second
 
-// Stream is traffic of one class: independent arrivals at a rate that may
-// change, and work drawn evenly between two bounds.
+// Stream is traffic of one class: independent arrivals at a rate that may change
+// over time, and uniformly distributed work.
 type Stream struct {
 	Class, Tenant int
-	Rate          func(at int64) float64 // a second, at microseconds since the start
+	Rate          func(at int64) float64 // requests per second, by the time since the start
 	Work          func(at int64) (least, most float64)
 }
 
-// Steady is a rate that never changes.
-func Steady(perSecond float64) func(int64) float64 {
+// ConstantRate returns a rate that does not change over time.
+func ConstantRate(perSecond float64) func(int64) float64 {
 	return func(int64) float64 { return perSecond }
 }
 
-// Even is work between two bounds in milliseconds that never change.
-func Even(least, most float64) func(int64) (float64, float64) {
+// UniformWork returns work between two bounds in milliseconds that do not change
+// over time.
+func UniformWork(least, most float64) func(int64) (float64, float64) {
 	return func(int64) (float64, float64) { return least * 1000, most * 1000 }
 }
 
-// Change is something that happens to the day at a time since its start.
+// Change is an event of a simulation.
 type Change struct {
-	At int64
-	Do func(w *World)
+	At    int64 // since the start
+	Apply func(w *Simulation)
 }
 
-// Day is what a World plays.
-type Day struct {
-	Policy  kiteslip.Settings
-	Pools   *pool.Settings
-	Box     box.Spec
-	Streams []Stream
-	Script  []Change // in order of time
-	Length  int64    // of the arrivals; all is played to its end
-	From    int64    // what came before this is not counted
-	Seed    uint64
-	Gauges  bool                     // the box tells how busy its cores are
-	Again   bool                     // refused callers come back once when they were told to, if that is in time
-	Watch   func(w *World, at int64) // called four times a second, if set
+// Spec describes a simulation.
+type Spec struct {
+	Policy       kiteslip.Settings
+	Pools        *pool.Settings
+	Box          box.Spec
+	Streams      []Stream
+	Changes      []Change // in order of time
+	Length       int64    // of the arrivals; the simulation goes on until every request is answered
+	CountFrom    int64    // requests that arrive before this are not counted
+	Seed         uint64
+	Gauges       bool                          // the core is told how busy the machine is
+	RetryRefused bool                          // refused callers retry once at their retry-after, if that is before the deadline
+	Observe      func(w *Simulation, at int64) // if set, called four times per simulated second
 }
 
-// Tally is what became of the requests of one class.
-type Tally struct {
-	Asked, InTime, Late, Refused, Failed int
-	AskedWork, InTimeWork, LateWork      float64 // microseconds at the yardstick's speed
+// ClassCounts has the results of the requests of one class.
+type ClassCounts struct {
+	Requests, OnTime, Late, Refused, Failed int
+	RequestedWork, OnTimeWork, LateWork     float64 // core time at speed 1
 }
 
-// Share is the part answered within its wanted time; 1 where nothing was asked.
-func (t *Tally) Share() float64 {
-	if t.Asked == 0 {
+// OnTimeShare returns the share of requests served within their target time, or 1
+// if there were none.
+func (t *ClassCounts) OnTimeShare() float64 {
+	if t.Requests == 0 {
 		return 1
 	}
-	return float64(t.InTime) / float64(t.Asked)
+	return float64(t.OnTime) / float64(t.Requests)
 }
 
-// Result is the outcome of a day.
+// Result is the outcome of a simulation.
 type Result struct {
-	Classes  []Tally
-	Overdue  int // answers after their due time: none may be
-	Answered int // must be all that was asked
+	Classes  []ClassCounts
+	Overdue  int // answers after their deadline; must be 0
+	Answered int // answers, those of retries included
 	Runs     int
 }
 
-// Worth is what was answered over what was asked, weighed by the worth of the
-// classes for each unit of work.
-func (r *Result) Worth(classes []kiteslip.Class) float64 {
-	asked, got := 0.0, 0.0
+// WorthShare returns the work served over the work requested, weighted by the worth
+// of the classes.
+func (r *Result) WorthShare(classes []kiteslip.Class) float64 {
+	requested, served := 0.0, 0.0
 	for i := range r.Classes {
-		t, c := &r.Classes[i], &classes[i]
-		asked += c.Worth * t.AskedWork
-		got += c.Worth * (t.InTimeWork + c.LateWorth*t.LateWork)
+		counts, c := &r.Classes[i], &classes[i]
+		requested += c.Worth * counts.RequestedWork
+		served += c.Worth * (counts.OnTimeWork + c.LateWorth*counts.LateWork)
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return 1
 	}
-	return got / asked
+	return served / requested
 }
 
-// try is one request of the day.
+// try is a request of the simulation.
 type try struct {
-	class, tenant int
-	first, due    int64
-	work          float64
-	counted       bool
-	again         bool
-	key           string
+	class, tenant     int
+	arrived, deadline int64
+	work              float64
+	counted           bool
+	retried           bool
+	key               string
 }
 
-type back struct {
+// retry is a refused request that is sent again later.
+type retry struct {
 	at int64
 	t  *try
 }
 
-// World is a day in play.
-type World struct {
-	Core  *core.Core
-	Box   *box.Box
-	day   *Day
-	rng   *rand.Rand
-	now   int64
-	next  []int64 // by stream
-	tries []*try
-	live  map[uint64]*core.Request // on the box
-	ids   uint64
-	backs []back // callers that come again, in order of time
+// Simulation is the state of a running simulation.
+type Simulation struct {
+	Core         *core.Core
+	Box          *box.Box
+	spec         *Spec
+	rng          *rand.Rand
+	now          int64
+	nextArrivals []int64 // next arrival of each stream
+	tries        []*try
+	running      map[uint64]*core.Request // on the cores, by run
+	lastID       uint64
+	retries      []retry // in order of time
 	Result
 }
 
-// Play plays a day to its end.
-func Play(day Day) (*Result, error) {
-	w := &World{day: &day, rng: rand.New(rand.NewPCG(day.Seed, 1)), now: epoch, live: map[uint64]*core.Request{}}
-	w.Box = box.New(day.Box, epoch)
-	w.Classes = make([]Tally, len(day.Policy.Classes))
+// Simulate runs a simulation to its end.
+func Simulate(spec Spec) (*Result, error) {
+	w := &Simulation{spec: &spec, rng: rand.New(rand.NewPCG(spec.Seed, 1)), now: epoch, running: map[uint64]*core.Request{}}
+	w.Box = box.New(spec.Box, epoch)
+	w.Classes = make([]ClassCounts, len(spec.Policy.Classes))
 	var err error
-	if w.Core, err = core.New(core.Settings{Policy: day.Policy, Seed: day.Seed, Pools: day.Pools}, w); err != nil {
+	if w.Core, err = core.New(core.Settings{Policy: spec.Policy, Seed: spec.Seed, Pools: spec.Pools}, w); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	w.next = make([]int64, len(day.Streams))
-	for i := range w.next {
-		w.next[i] = w.draw(i, epoch)
+	w.nextArrivals = make([]int64, len(spec.Streams))
+	for i := range w.nextArrivals {
+		w.nextArrivals[i] = w.nextArrival(i, epoch)
 	}
-	watch := int64(epoch)
-	script := day.Script
+	nextObservation := int64(epoch)
+	changes := spec.Changes
 	for {
-		at := w.until(script)
+		at := w.nextEvent(changes)
 		if at == math.MaxInt64 {
 			break
 		}
 		w.now = max(w.now, at)
-		for len(script) > 0 && script[0].At+epoch <= w.now {
-			script[0].Do(w)
-			script = script[1:]
+		for len(changes) > 0 && changes[0].At+epoch <= w.now {
+			changes[0].Apply(w)
+			changes = changes[1:]
 		}
-		w.finish()
-		w.arrive()
-		if day.Gauges {
+		w.completeRuns()
+		w.submitArrivals()
+		if spec.Gauges {
 			n := float32(w.Box.Runs())
-			w.Core.SetGauges(kiteslip.Gauges{Valid: true, Busy: min(1, n/float32(day.Box.Cores)), Runnable: n})
+			w.Core.SetGauges(kiteslip.Gauges{Valid: true, Busy: min(1, n/float32(spec.Box.Cores)), Runnable: n})
 		}
 		w.Core.Step(w.now)
-		if day.Watch != nil && w.now >= watch {
-			watch = w.now + Second/4
-			day.Watch(w, w.now-epoch)
+		if spec.Observe != nil && w.now >= nextObservation {
+			nextObservation = w.now + Second/4
+			spec.Observe(w, w.now-epoch)
 		}
-		if w.now > epoch+day.Length && w.Core.Outstanding() == 0 && w.Box.Runs() == 0 && len(w.backs) == 0 {
+		if w.now > epoch+spec.Length && w.Core.Outstanding() == 0 && w.Box.Runs() == 0 && len(w.retries) == 0 {
 			break
 		}
 	}
 	return &w.Result, nil
 }
 
-// until is when something happens next.
-func (w *World) until(script []Change) int64 {
+// nextEvent returns the instant of the next event.
+func (w *Simulation) nextEvent(changes []Change) int64 {
 	at := int64(math.MaxInt64)
-	for _, t := range w.next {
+	for _, t := range w.nextArrivals {
 		at = min(at, t)
 	}
 	for _, t := range []int64{w.Box.Next(), w.Core.NextStep()} {
@@ -181,19 +187,20 @@
 			at = min(at, t)
 		}
 	}
-	if len(script) > 0 {
-		at = min(at, script[0].At+epoch)
+	if len(changes) > 0 {
+		at = min(at, changes[0].At+epoch)
 	}
-	if len(w.backs) > 0 {
-		at = min(at, w.backs[0].at)
+	if len(w.retries) > 0 {
+		at = min(at, w.retries[0].at)
 	}
 	return at
 }
 
-// draw returns when stream i brings its next request after at.
-func (w *World) draw(i int, at int64) int64 {
-	s := &w.day.Streams[i]
-	for at < epoch+w.day.Length {
+// nextArrival returns the instant of the first arrival of stream i after at. A long
+// gap is drawn again in steps, so that it follows changes of the rate.
+func (w *Simulation) nextArrival(i int, at int64) int64 {
+	s := &w.spec.Streams[i]
+	for at < epoch+w.spec.Length {
 		rate := s.Rate(at - epoch)
 		if rate <= 0 {
 			at += Second / 20
@@ -201,86 +208,86 @@
 		}
 		gap := w.rng.ExpFloat64() / rate * Second
 		if gap < Second/4 || rate > 4 {
-			if at += int64(gap) + 1; at >= epoch+w.day.Length {
+			if at += int64(gap) + 1; at >= epoch+w.spec.Length {
 				break
 			}
 			return at
 		}
-		at += Second / 4 // look at the rate anew; the gap has no memory
+		at += Second / 4 // exponential gaps are memoryless, so that drawing again does not bias them
 	}
 	return math.MaxInt64
 }
 
-func (w *World) arrive() {
-	for i := range w.next {
-		for w.next[i] <= w.now {
-			s := &w.day.Streams[i]
+func (w *Simulation) submitArrivals() {
+	for i := range w.nextArrivals {
+		for w.nextArrivals[i] <= w.now {
+			s := &w.spec.Streams[i]
 			least, most := s.Work(w.now - epoch)
-			t := &try{class: s.Class, tenant: s.Tenant, first: w.next[i], work: least + (most-least)*w.rng.Float64()}
-			t.due = t.first + w.day.Policy.Classes[t.class].Timeout
-			t.counted = t.first >= epoch+w.day.From
+			t := &try{class: s.Class, tenant: s.Tenant, arrived: w.nextArrivals[i], work: least + (most-least)*w.rng.Float64()}
+			t.deadline = t.arrived + w.spec.Policy.Classes[t.class].Timeout
+			t.counted = t.arrived >= epoch+w.spec.CountFrom
 			t.key = strconv.Itoa(len(w.tries))
 			if t.counted {
 				c := &w.Classes[t.class]
-				c.Asked++
-				c.AskedWork += t.work
+				c.Requests++
+				c.RequestedWork += t.work
 			}
-			w.send(t)
-			w.next[i] = w.draw(i, w.next[i])
+			w.submit(t)
+			w.nextArrivals[i] = w.nextArrival(i, w.nextArrivals[i])
 		}
 	}
-	for len(w.backs) > 0 && w.backs[0].at <= w.now {
-		t := w.backs[0].t
-		w.backs = w.backs[1:]
-		w.send(t)
+	for len(w.retries) > 0 && w.retries[0].at <= w.now {
+		t := w.retries[0].t
+		w.retries = w.retries[1:]
+		w.submit(t)
 	}
 }
 
-// send hands a try to the core.
-func (w *World) send(t *try) {
+// submit passes a try to the core.
+func (w *Simulation) submit(t *try) {
 	w.tries = append(w.tries, t)
 	stream := uint32(len(w.tries) - 1)
 	err := w.Core.Submit(w.now, &core.Request{TryID: strconv.Itoa(int(stream)), Class: t.class, Tenant: t.tenant, Caller: 1, Key: t.key,
-		Arrived: w.now, Deadline: t.due, SizeKB: 16, Body: strconv.AppendInt(nil, int64(t.work), 10), Stream: stream, ReplyTo: w})
+		Arrived: w.now, Deadline: t.deadline, SizeKB: 16, Body: strconv.AppendInt(nil, int64(t.work), 10), Stream: stream, ReplyTo: w})
 	if err != nil {
-		panic(err) // the laboratory's own fault
+		panic(err) // a bug in this package
 	}
 }
 
-// Run puts a request on the box.
-func (w *World) Run(r *core.Request) {
-	w.ids++
+// Run starts a request on the cores.
+func (w *Simulation) Run(r *core.Request) {
+	w.lastID++
 	w.Runs++
-	w.live[w.ids] = r
-	w.Box.Begin(w.now, w.ids, box.Work(r.Body))
+	w.running[w.lastID] = r
+	w.Box.Begin(w.now, w.lastID, box.Work(r.Body))
 }
 
-func (w *World) finish() {
+func (w *Simulation) completeRuns() {
 	for _, e := range w.Box.Advance(w.now) {
-		r := w.live[e.ID]
-		delete(w.live, e.ID)
-		w.Core.Done(r, kiteslip.OK, e.At-e.Began, r.Body)
+		r := w.running[e.ID]
+		delete(w.running, e.ID)
+		w.Core.Done(r, kiteslip.OK, e.At-e.Started, r.Body)
 	}
 }
 
-// Answer takes a final answer.
-func (w *World) Answer(stream uint32, a core.Answer) {
+// Answer counts a final answer, or schedules the retry of a refused request.
+func (w *Simulation) Answer(stream uint32, a core.Answer) {
 	t := w.tries[stream]
 	w.tries[stream] = nil
 	w.Answered++
-	if w.now > t.due {
+	if w.now > t.deadline {
 		w.Overdue++
 	}
-	if w.day.Again && a.Code == core.Refused && !a.NoFailover && !t.again && a.RetryAfter > 0 && w.now+a.RetryAfter < t.due {
-		t.again = true
+	if w.spec.RetryRefused && a.Code == core.Refused && !a.NoFailover && !t.retried && a.RetryAfter > 0 && w.now+a.RetryAfter < t.deadline {
+		t.retried = true
 		at := w.now + a.RetryAfter
-		i := len(w.backs)
-		for i > 0 && w.backs[i-1].at > at {
+		i := len(w.retries)
+		for i > 0 && w.retries[i-1].at > at {
 			i--
 		}
-		w.backs = append(w.backs, back{})
-		copy(w.backs[i+1:], w.backs[i:])
-		w.backs[i] = back{at, t}
+		w.retries = append(w.retries, retry{})
+		copy(w.retries[i+1:], w.retries[i:])
+		w.retries[i] = retry{at, t}
 		return
 	}
 	if !t.counted {
@@ -292,9 +299,9 @@
 		c.Refused++
 	case a.Code == core.Failed:
 		c.Failed++
-	case w.now <= t.first+w.day.Policy.Classes[t.class].TargetTime:
-		c.InTime++
-		c.InTimeWork += t.work
+	case w.now <= t.arrived+w.spec.Policy.Classes[t.class].TargetTime:
+		c.OnTime++
+		c.OnTimeWork += t.work
 	default:
 		c.Late++
 		c.LateWork += t.work
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -7,137 +7,143 @@
 	"kiteslip/internal/pool"
 )
 
-// Scenario is a day on which pools are compared with none.
+// Scenario is a simulation on which pools are compared with none.
 type Scenario struct {
 	Name string
-	Day  func() Day
+	Spec func() Spec
 }
 
-// boxCores are those of the small broker that the scenarios play.
-const boxCores = 4
+// brokerCores is the number of cores of the broker in the scenarios.
+const brokerCores = 4
 
-// PoolScenarios are the days of the pools' measurement. All are of the small
-// broker with four places.
+// PoolScenarios returns the scenarios of the measurement of pools, all of the small
+// broker (see Broker) with brokerCores cores.
 func PoolScenarios() []Scenario {
-	day := func(streams func() []Stream, script ...Change) func() Day {
-		return func() Day {
-			return Day{Policy: Broker(boxCores), Box: BrokerBox(boxCores), Streams: streams(), Length: 60 * Second,
-				From: 5 * Second, Script: script}
+	spec := func(streams func() []Stream, changes ...Change) func() Spec {
+		return func() Spec {
+			return Spec{Policy: Broker(brokerCores), Box: BrokerBox(brokerCores), Streams: streams(), Length: 60 * Second,
+				CountFrom: 5 * Second, Changes: changes}
 		}
 	}
-	mixed := func(load float64) func() []Stream { return func() []Stream { return Mixed(boxCores, load) } }
+	mixed := func(load float64) func() []Stream { return func() []Stream { return MixedTraffic(brokerCores, load) } }
 	list := []Scenario{
-		{"calm", day(mixed(0.6))},
-		{"full", day(mixed(1.1))},
-		{"halved", day(mixed(1.1), Change{20 * Second, Scale(0.5)}, Change{40 * Second, Scale(1)})},
-		{"slow-flood", day(func() []Stream { return []Stream{Mixed(boxCores, 1)[LandmarkSearch], Only(boxCores, CodeToPoint, 3)} })},
-		{"cheap-flood", day(func() []Stream { return append(Mixed(boxCores, 1), Only(boxCores, LandmarkSearch, 3)) })},
-		{"twice", day(mixed(2))},
+		{"calm", spec(mixed(0.6))},
+		{"full", spec(mixed(1.1))},
+		{"halved", spec(mixed(1.1), Change{20 * Second, SetSpeed(0.5)}, Change{40 * Second, SetSpeed(1)})},
+		{"slow-flood", spec(func() []Stream {
+			return []Stream{MixedTraffic(brokerCores, 1)[LandmarkSearch], SingleClass(brokerCores, CodeToPoint, 3)}
+		})},
+		{"cheap-flood", spec(func() []Stream {
+			return append(MixedTraffic(brokerCores, 1), SingleClass(brokerCores, LandmarkSearch, 3))
+		})},
+		{"twice", spec(mixed(2))},
 	}
 	for class, name := range ClassNames {
-		list = append(list, Scenario{"alone-" + name, day(func() []Stream { return []Stream{Only(boxCores, class, 1.5)} })})
+		list = append(list, Scenario{"alone-" + name, spec(func() []Stream { return []Stream{SingleClass(brokerCores, class, 1.5)} })})
 	}
 	return list
 }
 
-// Scale sets the speed of the box to a part of the usual.
-func Scale(factor float64) func(*World) { return func(w *World) { w.Box.Scale(w.now, factor) } }
+// SetSpeed returns a change that multiplies the speed of the cores by factor.
+func SetSpeed(factor float64) func(*Simulation) {
+	return func(w *Simulation) { w.Box.Scale(w.now, factor) }
+}
 
-// Cold starts a warm-up of the box.
-func Cold(from float64, within int64) func(*World) {
-	return func(w *World) { w.Box.Cold(w.now, from, within) }
+// StartWarmup returns a change that starts a warm-up of the cores.
+func StartWarmup(from float64, within int64) func(*Simulation) {
+	return func(w *Simulation) { w.Box.Cold(w.now, from, within) }
 }
 
-// Retune takes over other pools, as SIGHUP does.
-func Retune(pools *pool.Settings) func(*World) {
-	return func(w *World) {
-		if err := w.Core.Reconfigure(w.day.Policy, nil, pools); err != nil {
-			panic(err) // the scenario's own fault
+// Reconfigure returns a change that applies other pools, as a reload does.
+func Reconfigure(pools *pool.Settings) func(*Simulation) {
+	return func(w *Simulation) {
+		if err := w.Core.Reconfigure(w.spec.Policy, nil, pools); err != nil {
+			panic(err) // the scenario has invalid pools
 		}
 	}
 }
 
-// Compared is a scenario with and without pools, over several seeds.
+// Compared is the result of a scenario with and without pools, over several seeds.
 type Compared struct {
 	Name              string
 	Gauges            bool
-	CheapOff, CheapOn float64 // worst share of landmark-search answered within its wanted time
-	Worth             float64 // worst ratio of the worth, on over off
-	WorthOff, WorthOn float64 // means
-	Done              float64 // worst ratio of the work answered at all, on over off
-	Kept              float64 // worst, over the other pools: work answered in time over what the share can carry or was asked
-	Overdue           int
+	CheapOff, CheapOn float64 // worst share of landmark-search served within its target time
+	Worth             float64 // worst ratio of the worth shares, on over off
+	WorthOff, WorthOn float64 // mean worth shares
+	Done              float64 // worst ratio of the work served, on over off
+	Kept              float64 // worst of the other pools: work served on time over the smaller of the pool's capacity and the work requested
+	Overdue           int     // answers after their deadline
 }
 
-// Compare plays a scenario with and without pools.
+// Compare simulates a scenario with and without pools for each of several seeds.
 func Compare(s Scenario, gauges bool, seeds int) (Compared, error) {
 	c := Compared{Name: s.Name, Gauges: gauges, CheapOff: 1, CheapOn: 1, Worth: math.Inf(1), Done: math.Inf(1), Kept: math.Inf(1)}
 	for seed := 1; seed <= seeds; seed++ {
 		var results [2]*Result
-		var day Day
+		var spec Spec
 		for on := range results {
-			day = s.Day()
-			day.Seed, day.Gauges = uint64(seed), gauges
+			spec = s.Spec()
+			spec.Seed, spec.Gauges = uint64(seed), gauges
 			if on == 1 {
-				day.Pools = BrokerPools(&day.Policy)
+				spec.Pools = BrokerPools(&spec.Policy)
 			}
-			r, err := Play(day)
+			r, err := Simulate(spec)
 			if err != nil {
 				return c, err
 			}
-			if asked := r.asked(); asked != r.counted() {
-				return c, fmt.Errorf("lab: %s, seed %d: %d requests, %d final answers", s.Name, seed, asked, r.counted())
+			if requests := r.requests(); requests != r.answers() {
+				return c, fmt.Errorf("lab: %s, seed %d: %d requests, %d final answers", s.Name, seed, requests, r.answers())
 			}
 			c.Overdue += r.Overdue
 			results[on] = r
 		}
 		off, on := results[0], results[1]
-		c.CheapOff = min(c.CheapOff, off.Classes[LandmarkSearch].Share())
-		c.CheapOn = min(c.CheapOn, on.Classes[LandmarkSearch].Share())
-		worthOff, worthOn := off.Worth(day.Policy.Classes), on.Worth(day.Policy.Classes)
+		c.CheapOff = min(c.CheapOff, off.Classes[LandmarkSearch].OnTimeShare())
+		c.CheapOn = min(c.CheapOn, on.Classes[LandmarkSearch].OnTimeShare())
+		worthOff, worthOn := off.WorthShare(spec.Policy.Classes), on.WorthShare(spec.Policy.Classes)
 		c.WorthOff += worthOff / float64(seeds)
 		c.WorthOn += worthOn / float64(seeds)
 		c.Worth = min(c.Worth, worthOn/worthOff)
-		c.Done = min(c.Done, on.done()/off.done())
-		for i := range day.Pools.Pools {
-			p := &day.Pools.Pools[i]
+		c.Done = min(c.Done, on.answeredWork()/off.answeredWork())
+		for i := range spec.Pools.Pools {
+			p := &spec.Pools.Pools[i]
 			if p.Classes[0] == LandmarkSearch {
 				continue
 			}
-			asked, got := 0.0, 0.0
+			requested, served := 0.0, 0.0
 			for _, class := range p.Classes {
-				asked += on.Classes[class].AskedWork
-				got += on.Classes[class].InTimeWork
+				requested += on.Classes[class].RequestedWork
+				served += on.Classes[class].OnTimeWork
 			}
-			carries := p.Share * boxCores * float64(day.Length-day.From)
-			if asked > 0 {
-				c.Kept = min(c.Kept, got/min(asked, carries))
+			capacity := p.Share * brokerCores * float64(spec.Length-spec.CountFrom)
+			if requested > 0 {
+				c.Kept = min(c.Kept, served/min(requested, capacity))
 			}
 		}
 	}
 	return c, nil
 }
 
-func (r *Result) asked() (n int) {
+func (r *Result) requests() (n int) {
 	for i := range r.Classes {
-		n += r.Classes[i].Asked
+		n += r.Classes[i].Requests
 	}
 	return n
 }
 
-// counted is the number of final answers to what was asked.
-func (r *Result) counted() (n int) {
+// answers returns the number of final answers to the requests that are counted.
+func (r *Result) answers() (n int) {
 	for i := range r.Classes {
 		t := &r.Classes[i]
-		n += t.InTime + t.Late + t.Refused + t.Failed
+		n += t.OnTime + t.Late + t.Refused + t.Failed
 	}
 	return n
 }
 
-// done is the work that was answered, late or not.
-func (r *Result) done() (work float64) {
+// answeredWork returns the work that was served, on time or late.
+func (r *Result) answeredWork() (work float64) {
 	for i := range r.Classes {
-		work += r.Classes[i].InTimeWork + r.Classes[i].LateWork
+		work += r.Classes[i].OnTimeWork + r.Classes[i].LateWork
 	}
 	return work
 }
