--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -7,9 +7,9 @@
 	"kiteslip"
 )
 
-// dueMargin is how long before its due time a request is answered if the
-// module has not done so.
-const dueMargin = 2_000
+// answerMarginUS is how long before its deadline a request is answered if the
+// policy has not done so.
+const answerMarginUS = 2_000
 
 // AnswerCounts counts final answers by their code.
 type AnswerCounts struct{ Served, Refused, Failed int }
@@ -25,107 +25,108 @@
 	}
 }
 
-// giveUp words the answer for what the module has given up. Guards the
-// meaning of a refusal: the module refuses a safe request that runs, but
-// callers are promised that what is refused never ran, so that one fails.
-func (c *Core) giveUp(now int64, r *Request, a *kiteslip.Action) Answer {
-	if a.Kind == kiteslip.Refuse && r.phase == held && !r.begun {
+// answerFor returns the answer to a request that the policy has given up. The
+// policy may refuse a repeatable request that is running, but callers are
+// promised that a refused request never ran, so that one fails instead.
+func (c *Core) answerFor(now int64, r *Request, a *kiteslip.Action) Answer {
+	if a.Kind == kiteslip.Refuse && r.phase == queued && !r.everStarted {
 		return Answer{Code: Refused, RetryAfter: a.After, NoFailover: a.On}
 	}
-	if now >= r.Deadline-c.slack() {
+	if now >= r.Deadline-c.deadlineSlack() {
 		return Answer{Code: Failed, Cause: DeadlineExceeded}
 	}
 	return Answer{Code: Failed, Cause: Abandoned}
 }
 
-// slack is how near to its due time the module gives up what it cannot wait for.
-func (c *Core) slack() int64 { return 2*c.set.Policy.Tick + 50_000 }
+// deadlineSlack is the time before its deadline from which a request that the
+// policy gives up fails with the cause DeadlineExceeded.
+func (c *Core) deadlineSlack() int64 { return 2*c.settings.Policy.Tick + 50_000 }
 
-// answer gives r its one final answer.
+// answer sends r its final answer, which must be its only one.
 func (c *Core) answer(r *Request, a Answer) {
 	c.counts.add(a.Code)
-	c.classes[r.Class].add(a.Code)
+	c.answersByClass[r.Class].add(a.Code)
 	from := r.ReplyTo
-	c.settle(r)
+	c.markAnswered(r)
 	from.Answer(r.Stream, a)
 }
 
-// settle notes that nothing is owed for r any longer. What r came through is
-// let go: r itself may be kept for its result.
-func (c *Core) settle(r *Request) {
+// markAnswered records that no answer is due for r any longer. ReplyTo is
+// released because r itself may be kept for its result.
+func (c *Core) markAnswered(r *Request) {
 	r.answered, r.ReplyTo = true, nil
-	c.letCallGo(r)
-	c.touch(r)
-	c.owed--
+	c.abandonUnneededCall(r)
+	c.markChanged(r)
+	c.outstanding--
 }
 
-// drop takes a request out of the book that never ran, or waited for another.
+// drop removes a request that never ran, or that awaited another's result.
 func (c *Core) drop(r *Request) {
-	c.forget(r)
-	c.unrecord(r)
+	c.removeEntry(r)
+	c.deleteRecord(r)
 	r.phase = dropped
-	c.touch(r)
-	delete(c.open, r.id)
-	delete(c.names, r.TryID)
-	c.serveCopies(r)
+	c.markChanged(r)
+	delete(c.tracked, r.id)
+	delete(c.byTryID, r.TryID)
+	c.serveDuplicates(r)
 	r.Body = nil
 }
 
-// forget takes the entry of r out of the table, unless another try holds it or has run.
-func (c *Core) forget(r *Request) {
-	if e := c.table[r.entry]; e != nil && e.kept == r && e.ran == nil {
-		delete(c.table, r.entry)
+// removeEntry removes the key entry of r, unless another try holds it or one has started.
+func (c *Core) removeEntry(r *Request) {
+	if e := c.keyTable[r.entry]; e != nil && e.holder == r && e.started == nil {
+		delete(c.keyTable, r.entry)
 	}
 }
 
-// overdue answers what is due and was left without an answer, whoever is to blame.
-func (c *Core) overdue(now int64) {
-	if c.dueAt == 0 || now < c.dueAt {
+// answerOverdue answers the requests whose deadline has come and that the policy left unanswered.
+func (c *Core) answerOverdue(now int64) {
+	if c.overdueAt == 0 || now < c.overdueAt {
 		return
 	}
-	c.dueAt = 0
-	var late []*Request
-	for _, r := range c.open {
+	c.overdueAt = 0
+	var overdue []*Request
+	for _, r := range c.tracked {
 		if r.answered {
 			continue
 		}
-		if at := r.Deadline - dueMargin; at > now {
-			if c.dueAt == 0 || at < c.dueAt {
-				c.dueAt = at
+		if at := r.Deadline - answerMarginUS; at > now {
+			if c.overdueAt == 0 || at < c.overdueAt {
+				c.overdueAt = at
 			}
 			continue
 		}
-		late = append(late, r)
+		overdue = append(overdue, r)
 	}
-	c.endAll(late)
+	c.answerAll(overdue)
 }
 
-// AnswerOutstanding answers all that is still owed, since the process ends now, and says
-// how many that were.
+// AnswerOutstanding answers all requests that still need a final answer, because
+// the process ends now, and returns how many there were.
 func (c *Core) AnswerOutstanding() int {
-	var owed []*Request
-	for _, r := range c.open {
+	var unanswered []*Request
+	for _, r := range c.tracked {
 		if !r.answered {
-			owed = append(owed, r)
+			unanswered = append(unanswered, r)
 		}
 	}
-	c.endAll(owed)
-	return len(owed)
+	c.answerAll(unanswered)
+	return len(unanswered)
 }
 
-// endAll answers requests that the module has left without an answer.
-func (c *Core) endAll(late []*Request) {
-	slices.SortFunc(late, func(a, b *Request) int { return cmp.Compare(a.id, b.id) }) // the same order each time
-	for _, r := range late {
+// answerAll answers requests that the policy has left without an answer.
+func (c *Core) answerAll(requests []*Request) {
+	slices.SortFunc(requests, func(a, b *Request) int { return cmp.Compare(a.id, b.id) }) // a map has no order; answers are given in a fixed one
+	for _, r := range requests {
 		if r.answered {
 			continue
 		}
-		if r.ending { // its record comes too late to be waited for
+		if r.recordingEnd { // no time is left to wait for the record of its end
 			c.finish(r)
 			continue
 		}
 		c.counts.PolicyViolations++
-		if r.phase == held && !r.begun {
+		if r.phase == queued && !r.everStarted {
 			c.answer(r, Answer{Code: Refused})
 		} else {
 			c.answer(r, Answer{Code: Failed, Cause: DeadlineExceeded})
@@ -134,6 +135,6 @@
 		if r.phase != running {
 			c.drop(r)
 		}
-		c.letGo(r)
+		c.releaseRunningSlot(r)
 	}
 }
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -2,158 +2,159 @@
 
 import "kiteslip"
 
-// Calls below and pauses: docs/design/calls.md has the states of a run. The
-// module decides which calls are made; here each call ends once, a reply
-// reaches its own run only, and a call whose run is over is given up.
+// Downstream calls and pauses; docs/design/calls.md has the states of a run. The
+// policy decides which calls are made. The Core ensures that each call ends once,
+// that a reply reaches only the run that asked for it, and that a call whose run
+// is over is abandoned.
 
-// Engine is a Runner that stops runs and answers those that stand at a call.
-// With a Runner that is none, no run can stand or be paused.
+// Engine is a Runner that can halt runs and continue those that wait for a
+// downstream call. With a Runner that is no Engine, no run can call or be paused.
 type Engine interface {
 	Runner
-	Halt(r *Request)                // stop it, in the way that the settings name; ends with a Done
-	Resume(r *Request)              // go on with a paused one
-	Reply(r *Request, reply []byte) // go on with the reply to its call
-	Skip(r *Request, notice uint64) // go on without the call that was asked for under that number
+	Halt(r *Request)                // stops the run as Settings.Stop says; ends with a Done
+	Resume(r *Request)              // continues a paused run
+	Reply(r *Request, reply []byte) // continues with the reply to its call
+	Skip(r *Request, notice uint64) // continues without the call that was requested under that number
 }
 
-// Ledger makes calls. Its methods do not wait: each Call ends with one Called
-// under its token, unless it is abandoned before.
+// Ledger makes downstream calls. Its methods do not block: each Call ends with
+// one CallDone with its token, unless it is abandoned before.
 type Ledger interface {
-	Call(token uint64, ref string, body []byte, patience int64)
+	Call(token uint64, ref string, body []byte, timeout int64)
 	Abandon(token uint64)
 }
 
-// stand is the call that a run needs.
-type stand struct {
-	notice uint64 // under which the engine asked for it
+// pendingCall is the downstream call that a run waits for.
+type pendingCall struct {
+	notice uint64 // the number of the engine's notice that requested it
 	body   []byte
-	token  uint64 // of the call that is out; 0 = none is
-	since  int64  // when it was made
+	token  uint64 // of the call in flight; 0 = none
+	madeAt int64  // when the call in flight was made
 }
 
-// calls is what a Core knows of calls below.
-type calls struct {
-	engine Engine // nil = the Runner is none
-	ledger Ledger // nil = nothing lies below
-	last   uint64
-	out    map[uint64]*Request // by token
+// callState holds the downstream calls of a Core.
+type callState struct {
+	engine    Engine // nil = the Runner is no Engine
+	ledger    Ledger // nil = there is no downstream
+	lastToken uint64
+	inFlight  map[uint64]*Request // by token
 }
 
-// SetLedger makes l the one that calls go to; nil = each call ends as unreachable.
+// SetLedger sets where calls go; with nil each call ends as Unreachable.
 func (c *Core) SetLedger(l Ledger) { c.calls.ledger = l }
 
-// CallsInFlight is the number of calls that are out.
-func (c *Core) CallsInFlight() int { return len(c.calls.out) }
+// CallsInFlight returns the number of calls that have not ended.
+func (c *Core) CallsInFlight() int { return len(c.calls.inFlight) }
 
-// NeedsCall takes in that the run of r stands at a call. What stood before is over:
-// a run asks again only once it has gone on.
+// NeedsCall takes in that the run of r waits for a downstream call. An earlier
+// call of the run is over: a run requests another only once it has continued.
 func (c *Core) NeedsCall(r *Request, notice uint64, body []byte) {
 	if r.phase != running {
 		return
 	}
-	c.abandon(r)
-	r.stand = &stand{notice: notice, body: body}
+	c.abandonCall(r)
+	r.call = &pendingCall{notice: notice, body: body}
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.NeedsCall, ID: r.id})
 }
 
-// call makes the call that r stands at.
-func (c *Core) call(now int64, r *Request, patience int64) {
-	s := r.stand
+// call makes the call that r waits for.
+func (c *Core) call(now int64, r *Request, timeout int64) {
+	s := r.call
 	if s == nil || s.token != 0 || r.phase != running {
 		return
 	}
-	if patience <= 0 {
-		patience = c.set.Policy.Classes[r.Class].Timeout
+	if timeout <= 0 {
+		timeout = c.settings.Policy.Classes[r.Class].Timeout
 	}
-	c.calls.last++
-	s.token, s.since = c.calls.last, now
-	c.calls.out[s.token] = r
+	c.calls.lastToken++
+	s.token, s.madeAt = c.calls.lastToken, now
+	c.calls.inFlight[s.token] = r
 	if c.calls.ledger == nil {
 		c.CallDone(now, s.token, kiteslip.Unreachable, nil)
 		return
 	}
-	c.calls.ledger.Call(s.token, r.TryID, s.body, patience)
+	c.calls.ledger.Call(s.token, r.TryID, s.body, timeout)
 }
 
-// CallDone takes in the end of a call and reports whether anybody waited for it.
-// Where it went well the run goes on with the reply; else it stands as before.
+// CallDone takes in the end of a call and reports whether a run waited for it.
+// After OK the run continues with the reply; otherwise it still waits for a call.
 func (c *Core) CallDone(now int64, token uint64, outcome kiteslip.Outcome, reply []byte) bool {
-	r := c.calls.out[token]
+	r := c.calls.inFlight[token]
 	if r == nil {
-		return false // its run is over, or it was given up
+		return false // its run is over, or it was abandoned
 	}
-	delete(c.calls.out, token)
-	s := r.stand
+	delete(c.calls.inFlight, token)
+	s := r.call
 	s.token = 0
 	if outcome == kiteslip.OK {
-		r.stand = nil
+		r.call = nil
 		c.calls.engine.Reply(r, reply)
 	}
-	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.CallDone, ID: r.id, Outcome: outcome, Elapsed: max(0, now-s.since)})
+	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.CallDone, ID: r.id, Outcome: outcome, Elapsed: max(0, now-s.madeAt)})
 	return true
 }
 
-// skip lets r go on without its call.
+// skip continues the run of r without its call.
 func (c *Core) skip(r *Request) {
-	if s := r.stand; s != nil && s.token == 0 && r.phase == running {
-		r.stand = nil
+	if s := r.call; s != nil && s.token == 0 && r.phase == running {
+		r.call = nil
 		c.calls.engine.Skip(r, s.notice)
 	}
 }
 
-// abandon gives up the call that is out for r, if there is one.
-func (c *Core) abandon(r *Request) {
-	if r.stand != nil && r.stand.token != 0 {
-		delete(c.calls.out, r.stand.token)
+// abandonCall abandons the call in flight for r, if there is one.
+func (c *Core) abandonCall(r *Request) {
+	if r.call != nil && r.call.token != 0 {
+		delete(c.calls.inFlight, r.call.token)
 		if c.calls.ledger != nil {
-			c.calls.ledger.Abandon(r.stand.token)
+			c.calls.ledger.Abandon(r.call.token)
 		}
-		r.stand.token = 0
+		r.call.token = 0
 	}
 }
 
-// letCallGo gives up the call of a request that was answered, or that nobody
-// waits for, where running it anew does no harm. What has an effect goes on:
+// abandonUnneededCall abandons the call of a request that was answered or whose
+// caller is gone, if the class is repeatable. The calls of other classes go on:
 // another try may want the result.
-func (c *Core) letCallGo(r *Request) {
-	if c.set.Policy.Classes[r.Class].Effect == kiteslip.Repeatable {
-		c.abandon(r)
+func (c *Core) abandonUnneededCall(r *Request) {
+	if c.settings.Policy.Classes[r.Class].Effect == kiteslip.Repeatable {
+		c.abandonCall(r)
 	}
 }
 
 // halt stops the run of r.
 func (c *Core) halt(r *Request) {
-	if c.calls.engine != nil && r.phase == running && !r.elsewhere && c.claims[r.id] == nil {
+	if c.calls.engine != nil && r.phase == running && !r.remote && c.awaitingStart[r.id] == nil {
 		r.halting = true
 		c.calls.engine.Halt(r)
 	}
 }
 
-// stopped takes in the end of a run that the module had stopped before its
-// answer, and says whether it was that: its work is kept or lost, as the
-// settings say, and the module may run it again. Guards the single run of a
-// key, and of what cannot be recognised: with its work lost it has failed.
-func (c *Core) stopped(r *Request) bool {
+// runHalted handles the end of a run that the policy halted before its answer,
+// and reports whether that is what ended it. The run is paused with its work
+// kept, or queued to run again if it is repeatable. A run of another class whose
+// work is lost has failed, because it must not run twice.
+func (c *Core) runHalted(r *Request) bool {
 	if !r.halting || r.answered {
 		return false
 	}
 	switch {
-	case c.set.Policy.Stop == kiteslip.StopFreeze:
+	case c.settings.Policy.Stop == kiteslip.StopFreeze:
 		r.phase = paused
-	case c.set.Policy.Classes[r.Class].Effect == kiteslip.Repeatable:
-		r.phase = held
+	case c.settings.Policy.Classes[r.Class].Effect == kiteslip.Repeatable:
+		r.phase = queued
 	default:
 		return false
 	}
-	r.halting, r.stand = false, nil
-	c.touch(r)
+	r.halting, r.call = false, nil
+	c.markChanged(r)
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.Cancelled})
 	return true
 }
 
-// resume lets a paused run go on.
+// resume continues a paused run.
 func (c *Core) resume(r *Request) {
 	r.phase = running
-	c.touch(r)
+	c.markChanged(r)
 	c.calls.engine.Resume(r)
 }
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -9,78 +9,78 @@
 	"kiteslip"
 )
 
-// tills is a small site whose runs call below and can be paused.
-func tills() kiteslip.Settings {
-	s := site()
+// downstreamSettings has classes whose runs make downstream calls and can be paused.
+func downstreamSettings() kiteslip.Settings {
+	s := testSettings()
 	s.Downstream, s.Stop, s.CallShareWindow, s.MaxCallLinger = kiteslip.DownstreamTier, kiteslip.StopFreeze, 5_000_000, 200_000
 	s.Classes[0].CallsDownstream, s.Classes[0].SkipWorth = true, 0.5
 	s.Classes[1].CallsDownstream = true
 	return s
 }
 
-// below is the model of the engine and the ledger beside a Core: it checks that
-// what is said to a run fits the state of that run.
-type below struct {
-	*book
-	stands  map[*Request]uint64 // at a call, by its notice
-	out     map[uint64]*Request // calls by token
-	ended   map[uint64]bool     // tokens that ended or were given up
-	stopped map[*Request]bool   // paused
-	notice  uint64
-	fed     map[*Request]int
-	needs   map[*Request]int
-	effects map[*Request]int // calls that may have had their effect
+// callHarness adds a model of the engine and the ledger: it checks that what the
+// Core tells a run fits the state of that run.
+type callHarness struct {
+	*harness
+	pendingCalls    map[*Request]uint64 // runs that wait for a call, with the number of the notice
+	inFlight        map[uint64]*Request // by token
+	ended           map[uint64]bool     // tokens of calls that ended or were abandoned
+	halted          map[*Request]bool   // halted by the policy
+	notice          uint64
+	continued       map[*Request]int
+	callsNeeded     map[*Request]int
+	possibleEffects map[*Request]int // calls that may have had their effect
 }
 
-func newBelow(t failer, module kiteslip.Settings) *below {
-	b := &below{stands: map[*Request]uint64{}, out: map[uint64]*Request{}, ended: map[uint64]bool{}, stopped: map[*Request]bool{},
-		fed: map[*Request]int{}, needs: map[*Request]int{}, effects: map[*Request]int{}}
-	b.book = &book{t: t, now: 1_000_000_000, ran: map[*Request]bool{}, answers: map[*Request][]Answer{},
-		gone: map[*Request]bool{}, lastRun: map[string]*Request{}}
+func newCallHarness(t failer, settings kiteslip.Settings) *callHarness {
+	h := &callHarness{pendingCalls: map[*Request]uint64{}, inFlight: map[uint64]*Request{}, ended: map[uint64]bool{}, halted: map[*Request]bool{},
+		continued: map[*Request]int{}, callsNeeded: map[*Request]int{}, possibleEffects: map[*Request]int{}}
+	h.harness = &harness{t: t, now: 1_000_000_000, ran: map[*Request]bool{}, answers: map[*Request][]Answer{},
+		disconnected: map[*Request]bool{}, lastRun: map[string]*Request{}}
 	var err error
-	if b.core, err = New(Settings{Policy: module, Seed: 7}, b); err != nil {
+	if h.core, err = New(Settings{Policy: settings, Seed: 7}, h); err != nil {
 		t.Fatalf("%v", err)
 	}
-	b.core.SetLedger(b)
-	b.core.Step(b.now)
-	return b
+	h.core.SetLedger(h)
+	h.core.Step(h.now)
+	return h
 }
 
-func (b *below) Reply(r *Request, reply []byte) {
-	if b.stands[r] == 0 || string(reply) != "reply to "+r.TryID {
-		b.t.Fatalf("%s is fed %q, standing at %d", r.TryID, reply, b.stands[r])
+func (h *callHarness) Reply(r *Request, reply []byte) {
+	if h.pendingCalls[r] == 0 || string(reply) != "reply to "+r.TryID {
+		h.t.Fatalf("%s gets the reply %q while waiting at notice %d", r.TryID, reply, h.pendingCalls[r])
 	}
-	delete(b.stands, r)
-	b.fed[r]++
+	delete(h.pendingCalls, r)
+	h.continued[r]++
 }
 
-func (b *below) Skip(r *Request, notice uint64) {
-	if notice == 0 || b.stands[r] != notice {
-		b.t.Fatalf("%s skips notice %d, standing at %d", r.TryID, notice, b.stands[r])
+func (h *callHarness) Skip(r *Request, notice uint64) {
+	if notice == 0 || h.pendingCalls[r] != notice {
+		h.t.Fatalf("%s skips notice %d while waiting at notice %d", r.TryID, notice, h.pendingCalls[r])
 	}
-	delete(b.stands, r)
-	b.fed[r]++
+	delete(h.pendingCalls, r)
+	h.continued[r]++
 }
 
-func (b *below) Halt(r *Request) {
-	if !b.isRunning(r) {
-		b.t.Fatalf("%s is halted and does not run", r.TryID)
+func (h *callHarness) Halt(r *Request) {
+	if !h.isRunning(r) {
+		h.t.Fatalf("%s is halted but is not running", r.TryID)
 	}
-	if b.stands[r] == 0 {
-		b.stopped[r] = true
+	if h.pendingCalls[r] == 0 {
+		h.halted[r] = true
 	}
 }
 
-func (b *below) Resume(r *Request) {
-	if !b.stopped[r] {
-		b.t.Fatalf("%s goes on and was not stopped", r.TryID)
+func (h *callHarness) Resume(r *Request) {
+	if !h.halted[r] {
+		h.t.Fatalf("%s is resumed but was not halted", r.TryID)
 	}
-	delete(b.stopped, r)
-	b.running = append(b.running, r)
+	delete(h.halted, r)
+	h.running = append(h.running, r)
 }
 
-func (b *below) isRunning(r *Request) bool {
-	for _, o := range b.running {
+func (h *callHarness) isRunning(r *Request) bool {
+	for _, o := range h.running {
 		if o == r {
 			return true
 		}
@@ -88,83 +88,83 @@
 	return false
 }
 
-func (b *below) Call(token uint64, ref string, body []byte, patience int64) {
+func (h *callHarness) Call(token uint64, ref string, body []byte, timeout int64) {
 	var r *Request
-	for _, o := range b.running {
+	for _, o := range h.running {
 		if o.TryID == ref {
 			r = o
 		}
 	}
-	if r == nil || b.stands[r] == 0 || b.ended[token] || b.out[token] != nil || patience <= 0 || string(body) != "need of "+ref {
-		b.t.Fatalf("call %d for %q with patience %d and body %q", token, ref, patience, body)
+	if r == nil || h.pendingCalls[r] == 0 || h.ended[token] || h.inFlight[token] != nil || timeout <= 0 || string(body) != "need of "+ref {
+		h.t.Fatalf("call %d for %q with timeout %d and body %q", token, ref, timeout, body)
 	}
-	if r.Key != "" && b.effects[r] > 0 {
-		b.t.Fatalf("%s calls again though its last call may have had its effect", r.TryID)
+	if r.Key != "" && h.possibleEffects[r] > 0 {
+		h.t.Fatalf("%s calls again although its last call may have had its effect", r.TryID)
 	}
-	b.out[token] = r
+	h.inFlight[token] = r
 }
 
-func (b *below) Abandon(token uint64) {
-	if b.out[token] == nil {
-		b.t.Fatalf("call %d is given up and is not out", token)
+func (h *callHarness) Abandon(token uint64) {
+	if h.inFlight[token] == nil {
+		h.t.Fatalf("call %d is abandoned but not in flight", token)
 	}
-	b.effects[b.out[token]]++
-	delete(b.out, token)
-	b.ended[token] = true
+	h.possibleEffects[h.inFlight[token]]++
+	delete(h.inFlight, token)
+	h.ended[token] = true
 }
 
-func (b *below) need(r *Request) {
-	b.notice++
-	b.stands[r] = b.notice
-	b.needs[r]++
-	b.effects[r] = 0 // the next call is another one
-	b.core.NeedsCall(r, b.notice, []byte("need of "+r.TryID))
+func (h *callHarness) needCall(r *Request) {
+	h.notice++
+	h.pendingCalls[r] = h.notice
+	h.callsNeeded[r]++
+	h.possibleEffects[r] = 0 // the next call is a different one
+	h.core.NeedsCall(r, h.notice, []byte("need of "+r.TryID))
 }
 
-func (b *below) called(token uint64, outcome kiteslip.Outcome) {
-	r := b.out[token]
-	delete(b.out, token)
-	b.ended[token] = true
+func (h *callHarness) endCall(token uint64, outcome kiteslip.Outcome) {
+	r := h.inFlight[token]
+	delete(h.inFlight, token)
+	h.ended[token] = true
 	if outcome != kiteslip.Rejected && outcome != kiteslip.Unreachable && outcome != kiteslip.NotStarted && outcome != kiteslip.OK {
-		b.effects[r]++
+		h.possibleEffects[r]++
 	}
-	if !b.core.CallDone(b.now, token, outcome, []byte("reply to "+r.TryID)) {
-		b.t.Fatalf("nobody waits for call %d", token)
+	if !h.core.CallDone(h.now, token, outcome, []byte("reply to "+r.TryID)) {
+		h.t.Fatalf("no run waits for call %d", token)
 	}
-	if b.core.CallDone(b.now, token, kiteslip.OK, nil) {
-		b.t.Fatalf("call %d ends twice", token)
+	if h.core.CallDone(h.now, token, kiteslip.OK, nil) {
+		h.t.Fatalf("call %d ends twice", token)
 	}
 }
 
-// finish ends a run, wherever it stands.
-func (b *below) finish(r *Request, outcome kiteslip.Outcome) {
-	for i, o := range b.running {
+// finish ends a run in any state.
+func (h *callHarness) finish(r *Request, outcome kiteslip.Outcome) {
+	for i, o := range h.running {
 		if o == r {
-			delete(b.stands, r)
-			b.book.finish(i, outcome)
+			delete(h.pendingCalls, r)
+			h.harness.finish(i, outcome)
 			return
 		}
 	}
 }
 
-// follow lets the engine see what is over: what stands at a call then ends.
-func (b *below) follow() {
-	for _, r := range append([]*Request(nil), b.running...) {
-		over := len(b.answers[r]) > 0 || b.gone[r]
-		if over && (b.stands[r] != 0 || b.stopped[r]) {
-			delete(b.stopped, r)
-			b.finish(r, kiteslip.Cancelled)
-		} else if b.stopped[r] {
-			b.finish(r, kiteslip.Cancelled)
+// endHalted ends the runs that were halted, and those that wait for a call after their request was answered.
+func (h *callHarness) endHalted() {
+	for _, r := range append([]*Request(nil), h.running...) {
+		over := len(h.answers[r]) > 0 || h.disconnected[r]
+		if over && (h.pendingCalls[r] != 0 || h.halted[r]) {
+			delete(h.halted, r)
+			h.finish(r, kiteslip.Cancelled)
+		} else if h.halted[r] {
+			h.finish(r, kiteslip.Cancelled)
 		}
 	}
 }
 
-// Whatever the engine, the ledger and the callers do, each call ends once, a
-// run is fed only what it asked for, and each request gets one answer in time.
+// Random engines, ledgers and callers: each call ends once, a run only gets what
+// it asked for, and each request gets one answer in time.
 func TestCallsAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBelow(t, tills())
+		h := newCallHarness(t, downstreamSettings())
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
@@ -173,150 +173,150 @@
 				if class == 1 {
 					key = fmt.Sprint("k", rapid.IntRange(0, 3).Draw(t, "key"))
 				}
-				b.arrive(class, key, 0, rapid.Int64Range(50_000, 1_500_000).Draw(t, "patience"))
+				h.submit(class, key, 0, rapid.Int64Range(50_000, 1_500_000).Draw(t, "patience"))
 			},
 			"need": func(t *rapid.T) {
-				if len(b.running) > 0 {
-					if r := b.running[pick(len(b.running))]; b.stands[r] == 0 && !b.stopped[r] && b.needs[r] < 3 {
-						b.need(r)
+				if len(h.running) > 0 {
+					if r := h.running[pick(len(h.running))]; h.pendingCalls[r] == 0 && !h.halted[r] && h.callsNeeded[r] < 3 {
+						h.needCall(r)
 					}
 				}
 			},
 			"called": func(t *rapid.T) {
-				if len(b.out) == 0 {
+				if len(h.inFlight) == 0 {
 					return
 				}
-				least := uint64(0) // the eldest: a map has no order
-				for token := range b.out {
+				least := uint64(0) // the oldest: a map has no order
+				for token := range h.inFlight {
 					if least == 0 || token < least {
 						least = token
 					}
 				}
-				b.called(least, kiteslip.Outcome(rapid.SampledFrom([]int{int(kiteslip.OK), int(kiteslip.Failed), int(kiteslip.Rejected), int(kiteslip.TimedOut),
+				h.endCall(least, kiteslip.Outcome(rapid.SampledFrom([]int{int(kiteslip.OK), int(kiteslip.Failed), int(kiteslip.Rejected), int(kiteslip.TimedOut),
 					int(kiteslip.Unreachable), int(kiteslip.Reset), int(kiteslip.NotStarted)}).Draw(t, "outcome")))
 			},
 			"finish": func(t *rapid.T) {
-				if len(b.running) > 0 {
-					if r := b.running[pick(len(b.running))]; b.stands[r] == 0 && !b.stopped[r] {
-						b.finish(r, kiteslip.OK)
+				if len(h.running) > 0 {
+					if r := h.running[pick(len(h.running))]; h.pendingCalls[r] == 0 && !h.halted[r] {
+						h.finish(r, kiteslip.OK)
 					}
 				}
 			},
 			"gone": func(t *rapid.T) {
-				if len(b.sent) > 0 {
-					if r := b.sent[pick(len(b.sent))]; len(b.answers[r]) == 0 && !b.gone[r] {
-						b.gone[r] = true
-						b.core.Disconnected(r)
+				if len(h.sent) > 0 {
+					if r := h.sent[pick(len(h.sent))]; len(h.answers[r]) == 0 && !h.disconnected[r] {
+						h.disconnected[r] = true
+						h.core.Disconnected(r)
 					}
 				}
 			},
-			"pass":   func(t *rapid.T) { b.pass(rapid.Int64Range(1000, 200_000).Draw(t, "span")); b.follow() },
-			"follow": func(t *rapid.T) { b.follow() },
+			"pass":   func(t *rapid.T) { h.advance(rapid.Int64Range(1000, 200_000).Draw(t, "span")); h.endHalted() },
+			"follow": func(t *rapid.T) { h.endHalted() },
 		})
-		for range 400 { // all comes to its end without any further word from the ledger
-			b.pass(10_000)
-			b.follow()
+		for range 400 { // everything ends without further messages from the ledger
+			h.advance(10_000)
+			h.endHalted()
 		}
-		for _, r := range b.sent {
-			if len(b.answers[r]) != 1 && !b.gone[r] {
-				t.Fatalf("%s has %d answers", r.TryID, len(b.answers[r]))
+		for _, r := range h.sent {
+			if len(h.answers[r]) != 1 && !h.disconnected[r] {
+				t.Fatalf("%s has %d answers", r.TryID, len(h.answers[r]))
 			}
 		}
-		for _, r := range append([]*Request(nil), b.running...) {
-			b.finish(r, kiteslip.OK)
+		for _, r := range append([]*Request(nil), h.running...) {
+			h.finish(r, kiteslip.OK)
 		}
-		if b.core.CallsInFlight() != 0 {
-			t.Fatalf("%d calls are out after all runs have ended", b.core.CallsInFlight())
+		if h.core.CallsInFlight() != 0 {
+			t.Fatalf("%d calls are in flight after all runs have ended", h.core.CallsInFlight())
 		}
-		if requests, _ := b.core.Tracked(); requests != 0 {
-			t.Fatalf("%d requests are left", requests)
+		if requests, _ := h.core.Tracked(); requests != 0 {
+			t.Fatalf("%d requests are still tracked", requests)
 		}
 	})
 }
 
-// A run that the module pauses before its answer goes on where it was; one
-// that is due while paused fails, and is never refused: it has run.
+// A run that the policy pauses before its answer is resumed where it was; one
+// whose deadline comes while paused fails and is never refused, since it has run.
 func TestPausedRun(t *testing.T) {
-	for _, due := range []bool{false, true} {
-		b := newBelow(t, tills())
-		r := b.arrive(0, "", 0, 1_000_000)
-		b.core.Step(b.now)
-		b.core.halt(r)
-		b.follow() // the engine tells that it has stopped
+	for _, expires := range []bool{false, true} {
+		h := newCallHarness(t, downstreamSettings())
+		r := h.submit(0, "", 0, 1_000_000)
+		h.core.Step(h.now)
+		h.core.halt(r)
+		h.endHalted() // the engine reports the end of the run
 		if r.phase != paused {
 			t.Fatalf("phase %d after the halt", r.phase)
 		}
-		if _, kb := b.core.EngineLoad(); kb != r.SizeKB*site().RunFactor {
-			t.Errorf("%v KB are booked for a paused run of %v", kb, r.SizeKB)
+		if _, kb := h.core.EngineLoad(); kb != r.SizeKB*testSettings().RunFactor {
+			t.Errorf("%v KB are reserved for a paused run of %v", kb, r.SizeKB)
 		}
-		if due {
-			b.now += 999_000
-			b.core.overdue(b.now)
-			if got := b.answers[r]; len(got) != 1 || got[0].Code != Failed {
-				t.Errorf("at its due time: %+v", got)
+		if expires {
+			h.now += 999_000
+			h.core.answerOverdue(h.now)
+			if got := h.answers[r]; len(got) != 1 || got[0].Code != Failed {
+				t.Errorf("at its deadline: %+v", got)
 			}
 			continue
 		}
-		b.core.Step(b.now)
-		b.pass(20_000)
-		if !b.isRunning(r) {
-			t.Fatal("it does not go on")
+		h.core.Step(h.now)
+		h.advance(20_000)
+		if !h.isRunning(r) {
+			t.Fatal("the paused run is not resumed")
 		}
-		b.finish(r, kiteslip.OK)
-		if got := b.answers[r]; len(got) != 1 || got[0].Code != Served {
-			t.Errorf("after it went on: %+v", got)
+		h.finish(r, kiteslip.OK)
+		if got := h.answers[r]; len(got) != 1 || got[0].Code != Served {
+			t.Errorf("after it was resumed: %+v", got)
 		}
 	}
 }
 
-// A request that says nothing of its patience is due when its class gives up.
-func TestUntoldDeadline(t *testing.T) {
-	b := newBelow(t, tills())
-	r := &Request{TryID: "untold", Class: 0, Arrived: b.now - 1000, SizeKB: 20, Body: []byte("untold")}
-	r.ReplyTo = caller{b.book, r}
-	if err := b.core.Submit(b.now, r); err != nil {
+// A request without a deadline gets that of its class's timeout, and the policy is told that none was stated.
+func TestMissingDeadline(t *testing.T) {
+	h := newCallHarness(t, downstreamSettings())
+	r := &Request{TryID: "untold", Class: 0, Arrived: h.now - 1000, SizeKB: 20, Body: []byte("untold")}
+	r.ReplyTo = caller{h.harness, r}
+	if err := h.core.Submit(h.now, r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Deadline != r.Arrived+tills().Classes[0].Timeout {
-		t.Errorf("due %d us after it came", r.Deadline-r.Arrived)
+	if r.Deadline != r.Arrived+downstreamSettings().Classes[0].Timeout {
+		t.Errorf("deadline %d us after its arrival", r.Deadline-r.Arrived)
 	}
-	if e := b.core.events[len(b.core.events)-1]; e.Deadline != 0 {
-		t.Errorf("the module is told a patience of %d us that nobody stated", e.Deadline-r.Arrived)
+	if e := h.core.events[len(h.core.events)-1]; e.Deadline != 0 {
+		t.Errorf("the policy is told a deadline %d us after arrival that the caller did not state", e.Deadline-r.Arrived)
 	}
 }
 
-// A repeat of a keyed try that stands at its call waits for it, and the run is
-// not begun again; a call that may have had its effect is not made again.
-func TestKeyedTryAtACall(t *testing.T) {
-	b := newBelow(t, tills())
-	first := b.arrive(1, "k", 0, 1_500_000)
-	b.core.Step(b.now)
-	b.need(first)
-	b.core.Step(b.now)
-	second := b.arrive(1, "k", 0, 1_500_000)
+// A duplicate of a keyed try that waits for its call awaits the result, and no
+// second run starts; a call that may have had its effect is not made again.
+func TestKeyedTryWithPendingCall(t *testing.T) {
+	h := newCallHarness(t, downstreamSettings())
+	first := h.submit(1, "k", 0, 1_500_000)
+	h.core.Step(h.now)
+	h.needCall(first)
+	h.core.Step(h.now)
+	second := h.submit(1, "k", 0, 1_500_000)
 	second.Retry = true
-	b.core.Step(b.now)
-	b.called(1, kiteslip.Rejected)
-	b.pass(20_000)
-	b.called(2, kiteslip.OK)
-	b.pass(20_000)
-	b.finish(first, kiteslip.OK)
-	b.pass(20_000)
+	h.core.Step(h.now)
+	h.endCall(1, kiteslip.Rejected)
+	h.advance(20_000)
+	h.endCall(2, kiteslip.OK)
+	h.advance(20_000)
+	h.finish(first, kiteslip.OK)
+	h.advance(20_000)
 	for _, r := range []*Request{first, second} {
-		if got := b.answers[r]; len(got) != 1 || got[0].Code != Served {
+		if got := h.answers[r]; len(got) != 1 || got[0].Code != Served {
 			t.Errorf("%s: %+v", r.TryID, got)
 		}
 	}
-	if b.ran[second] {
-		t.Error("the repeat ran")
+	if h.ran[second] {
+		t.Error("the duplicate ran")
 	}
-	third := b.arrive(1, "other", 0, 1_500_000)
-	b.core.Step(b.now)
-	b.need(third)
-	b.core.Step(b.now)
-	b.called(3, kiteslip.Reset) // Call fails the test if it is made again
-	b.pass(500_000)
-	if got := b.answers[third]; len(got) != 1 || got[0].Code != Failed {
-		t.Errorf("after a call in doubt: %+v", got)
+	third := h.submit(1, "other", 0, 1_500_000)
+	h.core.Step(h.now)
+	h.needCall(third)
+	h.core.Step(h.now)
+	h.endCall(3, kiteslip.Reset) // callHarness.Call fails the test if the call is made again
+	h.advance(500_000)
+	if got := h.answers[third]; len(got) != 1 || got[0].Code != Failed {
+		t.Errorf("after a call with an uncertain effect: %+v", got)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,7 @@
-// Package core keeps the book on every request that this process has read. It
-// hands what happened to the kiteslip module and carries out what the module
-// decides. It knows no wire, no socket and no clock: the time comes in with
-// each call, answers and runs go out through two small interfaces.
+// Package core tracks every request that this process has read. It passes events
+// to the policy in the root package and carries out the policy's actions. It does
+// no I/O and reads no clock: the time comes in with each call, and answers and
+// runs go out through the interfaces Answerer and Runner.
 //
 // A Core belongs to one goroutine. All times are Unix microseconds.
 package core
@@ -11,77 +11,77 @@
 	"kiteslip/internal/pool"
 )
 
-// Settings are what a Core needs to know besides the module's own settings.
+// Settings of a Core, besides those of the policy.
 type Settings struct {
 	Policy         kiteslip.Settings
 	Seed           uint64
-	Log            func(line string) // takes the module's lines for the operators
+	Log            func(line string) // takes the policy's lines for the operators
 	RetiredClasses []bool            // classes that are no longer served
 	Pools          *pool.Settings    // nil = there are none
 }
 
-// keyMargin lengthens the window of a key here: a try that came within it and
-// 50 ms more must not run again, and clocks are read twice.
-const keyMargin = 100_000
+// keyMarginUS lengthens the window of each key: the promise covers tries within
+// the window and 50 ms more, and the clock is read more than once.
+const keyMarginUS = 100_000
 
-// entry is one record of the key table.
-type entry struct {
-	kept  *Request // the try that holds the entry
-	until int64    // arrivals up to then repeat it
-	ran   *Request // the try that ran; it stands for all others
-	guard int64    // no try that arrived up to then may run beside it
+// keyEntry is the entry of a key, or of a reusable read, in the key table.
+type keyEntry struct {
+	holder          *Request // the try that later ones duplicate
+	duplicatesUntil int64    // tries that arrived up to then are duplicates of holder
+	started         *Request // the try whose run was started; keyed classes only
+	windowEnd       int64    // no other try that arrived up to then may run
 }
 
-// Core is the book. See the package comment.
+// Core tracks requests, their runs and their keys. See the package comment.
 type Core struct {
-	set     Settings
-	worker  *kiteslip.Worker
-	runner  Runner
-	calls   calls
-	nextID  kiteslip.RequestID
-	open    map[kiteslip.RequestID]*Request // not over, or running on
-	names   map[string]*Request
-	table   map[string]*entry
-	owed    int // requests without a final answer
-	timers  []timer
-	events  []kiteslip.Event
-	spare   []kiteslip.Event
-	acts    []kiteslip.Action
-	gauges  kiteslip.Gauges
-	started bool
-	now     int64 // of the last step
-	drainAt int64
-	good    bool
-	stored  bool
-	idle    int64
-	sweepAt int64
-	dueAt   int64
-	counts  Counts
-	classes []AnswerCounts
+	settings       Settings
+	policy         *kiteslip.Worker
+	runner         Runner
+	calls          callState
+	nextID         kiteslip.RequestID
+	tracked        map[kiteslip.RequestID]*Request // not over, or still running after the answer
+	byTryID        map[string]*Request
+	keyTable       map[string]*keyEntry
+	outstanding    int // requests without a final answer
+	timers         []timer
+	events         []kiteslip.Event
+	spare          []kiteslip.Event
+	actions        []kiteslip.Action
+	gauges         kiteslip.Gauges
+	started        bool
+	now            int64 // of the last step
+	drainingSince  int64
+	healthy        bool
+	cachedHealth   bool
+	idleTimeout    int64
+	nextExpiry     int64
+	overdueAt      int64
+	counts         Counts
+	answersByClass []AnswerCounts
 
 	journal Journal // nil = there is none
-	journalled
+	journalState
 	pools   *pool.Allocator // nil = there are none
-	touched []*Request      // may have moved in the pools' book
+	changed []*Request      // their pool state may have changed
 
 	withdrawn bool // by an operator
 
-	owner  bool  // of the keys, see keys.go
-	doubt  int64 // keyed requests that came up to then may have run unknown to us
-	peer   Peer  // nil = there is none
-	claims map[kiteslip.RequestID]*Request
+	owner         bool  // this process owns the keys, see keys.go
+	inDoubtUntil  int64 // a previous process may have run keys that arrived up to then
+	peer          Peer  // nil = there is none
+	awaitingStart map[kiteslip.RequestID]*Request
 }
 
-// Counts are totals since the start.
+// Counts holds totals since the start.
 type Counts struct {
 	Received, Disconnected int
 	AnswerCounts
-	PolicyViolations int // actions that a rule forbade, and answers that the module left out
+	PolicyViolations int // actions that the Core did not carry out, and requests that the policy left unanswered
 }
 
 // New returns a Core that gives its runs to runner.
 func New(set Settings, runner Runner) (*Core, error) {
-	worker, err := kiteslip.New(set.Policy, set.Seed)
+	policy, err := kiteslip.New(set.Policy, set.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -96,107 +96,106 @@
 	}
 	e, _ := runner.(Engine)
 	return &Core{
-		set: set, pools: pools, worker: worker, runner: runner, good: true, stored: true, owner: true,
-		open: map[kiteslip.RequestID]*Request{}, names: map[string]*Request{}, table: map[string]*entry{},
-		claims: map[kiteslip.RequestID]*Request{}, calls: calls{engine: e, out: map[uint64]*Request{}}, classes: make([]AnswerCounts, len(set.Policy.Classes)),
+		settings: set, pools: pools, policy: policy, runner: runner, healthy: true, cachedHealth: true, owner: true,
+		tracked: map[kiteslip.RequestID]*Request{}, byTryID: map[string]*Request{}, keyTable: map[string]*keyEntry{},
+		awaitingStart: map[kiteslip.RequestID]*Request{}, calls: callState{engine: e, inFlight: map[uint64]*Request{}}, answersByClass: make([]AnswerCounts, len(set.Policy.Classes)),
 	}, nil
 }
 
-// Reconfigure takes over new settings, in which classes and tenants have the places
-// that they had, and new ones follow. On an error nothing has changed. A key
-// whose request ran under a shorter window is kept for the longer one, and no
-// window that was promised, nor the grace of a drain under way, gets longer or
-// shorter by it: what the older settings forbade stays forbidden. Pools that are
-// the very record in force (the same pointer) are the same, and cost nothing.
-func (c *Core) Reconfigure(module kiteslip.Settings, off []bool, pools *pool.Settings) error {
-	same := pools != nil && pools == c.set.Pools && len(module.Classes) == len(c.set.Policy.Classes)
-	if pools != nil && !same {
+// Reconfigure applies new settings. Classes and tenants keep their slots, and new
+// ones are appended. On an error nothing has changed. Where the window of a class
+// becomes longer, keys that ran under the shorter one get the longer one; no
+// window is shortened, and the grace of a drain in progress is not extended.
+// Pools are compared by pointer: the record already in force is not applied again.
+func (c *Core) Reconfigure(policy kiteslip.Settings, retired []bool, pools *pool.Settings) error {
+	samePools := pools != nil && pools == c.settings.Pools && len(policy.Classes) == len(c.settings.Policy.Classes)
+	if pools != nil && !samePools {
 		if err := pools.Check(); err != nil {
 			return err
 		}
 	}
-	module = c.prepared(module)
-	if c.drainAt != 0 {
-		module.DrainGrace = min(module.DrainGrace, c.set.Policy.DrainGrace)
+	policy = c.withPrepare(policy)
+	if c.drainingSince != 0 {
+		policy.DrainGrace = min(policy.DrainGrace, c.settings.Policy.DrainGrace)
 	}
-	if err := c.worker.Reconfigure(module); err != nil {
+	if err := c.policy.Reconfigure(policy); err != nil {
 		return err
 	}
-	longer := longerWindow(c.set.Policy.Classes, module.Classes)
-	c.set.Policy, c.set.RetiredClasses = module, off
-	if !same {
-		if err := c.repool(pools); err != nil {
+	longer := longerWindow(c.settings.Policy.Classes, policy.Classes)
+	c.settings.Policy, c.settings.RetiredClasses = policy, retired
+	if !samePools {
+		if err := c.reconfigurePools(pools); err != nil {
 			return err
 		}
 	}
-	for len(c.classes) < len(module.Classes) {
-		c.classes = append(c.classes, AnswerCounts{})
+	for len(c.answersByClass) < len(policy.Classes) {
+		c.answersByClass = append(c.answersByClass, AnswerCounts{})
 	}
-	if !longer { // what is kept bounds the cost only of a change that concerns it
+	if !longer { // the key table is walked only if a window became longer
 		return nil
 	}
-	for _, e := range c.table {
-		if e.ran != nil && c.keyed(e.ran.Class) {
-			if guard := c.windowEnd(e.ran); guard > e.guard {
-				e.guard = guard
-				c.rerecord(e)
+	for _, e := range c.keyTable {
+		if e.started != nil && c.keyed(e.started.Class) {
+			if end := c.windowEnd(e.started); end > e.windowEnd {
+				e.windowEnd = end
+				c.rewriteRecord(e)
 			}
 		}
 	}
 	return nil
 }
 
-// longerWindow says whether any class has a longer window than it had.
-func longerWindow(was, is []kiteslip.Class) bool {
-	for i := range was {
-		if is[i].Window > was[i].Window {
+// longerWindow reports whether any class has a longer window than before.
+func longerWindow(old, updated []kiteslip.Class) bool {
+	for i := range old {
+		if updated[i].Window > old[i].Window {
 			return true
 		}
 	}
 	return false
 }
 
-// SetWarmup tells when the machine's cores came up, and whether they were cold then.
-func (c *Core) SetWarmup(cold bool, since int64) { c.worker.SetWarmup(cold, since) }
+// SetWarmup says when the machine's cores came up, and whether they were cold then.
+func (c *Core) SetWarmup(cold bool, since int64) { c.policy.SetWarmup(cold, since) }
 
-// SetGauges takes in the machine's own readings.
+// SetGauges sets the machine's readings for the next step.
 func (c *Core) SetGauges(g kiteslip.Gauges) { c.gauges = g }
 
-// Drain takes in the notice to leave: the process is stopped at stop.
-func (c *Core) Drain(now, stop int64) {
-	if c.drainAt != 0 {
+// Drain takes in the shutdown notice: the process is stopped at stop.
+func (c *Core) Drain(now, deadline int64) {
+	if c.drainingSince != 0 {
 		return
 	}
-	c.drainAt = now
-	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Drain, Deadline: stop})
+	c.drainingSince = now
+	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Drain, Deadline: deadline})
 }
 
-// Draining says whether the notice to leave has come.
-func (c *Core) Draining() bool { return c.drainAt != 0 }
+// Draining reports whether the shutdown notice has come.
+func (c *Core) Draining() bool { return c.drainingSince != 0 }
 
-// Outstanding is the number of requests that still need a final answer.
-func (c *Core) Outstanding() int { return c.owed }
+// Outstanding returns the number of requests that still need a final answer.
+func (c *Core) Outstanding() int { return c.outstanding }
 
 // Counts returns the totals since the start.
 func (c *Core) Counts() Counts { return c.counts }
 
 // AnswersByClass returns the final answers since the start, by class.
-func (c *Core) AnswersByClass() []AnswerCounts { return c.classes }
+func (c *Core) AnswersByClass() []AnswerCounts { return c.answersByClass }
 
-// SetWithdrawn takes in that an operator wants the server off the callers' list,
-// or on it again. Only health is told of it: what comes is served as ever.
-func (c *Core) SetWithdrawn(on bool) { c.withdrawn = on }
+// SetWithdrawn takes the server off the registry's list on an operator's request,
+// or puts it back. It only changes Health: requests are served as before.
+func (c *Core) SetWithdrawn(withdrawn bool) { c.withdrawn = withdrawn }
 
-// Withdrawn says whether an operator has taken the server off the list.
+// Withdrawn reports whether an operator has withdrawn the server.
 func (c *Core) Withdrawn() bool { return c.withdrawn }
 
-// Tracked is the number of requests in the book, running ones included, and of keys.
-func (c *Core) Tracked() (requests, keys int) { return len(c.open), len(c.table) }
+// Tracked returns the number of tracked requests, running ones included, and of key entries.
+func (c *Core) Tracked() (requests, keys int) { return len(c.tracked), len(c.keyTable) }
 
-// Health is what checks are told: whether all is good, and whether that is to
-// be told as stored or only after a trial run.
-func (c *Core) Health() (good, stored bool) { return c.good && !c.withdrawn, c.stored }
+// Health returns the health to report, and whether checks may be answered with
+// that stored value or need a test run first.
+func (c *Core) Health() (good, stored bool) { return c.healthy && !c.withdrawn, c.cachedHealth }
 
-// IdleTimeout is how long a connection may carry nothing before it should be
-// closed; 0 = leave that to the caller.
-func (c *Core) IdleTimeout() int64 { return c.idle }
+// IdleTimeout returns how long a connection may stay idle before it should be
+// closed; 0 leaves that to the caller.
+func (c *Core) IdleTimeout() int64 { return c.idleTimeout }
--- a/internal/core/journal.go
+++ b/internal/core/journal.go
@@ -4,147 +4,149 @@
 	"kiteslip"
 )
 
-// A journal keeps what is known of keyed requests beyond this process. That a
-// run may start is on record before it does, and its end before it is answered,
-// unless the due time comes first. docs/design/keys.md has the whole promise.
+// The journal keeps the record of keyed runs beyond the life of this process. A
+// start is recorded before the run begins, and its end before it is answered,
+// unless the deadline comes first. docs/design/keys.md states the full guarantee.
 
-// Journal takes records. Its calls do not wait; each Begin and each End under a
-// token other than 0 is followed by one Recorded.
+// Journal stores records. Its calls do not block; each Begin and End with a token
+// other than 0 is followed by one Recorded.
 type Journal interface {
 	Begin(token uint32, r Record)
 	End(token uint32, r Record)
-	Delete(r Record) // the run did not start, and will not
+	Delete(r Record) // the run has not started and will not
 }
 
-// journalled is what a Core keeps for its journal.
-type journalled struct {
-	unsafe   bool // runs start without a record where none can be written
-	granting map[kiteslip.RequestID]grant
-	ends     map[kiteslip.RequestID]*Request // whose end is being recorded
-	noRecord int                             // runs that started without a record
+// journalState is the state of a Core concerning its journal.
+type journalState struct {
+	failOpen       bool // runs start unrecorded where the journal fails
+	pendingGrants  map[kiteslip.RequestID]pendingGrant
+	pendingEnds    map[kiteslip.RequestID]*Request // runs whose end is being recorded
+	unrecordedRuns int                             // runs that started although nothing could be recorded
 }
 
-// grant is a run of the other process that waits for its record.
-type grant struct {
+// pendingGrant is a claimed run of the peer that waits for its record.
+type pendingGrant struct {
 	r     *Request
 	claim uint32
 }
 
-// SetJournal makes j the journal from now on; nil = there is none. unsafe says what to
-// do where it fails: to run all the same, or to refuse.
-func (c *Core) SetJournal(j Journal, unsafe bool) {
-	c.journal, c.unsafe = j, unsafe
-	if c.granting == nil {
-		c.granting, c.ends = map[kiteslip.RequestID]grant{}, map[kiteslip.RequestID]*Request{}
+// SetJournal sets the journal; nil = there is none. failOpen says what to do with
+// keyed requests while it fails: run them unrecorded, or refuse them.
+func (c *Core) SetJournal(j Journal, failOpen bool) {
+	c.journal, c.failOpen = j, failOpen
+	if c.pendingGrants == nil {
+		c.pendingGrants, c.pendingEnds = map[kiteslip.RequestID]pendingGrant{}, map[kiteslip.RequestID]*Request{}
 	}
-	c.worker.Reconfigure(c.prepared(c.set.Policy)) //nolint:errcheck // these settings are in use
+	c.policy.Reconfigure(c.withPrepare(c.settings.Policy)) //nolint:errcheck // these settings are already in force
 }
 
-// prepared returns settings in which keyed classes are prepared where there is
-// a journal. While the other process of an upgrade has the keys there is none.
-func (c *Core) prepared(m kiteslip.Settings) kiteslip.Settings {
-	classes := make([]kiteslip.Class, len(m.Classes))
-	for i, class := range m.Classes {
+// withPrepare returns settings in which keyed classes are prepared if there is a
+// journal. While the peer owns the keys there is none.
+func (c *Core) withPrepare(s kiteslip.Settings) kiteslip.Settings {
+	classes := make([]kiteslip.Class, len(s.Classes))
+	for i, class := range s.Classes {
 		class.Prepare = c.journal != nil && class.Effect == kiteslip.Keyed
 		classes[i] = class
 	}
-	m.Classes = classes
-	return m
+	s.Classes = classes
+	return s
 }
 
-// recordOf words what is known of r.
-func (c *Core) recordOf(r *Request, guard int64) Record {
-	return Record{Class: r.Class, Key: r.Key, Arrived: r.Arrived, WindowEnd: guard, BodyHash: r.sum, Finished: r.phase == ended,
+// recordOf returns the record of r.
+func (c *Core) recordOf(r *Request, windowEnd int64) Record {
+	return Record{Class: r.Class, Key: r.Key, Arrived: r.Arrived, WindowEnd: windowEnd, BodyHash: r.bodyHash, Finished: r.phase == ended,
 		Outcome: r.outcome, Result: r.result, TryID: r.TryID, Deadline: r.Deadline}
 }
 
-func (c *Core) guardOf(r *Request) int64 {
-	if e := c.table[r.entry]; e != nil && e.ran == r {
-		return e.guard
+// windowEndOf returns the end of the window of r's key.
+func (c *Core) windowEndOf(r *Request) int64 {
+	if e := c.keyTable[r.entry]; e != nil && e.started == r {
+		return e.windowEnd
 	}
 	return c.windowEnd(r)
 }
 
-// record asks for the record of a start.
-func (c *Core) record(r *Request) {
+// recordStart has the start of r recorded.
+func (c *Core) recordStart(r *Request) {
 	r.recorded = true
-	c.journal.Begin(uint32(r.id), c.recordOf(r, c.guardOf(r)))
+	c.journal.Begin(uint32(r.id), c.recordOf(r, c.windowEndOf(r)))
 }
 
-// prepare makes a held request ready to begin. One that will not start here by
-// itself (its key has run, the owner is asked) needs no record.
+// prepare makes a queued request ready to start. One that will not start here by
+// itself, because its key has run or the peer must be asked, needs no record.
 func (c *Core) prepare(r *Request) {
-	if r.phase != held || r.answered {
+	if r.phase != queued || r.answered {
 		return
 	}
-	e := c.table[r.entry]
-	if c.journal == nil || !c.owner || !c.keyed(r.Class) || e != nil && e.ran != nil && r.Arrived <= e.guard || c.inDoubt(r.Arrived) {
-		c.ready(r)
+	e := c.keyTable[r.entry]
+	if c.journal == nil || !c.owner || !c.keyed(r.Class) || e != nil && e.started != nil && r.Arrived <= e.windowEnd || c.inDoubt(r.Arrived) {
+		c.reportReady(r)
 		return
 	}
-	c.record(r)
+	c.recordStart(r)
 }
 
-func (c *Core) ready(r *Request) {
+// reportReady tells the policy that r is prepared.
+func (c *Core) reportReady(r *Request) {
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Ready, ID: r.id})
 }
 
-// Recorded takes in that what was asked under that token is on record, or can't be.
+// Recorded takes in that the record written under that token is durable, or failed.
 func (c *Core) Recorded(now int64, token uint32, err error) {
 	id := kiteslip.RequestID(token)
-	if r := c.ends[id]; r != nil {
-		delete(c.ends, id)
-		if r.ending {
-			c.finish(r) // also where it can't be recorded: it has run, and this is its result
+	if r := c.pendingEnds[id]; r != nil {
+		delete(c.pendingEnds, id)
+		if r.recordingEnd {
+			c.finish(r) // also if the write failed: it has run, and this is its result
 		}
 		return
 	}
-	if g, ok := c.granting[id]; ok {
-		delete(c.granting, id)
-		c.granted(g, err)
+	if g, ok := c.pendingGrants[id]; ok {
+		delete(c.pendingGrants, id)
+		c.grantRecorded(g, err)
 		return
 	}
-	r := c.open[id]
+	r := c.tracked[id]
 	if r == nil || !r.recorded {
-		return // it was over before; Never was told
+		return // it ended before; its record was deleted
 	}
-	if err != nil && c.unsafe {
-		c.noRecord++
+	if err != nil && c.failOpen {
+		c.unrecordedRuns++
 		err = nil
 	}
 	switch {
-	case c.claims[id] != nil && err == nil:
+	case c.awaitingStart[id] != nil && err == nil:
 		c.Granted(now, token)
-	case c.claims[id] != nil:
-		delete(c.claims, id)
-		c.unclaim(r, kiteslip.NotStarted, nil)
-	case r.phase != held:
+	case c.awaitingStart[id] != nil:
+		delete(c.awaitingStart, id)
+		c.endUnstarted(r, kiteslip.NotStarted, nil)
+	case r.phase != queued:
 	case err == nil:
-		c.ready(r)
+		c.reportReady(r)
 	default:
 		c.refuseUnrecorded(r)
 	}
 }
 
-// refuseUnrecorded answers a held request whose start can't be recorded: it has
-// not run, and will not.
+// refuseUnrecorded refuses a queued request whose start can't be recorded, and
+// which therefore will not run.
 func (c *Core) refuseUnrecorded(r *Request) {
 	if !r.answered {
-		c.answer(r, Answer{Code: Refused, RetryAfter: c.set.Policy.MaxRetryAfter})
+		c.answer(r, Answer{Code: Refused, RetryAfter: c.settings.Policy.MaxRetryAfter})
 	}
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Disconnected, ID: r.id})
 	c.drop(r)
 }
 
-// granted answers the other process, whose run has its record, or can't have one.
-func (c *Core) granted(g grant, err error) {
-	if err != nil && !c.unsafe {
-		if e := c.table[g.r.entry]; e != nil && e.ran == g.r {
-			e.ran, e.guard = nil, 0
+// grantRecorded answers the peer's claim once the start is recorded, or can't be.
+func (c *Core) grantRecorded(g pendingGrant, err error) {
+	if err != nil && !c.failOpen {
+		if e := c.keyTable[g.r.entry]; e != nil && e.started == g.r {
+			e.started, e.windowEnd = nil, 0
 		}
-		c.unrecord(g.r)
+		c.deleteRecord(g.r)
 		g.r.phase, g.r.outcome = ended, kiteslip.Failed
-		c.serveCopies(g.r)
+		c.serveDuplicates(g.r)
 		if c.peer != nil {
 			c.peer.Deny(g.claim, kiteslip.Failed, nil)
 		}
@@ -155,41 +157,41 @@
 	}
 }
 
-// unrecord takes the record of r back, which never ran.
-func (c *Core) unrecord(r *Request) {
+// deleteRecord deletes the record of r, which never ran.
+func (c *Core) deleteRecord(r *Request) {
 	if r.recorded && c.journal != nil {
-		c.journal.Delete(c.recordOf(r, c.guardOf(r)))
+		c.journal.Delete(c.recordOf(r, c.windowEndOf(r)))
 	}
 	r.recorded = false
 }
 
-// recordEnd asks for the record of r's end, and says whether that is to be waited for.
+// recordEnd has the end of r recorded and reports whether to wait for that.
 func (c *Core) recordEnd(r *Request) bool {
 	if c.journal == nil || !c.owner || !c.keyed(r.Class) {
 		return false
 	}
-	rec := c.recordOf(r, c.guardOf(r))
+	rec := c.recordOf(r, c.windowEndOf(r))
 	if r.outcome == kiteslip.NotStarted {
 		c.journal.Delete(rec)
 		return false
 	}
-	r.ending = true
-	c.ends[r.id] = r
+	r.recordingEnd = true
+	c.pendingEnds[r.id] = r
 	c.journal.End(uint32(r.id), rec)
 	return true
 }
 
-// rerecord writes a record anew whose window has become longer.
-func (c *Core) rerecord(e *entry) {
+// rewriteRecord writes the record again after its window has become longer.
+func (c *Core) rewriteRecord(e *keyEntry) {
 	if c.journal == nil || !c.owner {
 		return
 	}
-	if rec := c.recordOf(e.ran, e.guard); rec.Finished {
+	if rec := c.recordOf(e.started, e.windowEnd); rec.Finished {
 		c.journal.End(0, rec)
 	} else {
 		c.journal.Begin(0, rec)
 	}
 }
 
-// UnrecordedRuns is the number of runs that started though nothing could be recorded.
-func (c *Core) UnrecordedRuns() int { return c.noRecord }
+// UnrecordedRuns returns the number of runs that started although nothing could be recorded.
+func (c *Core) UnrecordedRuns() int { return c.unrecordedRuns }
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -7,19 +7,19 @@
 	"kiteslip"
 )
 
-// During an upgrade two processes are one server, and one of them alone, the
-// owner of the keys, says which runs of keyed requests may start. Here is what
-// a Core does as either; docs/design.md has the whole table.
+// During an upgrade two processes serve together, and only one of them, the key
+// owner, decides which keyed runs may start. This file has both roles;
+// docs/design.md has the full table.
 
 // Peer is the other process of an upgrade.
 type Peer interface {
-	Claim(id uint32, class int, key string, arrived int64, sum uint64) // may this request start? Answered by Granted or Had
-	Grant(id uint32)                                                   // to Claimed: it may
-	Deny(id uint32, outcome kiteslip.Outcome, result []byte)           // to Claimed: it may not; what became of its key
+	Claim(id uint32, class int, key string, arrived int64, bodyHash uint64) // may this request start? Answered by Granted or Denied
+	Grant(id uint32)                                                        // answers Claimed: it may start
+	Deny(id uint32, outcome kiteslip.Outcome, result []byte)                // answers Claimed: it may not; the outcome of its key
 	RunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte)
 }
 
-// Record is a key whose request was started.
+// Record is a key whose run was started.
 type Record struct {
 	Class              int
 	Key                string
@@ -28,75 +28,78 @@
 	Finished           bool
 	Outcome            kiteslip.Outcome
 	Result             []byte
-	TryID              string // of the try, to the engine
+	TryID              string // of the try that was started
 	Deadline           int64
-	OutcomeUnknown     bool // it was begun in an earlier life, and its end is not known
+	OutcomeUnknown     bool // it was started by an earlier process, and its outcome is unknown
 }
 
-// claimsMost bounds the claims that wait for one run.
-const claimsMost = 1024
+// maxClaimsPerRun limits the peer's claims that wait for one run.
+const maxClaimsPerRun = 1024
 
-// bodySum is the same in every process.
-func bodySum(body []byte) uint64 {
-	sum := sha256.Sum256(body)
-	return binary.BigEndian.Uint64(sum[:])
+// hashBody must give the same value in every process.
+func hashBody(body []byte) uint64 {
+	bodyHash := sha256.Sum256(body)
+	return binary.BigEndian.Uint64(bodyHash[:])
 }
 
-// AcquireKeys makes this process the owner of the keys. Runs that a process before it
-// may have started without this one's knowledge came until doubt at the latest,
-// with their windows; 0 = there are none.
-func (c *Core) AcquireKeys(doubt int64) { c.owner, c.doubt = true, doubt }
+// AcquireKeys makes this process the key owner. Keyed requests that arrived by
+// inDoubtUntil may have been run by an earlier process without a record here; 0 =
+// there are none.
+func (c *Core) AcquireKeys(inDoubtUntil int64) { c.owner, c.inDoubtUntil = true, inDoubtUntil }
 
-// OwnsKeys says whether this process owns the keys.
+// OwnsKeys reports whether this process is the key owner.
 func (c *Core) OwnsKeys() bool { return c.owner }
 
-// ReleaseKeys gives the ownership up: no run of a key starts but as peer says; nil =
-// there is nobody to ask. It returns until when there is doubt, for the next owner.
-func (c *Core) ReleaseKeys(peer Peer) (doubt int64) {
-	for _, r := range c.open {
-		if r.phase == held {
-			c.unrecord(r) // the next owner will record it when it is claimed
+// ReleaseKeys gives up the ownership: from now on keyed runs start only if peer
+// grants them; nil = there is no peer to ask. It returns the end of the in-doubt
+// period, for the next owner.
+func (c *Core) ReleaseKeys(peer Peer) (inDoubtUntil int64) {
+	for _, r := range c.tracked {
+		if r.phase == queued {
+			c.deleteRecord(r) // the next owner records it when it is claimed
 		}
 	}
 	c.owner, c.peer = false, peer
-	return c.doubt
+	return c.inDoubtUntil
 }
 
-// SetPeer takes in the other process, which asks this one.
+// SetPeer sets the peer, which sends claims to this process.
 func (c *Core) SetPeer(peer Peer) { c.peer = peer }
 
-// MaxWindow is the longest window of any class.
+// MaxWindow returns the longest window of any class, with the margin.
 func (c *Core) MaxWindow() int64 {
 	window := int64(0)
-	for i := range c.set.Policy.Classes {
-		window = max(window, c.set.Policy.Classes[i].Window)
+	for i := range c.settings.Policy.Classes {
+		window = max(window, c.settings.Policy.Classes[i].Window)
 	}
-	return window + keyMargin
+	return window + keyMarginUS
 }
 
-// Records lists the keys whose requests were started.
+// Records yields the keys whose runs were started.
 func (c *Core) Records(yield func(Record) bool) {
-	for _, e := range c.table {
-		if r := e.ran; r != nil && c.keyed(r.Class) && !yield(Record{r.Class, r.Key, r.Arrived, e.guard, r.sum,
-			r.phase != running, r.outcome, r.result, r.TryID, r.Deadline, r.unknown}) {
+	for _, e := range c.keyTable {
+		if r := e.started; r != nil && c.keyed(r.Class) && !yield(Record{r.Class, r.Key, r.Arrived, e.windowEnd, r.bodyHash,
+			r.phase != running, r.outcome, r.result, r.TryID, r.Deadline, r.outcomeUnknown}) {
 			return
 		}
 	}
 }
 
-func (c *Core) keyed(class int) bool { return c.set.Policy.Classes[class].Effect == kiteslip.Keyed }
+func (c *Core) keyed(class int) bool {
+	return c.settings.Policy.Classes[class].Effect == kiteslip.Keyed
+}
 
-// ImportRecord enters a key that the other process has started. What is known here
-// already stands, and so does the window of the settings here if it is longer.
-// A run whose end is not known may still go on at the engine: it is returned,
-// and ends with Done; nil = there is nothing to wait for.
+// ImportRecord enters a key that another process has started. An entry here with
+// as long a window is kept, and the window is at least as long as the settings
+// here say. If the outcome is not known yet, the run may still be in progress at
+// the engine: it is returned and ends with Done. Otherwise nil is returned.
 func (c *Core) ImportRecord(rec Record) *Request {
-	rec.WindowEnd = max(rec.WindowEnd, rec.Arrived+c.set.Policy.Classes[rec.Class].Window+keyMargin)
-	if e := c.table[keyName(rec.Class, rec.Key)]; e != nil && e.ran != nil && e.guard >= rec.WindowEnd {
+	rec.WindowEnd = max(rec.WindowEnd, rec.Arrived+c.settings.Policy.Classes[rec.Class].Window+keyMarginUS)
+	if e := c.keyTable[entryName(rec.Class, rec.Key)]; e != nil && e.started != nil && e.windowEnd >= rec.WindowEnd {
 		return nil
 	}
-	r := c.foreignRun(rec.Class, rec.Key, rec.Arrived, rec.WindowEnd, rec.BodyHash)
-	r.TryID, r.Deadline, r.unknown = rec.TryID, rec.Deadline, rec.OutcomeUnknown
+	r := c.addRemoteRun(rec.Class, rec.Key, rec.Arrived, rec.WindowEnd, rec.BodyHash)
+	r.TryID, r.Deadline, r.outcomeUnknown = rec.TryID, rec.Deadline, rec.OutcomeUnknown
 	if rec.Finished {
 		r.phase, r.outcome, r.result = ended, rec.Outcome, rec.Result
 		return nil
@@ -104,154 +107,155 @@
 	return r
 }
 
-// foreignRun enters a run of the other process.
-func (c *Core) foreignRun(class int, key string, arrived, guard int64, sum uint64) *Request {
-	c.nextID++ // the module knows a repeat by the id of the first
-	r := &Request{Class: class, Key: key, Arrived: arrived, entry: keyName(class, key), id: c.nextID, sum: sum,
-		answered: true, phase: running, began: arrived, elsewhere: true}
-	e := c.table[r.entry]
+// addRemoteRun enters a run of another process.
+func (c *Core) addRemoteRun(class int, key string, arrived, windowEnd int64, bodyHash uint64) *Request {
+	c.nextID++ // the policy identifies a duplicate by the ID of its original
+	r := &Request{Class: class, Key: key, Arrived: arrived, entry: entryName(class, key), id: c.nextID, bodyHash: bodyHash,
+		answered: true, phase: running, startedAt: arrived, remote: true}
+	e := c.keyTable[r.entry]
 	if e == nil {
-		e = &entry{kept: r, until: guard}
-		c.table[r.entry] = e
+		e = &keyEntry{holder: r, duplicatesUntil: windowEnd}
+		c.keyTable[r.entry] = e
 	}
-	e.ran, e.guard = r, guard
+	e.started, e.windowEnd = r, windowEnd
 	return r
 }
 
-// inDoubt says whether another process may have run the key of a request that
-// came then, and there is none to ask.
+// inDoubt reports whether another process may have run the key of a request that
+// arrived then, and there is no peer to ask.
 func (c *Core) inDoubt(arrived int64) bool {
-	return c.owner && arrived <= c.doubt || !c.owner && c.peer == nil
+	return c.owner && arrived <= c.inDoubtUntil || !c.owner && c.peer == nil
 }
 
-// Claimed answers the other process, which asks the owner for the start of a request.
-func (c *Core) Claimed(id uint32, class int, key string, arrived int64, sum uint64) {
-	e := c.table[keyName(class, key)]
+// Claimed answers a claim of the peer, which asks the key owner to start a run.
+func (c *Core) Claimed(id uint32, class int, key string, arrived int64, bodyHash uint64) {
+	e := c.keyTable[entryName(class, key)]
 	switch {
 	case !c.owner || !c.keyed(class):
 		c.peer.Deny(id, kiteslip.Failed, nil)
-	case e != nil && e.ran != nil && (arrived <= max(e.guard, e.until) || e.ran.phase == running && e.ran.sum == sum):
-		switch r := e.ran; {
-		case r.sum != sum || r.phase == running && len(r.claims) >= claimsMost:
+	case e != nil && e.started != nil && (arrived <= max(e.windowEnd, e.duplicatesUntil) || e.started.phase == running && e.started.bodyHash == bodyHash):
+		switch r := e.started; {
+		case r.bodyHash != bodyHash || r.phase == running && len(r.peerClaims) >= maxClaimsPerRun:
 			c.peer.Deny(id, kiteslip.Failed, nil)
-		case r.phase == running || r.ending:
-			r.claims = append(r.claims, id)
+		case r.phase == running || r.recordingEnd:
+			r.peerClaims = append(r.peerClaims, id)
 		default:
 			c.peer.Deny(id, r.outcome, r.result)
 		}
-	case c.inDoubt(arrived) || e != nil && e.kept != nil && e.kept.phase == held && !e.kept.answered && e.kept.sum != sum:
+	case c.inDoubt(arrived) || e != nil && e.holder != nil && e.holder.phase == queued && !e.holder.answered && e.holder.bodyHash != bodyHash:
 		c.peer.Deny(id, kiteslip.Failed, nil)
 	default:
-		r := c.foreignRun(class, key, arrived, arrived+c.set.Policy.Classes[class].Window+keyMargin, sum)
+		r := c.addRemoteRun(class, key, arrived, arrived+c.settings.Policy.Classes[class].Window+keyMarginUS, bodyHash)
 		if c.journal != nil {
-			c.granting[r.id] = grant{r, id}
-			c.record(r)
+			c.pendingGrants[r.id] = pendingGrant{r, id}
+			c.recordStart(r)
 			return
 		}
 		c.peer.Grant(id)
 	}
 }
 
-// Granted starts a request that was claimed, unless it has come to its end meanwhile.
+// Granted starts a claimed request, unless it was answered meanwhile.
 func (c *Core) Granted(now int64, id uint32) {
-	r := c.claims[kiteslip.RequestID(id)]
+	r := c.awaitingStart[kiteslip.RequestID(id)]
 	if r == nil {
 		return
 	}
-	delete(c.claims, r.id)
+	delete(c.awaitingStart, r.id)
 	if r.answered {
-		c.unclaim(r, kiteslip.NotStarted, nil)
+		c.endUnstarted(r, kiteslip.NotStarted, nil)
 		if !c.owner && c.peer != nil {
 			c.peer.RunEnded(r.Class, r.Key, r.Arrived, kiteslip.NotStarted, nil)
 		}
 		return
 	}
-	r.began = now
+	r.startedAt = now
 	c.runner.Run(r)
 }
 
-// Denied ends a request that was claimed and may not start.
+// Denied ends a claimed request that may not start.
 func (c *Core) Denied(id uint32, outcome kiteslip.Outcome, result []byte) {
-	if r := c.claims[kiteslip.RequestID(id)]; r != nil {
-		delete(c.claims, r.id)
-		c.unclaim(r, outcome, result)
+	if r := c.awaitingStart[kiteslip.RequestID(id)]; r != nil {
+		delete(c.awaitingStart, r.id)
+		c.endUnstarted(r, outcome, result)
 	}
 }
 
-// letGo frees the place in the module's limit of an answered request that was
-// only claimed. Guards that against an owner that says nothing.
-func (c *Core) letGo(r *Request) {
-	if c.claims[r.id] != nil {
+// releaseRunningSlot frees the running slot of an answered request that was only
+// claimed. Otherwise a key owner that is silent would keep it occupied.
+func (c *Core) releaseRunningSlot(r *Request) {
+	if c.awaitingStart[r.id] != nil {
 		c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.NotStarted})
 	}
 }
 
-// unclaim ends a request that never started here, with what became of its key.
-// The module hears of no run: one that took no time would mislead it.
-func (c *Core) unclaim(r *Request, outcome kiteslip.Outcome, result []byte) {
+// endUnstarted ends a request that never started here with the outcome of its
+// key. The policy is told NotStarted: a run of no duration would distort its means.
+func (c *Core) endUnstarted(r *Request, outcome kiteslip.Outcome, result []byte) {
 	r.phase, r.outcome, r.result = ended, outcome, result
-	c.touch(r)
+	c.markChanged(r)
 	if outcome != kiteslip.OK {
-		r.outcome = kiteslip.Failed // another try may have run: no refusal
+		r.outcome = kiteslip.Failed // another try may have run, so it is not refused
 	}
-	if e := c.table[r.entry]; outcome == kiteslip.NotStarted && e != nil && e.ran == r {
-		e.ran, e.guard = nil, 0
-		c.unrecord(r)
+	if e := c.keyTable[r.entry]; outcome == kiteslip.NotStarted && e != nil && e.started == r {
+		e.started, e.windowEnd = nil, 0
+		c.deleteRecord(r)
 	}
-	c.over(r, 0, kiteslip.NotStarted)
+	c.completeAs(r, 0, kiteslip.NotStarted)
 }
 
-// PeerRunEnded takes in the end of a run of the other process.
+// PeerRunEnded takes in the end of a run of the peer.
 func (c *Core) PeerRunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
-	if e := c.table[keyName(class, key)]; e != nil && e.ran != nil && e.ran.elsewhere && e.ran.Arrived == arrived {
-		c.Done(e.ran, outcome, 0, result)
+	if e := c.keyTable[entryName(class, key)]; e != nil && e.started != nil && e.started.remote && e.started.Arrived == arrived {
+		c.Done(e.started, outcome, 0, result)
 	}
 }
 
-// PeerLost takes in that the other process is gone, or is not heard any more.
-// What it runs ends without a result, and what it was asked about fails.
+// PeerLost takes in that the peer is gone or silent. Its runs end without a
+// result, and claims that it has not answered fail.
 func (c *Core) PeerLost() {
 	c.peer = nil
-	for _, e := range c.table {
-		if e.ran != nil && e.ran.elsewhere && e.ran.phase == running {
-			c.Done(e.ran, kiteslip.Failed, 0, nil)
+	for _, e := range c.keyTable {
+		if e.started != nil && e.started.remote && e.started.phase == running {
+			c.Done(e.started, kiteslip.Failed, 0, nil)
 		}
 	}
-	clear(c.granting)
+	clear(c.pendingGrants)
 	if c.owner {
-		return // what is claimed waits for a record of our own
+		return // requests in awaitingStart wait for this process's own journal
 	}
-	for id, r := range c.claims {
-		delete(c.claims, id)
-		c.unclaim(r, kiteslip.Failed, nil)
+	for id, r := range c.awaitingStart {
+		delete(c.awaitingStart, id)
+		c.endUnstarted(r, kiteslip.Failed, nil)
 	}
 }
 
-// tell says to the other process what became of a key of which it keeps the record.
-func (c *Core) tell(r *Request) {
+// notifyPeer reports the outcome of a keyed run to the peer if that owns the keys,
+// and answers the claims that awaited it.
+func (c *Core) notifyPeer(r *Request) {
 	if c.peer == nil {
 		return
 	}
-	if !c.owner && !r.elsewhere && c.keyed(r.Class) {
+	if !c.owner && !r.remote && c.keyed(r.Class) {
 		c.peer.RunEnded(r.Class, r.Key, r.Arrived, r.outcome, r.result)
 	}
-	for _, id := range r.claims {
+	for _, id := range r.peerClaims {
 		outcome := r.outcome
 		if outcome == kiteslip.NotStarted {
 			outcome = kiteslip.Failed
 		}
 		c.peer.Deny(id, outcome, r.result)
 	}
-	r.claims = nil
+	r.peerClaims = nil
 }
 
-// HandedOver takes in that another process has taken this one's place: it is
-// stopped at stop, and still answers what it reads.
+// HandedOver takes in that another process has taken over: this one is stopped at
+// stop and answers what it has read until then.
 func (c *Core) HandedOver(stop int64) {
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Handover, Deadline: stop})
 }
 
-// SetPeerLoad takes in what the other process has on the engine that both share.
+// SetPeerLoad sets the peer's load on the shared engine.
 func (c *Core) SetPeerLoad(runs int, sizeKB float64) {
 	if c.pools != nil {
 		c.pools.SetPeerLoad(c.now, runs)
@@ -259,10 +263,10 @@
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.PeerLoad, Runs: runs, SizeKB: sizeKB})
 }
 
-// KeyedRuns is the number of keyed requests that run here, or are about to.
+// KeyedRuns returns the number of keyed requests that run here or are about to.
 func (c *Core) KeyedRuns() int {
 	n := 0
-	for _, r := range c.open {
+	for _, r := range c.tracked {
 		if r.phase == running && c.keyed(r.Class) {
 			n++
 		}
@@ -270,14 +274,15 @@
 	return n
 }
 
-// EngineLoad is the number of requests that run here and the memory booked for all that is in hand.
+// EngineLoad returns the number of requests that run here and the memory reserved
+// for all tracked requests.
 func (c *Core) EngineLoad() (runs int, sizeKB float64) {
-	for _, r := range c.open {
-		if r.phase == running && c.claims[r.id] == nil {
+	for _, r := range c.tracked {
+		if r.phase == running && c.awaitingStart[r.id] == nil {
 			runs++
-			sizeKB += r.SizeKB * max(1, c.set.Policy.RunFactor)
+			sizeKB += r.SizeKB * max(1, c.settings.Policy.RunFactor)
 		} else if r.phase == paused {
-			sizeKB += r.SizeKB * max(1, c.set.Policy.RunFactor)
+			sizeKB += r.SizeKB * max(1, c.settings.Policy.RunFactor)
 		} else if !r.answered {
 			sizeKB += r.SizeKB
 		}
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -8,87 +8,89 @@
 	"kiteslip"
 )
 
-// pair is two Cores that are one server, and what is on its way between them.
-type pair struct {
-	books [2]*book // the old process and the new one
-	way   [2][]func(to *Core)
-	cut   bool
+// processPair is two Cores that serve together during an upgrade, and the messages in transit between them.
+type processPair struct {
+	sides        [2]*harness // predecessor and successor
+	inTransit    [2][]func(to *Core)
+	disconnected bool
 }
 
-// wire is one side's way to the other.
-type wire struct {
-	p    *pair
+// pairPeer sends messages from one side to the other.
+type pairPeer struct {
+	pair *processPair
 	from int
 }
 
-func (w wire) put(f func(to *Core)) { w.p.way[w.from] = append(w.p.way[w.from], f) }
-func (w wire) Claim(id uint32, class int, key string, arrived int64, sum uint64) {
-	w.put(func(to *Core) { to.Claimed(id, class, key, arrived, sum) })
+func (w pairPeer) send(f func(to *Core)) {
+	w.pair.inTransit[w.from] = append(w.pair.inTransit[w.from], f)
 }
-func (w wire) Grant(id uint32) {
-	w.put(func(to *Core) { to.Granted(w.p.books[1-w.from].now, id) })
+func (w pairPeer) Claim(id uint32, class int, key string, arrived int64, bodyHash uint64) {
+	w.send(func(to *Core) { to.Claimed(id, class, key, arrived, bodyHash) })
 }
-func (w wire) Deny(id uint32, outcome kiteslip.Outcome, result []byte) {
-	w.put(func(to *Core) { to.Denied(id, outcome, result) })
+func (w pairPeer) Grant(id uint32) {
+	w.send(func(to *Core) { to.Granted(w.pair.sides[1-w.from].now, id) })
 }
-func (w wire) RunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
-	w.put(func(to *Core) { to.PeerRunEnded(class, key, arrived, outcome, result) })
+func (w pairPeer) Deny(id uint32, outcome kiteslip.Outcome, result []byte) {
+	w.send(func(to *Core) { to.Denied(id, outcome, result) })
+}
+func (w pairPeer) RunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
+	w.send(func(to *Core) { to.PeerRunEnded(class, key, arrived, outcome, result) })
 }
 
-// newPair returns an old process that owns the keys and a new one that does not yet.
-func newPair(t failer) *pair {
-	p := &pair{books: [2]*book{newBook(t), newBook(t)}}
-	p.books[1].lastRun = p.books[0].lastRun // the rule on keys is that of one server
-	p.books[1].core.ReleaseKeys(nil)
+// newPair returns a predecessor that owns the keys and a successor that does not yet.
+func newPair(t failer) *processPair {
+	p := &processPair{sides: [2]*harness{newHarness(t), newHarness(t)}}
+	p.sides[1].lastRun = p.sides[0].lastRun // the two count as one server for keys
+	p.sides[1].core.ReleaseKeys(nil)
 	return p
 }
 
-// hand passes the keys from the old process to the new one, message by message.
-func (p *pair) hand() {
-	old := p.books[0].core
-	doubt := old.ReleaseKeys(wire{p, 0})
-	for r := range old.Records {
-		wire{p, 0}.put(func(to *Core) { to.ImportRecord(r) })
+// handOver sends the keys from the predecessor to the successor, message by message.
+func (p *processPair) handOver() {
+	predecessor := p.sides[0].core
+	inDoubtUntil := predecessor.ReleaseKeys(pairPeer{p, 0})
+	for r := range predecessor.Records {
+		pairPeer{p, 0}.send(func(to *Core) { to.ImportRecord(r) })
 	}
-	wire{p, 0}.put(func(to *Core) { to.AcquireKeys(doubt); to.SetPeer(wire{p, 1}) })
+	pairPeer{p, 0}.send(func(to *Core) { to.AcquireKeys(inDoubtUntil); to.SetPeer(pairPeer{p, 1}) })
 }
 
-// deliver lets the next message of one side arrive.
-func (p *pair) deliver(from int) {
-	if len(p.way[from]) > 0 {
-		f := p.way[from][0]
-		p.way[from] = p.way[from][1:]
-		f(p.books[1-from].core)
+// deliver delivers the next message from one side.
+func (p *processPair) deliver(from int) {
+	if len(p.inTransit[from]) > 0 {
+		f := p.inTransit[from][0]
+		p.inTransit[from] = p.inTransit[from][1:]
+		f(p.sides[1-from].core)
 	}
 }
 
-func (p *pair) pass(span int64) {
-	for _, b := range p.books {
-		b.pass(span)
+func (p *processPair) advance(span int64) {
+	for _, h := range p.sides {
+		h.advance(span)
 	}
 }
 
-// Whatever reaches either of two processes in whatever order, and whichever of
-// them dies at whatever point of the handover, a key runs once in its window,
-// there is never more than one owner, and every request is answered in time.
-func TestTwoProcessesRunAKeyOnce(t *testing.T) {
+// Random requests, message order and process death during a handover: a key runs
+// once in its window, there is never more than one key owner, and every request is
+// answered in time.
+func TestTwoProcessesRunKeyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPair(t)
-		handed := false
+		handedOver := false
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
-				b := p.books[rapid.IntRange(0, 1).Draw(t, "side")]
+				h := p.sides[rapid.IntRange(0, 1).Draw(t, "side")]
 				class := rapid.IntRange(0, 1).Draw(t, "class")
 				key := ""
 				if class == 1 {
 					key = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 				}
-				b.arrive(class, key, rapid.Int64Range(0, 300_000).Draw(t, "late"), rapid.Int64Range(0, 1_500_000).Draw(t, "patience"))
+				h.submit(class, key, rapid.Int64Range(0, 300_000).Draw(t, "late"), rapid.Int64Range(0, 1_500_000).Draw(t, "patience"))
 			},
 			"hand": func(t *rapid.T) {
-				if !handed && !p.cut {
-					handed = true
-					p.hand()
+				if !handedOver && !p.disconnected {
+					handedOver = true
+					p.handOver()
 				}
 			},
 			"deliver": func(t *rapid.T) {
@@ -98,194 +100,194 @@
 				}
 			},
 			"finish": func(t *rapid.T) {
-				b := p.books[rapid.IntRange(0, 1).Draw(t, "side")]
-				if len(b.running) > 0 {
-					b.finish(rapid.IntRange(0, len(b.running)-1).Draw(t, "run"), rapid.SampledFrom([]kiteslip.Outcome{
+				h := p.sides[rapid.IntRange(0, 1).Draw(t, "side")]
+				if len(h.running) > 0 {
+					h.finish(rapid.IntRange(0, len(h.running)-1).Draw(t, "run"), rapid.SampledFrom([]kiteslip.Outcome{
 						kiteslip.OK, kiteslip.OK, kiteslip.Failed, kiteslip.NotStarted}).Draw(t, "outcome"))
 				}
 			},
-			"cut": func(t *rapid.T) { // messages under way are lost; the one that dies says nothing more
-				if p.cut || !handed || rapid.IntRange(0, 3).Draw(t, "rare") > 0 {
+			"cut": func(t *rapid.T) { // messages in transit are lost, and the process that dies sends nothing more
+				if p.disconnected || !handedOver || rapid.IntRange(0, 3).Draw(t, "rare") > 0 {
 					return
 				}
-				p.cut = true
+				p.disconnected = true
 				dead := rapid.IntRange(0, 1).Draw(t, "dies")
-				p.way = [2][]func(*Core){}
-				for i, b := range p.books {
-					b.core.PeerLost()
+				p.inTransit = [2][]func(*Core){}
+				for i, h := range p.sides {
+					h.core.PeerLost()
 					if i == dead {
-						b.core.ReleaseKeys(nil) // it runs nothing any more
+						h.core.ReleaseKeys(nil) // it starts no more runs
 						continue
 					}
-					if !b.core.OwnsKeys() {
-						b.core.AcquireKeys(b.now + b.core.MaxWindow())
+					if !h.core.OwnsKeys() {
+						h.core.AcquireKeys(h.now + h.core.MaxWindow())
 					}
 				}
 			},
-			"pass": func(t *rapid.T) { p.pass(rapid.Int64Range(1, 400_000).Draw(t, "span")) },
+			"pass": func(t *rapid.T) { p.advance(rapid.Int64Range(1, 400_000).Draw(t, "span")) },
 			"": func(t *rapid.T) {
-				if p.books[0].core.OwnsKeys() && p.books[1].core.OwnsKeys() {
+				if p.sides[0].core.OwnsKeys() && p.sides[1].core.OwnsKeys() {
 					t.Fatal("two owners")
 				}
 			},
 		})
-		for i, b := range p.books {
-			if b.core.Outstanding() < 0 {
-				t.Fatalf("side %d owes %d", i, b.core.Outstanding())
+		for i, h := range p.sides {
+			if h.core.Outstanding() < 0 {
+				t.Fatalf("side %d has %d outstanding", i, h.core.Outstanding())
 			}
 		}
-		p.pass(2_000_000)
+		p.advance(2_000_000)
 	})
 }
 
-// A try at the new process takes the result of a run that the old one began,
-// whether that ends before or after, and a try at the old one that of the new.
+// A try at the successor takes the result of a run that the predecessor started,
+// whether that ends before or after the handover, and the reverse.
 func TestResultsPassBetweenProcesses(t *testing.T) {
 	p := newPair(t)
-	old, young := p.books[0], p.books[1]
-	done, under := old.arrive(1, "done", 0, 1_000_000), old.arrive(1, "under", 0, 1_000_000)
-	old.pass(5_000)
-	old.finish(0, kiteslip.OK)
-	p.hand()
+	predecessor, successor := p.sides[0], p.sides[1]
+	done, executing := predecessor.submit(1, "done", 0, 1_000_000), predecessor.submit(1, "under", 0, 1_000_000)
+	predecessor.advance(5_000)
+	predecessor.finish(0, kiteslip.OK)
+	p.handOver()
 	for range 9 {
 		p.deliver(0)
 	}
-	if !young.core.OwnsKeys() || old.core.OwnsKeys() {
-		t.Fatal("the keys are not handed over")
+	if !successor.core.OwnsKeys() || predecessor.core.OwnsKeys() {
+		t.Fatal("the keys were not handed over")
 	}
-	a, b := young.arrive(1, "done", 0, 1_000_000), young.arrive(1, "under", 0, 1_000_000)
-	fresh := young.arrive(1, "fresh", 0, 1_000_000)
-	young.pass(5_000)
-	c := old.arrive(1, "fresh", 0, 1_000_000)
-	old.pass(5_000)
+	finishedRetry, runningRetry := successor.submit(1, "done", 0, 1_000_000), successor.submit(1, "under", 0, 1_000_000)
+	fresh := successor.submit(1, "fresh", 0, 1_000_000)
+	successor.advance(5_000)
+	claimed := predecessor.submit(1, "fresh", 0, 1_000_000)
+	predecessor.advance(5_000)
 	p.deliver(0) // the claim
-	old.finish(0, kiteslip.OK)
+	predecessor.finish(0, kiteslip.OK)
 	p.deliver(0)
-	young.finish(0, kiteslip.OK)
+	successor.finish(0, kiteslip.OK)
 	p.deliver(1)
-	p.pass(5_000)
-	for _, r := range []*Request{done, under, c} {
-		if got := old.answers[r]; len(got) != 1 || got[0].Code != Served {
-			t.Errorf("%s at the old process: %+v", r.Key, got)
+	p.advance(5_000)
+	for _, r := range []*Request{done, executing, claimed} {
+		if got := predecessor.answers[r]; len(got) != 1 || got[0].Code != Served {
+			t.Errorf("%s at the predecessor: %+v", r.Key, got)
 		}
 	}
-	for _, r := range []*Request{a, b, fresh} {
-		if got := young.answers[r]; len(got) != 1 || got[0].Code != Served {
-			t.Errorf("%s at the new process: %+v", r.Key, got)
+	for _, r := range []*Request{finishedRetry, runningRetry, fresh} {
+		if got := successor.answers[r]; len(got) != 1 || got[0].Code != Served {
+			t.Errorf("%s at the successor: %+v", r.Key, got)
 		}
 	}
-	if old.ran[c] || young.ran[a] || young.ran[b] {
+	if predecessor.ran[claimed] || successor.ran[finishedRetry] || successor.ran[runningRetry] {
 		t.Error("a key ran twice")
 	}
-	if x := young.core.Counts(); x.Served != 3 || x.Received != 3 {
-		t.Errorf("the new process counts %+v", x)
+	if counts := successor.core.Counts(); counts.Served != 3 || counts.Received != 3 {
+		t.Errorf("the successor counts %+v", counts)
 	}
 }
 
-// Without an owner to ask, and in doubt, a keyed request fails: it is neither
-// run nor refused. Other requests run, and a known result is served.
-func TestDoubtRunsNothing(t *testing.T) {
+// While in doubt with no peer to ask, a keyed request fails: it is neither run nor
+// refused. Other requests run, and a known result is served.
+func TestNoRunWhileInDoubt(t *testing.T) {
 	p := newPair(t)
-	old := p.books[0]
-	known := old.arrive(1, "known", 0, 1_000_000)
-	old.pass(5_000)
-	old.finish(0, kiteslip.OK)
-	p.hand()
-	old.core.PeerLost()
-	old.core.AcquireKeys(old.now + old.core.MaxWindow())
-	again, other, read := old.arrive(1, "known", 0, 1_000_000), old.arrive(1, "other", 0, 1_000_000), old.arrive(0, "", 0, 1_000_000)
-	old.pass(5_000)
-	old.finish(0, kiteslip.OK)
-	for r, want := range map[*Request]Code{known: Served, again: Served, other: Failed, read: Served} {
-		if got := old.answers[r]; len(got) != 1 || got[0].Code != want {
+	predecessor := p.sides[0]
+	known := predecessor.submit(1, "known", 0, 1_000_000)
+	predecessor.advance(5_000)
+	predecessor.finish(0, kiteslip.OK)
+	p.handOver()
+	predecessor.core.PeerLost()
+	predecessor.core.AcquireKeys(predecessor.now + predecessor.core.MaxWindow())
+	retry, other, read := predecessor.submit(1, "known", 0, 1_000_000), predecessor.submit(1, "other", 0, 1_000_000), predecessor.submit(0, "", 0, 1_000_000)
+	predecessor.advance(5_000)
+	predecessor.finish(0, kiteslip.OK)
+	for r, want := range map[*Request]Code{known: Served, retry: Served, other: Failed, read: Served} {
+		if got := predecessor.answers[r]; len(got) != 1 || got[0].Code != want {
 			t.Errorf("%s %s: %+v, want code %d", r.TryID, r.Key, got, want)
 		}
 	}
-	old.pass(old.core.MaxWindow() + 1_000_000)
-	if late := old.arrive(1, "other", 0, 1_000_000); true {
-		old.pass(5_000)
-		if !old.ran[late] {
-			t.Error("the doubt does not end")
+	predecessor.advance(predecessor.core.MaxWindow() + 1_000_000)
+	if late := predecessor.submit(1, "other", 0, 1_000_000); true {
+		predecessor.advance(5_000)
+		if !predecessor.ran[late] {
+			t.Error("the in-doubt period does not end")
 		}
 	}
 }
 
-// An owner that says nothing costs the requests that wait for it, and nobody else.
-func TestSilentOwner(t *testing.T) {
+// A silent key owner costs only the requests that wait for its grant.
+func TestSilentKeyOwner(t *testing.T) {
 	p := newPair(t)
-	old := p.books[0]
-	p.hand()
-	var asked []*Request
+	predecessor := p.sides[0]
+	p.handOver()
+	var claimed []*Request
 	for range 8 {
-		asked = append(asked, old.arrive(1, string(rune('a'+len(asked))), 0, 400_000))
+		claimed = append(claimed, predecessor.submit(1, string(rune('a'+len(claimed))), 0, 400_000))
 	}
-	old.pass(500_000)
-	for _, r := range asked {
-		if got := old.answers[r]; len(got) != 1 || got[0].Code == Served || old.ran[r] {
+	predecessor.advance(500_000)
+	for _, r := range claimed {
+		if got := predecessor.answers[r]; len(got) != 1 || got[0].Code == Served || predecessor.ran[r] {
 			t.Errorf("%s: %+v", r.Key, got)
 		}
 	}
-	read := old.arrive(0, "", 0, 1_000_000)
-	old.pass(5_000)
-	if !old.ran[read] {
-		t.Error("requests that nobody answers for hold the places of others")
+	read := predecessor.submit(0, "", 0, 1_000_000)
+	predecessor.advance(5_000)
+	if !predecessor.ran[read] {
+		t.Error("unanswered claims occupy the running slots of other requests")
 	}
-	for range 9 { // the owner comes back to life
+	for range 9 { // the key owner responds late
 		p.deliver(0)
 	}
 	for range 9 {
 		p.deliver(1)
 	}
-	old.pass(5_000)
-	for _, r := range asked {
-		if old.ran[r] {
-			t.Errorf("%s runs though it was answered", r.Key)
+	predecessor.advance(5_000)
+	for _, r := range claimed {
+		if predecessor.ran[r] {
+			t.Errorf("%s runs although it was answered", r.Key)
 		}
 	}
 }
 
-// A key that comes with two bodies to two processes serves neither with the
+// A key sent with different bodies to the two processes serves neither with the
 // result of the other.
 func TestBodiesOfOneKeyAcrossProcesses(t *testing.T) {
 	p := newPair(t)
-	old, young := p.books[0], p.books[1]
-	p.hand()
+	predecessor, successor := p.sides[0], p.sides[1]
+	p.handOver()
 	p.deliver(0)
-	send := func(b *book, body string) *Request {
-		r := &Request{TryID: body, Class: 1, Key: "k", Arrived: b.now, Deadline: b.now + 1_000_000, SizeKB: 20, Body: []byte(body)}
-		r.ReplyTo = caller{b, r}
-		if err := b.core.Submit(b.now, r); err != nil {
+	send := func(h *harness, body string) *Request {
+		r := &Request{TryID: body, Class: 1, Key: "k", Arrived: h.now, Deadline: h.now + 1_000_000, SizeKB: 20, Body: []byte(body)}
+		r.ReplyTo = caller{h, r}
+		if err := h.core.Submit(h.now, r); err != nil {
 			t.Fatal(err)
 		}
-		b.sent = append(b.sent, r)
+		h.sent = append(h.sent, r)
 		return r
 	}
-	for range 2 { // the cores of the new process are in use
-		young.arrive(0, "", 0, 1_000_000)
+	for range 2 { // occupy the successor's cores
+		successor.submit(0, "", 0, 1_000_000)
 	}
-	young.pass(5_000)
-	mine, theirs := send(young, "mine"), send(old, "theirs")
-	young.core.Step(young.now)
-	old.pass(5_000)
-	p.deliver(0) // the claim comes while the other is held
+	successor.advance(5_000)
+	mine, theirs := send(successor, "mine"), send(predecessor, "theirs")
+	successor.core.Step(successor.now)
+	predecessor.advance(5_000)
+	p.deliver(0) // the claim arrives while the other body is queued
 	p.deliver(1)
-	for len(young.running) > 0 {
-		r := young.running[0]
-		young.running = young.running[1:]
-		young.core.Done(r, kiteslip.OK, 1000, []byte("of "+map[bool]string{true: r.Key, false: r.TryID}[r.Key != ""]))
-		young.pass(5_000)
+	for len(successor.running) > 0 {
+		r := successor.running[0]
+		successor.running = successor.running[1:]
+		successor.core.Done(r, kiteslip.OK, 1000, []byte("of "+map[bool]string{true: r.Key, false: r.TryID}[r.Key != ""]))
+		successor.advance(5_000)
 	}
-	old.pass(5_000)
-	if got := old.answers[theirs]; len(got) != 1 || got[0].Code != Failed || old.ran[theirs] {
+	predecessor.advance(5_000)
+	if got := predecessor.answers[theirs]; len(got) != 1 || got[0].Code != Failed || predecessor.ran[theirs] {
 		t.Errorf("the other body: %+v", got)
 	}
-	if !young.ran[mine] {
-		t.Error("the body that was held first did not run")
+	if !successor.ran[mine] {
+		t.Error("the body that was queued first did not run")
 	}
-	head, r := &Request{sum: 1, phase: ended, outcome: kiteslip.OK, result: []byte("of another")}, send(young, "mine")
-	r.sum = 2
-	young.core.copyOf(r, head)
-	if got := young.answers[r]; len(got) != 1 || got[0].Code != Failed {
-		t.Errorf("a run let start meanwhile with another body: %+v", got)
+	original, r := &Request{bodyHash: 1, phase: ended, outcome: kiteslip.OK, result: []byte("of another")}, send(successor, "mine")
+	r.bodyHash = 2
+	successor.core.awaitResultOf(r, original)
+	if got := successor.answers[r]; len(got) != 1 || got[0].Code != Failed {
+		t.Errorf("a run granted meanwhile with another body: %+v", got)
 	}
 }
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -5,106 +5,106 @@
 	"kiteslip/internal/pool"
 )
 
-// pooled is what the pools' book has of a request.
-type pooled uint8
+// poolState is how the pools count a request.
+type poolState uint8
 
 const (
-	nowhere pooled = iota
-	waits
-	runs
+	inNoPool poolState = iota
+	queuedInPool
+	runningInPool
 )
 
-// unknown is the mark of a run that began before the book.
-const unknown = -1
+// beganBeforePools is the pool mark of a run that began before the pools were set.
+const beganBeforePools = -1
 
-// touch notes that r may have moved. It is looked at before and after each
-// batch, so that a request that moved twice between counts once, and a place
-// that is told twice is told in vain.
-func (c *Core) touch(r *Request) {
-	if c.pools != nil && !r.touched && !r.elsewhere {
-		r.touched = true
-		c.touched = append(c.touched, r)
+// markChanged records that the pool state of r may have changed. States are
+// compared before and after each batch, so that a request that changed twice
+// between counts once and marking one twice does no harm.
+func (c *Core) markChanged(r *Request) {
+	if c.pools != nil && !r.changed && !r.remote {
+		r.changed = true
+		c.changed = append(c.changed, r)
 	}
 }
 
-// where says what the book should have of r.
-func (r *Request) where() pooled {
+// currentPoolState returns how the pools should count r.
+func (r *Request) currentPoolState() poolState {
 	switch {
-	case r.id == 0 || r.elsewhere:
-		return nowhere // the module never heard of it
-	case r.phase == held && !r.answered:
-		return waits
+	case r.id == 0 || r.remote:
+		return inNoPool // the policy was not told of it
+	case r.phase == queued && !r.answered:
+		return queuedInPool
 	case r.phase == running:
-		return runs
+		return runningInPool
 	}
-	return nowhere
+	return inNoPool
 }
 
-// movePools brings the book up to date.
-func (c *Core) movePools(now int64) {
-	for _, r := range c.touched {
-		r.touched = false
-		was, is := r.pooled, r.where()
-		if was == is || c.pools == nil {
+// updatePools brings the pools up to date.
+func (c *Core) updatePools(now int64) {
+	for _, r := range c.changed {
+		r.changed = false
+		before, after := r.poolState, r.currentPoolState()
+		if before == after || c.pools == nil {
 			continue
 		}
-		r.pooled = is
-		if was == nowhere {
+		r.poolState = after
+		if before == inNoPool {
 			c.pools.Arrive(now, r.Class, r.SizeKB)
-			was = waits
+			before = queuedInPool
 		}
-		if was == waits && is == runs {
-			r.mark = c.pools.Begin(now, r.Class, r.SizeKB)
+		if before == queuedInPool && after == runningInPool {
+			r.poolMark = c.pools.Begin(now, r.Class, r.SizeKB)
 			continue
 		}
-		if was == waits && is == nowhere {
+		if before == queuedInPool && after == inNoPool {
 			c.pools.Leave(now, r.Class, r.SizeKB)
 		}
-		if was == runs {
-			c.pools.End(now, r.Class, r.SizeKB, r.mark, r.endedAt-r.began, r.outcome == kiteslip.OK && r.mark != unknown)
+		if before == runningInPool {
+			c.pools.End(now, r.Class, r.SizeKB, r.poolMark, r.endedAt-r.startedAt, r.outcome == kiteslip.OK && r.poolMark != beganBeforePools)
 		}
 	}
-	clear(c.touched)
-	c.touched = c.touched[:0]
+	clear(c.changed)
+	c.changed = c.changed[:0]
 }
 
-// bookPools hands the ceilings that hold now to the module, for its next batch.
-func (c *Core) bookPools(now int64) {
+// setCeilings passes the current ceilings of the classes to the policy, for its next batch.
+func (c *Core) setCeilings(now int64) {
 	if c.pools == nil {
 		return
 	}
-	c.movePools(now)
-	c.worker.SetCeilings(c.pools.Ceilings(now, c.worker.Limit()))
+	c.updatePools(now)
+	c.policy.SetCeilings(c.pools.Ceilings(now, c.policy.Limit()))
 }
 
-// repool takes over other pools, with requests in flight. The settings passed
-// their check.
-func (c *Core) repool(s *pool.Settings) error {
-	c.set.Pools = s
+// reconfigurePools applies other pools while requests are in progress. The
+// settings have passed their check.
+func (c *Core) reconfigurePools(s *pool.Settings) error {
+	c.settings.Pools = s
 	if s == nil {
 		c.pools = nil
-		c.worker.SetCeilings(nil)
+		c.policy.SetCeilings(nil)
 	} else if c.pools != nil {
-		c.movePools(c.now)
+		c.updatePools(c.now)
 		return c.pools.Reconfigure(*s)
-	} else if book, err := pool.New(*s); err != nil {
+	} else if pools, err := pool.New(*s); err != nil {
 		return err
 	} else {
-		c.pools = book
+		c.pools = pools
 	}
-	c.touched = c.touched[:0]
-	for _, r := range c.open {
-		r.pooled, r.touched = nowhere, false
-		c.touch(r)
+	c.changed = c.changed[:0]
+	for _, r := range c.tracked {
+		r.poolState, r.changed = inNoPool, false
+		c.markChanged(r)
 	}
-	c.movePools(c.now)
-	for _, r := range c.open {
-		r.mark = unknown
+	c.updatePools(c.now)
+	for _, r := range c.tracked {
+		r.poolMark = beganBeforePools
 	}
 	return nil
 }
 
-// Pools returns the figures of the pools; nil = there are none.
+// Pools returns the statistics of the pools; nil = there are none.
 func (c *Core) Pools() []pool.Stats {
 	if c.pools == nil {
 		return nil
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -7,23 +7,23 @@
 	if r.phase != running {
 		return
 	}
-	c.abandon(r)
-	if outcome == kiteslip.Cancelled && c.stopped(r) {
+	c.abandonCall(r)
+	if outcome == kiteslip.Cancelled && c.runHalted(r) {
 		return
 	}
-	r.stand = nil
-	r.phase, r.outcome, r.result, r.endedAt = ended, outcome, result, r.began+elapsed
-	c.touch(r)
-	r.unknown = r.unknown && outcome != kiteslip.OK
-	if e := c.table[r.entry]; outcome == kiteslip.NotStarted && e != nil && e.ran == r {
-		e.ran, e.guard = nil, 0 // proved never to have run
+	r.call = nil
+	r.phase, r.outcome, r.result, r.endedAt = ended, outcome, result, r.startedAt+elapsed
+	c.markChanged(r)
+	r.outcomeUnknown = r.outcomeUnknown && outcome != kiteslip.OK
+	if e := c.keyTable[r.entry]; outcome == kiteslip.NotStarted && e != nil && e.started == r {
+		e.started, e.windowEnd = nil, 0 // the run is known not to have started
 	}
 	if outcome == kiteslip.Cancelled && !r.answered {
-		// Guards a place in the module's limit: the module would take the
-		// request back into the hold, where nothing ends it any more.
+		// Reported as failed to free its running slot: the policy would
+		// queue a cancelled request again, where nothing ends it any more.
 		outcome = kiteslip.Failed
 	}
-	if !r.elsewhere {
+	if !r.remote {
 		c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: outcome, Elapsed: elapsed})
 	}
 	if !c.recordEnd(r) {
@@ -31,27 +31,27 @@
 	}
 }
 
-// finish tells all who wait what became of r, whose run is over.
+// finish reports the end of r's run to the peer, its caller and its duplicates.
 func (c *Core) finish(r *Request) {
-	r.ending = false
-	c.tell(r)
-	if r.elsewhere {
-		c.serveCopies(r)
+	r.recordingEnd = false
+	c.notifyPeer(r)
+	if r.remote {
+		c.serveDuplicates(r)
 		return
 	}
-	c.close(r)
+	c.complete(r)
 }
 
-// over ends a run or a copy and tells the module the outcome given.
-func (c *Core) over(r *Request, elapsed int64, outcome kiteslip.Outcome) {
+// completeAs completes r and reports the given outcome to the policy.
+func (c *Core) completeAs(r *Request, elapsed int64, outcome kiteslip.Outcome) {
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: outcome, Elapsed: elapsed})
-	c.close(r)
+	c.complete(r)
 }
 
-// close answers the caller of r, which is over, and those that wait for the same.
-func (c *Core) close(r *Request) {
-	delete(c.open, r.id)
-	delete(c.names, r.TryID)
+// complete answers the caller of r, which has ended, and its duplicates.
+func (c *Core) complete(r *Request) {
+	delete(c.tracked, r.id)
+	delete(c.byTryID, r.TryID)
 	if !r.answered {
 		switch r.outcome {
 		case kiteslip.OK:
@@ -60,61 +60,61 @@
 			c.answer(r, Answer{Code: Refused})
 		default:
 			cause := RunFailed
-			if r.unknown {
+			if r.outcomeUnknown {
 				cause = OutcomeUnknown
 			}
 			c.answer(r, Answer{Code: Failed, Cause: cause})
 		}
 	}
 	r.Body = nil
-	c.serveCopies(r)
+	c.serveDuplicates(r)
 }
 
-// serveCopies answers those that wait for the result of r.
-func (c *Core) serveCopies(r *Request) {
-	for _, t := range r.copies {
-		c.serveCopy(t, r)
+// serveDuplicates answers the requests that await the result of r.
+func (c *Core) serveDuplicates(r *Request) {
+	for _, t := range r.duplicates {
+		c.serveDuplicate(t, r)
 	}
-	r.copies = nil
+	r.duplicates = nil
 }
 
-// serveCopy answers t with what became of the request that it repeats.
-func (c *Core) serveCopy(t, of *Request) {
-	if t.phase != copying {
+// serveDuplicate answers t with the outcome of its original.
+func (c *Core) serveDuplicate(t, original *Request) {
+	if t.phase != awaitingResult {
 		return
 	}
-	t.phase, t.outcome, t.result, t.unknown = ended, of.outcome, of.result, of.unknown
-	if of.outcome != kiteslip.OK {
+	t.phase, t.outcome, t.result, t.outcomeUnknown = ended, original.outcome, original.result, original.outcomeUnknown
+	if original.outcome != kiteslip.OK {
 		t.outcome = kiteslip.Failed
 	}
-	c.over(t, 0, t.outcome)
+	c.completeAs(t, 0, t.outcome)
 }
 
-// run starts r unless a rule forbids it.
+// run starts r unless that would break an invariant.
 func (c *Core) run(now int64, r *Request) {
 	if r.phase == paused {
 		c.resume(r)
 	}
-	if r.phase != held {
+	if r.phase != queued {
 		return
 	}
-	class := &c.set.Policy.Classes[r.Class]
-	// Guards the drain: what came after the grace must not run, whatever the module holds.
-	if c.drainAt != 0 && r.Arrived > c.drainAt+c.set.Policy.DrainGrace {
+	class := &c.settings.Policy.Classes[r.Class]
+	// A request that arrived after the drain grace must not run, even if the policy has it queued.
+	if c.drainingSince != 0 && r.Arrived > c.drainingSince+c.settings.Policy.DrainGrace {
 		c.counts.PolicyViolations++
-		c.never(r)
+		c.endForbidden(r)
 		return
 	}
 	if class.Effect == kiteslip.Keyed {
-		e := c.table[r.entry]
+		e := c.keyTable[r.entry]
 		if e == nil {
-			e = &entry{kept: r, until: r.Arrived + class.Window + keyMargin}
-			c.table[r.entry] = e
+			e = &keyEntry{holder: r, duplicatesUntil: r.Arrived + class.Window + keyMarginUS}
+			c.keyTable[r.entry] = e
 		}
-		// Guards the single run of a key: a try that came in the window of one that ran takes its result.
-		if e.ran != nil && (r.Arrived <= e.guard || e.runsFor(r)) {
+		// A try that arrived in the window of a key that was started takes its result instead of running.
+		if e.started != nil && (r.Arrived <= e.windowEnd || e.inProgressFor(r)) {
 			c.counts.PolicyViolations++
-			c.copyOf(r, e.ran)
+			c.awaitResultOf(r, e.started)
 			return
 		}
 		if c.inDoubt(r.Arrived) {
@@ -123,25 +123,25 @@
 			c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.NotStarted})
 			return
 		}
-		e.ran, e.guard = r, c.windowEnd(r)
+		e.started, e.windowEnd = r, c.windowEnd(r)
 	}
-	r.phase, r.began, r.begun = running, now, true
-	c.touch(r)
+	r.phase, r.startedAt, r.everStarted = running, now, true
+	c.markChanged(r)
 	if class.Effect == kiteslip.Keyed && c.owner && c.journal != nil && !r.recorded {
-		c.claims[r.id] = r // it was not prepared: its place waits for the record
-		c.record(r)
+		c.awaitingStart[r.id] = r // it was not prepared: it holds its running slot while its start is recorded
+		c.recordStart(r)
 		return
 	}
 	if class.Effect == kiteslip.Keyed && !c.owner {
-		c.claims[r.id] = r
-		c.peer.Claim(uint32(r.id), r.Class, r.Key, r.Arrived, r.sum)
+		c.awaitingStart[r.id] = r
+		c.peer.Claim(uint32(r.id), r.Class, r.Key, r.Arrived, r.bodyHash)
 		return
 	}
 	c.runner.Run(r)
 }
 
-// never ends a held request that the module wanted to run and a rule forbids.
-func (c *Core) never(r *Request) {
+// endForbidden ends a queued request that the policy wanted to run and must not run.
+func (c *Core) endForbidden(r *Request) {
 	if !r.answered {
 		c.answer(r, Answer{Code: Refused})
 	}
@@ -149,38 +149,38 @@
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Done, ID: r.id, Outcome: kiteslip.NotStarted})
 }
 
-// reuse serves r from the request that it repeats.
+// reuse serves r with the result of its original.
 func (c *Core) reuse(r *Request) {
-	if r.phase != held {
+	if r.phase != queued {
 		return
 	}
-	e := c.table[r.entry]
+	e := c.keyTable[r.entry]
 	switch {
-	case e != nil && e.ran != nil && e.ran != r:
-		c.copyOf(r, e.ran)
-	case e != nil && e.kept != nil && e.kept != r:
-		c.copyOf(r, e.kept)
-	default: // the other one was dropped without running
+	case e != nil && e.started != nil && e.started != r:
+		c.awaitResultOf(r, e.started)
+	case e != nil && e.holder != nil && e.holder != r:
+		c.awaitResultOf(r, e.holder)
+	default: // the original was dropped without running
 		c.counts.PolicyViolations++
-		r.phase = copying
-		c.serveCopy(r, &Request{outcome: kiteslip.Failed})
+		r.phase = awaitingResult
+		c.serveDuplicate(r, &Request{outcome: kiteslip.Failed})
 	}
 }
 
-// copyOf lets r take the result of head, now or once that has ended. Guards
-// the meaning of 'served': head may be a run of the other process of an upgrade
-// that was let start after r had come, with another body.
-func (c *Core) copyOf(r, head *Request) {
-	r.phase = copying
-	c.touch(r)
-	if c.keyed(r.Class) && r.sum != head.sum {
-		c.serveCopy(r, &Request{outcome: kiteslip.Failed})
+// awaitResultOf lets r take the result of original, now or once that has ended. A
+// run of the peer may have been granted after r arrived and with another body; its
+// result is not the answer to r, which then fails.
+func (c *Core) awaitResultOf(r, original *Request) {
+	r.phase = awaitingResult
+	c.markChanged(r)
+	if c.keyed(r.Class) && r.bodyHash != original.bodyHash {
+		c.serveDuplicate(r, &Request{outcome: kiteslip.Failed})
 		return
 	}
 	switch {
-	case !head.ending && (head.phase == ended || head.phase == dropped):
-		c.serveCopy(r, head)
+	case !original.recordingEnd && (original.phase == ended || original.phase == dropped):
+		c.serveDuplicate(r, original)
 	default:
-		head.copies = append(head.copies, r)
+		original.duplicates = append(original.duplicates, r)
 	}
 }
