--- a/internal/engine/commands.go
+++ b/internal/engine/commands.go
@@ -6,73 +6,72 @@
 	"kiteslip/internal/core"
 )
 
-// What is said to a run besides that it is to begin. Each of these may be lost
-// with its link; docs/design/calls.md says which is then written again.
+// Commands to runs other than RUN. Each may be lost with its connection;
+// docs/design/calls.md says which are then sent again.
 
-// word is a command about a run that may still have to be written, or to be
-// written again.
-type word struct {
-	parts   [][]byte // nil = there is none
-	written int64    // to a link; 0 = not yet
+// pendingCommand is a command about a run that may have to be sent, or sent again.
+type pendingCommand struct {
+	parts  [][]byte // nil = no command
+	sentAt int64    // 0 = not sent on this connection
 }
 
-// Reply lets r go on with the reply to its call, which is sent unchanged.
+// Reply continues r with the reply to its call, which is sent unchanged.
 func (l *Link) Reply(r *core.Request, reply []byte) {
-	l.goOn(r, fmt.Appendf(nil, "FEED %s %d\r\n", r.TryID, len(reply)), reply, crlf)
+	l.continueRun(r, fmt.Appendf(nil, "FEED %s %d\r\n", r.TryID, len(reply)), reply, crlf)
 }
 
-// Skip lets r go on without the call that notice asked for.
+// Skip continues r without the call that notice requested.
 func (l *Link) Skip(r *core.Request, notice uint64) {
-	l.goOn(r, fmt.Appendf(nil, "SKIP %s %d\r\n", r.TryID, notice))
+	l.continueRun(r, fmt.Appendf(nil, "SKIP %s %d\r\n", r.TryID, notice))
 }
 
-func (l *Link) goOn(r *core.Request, parts ...[]byte) {
+func (l *Link) continueRun(r *core.Request, parts ...[]byte) {
 	if u := l.runs[r.TryID]; u != nil {
-		u.reply = word{parts: parts}
-		l.tell(&u.reply)
+		u.reply = pendingCommand{parts: parts}
+		l.sendCommand(&u.reply)
 	}
 }
 
-// Halt stops the run of r. It ends with a Done, and may go on by Resume or anew
-// by Run, as the settings say.
+// Halt stops the run of r. It ends with a Done, and may continue by Resume or
+// start again by Run, as the settings say.
 func (l *Link) Halt(r *core.Request) {
 	if u := l.runs[r.TryID]; u != nil {
-		u.halt = word{parts: [][]byte{fmt.Appendf(nil, "HALT %s\r\n", r.TryID)}}
-		l.tell(&u.halt)
+		u.halt = pendingCommand{parts: [][]byte{fmt.Appendf(nil, "HALT %s\r\n", r.TryID)}}
+		l.sendCommand(&u.halt)
 	}
 }
 
-// Resume goes on with a run that was stopped with its work kept.
+// Resume continues a run that was halted with its work kept.
 func (l *Link) Resume(r *core.Request) {
 	u := &run{r: r, resumed: true}
 	l.runs[r.TryID] = u
 	if l.ready {
-		l.write(u)
+		l.sendRun(u)
 	}
 }
 
-// tell writes w where there is a link; else it waits for the next.
-func (l *Link) tell(w *word) {
+// sendCommand sends w if the engine is connected; otherwise w waits for the next connection.
+func (l *Link) sendCommand(w *pendingCommand) {
 	if l.ready {
-		w.written = l.now()
+		w.sentAt = l.now()
 		l.send(w.parts...)
 	}
 }
 
-// lose notes that the link is gone on which w may have been written. What the
-// engine has surely read is done with.
-func (w *word) lose(sure int64) {
-	if w.written != 0 && w.written < sure {
-		*w = word{}
+// connectionLost records the loss of the connection on which w may have been sent.
+// A command that the engine has certainly read is dropped.
+func (w *pendingCommand) connectionLost(readBefore int64) {
+	if w.sentAt != 0 && w.sentAt < readBefore {
+		*w = pendingCommand{}
 	}
-	w.written = 0
+	w.sentAt = 0
 }
 
-// again writes what may have been lost, once the replay of notices is in.
-func (l *Link) again(u *run) {
-	for _, w := range []*word{&u.reply, &u.halt} {
-		if w.parts != nil && w.written == 0 {
-			l.tell(w)
+// resendCommands sends the commands that may have been lost, once the replayed notices are in.
+func (l *Link) resendCommands(u *run) {
+	for _, w := range []*pendingCommand{&u.reply, &u.halt} {
+		if w.parts != nil && w.sentAt == 0 {
+			l.sendCommand(w)
 		}
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine speaks with the process that owns the cores. A Link is the
-// state of that conversation; it does no I/O of its own. Bytes that came are
-// given to Feed, bytes to send go out through the function that Attach is given.
+// Package engine implements the protocol of the process that owns the cores. A
+// Link is the state of one conversation; it does no I/O itself. Received bytes
+// are passed to Feed, and bytes to send go out through the function that Attach
+// is given.
 package engine
 
 import (
@@ -13,128 +14,128 @@
 	"kiteslip/internal/core"
 )
 
-// Events takes what the engine tells.
+// Events receives what the engine reports.
 type Events interface {
-	Hello(cold bool, up int64) // the engine's cores came up that many microseconds ago
+	Hello(cold bool, up int64) // the cores came up that many microseconds ago
 	Done(r *core.Request, outcome kiteslip.Outcome, elapsed int64, result []byte)
-	NeedsCall(r *core.Request, notice uint64, body []byte) // it stands at a call
+	NeedsCall(r *core.Request, notice uint64, body []byte) // the run waits for a downstream call
 	Stats(values []float32)
 	Tested(tag string, ok bool)
-	UnexpectedNotice(cause, line string) // what was turned away, or names no run here
+	UnexpectedNotice(cause, line string) // a rejected command, or a notice of an unknown run
 }
 
 const (
-	maxLine   = 4 << 10
-	maxResult = 64 << 10 // a result may hold 4 KiB, and so may a call; more is not believed
+	maxLineBytes    = 4 << 10
+	maxContentBytes = 64 << 10 // results and calls hold 4 KiB at most; larger lengths are rejected
 )
 
-// ErrProtocol says that the engine sent what is not a notice.
-var ErrProtocol = errors.New("engine: not a notice")
+// ErrProtocol says that the engine sent a malformed notice.
+var ErrProtocol = errors.New("engine: malformed notice")
 
-// run is a request that was handed over and has not ended.
+// run is a request that was handed to the engine and has not ended.
 type run struct {
-	r       *core.Request
-	written int64 // when it was last written to a link; 0 = the engine has not seen it
-	lost    bool  // that link is gone, and the engine may or may not have read it
-	crossed bool  // that link is gone
-	heard   bool  // a notice of it came since it was written: it was read
-	resumed bool  // it goes on, and is not begun
-	reply   word  // the last to what it needed
-	halt    word
+	r         *core.Request
+	sentAt    int64          // when it was last sent on a connection; 0 = never
+	uncertain bool           // that connection is lost, and the engine may not have read the command
+	linkLost  bool           // that connection is lost
+	confirmed bool           // a notice of it came since it was sent, so the engine read it
+	resumed   bool           // it is resumed instead of started
+	reply     pendingCommand // the last reply to a call of it
+	halt      pendingCommand
 }
 
 // Link is the state of the conversation with one engine.
 type Link struct {
-	events  Events
-	now     func() int64 // Unix microseconds
-	classes []string
-	safe    []bool                // by class: running twice does no harm
-	send    func(parts ...[]byte) // nil while there is no link
-	ready   bool                  // HELLO and the replayed notices are in
-	last    uint64                // the number of the last notice that was read
-	runs    map[string]*run
-	stat    bool  // a STAT is out
-	statAt  int64 // when it was sent
-	read    int64 // what was written before this has been read: the STAT after it was answered
-	tries   int   // runs that were written, each counted once
+	events      Events
+	now         func() int64 // Unix microseconds
+	classes     []string
+	safe        []bool                // by class: repeatable
+	send        func(parts ...[]byte) // nil while there is no connection
+	ready       bool                  // HELLO and the replayed notices were received
+	lastNotice  uint64                // the number of the last notice that was read
+	runs        map[string]*run
+	statPending bool  // a STAT awaits its answer
+	statSentAt  int64 // when it was sent
+	readUpTo    int64 // commands sent before this were read: a later STAT was answered
+	tries       int   // runs that were sent, each counted once
 }
 
-// fence is the tag of the STAT that follows HELLO: its answer comes after the
+// fenceTag is the tag of the STAT that follows HELLO: its answer comes after the
 // replayed notices.
-const fence = "fence"
+const fenceTag = "fence"
 
-// quickest is the part of the expected work below which no run ends, however
-// fast the cores and however wrong the hint: what was written no longer ago
+// minRunDivisor gives the shortest run as a part of the expected work, whatever
+// the cores' speed and the error of the hint: a run that was sent more recently
 // than that cannot have ended.
-const quickest = 8
+const minRunDivisor = 8
 
-// lossSpan is how long before its break a link may have lost commands, whatever
-// the engine answered in that time.
-const lossSpan = 150_000
+// lossWindowUS is the time before a connection's end in which commands may have
+// been lost, whatever the engine answered.
+const lossWindowUS = 150_000
 
-// giveUp is how long past its due time a run is waited for that the engine has
-// read on a link that is gone.
-const giveUp = 5_000_000
+// confirmedRunGraceUS is how long past its deadline a run is waited for that the
+// engine has certainly read on a lost connection.
+const confirmedRunGraceUS = 5_000_000
 
-// NewLink returns a Link, which is to be told the classes before the first run.
+// NewLink returns a Link. SetClasses must be called before the first run.
 func NewLink(events Events, now func() int64) *Link {
 	return &Link{events: events, now: now, runs: map[string]*run{}}
 }
 
-// SetClasses names the classes, in the order of the settings, and says which are
-// safe to repeat. The place of a class never changes.
+// SetClasses sets the names of the classes, in the order of the settings, and
+// which are repeatable. The slot of a class never changes.
 func (l *Link) SetClasses(names []string, safe []bool) { l.classes, l.safe = names, safe }
 
-// Attach takes a new connection into use, through send. What it sends must be
-// written, in order, before send returns or kept until it can be.
+// Attach starts using a new connection through send. What is passed to send must
+// be written, in order, before it returns, or kept until it can be.
 func (l *Link) Attach(send func(parts ...[]byte)) {
-	l.send, l.ready, l.stat = send, false, false
-	l.send(fmt.Appendf(nil, "ATTACH %d\r\n", l.last))
+	l.send, l.ready, l.statPending = send, false, false
+	l.send(fmt.Appendf(nil, "ATTACH %d\r\n", l.lastNotice))
 }
 
-// ConnectionLost says that the connection is gone. Runs go on meanwhile. Those that the
-// engine has surely read need only be waited for; the others are in doubt.
+// ConnectionLost takes in that the connection is lost. Runs continue meanwhile.
+// Those that the engine has certainly read are waited for; the others are uncertain.
 func (l *Link) ConnectionLost() {
-	l.send, l.ready, l.stat = nil, false, false
-	sure := min(l.read, l.now()-lossSpan)
+	l.send, l.ready, l.statPending = nil, false, false
+	readBefore := min(l.readUpTo, l.now()-lossWindowUS)
 	for _, u := range l.runs {
-		u.crossed = u.written != 0
-		u.lost = u.lost || u.crossed && !u.heard && u.written >= sure
-		u.reply.lose(sure)
-		u.halt.lose(sure)
+		u.linkLost = u.sentAt != 0
+		u.uncertain = u.uncertain || u.linkLost && !u.confirmed && u.sentAt >= readBefore
+		u.reply.connectionLost(readBefore)
+		u.halt.connectionLost(readBefore)
 	}
 }
 
-// Ready says whether the engine answers.
+// Ready reports whether the engine answers.
 func (l *Link) Ready() bool { return l.ready }
 
-// Running is the number of runs without a notice of their end.
+// Running returns the number of runs whose end was not reported.
 func (l *Link) Running() int { return len(l.runs) }
 
-// Tries is the number of runs that were handed to the engine since the start.
+// Tries returns the number of runs that were sent to the engine since the start.
 func (l *Link) Tries() int { return l.tries }
 
-// Run hands a request over, at once or when the link is up.
+// Run sends a request to the engine, at once or when it is connected.
 func (l *Link) Run(r *core.Request) {
 	u := &run{r: r}
 	l.runs[r.TryID] = u
 	if l.ready {
-		l.write(u)
+		l.sendRun(u)
 	}
 }
 
-// Await takes in a run that an earlier process handed over: it may still run, or
-// have ended while nobody listened. It is never written again; where nothing is
-// heard of it until it was due, it has failed.
+// Await takes in a run that an earlier process sent: it may still be in progress,
+// or have ended while no process was connected. It is never sent again; if nothing
+// is reported of it by its deadline, it has failed.
 func (l *Link) Await(r *core.Request) {
-	l.runs[r.TryID] = &run{r: r, written: l.now(), lost: true, crossed: true}
+	l.runs[r.TryID] = &run{r: r, sentAt: l.now(), uncertain: true, linkLost: true}
 }
 
-func (l *Link) write(u *run) {
-	if u.written == 0 && !u.resumed {
+func (l *Link) sendRun(u *run) {
+	if u.sentAt == 0 && !u.resumed {
 		l.tries++
 	}
-	u.written, u.lost, u.crossed, u.heard = l.now(), false, false, false
+	u.sentAt, u.uncertain, u.linkLost, u.confirmed = l.now(), false, false, false
 	if u.resumed {
 		l.send(fmt.Appendf(nil, "RESUME %s\r\n", u.r.TryID))
 		return
@@ -145,16 +146,16 @@
 
 var crlf = []byte("\r\n")
 
-// RequestStats asks for the gauges, unless an answer is still to come.
+// RequestStats requests the gauges, unless an answer is still outstanding.
 func (l *Link) RequestStats() {
-	if l.ready && !l.stat {
-		l.stat, l.statAt = true, l.now()
+	if l.ready && !l.statPending {
+		l.statPending, l.statSentAt = true, l.now()
 		l.send([]byte("STAT g\r\n"))
 	}
 }
 
-// RequestTest asks for the work of a deep health check. It reports false when there
-// is no link to ask on.
+// RequestTest requests the work of a deep health check. It returns false if the
+// engine is not connected.
 func (l *Link) RequestTest(tag string) bool {
 	if !l.ready {
 		return false
@@ -163,12 +164,12 @@
 	return true
 }
 
-// Feed takes in the notices at the start of b and returns how many bytes they
-// took; the rest is to be given again with what follows it.
+// Feed handles the complete notices at the start of b and returns their length;
+// the rest must be passed again with what follows it.
 func (l *Link) Feed(b []byte) (int, error) {
 	used := 0
 	for {
-		n, err := l.notice(b[used:])
+		n, err := l.handleNotice(b[used:])
 		if err != nil || n == 0 {
 			return used, err
 		}
@@ -176,12 +177,13 @@
 	}
 }
 
-// notice takes in the first notice of b; 0 means that more bytes are needed.
-func (l *Link) notice(b []byte) (int, error) {
+// handleNotice handles the first notice of b and returns its length; 0 means that
+// more bytes are needed.
+func (l *Link) handleNotice(b []byte) (int, error) {
 	end := bytes.Index(b, crlf)
 	if end < 0 {
-		if len(b) > maxLine {
-			return 0, fmt.Errorf("%w: a line of over %d bytes", ErrProtocol, maxLine)
+		if len(b) > maxLineBytes {
+			return 0, fmt.Errorf("%w: line longer than %d bytes", ErrProtocol, maxLineBytes)
 		}
 		return 0, nil
 	}
@@ -196,7 +198,7 @@
 		words = append(words, word)
 	}
 	if len(words) == 0 {
-		return 0, fmt.Errorf("%w: an empty line", ErrProtocol)
+		return 0, fmt.Errorf("%w: empty line", ErrProtocol)
 	}
 	bad := func() (int, error) { return 0, fmt.Errorf("%w: %.80q", ErrProtocol, line) }
 	switch string(words[0]) {
@@ -209,7 +211,7 @@
 			return bad()
 		}
 		l.events.Hello(string(words[1]) == "chilly", int64(ms*1000))
-		l.send([]byte("STAT " + fence + "\r\n"))
+		l.send([]byte("STAT " + fenceTag + "\r\n"))
 	case "DONE":
 		if len(words) != 6 {
 			return bad()
@@ -217,16 +219,16 @@
 		number, err1 := strconv.ParseUint(string(words[1]), 10, 64)
 		ms, err2 := strconv.ParseFloat(string(words[4]), 64)
 		outcome, known := outcomes[string(words[3])]
-		result, took, ok := content(b[used:], words[5])
+		result, took, ok := parseContent(b[used:], words[5])
 		if err1 != nil || err2 != nil || !known || !ok {
-			l.spoilt(number, words[2], err1)
+			l.skipMalformed(number, words[2], err1)
 			return bad()
 		}
 		if took == 0 {
 			return 0, nil
 		}
 		used += took
-		if !l.advance(number) {
+		if !l.advanceTo(number) {
 			break
 		}
 		if u := l.runs[string(words[2])]; u != nil {
@@ -240,21 +242,21 @@
 			return bad()
 		}
 		number, err1 := strconv.ParseUint(string(words[1]), 10, 64)
-		body, took, ok := content(b[used:], words[3])
+		body, took, ok := parseContent(b[used:], words[3])
 		if err1 != nil || !ok {
-			l.spoilt(number, words[2], err1)
+			l.skipMalformed(number, words[2], err1)
 			return bad()
 		}
 		if took == 0 {
 			return 0, nil
 		}
 		used += took
-		if !l.advance(number) {
+		if !l.advanceTo(number) {
 			break
 		}
 		if u := l.runs[string(words[2])]; u != nil {
-			u.heard, u.lost = true, false
-			u.reply = word{} // it has gone on since: what was said to it arrived
+			u.confirmed, u.uncertain = true, false
+			u.reply = pendingCommand{} // it has continued since, so earlier replies arrived
 			l.events.NeedsCall(u.r, number, body)
 		} else {
 			l.events.UnexpectedNotice("engine_stray_need", string(line))
@@ -267,7 +269,7 @@
 		if err != nil {
 			return bad()
 		}
-		l.advance(number)
+		l.advanceTo(number)
 	case "STATS":
 		l.stats(words[1:])
 	case "TESTED":
@@ -277,7 +279,7 @@
 		l.events.Tested(string(words[1]), string(words[2]) == "complete")
 	case "NO":
 		l.events.UnexpectedNotice("engine_no", string(line))
-		// A RUN that was not carried out: nothing was started.
+		// A rejected RUN: nothing was started.
 		if len(words) >= 3 && string(words[1]) == "RUN" {
 			if u := l.runs[string(words[2])]; u != nil {
 				delete(l.runs, u.r.TryID)
@@ -294,12 +296,12 @@
 	"complete": kiteslip.OK, "error": kiteslip.Failed, "cancelled": kiteslip.Cancelled, "unknown": kiteslip.NotStarted,
 }
 
-// content reads the length that a line ends with, and takes as many bytes and
-// the CR LF after them, took in all; 0 means that more are needed. ok says that
-// the length can be believed and that all is as it must be.
-func content(b, length []byte) (content []byte, took int, ok bool) {
+// parseContent reads the length at the end of a line, and as many bytes with their
+// CR LF; took is the length of both, and 0 means that more bytes are needed. ok
+// reports whether the length is allowed and the CR LF is in its place.
+func parseContent(b, length []byte) (body []byte, took int, ok bool) {
 	size, err := strconv.Atoi(string(length))
-	if err != nil || size < 0 || size > maxResult {
+	if err != nil || size < 0 || size > maxContentBytes {
 		return nil, 0, false
 	}
 	took = size + len(crlf)
@@ -309,27 +311,27 @@
 	return append([]byte(nil), b[:size]...), took, bytes.Equal(b[size:took], crlf)
 }
 
-// spoilt takes in a notice that cannot be read but for its number. The link ends
-// with it, and the next one asks for what follows: the same notice would end that
-// one too, and so on without end. Its run has failed: how it ended is not known.
-// Only the very next number is believed.
-func (l *Link) spoilt(number uint64, id []byte, err error) {
-	if err != nil || number != l.last+1 {
+// skipMalformed handles a malformed notice whose number is legible. The connection
+// ends with it. Without advancing past the notice, the engine would replay it on
+// every later connection and end each of them. The run has failed with an unknown
+// outcome. The number is trusted only if it is the next one.
+func (l *Link) skipMalformed(number uint64, id []byte, err error) {
+	if err != nil || number != l.lastNotice+1 {
 		return
 	}
-	l.last = number
+	l.lastNotice = number
 	if u := l.runs[string(id)]; u != nil {
 		delete(l.runs, u.r.TryID)
-		l.events.Done(u.r, kiteslip.Failed, max(0, l.now()-u.written), nil)
+		l.events.Done(u.r, kiteslip.Failed, max(0, l.now()-u.sentAt), nil)
 	}
 }
 
-// advance notes the number of a notice; false means that it was read before.
-func (l *Link) advance(number uint64) bool {
-	if number <= l.last {
+// advanceTo records the number of a notice and returns false if it was read before.
+func (l *Link) advanceTo(number uint64) bool {
+	if number <= l.lastNotice {
 		return false
 	}
-	l.last = number
+	l.lastNotice = number
 	return true
 }
 
@@ -345,62 +347,61 @@
 		}
 		values = append(values, float32(v))
 	}
-	if l.stat {
-		l.stat, l.read = false, l.statAt
+	if l.statPending {
+		l.statPending, l.readUpTo = false, l.statSentAt
 	}
 	l.events.Stats(values)
-	if string(words[0]) == fence && !l.ready {
-		l.open()
+	if string(words[0]) == fenceTag && !l.ready {
+		l.finishAttach()
 	}
 }
 
-// open ends the attachment: all notices of the time without a link are in, so
-// what is still in the book either runs or was never read. Writing it again
-// does nothing if it runs, but would start it anew if it ended a moment ago.
-// Guards against a second run of a key: unless it is safe to repeat, it is
-// written again only while it is too young to have ended.
-func (l *Link) open() {
+// finishAttach completes an attachment: all notices from the time without a
+// connection are in, so every run left is either in progress or was never read.
+// Sending RUN again does nothing if it is in progress, but would start it again if
+// it ended a moment ago. To prevent a second run of a key, an uncertain run that
+// is not repeatable is sent again only while it is too recent to have ended.
+func (l *Link) finishAttach() {
 	l.ready = true
-	t := l.now()
+	now := l.now()
 	for _, u := range l.runs {
-		if u.written == 0 && !u.resumed && u.r.Deadline != 0 && t > u.r.Deadline {
-			l.unwritten(u)
+		if u.sentAt == 0 && !u.resumed && u.r.Deadline != 0 && now > u.r.Deadline {
+			l.endUnsent(u)
 			continue
 		}
-		young := t-u.written < u.r.ExpectedWork/quickest
-		if u.written == 0 || u.lost && (young || u.resumed || l.safe[u.r.Class]) {
-			l.write(u)
+		tooRecentToEnd := now-u.sentAt < u.r.ExpectedWork/minRunDivisor
+		if u.sentAt == 0 || u.uncertain && (tooRecentToEnd || u.resumed || l.safe[u.r.Class]) {
+			l.sendRun(u)
 		}
-		l.again(u)
+		l.resendCommands(u)
 	}
 }
 
-// unwritten ends a run that is due and was never written to a link: it has not
-// begun, and nobody waits for it any more.
-func (l *Link) unwritten(u *run) {
+// endUnsent ends a run whose deadline has passed before it was ever sent: it has
+// not started, and no caller waits for it.
+func (l *Link) endUnsent(u *run) {
 	delete(l.runs, u.r.TryID)
 	l.events.Done(u.r, kiteslip.NotStarted, 0, nil)
 }
 
-// Expire ends, as failed, runs in doubt of which nothing was heard until they
-// were due: most likely they were lost with their link. Guards the places in
-// the module's limit, which few such runs would fill for many times as long as
-// any run takes. Should one go on after all, its late notice is passed over.
-// Those that were surely read are waited for longer.
+// Expire fails uncertain runs of which nothing was reported by their deadline:
+// most likely they were lost with their connection. They would otherwise occupy
+// the policy's running slots for many times the length of a run. A late notice of
+// one is ignored. Runs that were certainly read are waited for longer.
 func (l *Link) Expire() {
-	t := l.now()
+	now := l.now()
 	for name, u := range l.runs {
-		if u.written == 0 && !u.resumed && u.r.Deadline != 0 && t > u.r.Deadline {
-			l.unwritten(u)
+		if u.sentAt == 0 && !u.resumed && u.r.Deadline != 0 && now > u.r.Deadline {
+			l.endUnsent(u)
 			continue
 		}
 		until := u.r.Deadline
-		if !u.lost {
-			until += giveUp
+		if !u.uncertain {
+			until += confirmedRunGraceUS
 		}
-		if u.crossed && l.ready && t > until {
+		if u.linkLost && l.ready && now > until {
 			delete(l.runs, name)
-			l.events.Done(u.r, kiteslip.Failed, t-u.written, nil)
+			l.events.Done(u.r, kiteslip.Failed, now-u.sentAt, nil)
 		}
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -12,451 +12,451 @@
 	"kiteslip/internal/core"
 )
 
-// peer is a model of the engine's side and of what the server must see.
-type peer struct {
-	t       interface{ Fatalf(string, ...any) }
-	link    *Link
-	now     int64
-	up      bool
-	unread  []string        // commands under way to the engine
-	pending []byte          // bytes under way to the server
-	notices []string        // all so far
-	live    map[string]bool // runs under way
-	started map[string]int
-	ended   map[string]bool // Done was called
-	sent    []*core.Request
-	stands  map[string]int  // at a call, by the number of its notice
-	needed  map[string]bool // it has called once
-	fed     map[string]int  // replies that the engine took
-	asked   []*core.Request // calls whose reply is still to be given
-	paused  map[string]bool
-	strays  []string
-	spoilt  int // notices that cannot be read, each of which ends one link
+// fakeEngine is a model of the engine that checks what the Link reports.
+type fakeEngine struct {
+	t             interface{ Fatalf(string, ...any) }
+	link          *Link
+	now           int64
+	up            bool
+	commands      []string        // commands in transit to the engine
+	toServer      []byte          // bytes in transit to the server
+	notices       []string        // all so far
+	running       map[string]bool // runs in progress
+	started       map[string]int
+	ended         map[string]bool // Done was called
+	sent          []*core.Request
+	pendingCalls  map[string]int  // runs that wait for a call, with the number of the notice
+	called        map[string]bool // runs that have made a call
+	continued     map[string]int  // replies and skips that the engine accepted
+	awaitingReply []*core.Request // runs whose call awaits a reply
+	paused        map[string]bool
+	unexpected    []string
+	malformed     int // malformed notices sent, each of which ends one connection
 }
 
-func (p *peer) Hello(bool, int64)   {}
-func (p *peer) Stats([]float32)     {}
-func (p *peer) Tested(string, bool) {}
-func (p *peer) Done(r *core.Request, outcome kiteslip.Outcome, _ int64, result []byte) {
-	if p.ended[r.TryID] {
-		p.t.Fatalf("%s ends twice", r.TryID)
+func (e *fakeEngine) Hello(bool, int64)   {}
+func (e *fakeEngine) Stats([]float32)     {}
+func (e *fakeEngine) Tested(string, bool) {}
+func (e *fakeEngine) Done(r *core.Request, outcome kiteslip.Outcome, _ int64, result []byte) {
+	if e.ended[r.TryID] {
+		e.t.Fatalf("%s ends twice", r.TryID)
 	}
-	p.ended[r.TryID] = true
+	e.ended[r.TryID] = true
 	if outcome == kiteslip.OK && string(result) != "r\r\n"+r.TryID {
-		p.t.Fatalf("%s ends with %q", r.TryID, result)
+		e.t.Fatalf("%s ends with the result %q", r.TryID, result)
 	}
 }
 
-func (p *peer) UnexpectedNotice(cause, _ string) { p.strays = append(p.strays, cause) }
+func (e *fakeEngine) UnexpectedNotice(cause, _ string) { e.unexpected = append(e.unexpected, cause) }
 
-func (p *peer) NeedsCall(r *core.Request, _ uint64, body []byte) {
+func (e *fakeEngine) NeedsCall(r *core.Request, _ uint64, body []byte) {
 	if string(body) != "need\r\nof "+r.TryID {
-		p.t.Fatalf("%s needs %q", r.TryID, body)
+		e.t.Fatalf("%s calls with body %q", r.TryID, body)
 	}
-	p.asked = append(p.asked, r)
+	e.awaitingReply = append(e.awaitingReply, r)
 }
 
-// need lets a run stand at a call.
-func (p *peer) need(id string) {
-	p.stands[id], p.needed[id] = len(p.notices)+1, true
-	p.notices = append(p.notices, fmt.Sprintf("NEED %d %s %d\r\nneed\r\nof %s\r\n", len(p.notices)+1, id, 9+len(id), id))
-	p.tell(p.notices[len(p.notices)-1])
+// needCall makes a run wait for a downstream call.
+func (e *fakeEngine) needCall(id string) {
+	e.pendingCalls[id], e.called[id] = len(e.notices)+1, true
+	e.notices = append(e.notices, fmt.Sprintf("NEED %d %s %d\r\nneed\r\nof %s\r\n", len(e.notices)+1, id, 9+len(id), id))
+	e.notify(e.notices[len(e.notices)-1])
 }
 
-// reply gives the reply to the call that was asked for first.
-func (p *peer) reply(skip bool) {
-	r := p.asked[0]
-	p.asked = p.asked[1:]
+// reply answers or skips the oldest open call.
+func (e *fakeEngine) reply(skip bool) {
+	r := e.awaitingReply[0]
+	e.awaitingReply = e.awaitingReply[1:]
 	if skip {
-		p.link.Skip(r, uint64(p.stands[r.TryID]))
+		e.link.Skip(r, uint64(e.pendingCalls[r.TryID]))
 	} else {
-		p.link.Reply(r, []byte("re\r\n"+r.TryID))
+		e.link.Reply(r, []byte("re\r\n"+r.TryID))
 	}
 }
 
-func (p *peer) send(parts ...[]byte) {
+func (e *fakeEngine) send(parts ...[]byte) {
 	var b strings.Builder
 	for _, part := range parts {
 		b.Write(part)
 	}
-	p.unread = append(p.unread, b.String())
+	e.commands = append(e.commands, b.String())
 }
 
-// tell sends a notice over the link, if there is one.
-func (p *peer) tell(s string) {
-	if p.up {
-		p.pending = append(p.pending, s...)
+// notify sends a notice if the server is connected.
+func (e *fakeEngine) notify(s string) {
+	if e.up {
+		e.toServer = append(e.toServer, s...)
 	}
 }
 
-// read lets the engine take its next command.
-func (p *peer) read() {
-	command := p.unread[0]
-	p.unread = p.unread[1:]
+// readCommand lets the engine process its next command.
+func (e *fakeEngine) readCommand() {
+	command := e.commands[0]
+	e.commands = e.commands[1:]
 	words := strings.Fields(command)
 	switch words[0] {
 	case "ATTACH":
 		n := 0
 		fmt.Sscan(words[1], &n) //nolint:errcheck // 0 then
-		p.tell("HELLO hot 10\r\n")
-		for _, notice := range p.notices[n:] {
-			p.tell(notice)
+		e.notify("HELLO hot 10\r\n")
+		for _, notice := range e.notices[n:] {
+			e.notify(notice)
 		}
 	case "STAT":
-		p.tell("STATS " + words[1] + " 0.5 1 0 0\r\n")
+		e.notify("STATS " + words[1] + " 0.5 1 0 0\r\n")
 	case "RUN":
 		if !strings.HasSuffix(command, " 4\r\nbody\r\n") {
-			p.t.Fatalf("command %q", command)
+			e.t.Fatalf("command %q", command)
 		}
-		if id := words[1]; !p.live[id] {
-			p.live[id] = true
-			p.started[id]++
+		if id := words[1]; !e.running[id] {
+			e.running[id] = true
+			e.started[id]++
 		}
 	case "FEED":
-		if id := words[1]; p.stands[id] != 0 {
+		if id := words[1]; e.pendingCalls[id] != 0 {
 			if command != fmt.Sprintf("FEED %s %d\r\nre\r\n%s\r\n", id, 4+len(id), id) {
-				p.t.Fatalf("command %q", command)
+				e.t.Fatalf("command %q", command)
 			}
-			delete(p.stands, id)
-			p.fed[id]++
+			delete(e.pendingCalls, id)
+			e.continued[id]++
 		}
 	case "SKIP":
-		if id := words[1]; fmt.Sprint(p.stands[id]) == words[2] {
-			delete(p.stands, id)
-			p.fed[id]++
+		if id := words[1]; fmt.Sprint(e.pendingCalls[id]) == words[2] {
+			delete(e.pendingCalls, id)
+			e.continued[id]++
 		}
 	case "HALT":
-		if id := words[1]; p.live[id] && p.stands[id] == 0 && !p.paused[id] {
-			p.paused[id] = true
-			p.notices = append(p.notices, fmt.Sprintf("DONE %d %s cancelled 5 0\r\n\r\n", len(p.notices)+1, id))
-			p.tell(p.notices[len(p.notices)-1])
+		if id := words[1]; e.running[id] && e.pendingCalls[id] == 0 && !e.paused[id] {
+			e.paused[id] = true
+			e.notices = append(e.notices, fmt.Sprintf("DONE %d %s cancelled 5 0\r\n\r\n", len(e.notices)+1, id))
+			e.notify(e.notices[len(e.notices)-1])
 		}
 	case "RESUME":
-		delete(p.paused, words[1])
+		delete(e.paused, words[1])
 	}
 }
 
-func (p *peer) deliver(n int) {
-	used, err := p.link.Feed(p.pending[:n])
+func (e *fakeEngine) deliver(n int) {
+	used, err := e.link.Feed(e.toServer[:n])
 	switch {
-	case err != nil && p.spoilt == 0:
-		p.t.Fatalf("%v", err)
-	case err != nil: // the server ends a link that brings what cannot be read
-		p.spoilt--
-		p.cut()
+	case err != nil && e.malformed == 0:
+		e.t.Fatalf("%v", err)
+	case err != nil: // the server closes a connection that sends malformed notices
+		e.malformed--
+		e.disconnect()
 	default:
-		p.pending = p.pending[used:]
+		e.toServer = e.toServer[used:]
 	}
 }
 
-// cut ends the link, with all that is under way on it.
-func (p *peer) cut() {
-	p.up, p.unread, p.pending = false, nil, nil
-	p.link.ConnectionLost()
+// disconnect ends the connection and loses everything in transit on it.
+func (e *fakeEngine) disconnect() {
+	e.up, e.commands, e.toServer = false, nil, nil
+	e.link.ConnectionLost()
 }
 
-// spoil ends a run with a notice that cannot be read but for its number.
-func (p *peer) spoil(id string) {
-	delete(p.live, id)
-	p.spoilt++
-	p.notices = append(p.notices, fmt.Sprintf("DONE %d %s complete 12.5 99999999\r\n", len(p.notices)+1, id))
-	p.tell(p.notices[len(p.notices)-1])
+// sendMalformed ends a run with a notice of which only the number is legible.
+func (e *fakeEngine) sendMalformed(id string) {
+	delete(e.running, id)
+	e.malformed++
+	e.notices = append(e.notices, fmt.Sprintf("DONE %d %s complete 12.5 99999999\r\n", len(e.notices)+1, id))
+	e.notify(e.notices[len(e.notices)-1])
 }
 
-func (p *peer) attach() {
-	p.up = true
-	p.link.Attach(p.send)
+func (e *fakeEngine) attach() {
+	e.up = true
+	e.link.Attach(e.send)
 }
 
-// settle brings all under way to its end, with the link up.
-func (p *peer) settle() {
-	for n := 0; !p.up || len(p.unread) > 0 || len(p.pending) > 0 || len(p.live) > len(p.paused) || len(p.asked) > 0; n++ {
+// runToEnd completes everything in progress, with the connection up.
+func (e *fakeEngine) runToEnd() {
+	for n := 0; !e.up || len(e.commands) > 0 || len(e.toServer) > 0 || len(e.running) > len(e.paused) || len(e.awaitingReply) > 0; n++ {
 		if n > 10_000 {
-			p.t.Fatalf("it does not settle: runs %v, at calls %v", p.live, p.stands)
+			e.t.Fatalf("runs do not end: running %v, pending calls %v", e.running, e.pendingCalls)
 		}
-		if !p.up {
-			p.attach()
+		if !e.up {
+			e.attach()
 		}
-		for len(p.unread) > 0 {
-			p.read()
+		for len(e.commands) > 0 {
+			e.readCommand()
 		}
-		p.deliver(len(p.pending))
-		for len(p.asked) > 0 {
-			p.reply(false)
+		e.deliver(len(e.toServer))
+		for len(e.awaitingReply) > 0 {
+			e.reply(false)
 		}
-		for id := range p.live {
-			if p.stands[id] == 0 && !p.paused[id] {
-				p.end(id)
+		for id := range e.running {
+			if e.pendingCalls[id] == 0 && !e.paused[id] {
+				e.end(id)
 			}
 		}
 	}
 }
 
-func (p *peer) end(id string) {
-	delete(p.live, id)
-	p.notices = append(p.notices, fmt.Sprintf("DONE %d %s complete 12.5 %d\r\nr\r\n%s\r\n", len(p.notices)+1, id, 3+len(id), id))
-	p.tell(p.notices[len(p.notices)-1])
+func (e *fakeEngine) end(id string) {
+	delete(e.running, id)
+	e.notices = append(e.notices, fmt.Sprintf("DONE %d %s complete 12.5 %d\r\nr\r\n%s\r\n", len(e.notices)+1, id, 3+len(id), id))
+	e.notify(e.notices[len(e.notices)-1])
 }
 
-func newPeer(t interface{ Fatalf(string, ...any) }) *peer {
-	p := &peer{t: t, now: 1, live: map[string]bool{}, started: map[string]int{}, ended: map[string]bool{},
-		stands: map[string]int{}, needed: map[string]bool{}, fed: map[string]int{}, paused: map[string]bool{}}
-	p.link = NewLink(p, func() int64 { return p.now })
-	p.link.SetClasses([]string{"safe", "keyed"}, []bool{true, false})
-	return p
+func newFakeEngine(t interface{ Fatalf(string, ...any) }) *fakeEngine {
+	e := &fakeEngine{t: t, now: 1, running: map[string]bool{}, started: map[string]int{}, ended: map[string]bool{},
+		pendingCalls: map[string]int{}, called: map[string]bool{}, continued: map[string]int{}, paused: map[string]bool{}}
+	e.link = NewLink(e, func() int64 { return e.now })
+	e.link.SetClasses([]string{"safe", "keyed"}, []bool{true, false})
+	return e
 }
 
-const shortest = 50_000 // no run of the model ends before this
+const minRunUS = 50_000 // no run of the model is shorter
 
 func TestLinkAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPeer(t)
+		e := newFakeEngine(t)
 		began := map[string]int64{}
 		t.Repeat(map[string]func(*rapid.T){
 			"run": func(t *rapid.T) {
-				r := &core.Request{TryID: fmt.Sprint("id", len(p.sent)), Class: rapid.IntRange(0, 1).Draw(t, "class"),
-					Body: []byte("body"), ExpectedWork: shortest * quickest, Deadline: p.now + 1_000_000}
-				p.sent = append(p.sent, r)
-				p.link.Run(r)
+				r := &core.Request{TryID: fmt.Sprint("id", len(e.sent)), Class: rapid.IntRange(0, 1).Draw(t, "class"),
+					Body: []byte("body"), ExpectedWork: minRunUS * minRunDivisor, Deadline: e.now + 1_000_000}
+				e.sent = append(e.sent, r)
+				e.link.Run(r)
 			},
 			"read": func(t *rapid.T) {
-				if len(p.unread) > 0 {
-					p.read()
+				if len(e.commands) > 0 {
+					e.readCommand()
 				}
-				for id := range p.live {
+				for id := range e.running {
 					if began[id] == 0 {
-						began[id] = p.now
+						began[id] = e.now
 					}
 				}
 			},
 			"end": func(t *rapid.T) {
-				for _, r := range p.sent {
-					if p.live[r.TryID] && p.stands[r.TryID] == 0 && p.now-began[r.TryID] >= shortest {
-						p.end(r.TryID)
+				for _, r := range e.sent {
+					if e.running[r.TryID] && e.pendingCalls[r.TryID] == 0 && e.now-began[r.TryID] >= minRunUS {
+						e.end(r.TryID)
 						return
 					}
 				}
 			},
 			"spoil": func(t *rapid.T) {
-				for _, r := range p.sent {
-					if p.live[r.TryID] && p.stands[r.TryID] == 0 && p.now-began[r.TryID] >= shortest {
-						p.spoil(r.TryID)
+				for _, r := range e.sent {
+					if e.running[r.TryID] && e.pendingCalls[r.TryID] == 0 && e.now-began[r.TryID] >= minRunUS {
+						e.sendMalformed(r.TryID)
 						return
 					}
 				}
 			},
 			"need": func(t *rapid.T) {
-				for _, r := range p.sent {
-					if p.live[r.TryID] && !p.needed[r.TryID] {
-						p.need(r.TryID)
+				for _, r := range e.sent {
+					if e.running[r.TryID] && !e.called[r.TryID] {
+						e.needCall(r.TryID)
 						return
 					}
 				}
 			},
 			"reply": func(t *rapid.T) {
-				if len(p.asked) > 0 {
-					p.reply(rapid.Bool().Draw(t, "skip"))
+				if len(e.awaitingReply) > 0 {
+					e.reply(rapid.Bool().Draw(t, "skip"))
 				}
 			},
-			"deliver": func(t *rapid.T) { p.deliver(rapid.IntRange(0, len(p.pending)).Draw(t, "bytes")) },
-			"pass":    func(t *rapid.T) { p.now += rapid.Int64Range(1, 60_000).Draw(t, "span") },
+			"deliver": func(t *rapid.T) { e.deliver(rapid.IntRange(0, len(e.toServer)).Draw(t, "bytes")) },
+			"pass":    func(t *rapid.T) { e.now += rapid.Int64Range(1, 60_000).Draw(t, "span") },
 			"cut": func(t *rapid.T) {
-				if p.up {
-					p.cut()
+				if e.up {
+					e.disconnect()
 				}
 			},
 			"attach": func(t *rapid.T) {
-				if !p.up {
-					p.attach()
+				if !e.up {
+					e.attach()
 				}
 			},
 		})
-		p.settle()
-		p.now += 100_000_000
-		p.link.Expire()
-		if p.spoilt != 0 {
-			t.Fatalf("%d spoilt notices ended no link, or more than one", p.spoilt)
+		e.runToEnd()
+		e.now += 100_000_000
+		e.link.Expire()
+		if e.malformed != 0 {
+			t.Fatalf("the number of connections ended by malformed notices is off by %d", e.malformed)
 		}
-		for _, r := range p.sent {
-			if r.Class == 1 && p.started[r.TryID] > 1 {
-				t.Fatalf("keyed %s is started %d times", r.TryID, p.started[r.TryID])
+		for _, r := range e.sent {
+			if r.Class == 1 && e.started[r.TryID] > 1 {
+				t.Fatalf("keyed %s is started %d times", r.TryID, e.started[r.TryID])
 			}
-			if !p.ended[r.TryID] {
+			if !e.ended[r.TryID] {
 				t.Fatalf("%s never ends", r.TryID)
 			}
-			if p.needed[r.TryID] && p.started[r.TryID] == 1 && p.fed[r.TryID] != 1 {
-				t.Fatalf("%s goes on %d times from its call", r.TryID, p.fed[r.TryID])
+			if e.called[r.TryID] && e.started[r.TryID] == 1 && e.continued[r.TryID] != 1 {
+				t.Fatalf("%s continued %d times after its call", r.TryID, e.continued[r.TryID])
 			}
 		}
-		if p.link.Running() != 0 {
-			t.Fatalf("%d runs are left", p.link.Running())
+		if e.link.Running() != 0 {
+			t.Fatalf("%d runs are still listed", e.link.Running())
 		}
 	})
 }
 
-// The narrow case: a keyed run ends just after the engine has answered the
-// fence, so that its notice is still under way when the server decides.
-func TestKeyedRunIsNotRepeated(t *testing.T) {
+// A keyed run ends just after the engine has answered the fence, so that its
+// notice is still in transit when the server decides whether to send RUN again.
+func TestKeyedRunNotRestarted(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		read  bool  // the engine had read the command
 		age   int64 // of the run when the server decides
 		again bool
-	}{{"read long ago", true, shortest, false}, {"never read, long ago", false, shortest, false}, {"never read, just now", false, shortest - 2, true}} {
-		p := newPeer(t)
-		p.attach()
-		p.settle()
-		r := &core.Request{TryID: "k", Class: 1, Body: []byte("body"), ExpectedWork: shortest * quickest, Deadline: 1_000_000}
-		p.link.Run(r)
+	}{{"read long ago", true, minRunUS, false}, {"never read, long ago", false, minRunUS, false}, {"never read, just now", false, minRunUS - 2, true}} {
+		e := newFakeEngine(t)
+		e.attach()
+		e.runToEnd()
+		r := &core.Request{TryID: "k", Class: 1, Body: []byte("body"), ExpectedWork: minRunUS * minRunDivisor, Deadline: 1_000_000}
+		e.link.Run(r)
 		if c.read {
-			p.read()
+			e.readCommand()
 		}
-		p.up, p.unread = false, nil
-		p.link.ConnectionLost()
-		p.attach()
-		p.read()
-		p.deliver(len(p.pending))
-		p.read() // the fence
-		p.now += c.age
-		answer := len(p.pending)
+		e.up, e.commands = false, nil
+		e.link.ConnectionLost()
+		e.attach()
+		e.readCommand()
+		e.deliver(len(e.toServer))
+		e.readCommand() // the fence's STAT
+		e.now += c.age
+		answer := len(e.toServer)
 		if c.read {
-			p.end("k")
+			e.end("k")
 		}
-		p.deliver(answer)
-		if again := len(p.unread) > 0; again != c.again {
-			t.Errorf("%s: written again: %v", c.name, again)
+		e.deliver(answer)
+		if again := len(e.commands) > 0; again != c.again {
+			t.Errorf("%s: sent again: %v", c.name, again)
 		}
-		p.settle()
-		p.now += 100_000_000
-		p.link.Expire()
-		if p.started["k"] > 1 || !p.ended["k"] {
-			t.Errorf("%s: started %d times, ended %v", c.name, p.started["k"], p.ended["k"])
+		e.runToEnd()
+		e.now += 100_000_000
+		e.link.Expire()
+		if e.started["k"] > 1 || !e.ended["k"] {
+			t.Errorf("%s: started %d times, ended %v", c.name, e.started["k"], e.ended["k"])
 		}
 	}
 }
 
-// A run that the engine has read long before its link broke is waited for even
-// past its due time; one that may be lost gives its place back when it is due.
-func TestDoubtEnds(t *testing.T) {
-	for _, sure := range []bool{true, false} {
-		p := newPeer(t)
-		p.attach()
-		p.settle()
+// A run that the engine read well before the connection was lost is waited for
+// past its deadline; an uncertain one frees its running slot at its deadline.
+func TestUncertainRunExpires(t *testing.T) {
+	for _, confirmed := range []bool{true, false} {
+		e := newFakeEngine(t)
+		e.attach()
+		e.runToEnd()
 		r := &core.Request{TryID: "k", Class: 1, Body: []byte("body"), ExpectedWork: 1000, Deadline: 1_000_000}
-		p.link.Run(r)
-		p.read()
-		if sure {
-			p.now += 1000
-			p.link.RequestStats()
-			p.read()
-			p.deliver(len(p.pending))
-			p.now += 2 * lossSpan
+		e.link.Run(r)
+		e.readCommand()
+		if confirmed {
+			e.now += 1000
+			e.link.RequestStats()
+			e.readCommand()
+			e.deliver(len(e.toServer))
+			e.now += 2 * lossWindowUS
 		}
-		p.up, p.unread = false, nil
-		p.link.ConnectionLost()
-		p.attach()
-		p.now += 10_000
-		p.read()
-		p.deliver(len(p.pending))
-		p.read()
-		p.deliver(len(p.pending))
-		p.now = r.Deadline + 1
-		p.link.Expire()
-		if p.ended["k"] == sure {
-			t.Errorf("read for sure %v: given up %v", sure, p.ended["k"])
+		e.up, e.commands = false, nil
+		e.link.ConnectionLost()
+		e.attach()
+		e.now += 10_000
+		e.readCommand()
+		e.deliver(len(e.toServer))
+		e.readCommand()
+		e.deliver(len(e.toServer))
+		e.now = r.Deadline + 1
+		e.link.Expire()
+		if e.ended["k"] == confirmed {
+			t.Errorf("confirmed %v: expired %v", confirmed, e.ended["k"])
 		}
-		p.settle()
-		if p.started["k"] != 1 || !p.ended["k"] {
-			t.Errorf("read for sure %v: started %d times, ended %v", sure, p.started["k"], p.ended["k"])
+		e.runToEnd()
+		if e.started["k"] != 1 || !e.ended["k"] {
+			t.Errorf("confirmed %v: started %d times, ended %v", confirmed, e.started["k"], e.ended["k"])
 		}
 	}
 }
 
-// A link that breaks between a call and its reply, or between a stop and what
-// follows it: what may have been lost is said again, what surely arrived is not.
-func TestLinkLostAtACall(t *testing.T) {
+// The connection is lost between a call and its reply, or after a halt: commands
+// that may have been lost are sent again, those that certainly arrived are not.
+func TestConnectionLostAtCall(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		say   func(p *peer, r *core.Request)
+		say   func(e *fakeEngine, r *core.Request)
 		kind  string
 		read  bool // the engine had read it
-		sure  bool // ... and has shown so
+		sure  bool // ... and has answered a later STAT
 		again bool
 	}{
-		{"reply lost", func(p *peer, _ *core.Request) { p.reply(false) }, "FEED", false, false, true},
-		{"reply read, not known", func(p *peer, _ *core.Request) { p.reply(false) }, "FEED", true, false, true},
-		{"reply read for sure", func(p *peer, _ *core.Request) { p.reply(false) }, "FEED", true, true, false},
-		{"skip lost", func(p *peer, _ *core.Request) { p.reply(true) }, "SKIP", false, false, true},
-		{"halt lost", func(p *peer, r *core.Request) { p.link.Halt(r) }, "HALT", false, false, true},
-		{"halt read for sure", func(p *peer, r *core.Request) { p.link.Halt(r) }, "HALT", true, true, false},
+		{"reply lost", func(e *fakeEngine, _ *core.Request) { e.reply(false) }, "FEED", false, false, true},
+		{"reply read, not known", func(e *fakeEngine, _ *core.Request) { e.reply(false) }, "FEED", true, false, true},
+		{"reply read for sure", func(e *fakeEngine, _ *core.Request) { e.reply(false) }, "FEED", true, true, false},
+		{"skip lost", func(e *fakeEngine, _ *core.Request) { e.reply(true) }, "SKIP", false, false, true},
+		{"halt lost", func(e *fakeEngine, r *core.Request) { e.link.Halt(r) }, "HALT", false, false, true},
+		{"halt read for sure", func(e *fakeEngine, r *core.Request) { e.link.Halt(r) }, "HALT", true, true, false},
 	} {
-		p := newPeer(t)
-		p.attach()
-		p.settle()
+		e := newFakeEngine(t)
+		e.attach()
+		e.runToEnd()
 		r := &core.Request{TryID: "k", Class: 1, Body: []byte("body"), Deadline: 10_000_000}
-		p.link.Run(r)
-		p.read()
+		e.link.Run(r)
+		e.readCommand()
 		if c.kind != "HALT" {
-			p.need("k")
-			p.deliver(len(p.pending))
+			e.needCall("k")
+			e.deliver(len(e.toServer))
 		}
-		p.now += 2 * lossSpan
-		c.say(p, r)
+		e.now += 2 * lossWindowUS
+		c.say(e, r)
 		if c.read {
-			p.read()
+			e.readCommand()
 		}
 		if c.sure {
-			p.now++
-			p.link.RequestStats()
-			p.read()
-			p.deliver(len(p.pending))
-			p.now += 2 * lossSpan
+			e.now++
+			e.link.RequestStats()
+			e.readCommand()
+			e.deliver(len(e.toServer))
+			e.now += 2 * lossWindowUS
 		}
-		p.up, p.unread, p.pending = false, nil, nil
-		p.link.ConnectionLost()
-		p.attach()
-		for len(p.unread) > 0 && strings.HasPrefix(p.unread[0], "ATTACH") || len(p.unread) > 0 && strings.HasPrefix(p.unread[0], "STAT") {
-			p.read()
-			p.deliver(len(p.pending))
+		e.up, e.commands, e.toServer = false, nil, nil
+		e.link.ConnectionLost()
+		e.attach()
+		for len(e.commands) > 0 && strings.HasPrefix(e.commands[0], "ATTACH") || len(e.commands) > 0 && strings.HasPrefix(e.commands[0], "STAT") {
+			e.readCommand()
+			e.deliver(len(e.toServer))
 		}
-		again := len(p.unread) > 0 && strings.HasPrefix(p.unread[0], c.kind)
+		again := len(e.commands) > 0 && strings.HasPrefix(e.commands[0], c.kind)
 		if again != c.again {
-			t.Errorf("%s: said again %v, want %v (%q)", c.name, again, c.again, p.unread)
+			t.Errorf("%s: sent again %v, want %v (%q)", c.name, again, c.again, e.commands)
 		}
 		if c.kind != "HALT" {
-			if p.settle(); p.fed["k"] != 1 || p.started["k"] != 1 || !p.ended["k"] {
-				t.Errorf("%s: went on %d times, started %d, ended %v", c.name, p.fed["k"], p.started["k"], p.ended["k"])
+			if e.runToEnd(); e.continued["k"] != 1 || e.started["k"] != 1 || !e.ended["k"] {
+				t.Errorf("%s: continued %d times, started %d, ended %v", c.name, e.continued["k"], e.started["k"], e.ended["k"])
 			}
 		}
 	}
 }
 
-// What goes on after a stop is not begun: RESUME is said, also again where it may be lost.
-func TestResumed(t *testing.T) {
-	p := newPeer(t)
-	p.attach()
-	p.settle()
+// A halted run continues with RESUME, not RUN, also where the first RESUME may be lost.
+func TestResumedRunNotRestarted(t *testing.T) {
+	e := newFakeEngine(t)
+	e.attach()
+	e.runToEnd()
 	r := &core.Request{TryID: "k", Class: 0, Body: []byte("body"), Deadline: 10_000_000}
-	p.link.Run(r)
-	p.read()
-	p.link.Halt(r)
-	p.read()
-	p.deliver(len(p.pending))
-	delete(p.ended, "k") // it was stopped, not over
-	p.link.Resume(r)
-	p.up, p.unread = false, nil
-	p.link.ConnectionLost()
-	p.settle()
-	if p.started["k"] != 1 || !p.ended["k"] || len(p.paused) != 0 {
-		t.Errorf("started %d times, ended %v, paused %v", p.started["k"], p.ended["k"], p.paused)
+	e.link.Run(r)
+	e.readCommand()
+	e.link.Halt(r)
+	e.readCommand()
+	e.deliver(len(e.toServer))
+	delete(e.ended, "k") // it was halted, not ended
+	e.link.Resume(r)
+	e.up, e.commands = false, nil
+	e.link.ConnectionLost()
+	e.runToEnd()
+	if e.started["k"] != 1 || !e.ended["k"] || len(e.paused) != 0 {
+		t.Errorf("started %d times, ended %v, paused %v", e.started["k"], e.ended["k"], e.paused)
 	}
 }
 
-func TestBadNotices(t *testing.T) {
+func TestMalformedNotices(t *testing.T) {
 	for _, text := range []string{"\r\n", "WHAT\r\n", "DONE 1 x complete 1\r\n", "DONE 1 x complete 1 -1\r\n\r\n",
 		"DONE 1 x complete 1 99999999\r\n", "DONE 1 x gone 1 0\r\n\r\n", "DONE 1 x complete 1 1\r\nabc", "HELLO hot\r\n",
 		"NOTE x y\r\n", "TESTED t\r\n", "NEED 1 x\r\n", "NEED 1 x -1\r\n\r\n", "NEED 1 x 99999999\r\n", "NEED 1 x 1\r\nabc", strings.Repeat("x", 5000)} {
-		l := NewLink(&peer{}, func() int64 { return 1 })
+		l := NewLink(&fakeEngine{}, func() int64 { return 1 })
 		l.Attach(func(...[]byte) {})
 		if _, err := l.Feed([]byte(text)); !errors.Is(err, ErrProtocol) {
 			t.Errorf("%.40q: %v", text, err)
