--- a/internal/keystore/clock.go
+++ b/internal/keystore/clock.go
@@ -5,43 +5,44 @@
 	"fmt"
 )
 
-// ClockReading is a point in time on the two clocks of a machine.
+// ClockReading is one reading of the wall clock, the uptime and the boot ID.
 type ClockReading struct {
 	Wall   int64  // microseconds since the epoch; may be set
-	Uptime int64  // microseconds since the machine's start; only advances
-	BootID uint64 // names that start; 0 = not known
+	Uptime int64  // microseconds since boot; only advances
+	BootID uint64 // identifies the boot; 0 = not known
 }
 
-// driftMost is how far the two clocks may part by themselves: less is no jump.
-const driftMost = 50_000
+// maxClockDriftUS is how far wall clock and uptime may drift apart without being a jump.
+const maxClockDriftUS = 50_000
 
-// WindowExtension is by how much windows written in a life that was last seen at last
-// must be longer in one that begins at now: the part by which the wall clock
-// has gone forward beyond the time that has passed. Where the machine was
-// started anew the time passed is not known, and counts as none.
+// WindowExtension returns by how much windows written by a process last active at
+// last must be extended in one that starts at now: the part of the wall clock's
+// advance that exceeds the time that has passed. After a reboot the time passed is
+// not known and counts as none.
 func WindowExtension(last, now ClockReading) int64 {
 	passed := int64(0)
 	if last.BootID != 0 && last.BootID == now.BootID && now.Uptime >= last.Uptime {
 		passed = now.Uptime - last.Uptime
 	}
 	jump := now.Wall - last.Wall - passed
-	if jump <= driftMost {
+	if jump <= maxClockDriftUS {
 		return 0
 	}
 	return jump
 }
 
-// encode is the form on disk: the moment, and the sum of all shifts up to it.
-func (m ClockReading) encode(shift int64) []byte {
+// encode returns the stored form: the reading and the sum of all extensions up to it.
+func (m ClockReading) encode(extension int64) []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(m.Wall))
 	b = binary.BigEndian.AppendUint64(b, uint64(m.Uptime))
 	b = binary.BigEndian.AppendUint64(b, m.BootID)
-	return binary.BigEndian.AppendUint64(b, uint64(shift))
+	return binary.BigEndian.AppendUint64(b, uint64(extension))
 }
 
-func decodeMoment(b []byte) (m ClockReading, shift int64, err error) {
+// decodeClockReading reads the stored form.
+func decodeClockReading(b []byte) (m ClockReading, extension int64, err error) {
 	if len(b) != 32 {
-		return m, 0, fmt.Errorf("%w: a moment of %d bytes", ErrInvalidRecord, len(b))
+		return m, 0, fmt.Errorf("%w: clock reading of %d bytes", ErrInvalidRecord, len(b))
 	}
 	u := binary.BigEndian.Uint64
 	return ClockReading{Wall: int64(u(b)), Uptime: int64(u(b[8:])), BootID: u(b[16:])}, int64(u(b[24:])), nil
--- a/internal/keystore/powerloss.go
+++ b/internal/keystore/powerloss.go
@@ -9,74 +9,76 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// SimulatePowerLoss rehearses one loss of power on an emulated disk: a store takes
-// commits until, at some write or sync, the power goes, and any part of what was
-// not synced is lost. It returns an error if something that was acknowledged is
-// missing, or anything is there that was never written.
-func SimulatePowerLoss(seed uint64) error { return powerLoss(seed, SurvivePowerLoss) }
+// SimulatePowerLoss simulates one loss of power on an emulated disk: a store
+// commits until the power fails at some write or sync, and any part of what was
+// not synced is lost. It returns an error if something acknowledged is missing, or
+// something is present that was never written.
+func SimulatePowerLoss(seed uint64) error { return simulatePowerLoss(seed, SurvivePowerLoss) }
 
-// cutFS cuts the power at its nth write or sync: it keeps what a disk would.
-type cutFS struct {
+// powerLossFS calls powerOff at a given write or sync.
+type powerLossFS struct {
 	vfs.FS
-	left atomic.Int64
-	cut  func()
+	opsLeft  atomic.Int64
+	powerOff func()
 }
 
-func (f *cutFS) step() {
-	if f.left.Add(-1) == 0 {
-		f.cut()
+func (f *powerLossFS) countOp() {
+	if f.opsLeft.Add(-1) == 0 {
+		f.powerOff()
 	}
 }
 
-func (f *cutFS) Create(name string, c vfs.DiskWriteCategory) (vfs.File, error) {
+func (f *powerLossFS) Create(name string, c vfs.DiskWriteCategory) (vfs.File, error) {
 	file, err := f.FS.Create(name, c)
-	return &cutFile{file, f}, err
+	return &powerLossFile{file, f}, err
 }
 
-func (f *cutFS) ReuseForWrite(oldname, newname string, c vfs.DiskWriteCategory) (vfs.File, error) {
+func (f *powerLossFS) ReuseForWrite(oldname, newname string, c vfs.DiskWriteCategory) (vfs.File, error) {
 	file, err := f.FS.ReuseForWrite(oldname, newname, c)
-	return &cutFile{file, f}, err
+	return &powerLossFile{file, f}, err
 }
 
-type cutFile struct {
+// powerLossFile counts the writes and syncs of a file.
+type powerLossFile struct {
 	vfs.File
-	fs *cutFS
+	fs *powerLossFS
 }
 
-func (f *cutFile) Write(p []byte) (int, error) {
-	f.fs.step()
+func (f *powerLossFile) Write(p []byte) (int, error) {
+	f.fs.countOp()
 	return f.File.Write(p)
 }
 
-func (f *cutFile) Sync() error {
-	f.fs.step()
+func (f *powerLossFile) Sync() error {
+	f.fs.countOp()
 	return f.File.Sync()
 }
 
-func (f *cutFile) SyncData() error {
-	f.fs.step()
+func (f *powerLossFile) SyncData() error {
+	f.fs.countOp()
 	return f.File.SyncData()
 }
 
-func (f *cutFile) SyncTo(n int64) (bool, error) {
-	f.fs.step()
+func (f *powerLossFile) SyncTo(n int64) (bool, error) {
+	f.fs.countOp()
 	return f.File.SyncTo(n)
 }
 
-func powerLoss(seed uint64, durability Durability) error {
+// simulatePowerLoss is SimulatePowerLoss with a given durability.
+func simulatePowerLoss(seed uint64, durability Durability) error {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	mem := vfs.NewCrashableMem()
 	const epoch, window = int64(1e15), int64(60e6)
-	moment := func(i int) ClockReading {
+	reading := func(i int) ClockReading {
 		return ClockReading{Wall: epoch + int64(i)*1000, Uptime: int64(i)*1000 + 1e6, BootID: 5}
 	}
 	type state struct{ begun, over bool }
 	acknowledged, written := map[string]state{}, map[string]state{}
 	var after *vfs.MemFS
-	var sure map[string]state // as of the cut
-	disk := &cutFS{FS: mem}
-	lost := rng.IntN(101)
-	cloned := rand.New(rand.NewPCG(seed, 10))
+	var acknowledgedAtLoss map[string]state // acknowledged when the power failed
+	disk := &powerLossFS{FS: mem}
+	unsyncedPercent := rng.IntN(101)
+	cloneRNG := rand.New(rand.NewPCG(seed, 10))
 	snapshot := func() map[string]state {
 		m := make(map[string]state, len(acknowledged))
 		for k, v := range acknowledged {
@@ -84,23 +86,23 @@
 		}
 		return m
 	}
-	disk.left.Store(1 << 40)
-	s, err := Open(Options{Folder: "keys", FS: disk, Durability: durability, Now: moment(0)})
+	disk.opsLeft.Store(1 << 40)
+	s, err := Open(Options{Folder: "keys", FS: disk, Durability: durability, Now: reading(0)})
 	if err != nil {
 		return err
 	}
-	// The cut may come in a goroutine of the database: it looks at the sure state
-	// that was last stored before the commit under way began.
-	var stable atomic.Pointer[map[string]state]
-	none := snapshot()
-	stable.Store(&none)
-	disk.cut = func() {
-		sure = *stable.Load()
-		after = mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: lost, RNG: cloned})
+	// The power may fail in a goroutine of the database, which reads the
+	// state acknowledged before the current commit.
+	var lastAcknowledged atomic.Pointer[map[string]state]
+	initial := snapshot()
+	lastAcknowledged.Store(&initial)
+	disk.powerOff = func() {
+		acknowledgedAtLoss = *lastAcknowledged.Load()
+		after = mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: unsyncedPercent, RNG: cloneRNG})
 	}
-	disk.left.Store(1 + rng.Int64N(400))
+	disk.opsLeft.Store(1 + rng.Int64N(400))
 	result := func(key string) string { return "result of " + key }
-	for i := 0; i < 300 && disk.left.Load() > 0; i++ {
+	for i := 0; i < 300 && disk.opsLeft.Load() > 0; i++ {
 		var ops []Op
 		for range 1 + rng.IntN(4) {
 			key := fmt.Sprint("k", rng.IntN(200))
@@ -111,22 +113,22 @@
 			written[key] = state{true, r.Finished}
 			ops = append(ops, Op{Record: r})
 		}
-		if err := s.Commit(moment(i), ops); err != nil {
+		if err := s.Commit(reading(i), ops); err != nil {
 			return err
 		}
 		for i := range ops {
 			acknowledged[ops[i].Record.Key] = state{true, ops[i].Record.Finished}
 		}
 		now := snapshot()
-		stable.Store(&now)
+		lastAcknowledged.Store(&now)
 	}
 	if err := s.Close(); err != nil {
 		return err
 	}
-	if after == nil { // the power held until the end: lose it now
-		disk.cut()
+	if after == nil { // the power has not failed yet: it fails now
+		disk.powerOff()
 	}
-	s, err = Open(Options{Folder: "keys", FS: after, Now: moment(1000)})
+	s, err = Open(Options{Folder: "keys", FS: after, Now: reading(1000)})
 	if err != nil {
 		return fmt.Errorf("after the loss: %w", err)
 	}
@@ -138,9 +140,9 @@
 	for _, r := range list {
 		found[r.Key] = r
 	}
-	for key, was := range sure {
+	for key, was := range acknowledgedAtLoss {
 		if r, there := found[key]; !there || was.over && !r.Finished {
-			return errors.Join(s.Close(), fmt.Errorf("key %s was acknowledged, and is lost", key))
+			return errors.Join(s.Close(), fmt.Errorf("key %s was acknowledged and is lost", key))
 		}
 	}
 	for key, r := range found {
--- a/internal/keystore/record.go
+++ b/internal/keystore/record.go
@@ -10,53 +10,53 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// Record is what is kept of one key. Times are microseconds since the epoch.
+// Record is the stored state of one key. Times are microseconds since the epoch.
 type Record struct {
 	Class     string
 	Key       string
-	TryID     string // of the try that ran, to the engine
+	TryID     string // of the try that was started
 	Arrived   int64  // of that try
 	WindowEnd int64  // no other try that arrived up to then may run
 	Deadline  int64  // of that try
-	BodyHash  uint64 // of the body
-	Finished  bool   // its end is known
-	Outcome   uint8  // ... and this is it
+	BodyHash  uint64 // of the request's body
+	Finished  bool   // the outcome is known
+	Outcome   uint8  // valid if Finished
 	Result    []byte
 }
 
-// stored is the form on disk. Fields are numbered: a field is never used for
-// something else, and what a newer version adds an older one passes over.
-type stored struct {
-	Version int    `cbor:"0,keyasint"`
-	Class   string `cbor:"1,keyasint"`
-	Key     string `cbor:"2,keyasint"`
-	Name    string `cbor:"3,keyasint,omitempty"`
-	Arrived int64  `cbor:"4,keyasint"`
-	Guard   int64  `cbor:"5,keyasint"`
-	Sum     uint64 `cbor:"6,keyasint"`
-	Over    bool   `cbor:"7,keyasint,omitempty"`
-	Outcome uint8  `cbor:"8,keyasint,omitempty"`
-	Result  []byte `cbor:"9,keyasint,omitempty"`
-	Packed  bool   `cbor:"10,keyasint,omitempty"`
-	Due     int64  `cbor:"11,keyasint,omitempty"`
+// storedRecord is the form on disk. Fields are numbered: a number is never reused
+// for another field, and an older version ignores the fields that a newer one adds.
+type storedRecord struct {
+	Version    int    `cbor:"0,keyasint"`
+	Class      string `cbor:"1,keyasint"`
+	Key        string `cbor:"2,keyasint"`
+	TryID      string `cbor:"3,keyasint,omitempty"`
+	Arrived    int64  `cbor:"4,keyasint"`
+	WindowEnd  int64  `cbor:"5,keyasint"`
+	BodyHash   uint64 `cbor:"6,keyasint"`
+	Finished   bool   `cbor:"7,keyasint,omitempty"`
+	Outcome    uint8  `cbor:"8,keyasint,omitempty"`
+	Result     []byte `cbor:"9,keyasint,omitempty"`
+	Compressed bool   `cbor:"10,keyasint,omitempty"`
+	Deadline   int64  `cbor:"11,keyasint,omitempty"`
 }
 
-// The versions of a record. Version 1 had no due time and no packed results.
+// The versions and limits of a record. Version 1 had no deadline and no compressed results.
 const (
-	version      = 2
-	oldest       = 1
-	packFrom     = 512 // bytes of a result below which packing is not tried
-	packGain     = 8   // ... and it is kept if it saves this part at least
-	mostText     = 1 << 10
-	mostResult   = 1 << 20
-	bucketOf     = 1_000_000 // microseconds of the windows' ends that are aged together
-	recordPrefix = 'r'
+	recordVersion       = 2
+	oldestRecordVersion = 1
+	minCompressBytes    = 512 // shorter results are not compressed
+	minCompressGain     = 8   // a compressed result is used if it saves at least 1/minCompressGain
+	maxTextBytes        = 1 << 10
+	maxResultBytes      = 1 << 20
+	expiryBucketUS      = 1_000_000 // records expire in buckets of this much of their window ends
+	recordPrefix        = 'r'
 )
 
-// ErrInvalidRecord says that what is stored is no record of this program.
-var ErrInvalidRecord = errors.New("keystore: not a record")
+// ErrInvalidRecord says that stored data is not a record that this program can read.
+var ErrInvalidRecord = errors.New("keystore: invalid record")
 
-var decoder = func() cbor.DecMode {
+var recordDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 4, MaxMapPairs: 64, MaxArrayElements: 16, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -64,19 +64,19 @@
 	return m
 }()
 
-// storeKey is where a record lies: by the end of its window, then by its key
-// and try. Two tries of one key never share a record, so that the end of one
-// that did not run takes nothing away from one that did.
+// storeKey returns the database key of a record: the expiry bucket, then class,
+// key, arrival and try. Two tries of one key never share a record, so deleting the
+// record of one that did not run leaves that of one that did.
 func storeKey(r *Record) []byte {
 	b := make([]byte, 0, 1+8+len(r.Class)+1+len(r.Key)+1+8+len(r.TryID))
-	b = binary.BigEndian.AppendUint64(append(b, recordPrefix), uint64(max(0, r.WindowEnd)/bucketOf))
+	b = binary.BigEndian.AppendUint64(append(b, recordPrefix), uint64(max(0, r.WindowEnd)/expiryBucketUS))
 	b = append(append(append(b, r.Class...), 0), r.Key...)
 	b = binary.BigEndian.AppendUint64(append(b, 0), uint64(r.Arrived))
 	return append(b, r.TryID...)
 }
 
-// Supersedes says which of two records of one key stands for it: an end that is
-// known before one that is not, then the longer window.
+// Supersedes reports which of two records of one key is used: a finished one
+// before an unfinished one, then the one with the longer window.
 func (r *Record) Supersedes(over *Record) bool {
 	if r.Finished != over.Finished {
 		return r.Finished
@@ -84,48 +84,49 @@
 	return r.WindowEnd > over.WindowEnd
 }
 
-// bucketStart is the first key of all records whose window ends at that time or later.
-func bucketStart(at int64) []byte {
-	return binary.BigEndian.AppendUint64([]byte{recordPrefix}, uint64(max(0, at)/bucketOf))
+// expiryBucketKey returns the first database key of the records whose window ends
+// at that time or later.
+func expiryBucketKey(at int64) []byte {
+	return binary.BigEndian.AppendUint64([]byte{recordPrefix}, uint64(max(0, at)/expiryBucketUS))
 }
 
 // encode returns the form on disk.
 func encode(r *Record) ([]byte, error) {
-	if len(r.Class) > mostText || len(r.Key) > mostText || len(r.TryID) > mostText || len(r.Result) > mostResult {
-		return nil, fmt.Errorf("keystore: class, key, name or result of %q is too long", r.Class)
+	if len(r.Class) > maxTextBytes || len(r.Key) > maxTextBytes || len(r.TryID) > maxTextBytes || len(r.Result) > maxResultBytes {
+		return nil, fmt.Errorf("keystore: class, key, try ID or result of key %q is too long", r.Class)
 	}
-	s := stored{Version: version, Class: r.Class, Key: r.Key, Name: r.TryID, Arrived: r.Arrived, Guard: r.WindowEnd, Due: r.Deadline,
-		Sum: r.BodyHash, Over: r.Finished, Outcome: r.Outcome, Result: r.Result}
-	if len(r.Result) >= packFrom {
-		if packed := s2.Encode(nil, r.Result); len(packed) <= len(r.Result)-len(r.Result)/packGain {
-			s.Result, s.Packed = packed, true
+	s := storedRecord{Version: recordVersion, Class: r.Class, Key: r.Key, TryID: r.TryID, Arrived: r.Arrived, WindowEnd: r.WindowEnd, Deadline: r.Deadline,
+		BodyHash: r.BodyHash, Finished: r.Finished, Outcome: r.Outcome, Result: r.Result}
+	if len(r.Result) >= minCompressBytes {
+		if compressed := s2.Encode(nil, r.Result); len(compressed) <= len(r.Result)-len(r.Result)/minCompressGain {
+			s.Result, s.Compressed = compressed, true
 		}
 	}
 	return cbor.Marshal(&s)
 }
 
-// decode reads the form on disk. Sizes are checked before memory is taken.
+// decode reads the form on disk. Sizes are checked before memory is allocated.
 func decode(b []byte) (Record, error) {
-	var s stored
-	if len(b) > mostResult+4*mostText {
+	var s storedRecord
+	if len(b) > maxResultBytes+4*maxTextBytes {
 		return Record{}, fmt.Errorf("%w: %d bytes", ErrInvalidRecord, len(b))
 	}
-	if err := decoder.Unmarshal(b, &s); err != nil {
+	if err := recordDecoder.Unmarshal(b, &s); err != nil {
 		return Record{}, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
 	}
 	switch {
-	case s.Version < oldest || s.Version > version:
-		return Record{}, fmt.Errorf("%w: version %d, this program reads %d to %d", ErrInvalidRecord, s.Version, oldest, version)
-	case len(s.Class) > mostText || len(s.Key) > mostText || len(s.Name) > mostText || s.Class == "" ||
-		s.Arrived < 0 || s.Guard < 0 || s.Guard > math.MaxInt64/2:
-		return Record{}, fmt.Errorf("%w: fields out of bounds", ErrInvalidRecord)
+	case s.Version < oldestRecordVersion || s.Version > recordVersion:
+		return Record{}, fmt.Errorf("%w: version %d, this program reads %d to %d", ErrInvalidRecord, s.Version, oldestRecordVersion, recordVersion)
+	case len(s.Class) > maxTextBytes || len(s.Key) > maxTextBytes || len(s.TryID) > maxTextBytes || s.Class == "" ||
+		s.Arrived < 0 || s.WindowEnd < 0 || s.WindowEnd > math.MaxInt64/2:
+		return Record{}, fmt.Errorf("%w: fields out of range", ErrInvalidRecord)
 	}
-	r := Record{Class: s.Class, Key: s.Key, TryID: s.Name, Arrived: s.Arrived, WindowEnd: s.Guard, Deadline: s.Due, BodyHash: s.Sum,
-		Finished: s.Over, Outcome: s.Outcome, Result: s.Result}
-	if s.Packed {
+	r := Record{Class: s.Class, Key: s.Key, TryID: s.TryID, Arrived: s.Arrived, WindowEnd: s.WindowEnd, Deadline: s.Deadline, BodyHash: s.BodyHash,
+		Finished: s.Finished, Outcome: s.Outcome, Result: s.Result}
+	if s.Compressed {
 		n, err := s2.DecodedLen(s.Result)
-		if err != nil || n > mostResult {
-			return Record{}, fmt.Errorf("%w: a packed result of %d bytes", ErrInvalidRecord, n)
+		if err != nil || n > maxResultBytes {
+			return Record{}, fmt.Errorf("%w: compressed result of %d bytes", ErrInvalidRecord, n)
 		}
 		if r.Result, err = s2.Decode(nil, s.Result); err != nil {
 			return Record{}, fmt.Errorf("%w: %w", ErrInvalidRecord, err)
--- a/internal/keystore/store.go
+++ b/internal/keystore/store.go
@@ -1,16 +1,16 @@
-// Package keystore keeps what is known of keyed requests on disk, so that a key
-// runs once in its window though the process is killed in between.
+// Package keystore stores the state of keyed requests on disk, so that a key
+// runs once in its window even if the process is killed in between.
 //
-// What is promised. Commit returns when its operations are durable: with
-// Durability Process against the end of this process, however it comes; with
-// Power against the loss of power too. A commit that did not return may be there
-// or not, each operation whole or not at all. Nothing damaged is ever returned:
-// records carry checksums, and Open or Load say what is wrong.
+// Guarantees: Commit returns when its operations are durable. With
+// SurviveProcessExit they survive the end of the process, with SurvivePowerLoss
+// also the loss of power. A commit that did not return may be present or not, each
+// operation whole or not at all. Corrupt data is never returned: records carry
+// checksums, and Open or Load report what is wrong.
 //
-// One process owns a folder at a time; Open fails with ErrInUse for a second
-// one. A Store that has failed (an error of its log, a full disk) stays failed:
-// all that follows returns ErrFailed, and the folder must be opened anew by
-// another process. A Store may be used by one goroutine at a time.
+// One process owns a folder at a time; Open fails with ErrInUse for a second one.
+// A Store that has failed (an error of its log, a full disk) stays failed: every
+// later call returns ErrFailed, and another process must open the folder again. A
+// Store may be used by one goroutine at a time.
 package keystore
 
 import (
@@ -27,75 +27,76 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// Durability says what a commit outlives.
+// Durability says what a commit survives.
 type Durability uint8
 
 // The durabilities.
 const (
-	SurvivePowerLoss   Durability = iota // also the loss of power
-	SurviveProcessExit                   // the end of the process
+	SurvivePowerLoss   Durability = iota // the end of the process and the loss of power
+	SurviveProcessExit                   // only the end of the process
 )
 
-// Options set up a store.
+// Options configure a Store.
 type Options struct {
 	Folder     string
-	FS         vfs.FS // nil = the system's
+	FS         vfs.FS // nil = the operating system's
 	Durability Durability
-	MaxBytes   int64 // on disk; what would pass it is ErrFull. 0 = no bound
-	ReadOnly   bool  // nothing is changed; the folder must be there
+	MaxBytes   int64 // limit of the space on disk, beyond which new runs get ErrFull; 0 = none
+	ReadOnly   bool  // nothing is changed; the folder must exist
 	Now        ClockReading
 }
 
-// The errors, to be told with errors.Is.
+// Errors, to be tested with errors.Is.
 var (
 	ErrInUse       = errors.New("keystore: another process uses the folder")
-	ErrFailed      = errors.New("keystore: the store has failed")
-	ErrFull        = errors.New("keystore: the store is full")
-	ErrCorrupt     = errors.New("keystore: the store is damaged")
+	ErrFailed      = errors.New("keystore: store failed")
+	ErrFull        = errors.New("keystore: store full")
+	ErrCorrupt     = errors.New("keystore: store corrupt")
 	ErrNotKeyStore = errors.New("keystore: the folder is no store of keys")
 )
 
 const (
-	cacheBytes = 1 << 20
-	memTable   = 1 << 20
-	openFiles  = 64
-	mostKeys   = 1 << 20
-	formatKey  = "fformat"
-	momentKey  = "mmoment"
-	formatWord = "kiteslip keys 1"
+	cacheBytes    = 1 << 20
+	memTableBytes = 1 << 20
+	maxOpenFiles  = 64
+	maxKeys       = 1 << 20
+	formatKey     = "fformat"
+	clockKey      = "mmoment"
+	formatName    = "kiteslip keys 1"
 )
 
-// Store is an open folder.
+// Store is an open key store.
 type Store struct {
-	opt   Options
-	db    *pebble.DB
-	cache *pebble.Cache
-	last  ClockReading // of the life before this one
-	shift int64        // of all lives so far; what is on disk is written without it
-	aged  int64        // records whose window ended before this are gone
+	opt             Options
+	db              *pebble.DB
+	cache           *pebble.Cache
+	lastUsed        ClockReading // of the last use before this Open
+	windowExtension int64        // sum of all window extensions; window ends on disk are stored without it
+	expiredBefore   int64        // records whose window ended before this were deleted
 
-	mu     sync.Mutex
-	failed error
-	broken chan struct{} // closed when it has failed
+	mu       sync.Mutex
+	failed   error
+	failedCh chan struct{} // closed when the store fails
 }
 
-// quiet is the log of the database: what it calls fatal fails the store, in
-// the goroutine that met it, and not the process.
-type quiet struct{ s *Store }
+// dbLogger is the database's logger. What the database calls fatal fails the store
+// and ends the calling goroutine, not the process.
+type dbLogger struct{ s *Store }
 
-func (q quiet) Infof(string, ...any)              {}
-func (q quiet) Errorf(format string, args ...any) {}
-func (q quiet) Fatalf(format string, args ...any) {
+func (q dbLogger) Infof(string, ...any)              {}
+func (q dbLogger) Errorf(format string, args ...any) {}
+func (q dbLogger) Fatalf(format string, args ...any) {
 	q.s.fail(fmt.Errorf(format, args...))
 	runtime.Goexit()
 }
 
+// fail records the first failure of the store.
 func (s *Store) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failed == nil {
 		s.failed = fmt.Errorf("%w: %w", ErrFailed, err)
-		close(s.broken)
+		close(s.failedCh)
 	}
 }
 
@@ -105,8 +106,8 @@
 	return s.failed
 }
 
-// apart runs f where a failure of the database may end the goroutine.
-func (s *Store) apart(f func() error) error {
+// runIsolated runs f in its own goroutine, which a failure of the database may end.
+func (s *Store) runIsolated(f func() error) error {
 	if err := s.failure(); err != nil {
 		return err
 	}
@@ -122,44 +123,44 @@
 	select {
 	case err := <-done:
 		return err
-	case <-s.broken:
+	case <-s.failedCh:
 		return s.failure()
 	}
 }
 
-// Open opens a folder, and makes it unless it is to be read only.
+// Open opens a folder, and creates it unless it is read-only.
 func Open(opt Options) (*Store, error) {
 	if opt.FS == nil {
 		opt.FS = vfs.Default
 	}
-	s := &Store{opt: opt, broken: make(chan struct{})}
+	s := &Store{opt: opt, failedCh: make(chan struct{})}
 	fs := opt.FS
 	if opt.Durability == SurviveProcessExit {
 		fs = processFS{fs}
 	}
 	s.cache = pebble.NewCache(cacheBytes)
-	o := &pebble.Options{FS: fs, Cache: s.cache, MemTableSize: memTable, MaxOpenFiles: openFiles, Logger: quiet{s},
+	o := &pebble.Options{FS: fs, Cache: s.cache, MemTableSize: memTableBytes, MaxOpenFiles: maxOpenFiles, Logger: dbLogger{s},
 		ReadOnly: opt.ReadOnly, ErrorIfNotExists: opt.ReadOnly, FormatMajorVersion: pebble.FormatNewest}
-	err := s.apart(func() (err error) {
+	err := s.runIsolated(func() (err error) {
 		s.db, err = pebble.Open(opt.Folder, o)
 		return err
 	})
 	if err == nil {
-		err = s.apart(s.greet)
+		err = s.runIsolated(s.checkFormat)
 		if err != nil {
-			s.Close() //nolint:errcheck // the first error counts
+			s.Close() //nolint:errcheck // the first error is returned
 		}
 	} else {
 		s.cache.Unref()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", opt.Folder, sort(err))
+		return nil, fmt.Errorf("%s: %w", opt.Folder, translateError(err))
 	}
 	return s, nil
 }
 
-// sort gives the database's errors the names of this package.
-func sort(err error) error {
+// translateError wraps the database's errors in those of this package.
+func translateError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -189,80 +190,80 @@
 	return bytes.Clone(value), nil
 }
 
-// greet looks at what the folder holds, and when it was last in use.
-func (s *Store) greet() error {
+// checkFormat reads the format and the last clock reading of the folder.
+func (s *Store) checkFormat() error {
 	format, err := s.get(formatKey)
 	if err != nil {
 		return err
 	}
-	if format != nil && string(format) != formatWord {
-		return fmt.Errorf("%w: it says %.40q, want %q", ErrNotKeyStore, format, formatWord)
+	if format != nil && string(format) != formatName {
+		return fmt.Errorf("%w: format %.40q, want %q", ErrNotKeyStore, format, formatName)
 	}
 	if format == nil {
 		it, err := s.db.NewIter(nil)
 		if err != nil {
 			return err
 		}
-		strange := it.First()
+		hasOtherKeys := it.First()
 		it.Close() //nolint:errcheck // nothing was read
-		if strange || s.opt.ReadOnly {
+		if hasOtherKeys || s.opt.ReadOnly {
 			return ErrNotKeyStore
 		}
-		return s.db.Set([]byte(formatKey), []byte(formatWord), pebble.Sync)
+		return s.db.Set([]byte(formatKey), []byte(formatName), pebble.Sync)
 	}
-	moment, err := s.get(momentKey)
-	if err != nil || moment == nil {
+	reading, err := s.get(clockKey)
+	if err != nil || reading == nil {
 		return err
 	}
-	if s.last, s.shift, err = decodeMoment(moment); err != nil {
+	if s.lastUsed, s.windowExtension, err = decodeClockReading(reading); err != nil {
 		return err
 	}
 	if s.opt.Now != (ClockReading{}) {
-		s.shift += WindowExtension(s.last, s.opt.Now)
+		s.windowExtension += WindowExtension(s.lastUsed, s.opt.Now)
 	}
 	return nil
 }
 
-// LastUsed is when the folder was last written to, before this Open.
-func (s *Store) LastUsed() ClockReading { return s.last }
+// LastUsed returns the clock reading of the last write before this Open.
+func (s *Store) LastUsed() ClockReading { return s.lastUsed }
 
-// WindowExtension is by how much windows have become longer since the folder was made.
-func (s *Store) WindowExtension() int64 { return s.shift }
+// WindowExtension returns by how much windows were extended since the folder was created.
+func (s *Store) WindowExtension() int64 { return s.windowExtension }
 
-// Load returns the records that still matter at now (microseconds on the wall
-// clock), each key once, with windows as long as they must be in this life.
+// Load returns the records whose window has not ended at now (microseconds of the
+// wall clock), each key once, with its longest window, extended as needed.
 func (s *Store) Load(now int64) ([]Record, error) {
 	type name struct{ class, key string }
 	var list []Record
-	places := map[name]int32{}
+	indexes := map[name]int32{}
 	err := s.Each(now, func(r Record) error {
-		at := name{r.Class, r.Key}
-		i, there := places[at]
+		id := name{r.Class, r.Key}
+		i, there := indexes[id]
 		if !there {
-			if len(list) >= mostKeys {
-				return fmt.Errorf("%w: over %d keys", ErrCorrupt, mostKeys)
+			if len(list) >= maxKeys {
+				return fmt.Errorf("%w: more than %d keys", ErrCorrupt, maxKeys)
 			}
-			places[at] = int32(len(list))
+			indexes[id] = int32(len(list))
 			list = append(list, r)
 			return nil
 		}
 		other := &list[i]
-		guard := max(r.WindowEnd, other.WindowEnd)
+		windowEnd := max(r.WindowEnd, other.WindowEnd)
 		if r.Supersedes(other) {
 			*other = r
 		}
-		other.WindowEnd = guard
+		other.WindowEnd = windowEnd
 		return nil
 	})
 	return list, err
 }
 
-// Each yields all records whose window has not ended at now, also several of one key.
+// Each yields all records whose window has not ended at now, including several of one key.
 func (s *Store) Each(now int64, yield func(Record) error) error {
-	return sort(s.apart(func() error {
-		it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: bucketStart(now - s.shift), UpperBound: []byte{recordPrefix + 1}})
+	return translateError(s.runIsolated(func() error {
+		it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: expiryBucketKey(now - s.windowExtension), UpperBound: []byte{recordPrefix + 1}})
 		if err != nil {
-			return sort(err)
+			return translateError(err)
 		}
 		defer it.Close()
 		for it.First(); it.Valid(); it.Next() {
@@ -270,13 +271,13 @@
 			if err != nil {
 				return fmt.Errorf("%w: key %q: %w", ErrCorrupt, it.Key(), err)
 			}
-			r.WindowEnd += s.shift
+			r.WindowEnd += s.windowExtension
 			if err := yield(r); err != nil {
 				return err
 			}
 		}
 		if err := it.Error(); err != nil {
-			return sort(err)
+			return translateError(err)
 		}
 		return nil
 	}))
@@ -284,19 +285,19 @@
 
 // Op is one operation of a commit.
 type Op struct {
-	Record Record // kept, in place of what was known of the key
-	Delete bool   // ... or the key never ran, and its record goes
+	Record Record // stored in place of an earlier record of the try
+	Delete bool   // Record is deleted instead, because the try never ran
 }
 
-// begins says whether an operation is of a run that has not begun: these are what a full store has no room for.
-func begins(o Op) bool { return !o.Delete && !o.Record.Finished }
+// beginsRun reports whether an operation records the start of a run: a full store rejects only these.
+func beginsRun(o Op) bool { return !o.Delete && !o.Record.Finished }
 
-// Commit makes all operations durable together, with the moment.
+// Commit makes all operations durable together, with the clock reading.
 func (s *Store) Commit(now ClockReading, ops []Op) error {
 	if err := s.failure(); err != nil {
 		return err
 	}
-	if s.opt.MaxBytes > 0 && slices.ContainsFunc(ops, begins) {
+	if s.opt.MaxBytes > 0 && slices.ContainsFunc(ops, beginsRun) {
 		if n := s.DiskBytes(); n > uint64(s.opt.MaxBytes) {
 			return fmt.Errorf("%w: %d bytes of %d", ErrFull, n, s.opt.MaxBytes)
 		}
@@ -304,7 +305,7 @@
 	b := s.db.NewBatch()
 	for i := range ops {
 		r := ops[i].Record
-		r.WindowEnd -= s.shift
+		r.WindowEnd -= s.windowExtension
 		key := storeKey(&r)
 		if ops[i].Delete {
 			if err := b.Delete(key, nil); err != nil {
@@ -320,23 +321,23 @@
 			return err
 		}
 	}
-	if err := b.Set([]byte(momentKey), now.encode(s.shift), nil); err != nil {
+	if err := b.Set([]byte(clockKey), now.encode(s.windowExtension), nil); err != nil {
 		return err
 	}
-	return s.apart(func() error { return b.Commit(pebble.Sync) })
+	return s.runIsolated(func() error { return b.Commit(pebble.Sync) })
 }
 
-// DeleteExpired forgets the records whose window has ended before that time.
+// DeleteExpired deletes the records whose window ended before that time.
 func (s *Store) DeleteExpired(before int64) error {
-	before -= s.shift
-	if before < s.aged+bucketOf {
+	before -= s.windowExtension
+	if before < s.expiredBefore+expiryBucketUS {
 		return nil
 	}
-	s.aged = before
-	return s.apart(func() error { return s.db.DeleteRange([]byte{recordPrefix}, bucketStart(before), pebble.NoSync) })
+	s.expiredBefore = before
+	return s.runIsolated(func() error { return s.db.DeleteRange([]byte{recordPrefix}, expiryBucketKey(before), pebble.NoSync) })
 }
 
-// DiskBytes is the space on disk.
+// DiskBytes returns the space used on disk.
 func (s *Store) DiskBytes() uint64 {
 	if s.failure() != nil {
 		return 0
@@ -344,9 +345,9 @@
 	return s.db.Metrics().DiskSpaceUsage()
 }
 
-// Compact gives the space of aged records back now.
+// Compact releases the space of deleted records now.
 func (s *Store) Compact() error {
-	return s.apart(func() error {
+	return s.runIsolated(func() error {
 		if err := s.db.Flush(); err != nil {
 			return err
 		}
@@ -354,13 +355,13 @@
 	})
 }
 
-// Close ends the use of the folder. What was committed stays; a store that has
-// failed keeps its lock until the process ends.
+// Close releases the folder. A store that has failed keeps its lock until the
+// process ends.
 func (s *Store) Close() error {
 	if s.failure() != nil {
 		return nil
 	}
-	err := s.apart(s.db.Close)
+	err := s.runIsolated(s.db.Close)
 	s.cache.Unref()
 	return err
 }
--- a/internal/keystore/store_test.go
+++ b/internal/keystore/store_test.go
@@ -18,21 +18,21 @@
 
 const second = 1_000_000
 
-// at is a moment of one life of a machine.
-func at(s int64) ClockReading {
+// clockAt returns the clock reading s seconds into one boot of a machine.
+func clockAt(s int64) ClockReading {
 	return ClockReading{Wall: 1_000_000*second + s*second, Uptime: 500*second + s*second, BootID: 7}
 }
 
-func record(i int, over bool, result string) Record {
-	r := Record{Class: "note", Key: fmt.Sprint("k", i), TryID: fmt.Sprintf("%016x", i), Arrived: at(0).Wall, WindowEnd: at(60).Wall,
-		Deadline: at(5).Wall, BodyHash: uint64(i)}
-	if over {
+func newRecord(i int, finished bool, result string) Record {
+	r := Record{Class: "note", Key: fmt.Sprint("k", i), TryID: fmt.Sprintf("%016x", i), Arrived: clockAt(0).Wall, WindowEnd: clockAt(60).Wall,
+		Deadline: clockAt(5).Wall, BodyHash: uint64(i)}
+	if finished {
 		r.Finished, r.Outcome, r.Result = true, 1, []byte(result)
 	}
 	return r
 }
 
-func open(t testing.TB, opt Options) *Store {
+func openStore(t testing.TB, opt Options) *Store {
 	t.Helper()
 	if opt.Folder == "" {
 		opt.Folder = "keys"
@@ -44,7 +44,7 @@
 	return s
 }
 
-func load(t testing.TB, s *Store, now int64) map[string]Record {
+func loadByKey(t testing.TB, s *Store, now int64) map[string]Record {
 	t.Helper()
 	found := map[string]Record{}
 	list, err := s.Load(now)
@@ -57,7 +57,7 @@
 	return found
 }
 
-func put(t testing.TB, s *Store, now ClockReading, records ...Record) {
+func commitRecords(t testing.TB, s *Store, now ClockReading, records ...Record) {
 	t.Helper()
 	var ops []Op
 	for _, r := range records {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestRecordsOnDisk(t *testing.T) {
+func TestRecordEncoding(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{Class: rapid.StringN(1, 20, 64).Draw(t, "class"), Key: rapid.StringN(0, 64, 128).Draw(t, "key"),
@@ -88,21 +88,21 @@
 			t.Fatalf("%+v, %v; want %+v", got, err, r)
 		}
 		if len(r.Result) > 1000 && len(b) > len(r.Result) {
-			t.Errorf("%d bytes on disk for a result of %d that repeats itself", len(b), len(r.Result))
+			t.Errorf("%d bytes on disk for a repetitive result of %d bytes", len(b), len(r.Result))
 		}
 		damaged := bytes.Clone(b)
 		damaged[rapid.IntRange(0, len(b)-1).Draw(t, "where")] ^= rapid.Byte().Draw(t, "with")
-		decode(damaged)                                             //nolint:errcheck // it must not panic
+		decode(damaged)                                             //nolint:errcheck // must not panic
 		decode(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])      //nolint:errcheck // nor here
 		decode(rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "junk")) //nolint:errcheck // nor here
 	})
-	if _, err := encode(&Record{Class: "c", Result: make([]byte, mostResult+1)}); err == nil {
-		t.Error("a result over the bound is taken")
+	if _, err := encode(&Record{Class: "c", Result: make([]byte, maxResultBytes+1)}); err == nil {
+		t.Error("a result over the limit is accepted")
 	}
 }
 
-// What version 1 wrote is read; what a version to come writes is told plainly.
-func TestVersions(t *testing.T) {
+// Records of version 1 are read; those of a newer version are rejected.
+func TestRecordVersions(t *testing.T) {
 	t.Parallel()
 	old, err := cbor.Marshal(map[int]any{0: 1, 1: "note", 2: "k", 4: 5, 5: 6, 6: 7, 7: true, 8: 1, 9: []byte("r")})
 	if err != nil {
@@ -111,7 +111,7 @@
 	if r, err := decode(old); err != nil || r.Key != "k" || string(r.Result) != "r" || r.WindowEnd != 6 {
 		t.Errorf("version 1: %+v, %v", r, err)
 	}
-	next, err := cbor.Marshal(map[int]any{0: version + 1, 1: "note", 2: "k"})
+	next, err := cbor.Marshal(map[int]any{0: recordVersion + 1, 1: "note", 2: "k"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,9 +120,8 @@
 	}
 }
 
-// Power is lost in the middle of anything: what was acknowledged is there, what
-// was not may be, and nothing is damaged. The file system drops any part of
-// what was not synced.
+// Power fails at any write or sync: what was acknowledged is present, the rest may
+// be, and nothing is corrupt. The file system drops any part of what was not synced.
 func TestPowerLoss(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
@@ -132,145 +131,145 @@
 	}
 }
 
-// Without syncs the same test must fail: it can see a loss.
-func TestPowerLossIsSeen(t *testing.T) {
+// Without syncs the same simulation must fail, which shows that it detects losses.
+func TestPowerLossDetected(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
-		if err := powerLoss(seed, SurviveProcessExit); err != nil {
+		if err := simulatePowerLoss(seed, SurviveProcessExit); err != nil {
 			return
 		}
 	}
-	t.Error("a store that never syncs its log lost nothing in 20 losses of power")
+	t.Error("a store that never syncs its log lost nothing in 20 power losses")
 }
 
-// Against the end of the process the write is enough: all is there if nothing
-// that was written is dropped.
-func TestProcessEnds(t *testing.T) {
+// Writing without syncing is enough to survive the end of the process: everything
+// is present if nothing written is dropped.
+func TestProcessExit(t *testing.T) {
 	t.Parallel()
 	mem := vfs.NewCrashableMem()
-	s := open(t, Options{FS: mem, Durability: SurviveProcessExit, Now: at(0)})
-	put(t, s, at(1), record(1, true, "one"), record(2, false, ""))
+	s := openStore(t, Options{FS: mem, Durability: SurviveProcessExit, Now: clockAt(0)})
+	commitRecords(t, s, clockAt(1), newRecord(1, true, "one"), newRecord(2, false, ""))
 	after := mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: 100, RNG: rand.New(rand.NewPCG(1, 1))})
-	got := load(t, open(t, Options{FS: after, Durability: SurviveProcessExit, Now: at(2)}), at(2).Wall)
+	got := loadByKey(t, openStore(t, Options{FS: after, Durability: SurviveProcessExit, Now: clockAt(2)}), clockAt(2).Wall)
 	if len(got) != 2 || string(got["k1"].Result) != "one" || got["k2"].Finished {
 		t.Errorf("%+v", got)
 	}
 }
 
-// A wall clock that was set between two lives never shortens a window.
+// Setting the wall clock between two runs of the process never shortens a window.
 func TestClockJumps(t *testing.T) {
 	t.Parallel()
-	last := at(10)
+	last := clockAt(10)
 	for name, c := range map[string]struct {
-		now   ClockReading
-		shift int64
+		now       ClockReading
+		extension int64
 	}{
-		"no jump":             {at(15), 0},
-		"forward by an hour":  {ClockReading{at(15).Wall + 3600*second, at(15).Uptime, 7}, 3600 * second},
-		"back by an hour":     {ClockReading{at(15).Wall - 3600*second, at(15).Uptime, 7}, 0},
-		"a new start":         {ClockReading{at(15).Wall, 3 * second, 8}, 5 * second},
-		"a start not known":   {ClockReading{at(15).Wall, 0, 0}, 5 * second},
-		"a new start, back":   {ClockReading{at(5).Wall, 3 * second, 8}, 0},
-		"some slewing":        {ClockReading{at(15).Wall + 20_000, at(15).Uptime, 7}, 0},
-		"uptime that is less": {ClockReading{at(15).Wall, at(5).Uptime, 7}, 5 * second},
+		"no jump":                {clockAt(15), 0},
+		"forward by an hour":     {ClockReading{clockAt(15).Wall + 3600*second, clockAt(15).Uptime, 7}, 3600 * second},
+		"back by an hour":        {ClockReading{clockAt(15).Wall - 3600*second, clockAt(15).Uptime, 7}, 0},
+		"after a reboot":         {ClockReading{clockAt(15).Wall, 3 * second, 8}, 5 * second},
+		"unknown boot":           {ClockReading{clockAt(15).Wall, 0, 0}, 5 * second},
+		"reboot, clock set back": {ClockReading{clockAt(5).Wall, 3 * second, 8}, 0},
+		"some slewing":           {ClockReading{clockAt(15).Wall + 20_000, clockAt(15).Uptime, 7}, 0},
+		"smaller uptime":         {ClockReading{clockAt(15).Wall, clockAt(5).Uptime, 7}, 5 * second},
 	} {
-		if got := WindowExtension(last, c.now); got != c.shift {
-			t.Errorf("%s: %d, want %d", name, got, c.shift)
+		if got := WindowExtension(last, c.now); got != c.extension {
+			t.Errorf("%s: %d, want %d", name, got, c.extension)
 		}
 	}
-	// Three lives, with a jump before each: the windows of the first stay as long in all.
+	// The store is opened three times with a clock jump before each: windows written earlier keep their length.
 	mem := vfs.NewMem()
-	s := open(t, Options{FS: mem, Now: at(0)})
-	put(t, s, at(1), record(1, true, "one"))
+	s := openStore(t, Options{FS: mem, Now: clockAt(0)})
+	commitRecords(t, s, clockAt(1), newRecord(1, true, "one"))
 	s.Close()
-	jumped := func(s, hours int64) ClockReading { m := at(s); m.Wall += hours * 3600 * second; return m }
-	s = open(t, Options{FS: mem, Now: jumped(2, 1)})
-	if got := load(t, s, jumped(2, 1).Wall)["k1"].WindowEnd; got != at(60).Wall+3600*second {
-		t.Errorf("in the second life the window ends at %d", got)
+	jumped := func(s, hours int64) ClockReading { m := clockAt(s); m.Wall += hours * 3600 * second; return m }
+	s = openStore(t, Options{FS: mem, Now: jumped(2, 1)})
+	if got := loadByKey(t, s, jumped(2, 1).Wall)["k1"].WindowEnd; got != clockAt(60).Wall+3600*second {
+		t.Errorf("after the first jump the window ends at %d", got)
 	}
-	second := record(2, true, "two")
+	second := newRecord(2, true, "two")
 	second.WindowEnd = jumped(60, 1).Wall
-	put(t, s, jumped(3, 1), second)
+	commitRecords(t, s, jumped(3, 1), second)
 	s.Close()
-	s = open(t, Options{FS: mem, Now: jumped(4, 3)})
-	got := load(t, s, jumped(4, 3).Wall)
+	s = openStore(t, Options{FS: mem, Now: jumped(4, 3)})
+	got := loadByKey(t, s, jumped(4, 3).Wall)
 	for key, r := range got {
 		if want := jumped(60, 3).Wall; r.WindowEnd != want {
-			t.Errorf("in the third life the window of %s ends at %d, want %d", key, r.WindowEnd, want)
+			t.Errorf("after the second jump the window of %s ends at %d, want %d", key, r.WindowEnd, want)
 		}
 	}
 	if len(got) != 2 {
-		t.Errorf("%d keys in the third life", len(got))
+		t.Errorf("%d keys after the second jump", len(got))
 	}
 }
 
-// Two tries of one key: an end stands over a start without one, a try that did
-// not run takes nothing away, and the longest window holds.
+// Two tries of one key: a finished one supersedes an unfinished one, deleting a
+// try that did not run leaves the other, and the longest window holds.
 func TestTriesOfOneKey(t *testing.T) {
 	t.Parallel()
-	s := open(t, Options{FS: vfs.NewMem(), Now: at(0)})
-	ran, other := record(1, true, "one"), record(1, false, "")
-	other.TryID, other.WindowEnd = "another try", at(70).Wall
-	put(t, s, at(1), ran, other)
-	if got := load(t, s, 0)["k1"]; string(got.Result) != "one" || got.WindowEnd != at(70).Wall {
+	s := openStore(t, Options{FS: vfs.NewMem(), Now: clockAt(0)})
+	ran, other := newRecord(1, true, "one"), newRecord(1, false, "")
+	other.TryID, other.WindowEnd = "another try", clockAt(70).Wall
+	commitRecords(t, s, clockAt(1), ran, other)
+	if got := loadByKey(t, s, 0)["k1"]; string(got.Result) != "one" || got.WindowEnd != clockAt(70).Wall {
 		t.Errorf("%+v", got)
 	}
-	if err := s.Commit(at(2), []Op{{Record: other, Delete: true}}); err != nil {
+	if err := s.Commit(clockAt(2), []Op{{Record: other, Delete: true}}); err != nil {
 		t.Fatal(err)
 	}
-	if got := load(t, s, 0)["k1"]; string(got.Result) != "one" || got.WindowEnd != at(60).Wall {
+	if got := loadByKey(t, s, 0)["k1"]; string(got.Result) != "one" || got.WindowEnd != clockAt(60).Wall {
 		t.Errorf("%+v", got)
 	}
 }
 
-// An hour of new keys: what is on disk and what is loaded stay bounded.
-func TestAgedSpaceComesBack(t *testing.T) {
+// An hour of new keys: the space on disk and the number of loaded keys stay bounded.
+func TestExpiredSpaceReclaimed(t *testing.T) {
 	t.Parallel()
-	s := open(t, Options{FS: vfs.NewMem(), Now: at(0)})
-	most := uint64(0)
+	s := openStore(t, Options{FS: vfs.NewMem(), Now: clockAt(0)})
+	earlyBytes := uint64(0)
 	for now := int64(0); now < 3600; now += 4 {
 		var list []Record
 		for i := range 40 {
-			r := record(int(now)*40+i, true, string(make([]byte, 200)))
-			r.Arrived, r.WindowEnd = at(now).Wall, at(now+16).Wall
+			r := newRecord(int(now)*40+i, true, string(make([]byte, 200)))
+			r.Arrived, r.WindowEnd = clockAt(now).Wall, clockAt(now+16).Wall
 			list = append(list, r)
 		}
-		put(t, s, at(now), list...)
-		if err := s.DeleteExpired(at(now - 5).Wall); err != nil {
+		commitRecords(t, s, clockAt(now), list...)
+		if err := s.DeleteExpired(clockAt(now - 5).Wall); err != nil {
 			t.Fatal(err)
 		}
 		if now == 600 {
-			most = s.DiskBytes()
+			earlyBytes = s.DiskBytes()
 		}
 	}
-	if n := s.DiskBytes(); n > 3*most+8<<20 {
-		t.Errorf("%d KB on disk after an hour, %d KB after ten minutes", n/1024, most/1024)
+	if n := s.DiskBytes(); n > 3*earlyBytes+8<<20 {
+		t.Errorf("%d KB on disk after an hour, %d KB after ten minutes", n/1024, earlyBytes/1024)
 	}
-	if got := load(t, s, at(3600).Wall); len(got) > 40*6 {
+	if got := loadByKey(t, s, clockAt(3600).Wall); len(got) > 40*6 {
 		t.Errorf("%d keys are loaded", len(got))
 	}
 }
 
-// Errors are told by name, and none ends the process.
+// Failures are returned as the package's errors, and none ends the process.
 func TestErrors(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
-	s := open(t, Options{Folder: folder, Now: at(0), MaxBytes: 1})
+	s := openStore(t, Options{Folder: folder, Now: clockAt(0), MaxBytes: 1})
 	if _, err := Open(Options{Folder: folder}); !errors.Is(err, ErrInUse) {
-		t.Errorf("a second use: %v", err)
+		t.Errorf("a second Open: %v", err)
 	}
-	begin, end := record(1, false, ""), record(1, true, "one")
-	if err := s.Commit(at(1), []Op{{Record: begin}}); !errors.Is(err, ErrFull) {
-		t.Errorf("a full store takes a new key: %v", err)
+	begin, end := newRecord(1, false, ""), newRecord(1, true, "one")
+	if err := s.Commit(clockAt(1), []Op{{Record: begin}}); !errors.Is(err, ErrFull) {
+		t.Errorf("a full store accepts a new key: %v", err)
 	}
-	if err := s.Commit(at(1), []Op{{Record: end}}); err != nil {
-		t.Errorf("a full store does not take the end of a run: %v", err)
+	if err := s.Commit(clockAt(1), []Op{{Record: end}}); err != nil {
+		t.Errorf("a full store rejects the end of a run: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, err := Open(Options{Folder: t.TempDir(), ReadOnly: true}); !errors.Is(err, ErrNotKeyStore) {
-		t.Errorf("a folder that is empty: %v", err)
+		t.Errorf("an empty folder: %v", err)
 	}
 	mem := vfs.NewMem()
 	var failing atomic.Bool
@@ -280,36 +279,36 @@
 		}
 		return nil
 	})
-	s = open(t, Options{FS: errorfs.Wrap(mem, broken), Now: at(0)})
+	s = openStore(t, Options{FS: errorfs.Wrap(mem, broken), Now: clockAt(0)})
 	var err error
 	for i := 0; i < 100 && err == nil; i++ {
 		failing.Store(i == 50)
-		err = s.Commit(at(int64(i)), []Op{{Record: record(i, true, "x")}})
+		err = s.Commit(clockAt(int64(i)), []Op{{Record: newRecord(i, true, "x")}})
 	}
 	if !errors.Is(err, ErrFailed) || !strings.Contains(err.Error(), "no space left") {
-		t.Errorf("after an error of the log: %v", err)
+		t.Errorf("after a write error of the log: %v", err)
 	}
-	if err := s.Commit(at(200), nil); !errors.Is(err, ErrFailed) {
-		t.Errorf("a store that has failed goes on: %v", err)
+	if err := s.Commit(clockAt(200), nil); !errors.Is(err, ErrFailed) {
+		t.Errorf("a failed store accepts a commit: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Damage of any file is told, or costs nothing: what is returned is what was written.
-func TestDamage(t *testing.T) {
+// Corruption of any file is reported or has no effect: what is returned is what was written.
+func TestCorruptFiles(t *testing.T) {
 	t.Parallel()
-	told := 0
+	reported := 0
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		mem := vfs.NewMem()
-		s := open(t, Options{FS: mem, Now: at(0)})
+		s := openStore(t, Options{FS: mem, Now: clockAt(0)})
 		for i := range 50 {
-			put(t, s, at(1), record(i, true, fmt.Sprint("result ", i)))
+			commitRecords(t, s, clockAt(1), newRecord(i, true, fmt.Sprint("result ", i)))
 		}
 		if rng.IntN(2) == 0 {
-			s.Compact() //nolint:errcheck // it shows below
+			s.Compact() //nolint:errcheck // a failure shows below
 		}
 		s.Close()
 		names, err := mem.List("keys")
@@ -317,12 +316,12 @@
 			t.Fatal(err)
 		}
 		name := mem.PathJoin("keys", names[rng.IntN(len(names))])
-		if !spoil(t, mem, name, rng) {
+		if !corruptFile(t, mem, name, rng) {
 			continue
 		}
-		s, err = Open(Options{Folder: "keys", FS: mem, Now: at(2)})
+		s, err = Open(Options{Folder: "keys", FS: mem, Now: clockAt(2)})
 		if err != nil {
-			told++
+			reported++
 			continue
 		}
 		err = s.Each(0, func(r Record) error {
@@ -332,17 +331,17 @@
 			return nil
 		})
 		if err != nil {
-			told++
+			reported++
 		}
 		s.Close()
 	}
-	if told == 0 {
-		t.Error("no damage was ever told")
+	if reported == 0 {
+		t.Error("no corruption was ever reported")
 	}
 }
 
-// spoil flips a byte of a file, or cuts it.
-func spoil(t *testing.T, mem *vfs.MemFS, name string, rng *rand.Rand) bool {
+// corruptFile flips a byte of a file, or truncates it.
+func corruptFile(t *testing.T, mem *vfs.MemFS, name string, rng *rand.Rand) bool {
 	info, err := mem.Stat(name)
 	if err != nil || info.IsDir() || info.Size() == 0 {
 		return false
