--- a/internal/handover/endpoint.go
+++ b/internal/handover/endpoint.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	maxPath = 100 // the system takes 107 bytes of a Unix socket's path
-	maxName = 32  // bytes of a server's name that go into the names of files
+	maxPathBytes = 100 // Linux allows 107 bytes in the path of a Unix socket
+	maxNameBytes = 32  // bytes of the server's name used in file names
 )
 
-// Endpoint is where the processes of one server meet: a folder that they share.
+// Endpoint is where the processes of one server meet: a socket and a lock file in
+// a folder that they share.
 type Endpoint struct {
-	base string // of the names of the files there
-	lock *os.File
-	last time.Time // when an earlier owner was last alive; zero = there was none
+	base           string // path prefix of the files there
+	lock           *os.File
+	lastOwnerAlive time.Time // when an earlier owner was last alive; zero = there was none
 }
 
-// NewEndpoint returns the meeting place in dir of the server named.
+// NewEndpoint returns the endpoint of the named server in dir.
 func NewEndpoint(dir, server string) (*Endpoint, error) {
-	plain := strings.Map(func(r rune) rune {
+	safeName := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
 			return r
 		}
 		return '_'
-	}, server[:min(len(server), maxName)])
-	p := &Endpoint{base: filepath.Join(dir, "kiteslip-"+plain)}
-	if n := len(p.socket()) + len(".12345678"); n > maxPath {
-		return nil, fmt.Errorf("handover: the path of %s is too long for a socket", dir)
+	}, server[:min(len(server), maxNameBytes)])
+	p := &Endpoint{base: filepath.Join(dir, "kiteslip-"+safeName)}
+	if n := len(p.socket()) + len(".12345678"); n > maxPathBytes {
+		return nil, fmt.Errorf("handover: folder path %s too long for a socket", dir)
 	}
 	path := p.base + ".keys"
 	if info, err := os.Stat(path); err == nil {
-		p.last = info.ModTime()
+		p.lastOwnerAlive = info.ModTime()
 	}
 	var err error
 	if p.lock, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
@@ -49,24 +50,24 @@
 
 func (p *Endpoint) socket() string { return p.base + ".sock" }
 
-// LastOwnerAlive is when an earlier owner was last alive, as found at the start; zero = there was none.
-func (p *Endpoint) LastOwnerAlive() time.Time { return p.last }
+// LastOwnerAlive returns when an earlier key owner was last alive, as found by NewEndpoint; zero = there was none.
+func (p *Endpoint) LastOwnerAlive() time.Time { return p.lastOwnerAlive }
 
-// TryLock takes the ownership of the keys if no other process has it.
+// TryLock acquires the ownership of the keys if no other process has it.
 func (p *Endpoint) TryLock() bool {
 	return unix.Flock(int(p.lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil && p.Touch() == nil
 }
 
-// Touch notes that the owner is alive.
+// Touch records that the key owner is alive, in the lock file's modification time.
 func (p *Endpoint) Touch() error {
 	t := time.Now()
 	return os.Chtimes(p.lock.Name(), t, t)
 }
 
-// Unlock gives the ownership up.
+// Unlock releases the ownership.
 func (p *Endpoint) Unlock() error { return unix.Flock(int(p.lock.Fd()), unix.LOCK_UN) }
 
-// Dial reaches the process that serves now; nil = there is none.
+// Dial connects to the process that listens now; nil = there is none.
 func (p *Endpoint) Dial() *net.UnixConn {
 	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: p.socket(), Net: "unix"})
 	if err != nil {
@@ -75,8 +76,8 @@
 	return c
 }
 
-// Listen makes this process the one that Dial reaches, in place of any other,
-// dead or alive: the socket takes the name in one step.
+// Listen makes this process the one that Dial reaches, in place of any other, dead
+// or alive: the socket is renamed into place atomically.
 func (p *Endpoint) Listen() (*net.UnixListener, error) {
 	name := fmt.Sprintf("%s.%d", p.socket(), os.Getpid())
 	if err := os.Remove(name); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -86,7 +87,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // by then the name may be another's
+	l.SetUnlinkOnClose(false) // by then the name may belong to another process
 	if err = os.Chmod(name, 0o600); err == nil {
 		err = os.Rename(name, p.socket())
 	}
@@ -97,37 +98,37 @@
 	return l, nil
 }
 
-// Close frees the lock file.
+// Close closes the lock file, which releases the ownership.
 func (p *Endpoint) Close() error { return p.lock.Close() }
 
-// greeting goes ahead of the messages, with a listener's descriptor where there is one to pass on.
-const greeting = "kite"
+// handshake precedes the messages; the listener's descriptor is attached to it, if there is one.
+const handshake = "kite"
 
-// SendListener greets a newcomer and gives it a listener; nil = there is none.
+// SendListener sends the handshake to a successor, with a listener; nil = without one.
 func SendListener(c *net.UnixConn, l *net.TCPListener) error {
 	if l == nil {
-		_, err := c.Write([]byte(greeting))
+		_, err := c.Write([]byte(handshake))
 		return err
 	}
-	raw, err := l.SyscallConn() // File would set the listener to block
+	raw, err := l.SyscallConn() // File would set the listener to blocking mode
 	if err != nil {
 		return err
 	}
-	failed := raw.Control(func(fd uintptr) {
-		_, _, err = c.WriteMsgUnix([]byte(greeting), unix.UnixRights(int(fd)), nil)
+	controlErr := raw.Control(func(fd uintptr) {
+		_, _, err = c.WriteMsgUnix([]byte(handshake), unix.UnixRights(int(fd)), nil)
 	})
-	return errors.Join(failed, err)
+	return errors.Join(controlErr, err)
 }
 
-// ReceiveListener reads the greeting by the deadline and returns the listener that came with it, or nil.
+// ReceiveListener reads the handshake by the deadline and returns the listener that came with it, or nil.
 func ReceiveListener(c *net.UnixConn, deadline time.Time) (net.Listener, error) {
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return nil, err
 	}
-	buf, oob := make([]byte, len(greeting)), make([]byte, unix.CmsgSpace(4))
+	buf, oob := make([]byte, len(handshake)), make([]byte, unix.CmsgSpace(4))
 	n, oobn, _, _, err := c.ReadMsgUnix(buf, oob)
-	if err != nil || string(buf[:n]) != greeting {
-		return nil, fmt.Errorf("handover: no greeting: %w", errors.Join(err, ErrInvalidMessage))
+	if err != nil || string(buf[:n]) != handshake {
+		return nil, fmt.Errorf("handover: no valid handshake: %w", errors.Join(err, ErrInvalidMessage))
 	}
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		return nil, err
@@ -143,11 +144,11 @@
 	return Inherit(fds[0])
 }
 
-// Inherit returns the listener that a descriptor stands for, and frees the descriptor.
+// Inherit returns the listener of a descriptor and closes the descriptor.
 func Inherit(fd int) (net.Listener, error) {
 	unix.CloseOnExec(fd)
-	if yes, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || yes == 0 {
-		return nil, fmt.Errorf("descriptor %d is no listening socket", fd)
+	if listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || listening == 0 {
+		return nil, fmt.Errorf("descriptor %d is not a listening socket", fd)
 	}
 	f := os.NewFile(uintptr(fd), "inherited")
 	defer f.Close()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// Messages come out as they went in, however the stream is cut.
-func TestMessages(t *testing.T) {
+// Messages are decoded as they were encoded, however the stream is split.
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sent []Message
 		var stream []byte
@@ -22,8 +22,8 @@
 			m := Message{Kind: Kind(rapid.IntRange(int(Hello), int(Load)).Draw(t, "kind")), ID: rapid.Uint32().Draw(t, "id"),
 				Arrived: rapid.Int64().Draw(t, "arrived"), WindowEnd: rapid.Int64().Draw(t, "guard"), BodyHash: rapid.Uint64().Draw(t, "sum"),
 				Finished: rapid.Bool().Draw(t, "over"), Outcome: rapid.Byte().Draw(t, "outcome"), Runs: rapid.Uint32().Draw(t, "runs"),
-				MemoryKB: rapid.Uint32().Draw(t, "kb"), Text: strings.Repeat("t", rapid.IntRange(0, maxText).Draw(t, "text")),
-				Key: strings.Repeat("k", rapid.IntRange(0, maxText).Draw(t, "key")), Result: rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "result")}
+				MemoryKB: rapid.Uint32().Draw(t, "kb"), Text: strings.Repeat("t", rapid.IntRange(0, maxTextBytes).Draw(t, "text")),
+				Key: strings.Repeat("k", rapid.IntRange(0, maxTextBytes).Draw(t, "key")), Result: rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "result")}
 			var err error
 			if stream, err = Append(stream, &m); err != nil {
 				t.Fatal(err)
@@ -52,25 +52,25 @@
 	})
 }
 
-// What is no message is refused before memory is taken for it, and never a panic.
-func TestBadMessages(t *testing.T) {
+// Malformed messages are rejected without a panic and before memory is allocated for them.
+func TestMalformedMessages(t *testing.T) {
 	good, _ := Append(nil, &Message{Kind: Claim, Text: "note", Key: "k", Result: []byte("r")})
 	for what, change := range map[string]func(b []byte){
-		"a huge length":  func(b []byte) { copy(b, "\xff\xff\xff\xff") },
-		"too short":      func(b []byte) { copy(b, "\x00\x00\x00\x05") },
-		"kind 0":         func(b []byte) { b[4] = 0 },
-		"kind 99":        func(b []byte) { b[4] = 99 },
-		"a text too far": func(b []byte) { b[4+40] = 200 },
-		"a key too far":  func(b []byte) { b[4+41] = 255 },
+		"length too large":      func(b []byte) { copy(b, "\xff\xff\xff\xff") },
+		"length too small":      func(b []byte) { copy(b, "\x00\x00\x00\x05") },
+		"kind 0":                func(b []byte) { b[4] = 0 },
+		"kind 99":               func(b []byte) { b[4] = 99 },
+		"text length too large": func(b []byte) { b[4+40] = 200 },
+		"key length too large":  func(b []byte) { b[4+41] = 255 },
 	} {
 		b := bytes.Clone(good)
 		change(b)
 		if _, n, err := Split(b); err == nil {
-			t.Errorf("%s: %d bytes are taken", what, n)
+			t.Errorf("%s: accepted, %d bytes", what, n)
 		}
 	}
 	if _, err := Append(nil, &Message{Kind: Claim, Key: strings.Repeat("k", 256)}); err == nil {
-		t.Error("a key that does not fit is sent")
+		t.Error("a key that is too long is encoded")
 	}
 }
 
@@ -84,7 +84,7 @@
 	})
 }
 
-func place(t *testing.T, dir string) *Endpoint {
+func newTestEndpoint(t *testing.T, dir string) *Endpoint {
 	t.Helper()
 	p, err := NewEndpoint(dir, "n3")
 	if err != nil {
@@ -94,58 +94,59 @@
 	return p
 }
 
-// One owns the keys, and whoever comes after the end of an owner knows when that last lived.
+// Only one process owns the keys, and one that acquires them after the owner's
+// death knows when the owner was last alive.
 func TestOwnership(t *testing.T) {
 	dir := t.TempDir()
-	a := place(t, dir)
+	a := newTestEndpoint(t, dir)
 	if !a.LastOwnerAlive().IsZero() || !a.TryLock() {
-		t.Fatal("the first process finds an owner")
+		t.Fatal("the first process finds an earlier owner")
 	}
-	b := place(t, dir)
+	b := newTestEndpoint(t, dir)
 	if b.TryLock() {
 		t.Fatal("two owners")
 	}
 	if err := a.Unlock(); err != nil || !b.TryLock() || a.TryLock() {
-		t.Fatalf("the keys do not pass over: %v", err)
+		t.Fatalf("the ownership is not transferred: %v", err)
 	}
-	b.Close() // as its death would
-	c := place(t, dir)
+	b.Close() // as if it had died
+	c := newTestEndpoint(t, dir)
 	if !c.TryLock() || time.Since(c.LastOwnerAlive()) > time.Minute {
 		t.Errorf("after the owner's death: last alive at %v", c.LastOwnerAlive())
 	}
 }
 
-// Servers that share a folder do not meet, and a name stays inside the folder.
-func TestServersDoNotMeet(t *testing.T) {
+// Servers that share a folder have separate locks, and a server's name can't lead out of the folder.
+func TestServersAreSeparate(t *testing.T) {
 	dir := t.TempDir()
-	a := place(t, dir)
+	a := newTestEndpoint(t, dir)
 	b, err := NewEndpoint(dir, "../n4/"+strings.Repeat("x", 99))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
 	if !a.TryLock() || !b.TryLock() {
-		t.Error("two servers have one lock")
+		t.Error("two servers share a lock")
 	}
 	if files, _ := filepath.Glob(filepath.Join(dir, "kiteslip-*.keys")); len(files) != 2 {
 		t.Errorf("files %v", files)
 	}
 }
 
-// The latest to listen is the one that is reached, whatever was left behind.
-func TestDialReachesTheLatest(t *testing.T) {
+// The latest process to listen is the one that is reached, whatever earlier ones left behind.
+func TestDialReachesLatestListener(t *testing.T) {
 	dir := t.TempDir()
-	p := place(t, dir)
+	p := newTestEndpoint(t, dir)
 	if p.Dial() != nil {
-		t.Fatal("somebody listens in an empty folder")
+		t.Fatal("Dial succeeds in an empty folder")
 	}
 	l, err := p.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Close() // its socket is left
+	l.Close() // its socket file remains
 	if p.Dial() != nil {
-		t.Fatal("a dead process answers")
+		t.Fatal("Dial reaches a dead process")
 	}
 	if err := os.Remove(p.socket()); err != nil {
 		t.Fatal(err)
@@ -154,7 +155,7 @@
 		t.Fatal(err)
 	}
 	if l, err = p.Listen(); err != nil {
-		t.Fatalf("what is left behind stands in the way: %v", err)
+		t.Fatalf("Listen fails on a leftover file: %v", err)
 	}
 	defer l.Close()
 	pass, err := net.Listen("tcp", "127.0.0.1:0")
@@ -164,24 +165,24 @@
 	defer pass.Close()
 	go func() {
 		if c, err := l.AcceptUnix(); err == nil {
-			SendListener(c, pass.(*net.TCPListener)) //nolint:errcheck // Take tells
+			SendListener(c, pass.(*net.TCPListener)) //nolint:errcheck // ReceiveListener reports it
 		}
 	}()
 	c := p.Dial()
 	if c == nil {
-		t.Fatal("nobody answers")
+		t.Fatal("Dial does not reach the listener")
 	}
 	defer c.Close()
 	got, err := ReceiveListener(c, time.Now().Add(5*time.Second))
 	if err != nil || got == nil || got.Addr().String() != pass.Addr().String() {
-		t.Fatalf("the listener passed on: %v, %v", got, err)
+		t.Fatalf("received listener: %v, %v", got, err)
 	}
 	got.Close()
 }
 
-// A process that listens and says nothing holds nobody up.
-func TestTakeEnds(t *testing.T) {
-	p := place(t, t.TempDir())
+// ReceiveListener returns at its deadline when the other process sends nothing.
+func TestReceiveListenerTimesOut(t *testing.T) {
+	p := newTestEndpoint(t, t.TempDir())
 	l, err := p.Listen()
 	if err != nil {
 		t.Fatal(err)
@@ -190,23 +191,23 @@
 	c := p.Dial()
 	defer c.Close()
 	if _, err := ReceiveListener(c, time.Now().Add(50*time.Millisecond)); err == nil {
-		t.Error("a greeting came from nowhere")
+		t.Error("a handshake was received although none was sent")
 	}
 }
 
-func TestInheritRefusesWhatDoesNotListen(t *testing.T) {
+func TestInheritRejectsNonListener(t *testing.T) {
 	f, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	if _, err := Inherit(int(f.Fd())); err == nil {
-		t.Error("a file is taken for a listener")
+		t.Error("a file is accepted as a listener")
 	}
 }
 
-func TestLongPath(t *testing.T) {
+func TestPathTooLong(t *testing.T) {
 	if _, err := NewEndpoint(filepath.Join(t.TempDir(), strings.Repeat("d", 90)), "n3"); err == nil {
-		t.Error("a path that no socket can have is taken")
+		t.Error("a path too long for a socket is accepted")
 	}
 }
