--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,4 +1,4 @@
-// Package registry reports this server to the registry, where callers learn of it.
+// Package registry reports this server to the registry, which lists it to callers.
 package registry
 
 import (
@@ -13,11 +13,11 @@
 }
 
 // ReportIntervalUS is the time between reports in microseconds. The registry drops a
-// server 3 s after its last one, and reports get lost: with a quarter of them
-// gone, one a second would let a server drop out every minute or so.
+// server 3 s after its last report. With a quarter of the reports lost, one report
+// per second would drop a server about once a minute.
 const ReportIntervalUS = 250_000
 
-// Dial returns a Heartbeat for the server named, to the registry at address.
+// Dial returns a Heartbeat for the named server, to the registry at address.
 func Dial(address, name string) (*Heartbeat, error) {
 	conn, err := net.Dial("udp", address)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return &Heartbeat{conn: conn, name: name}, nil
 }
 
-// Report sends the state: ready, or draining. An error says that the system
-// refused the datagram; the next report may pass.
+// Report sends the state: ready, or draining. An error means that the system
+// refused the datagram; later reports may succeed.
 func (b *Heartbeat) Report(draining bool) error {
 	state := "ready"
 	if draining {
@@ -37,8 +37,8 @@
 	return err
 }
 
-// Datagram is one report.
+// Datagram returns the content of one report.
 func Datagram(name, state string) []byte { return []byte("BEAT " + name + " " + state) }
 
-// Close frees the socket.
+// Close closes the socket.
 func (b *Heartbeat) Close() error { return b.conn.Close() }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -6,7 +6,7 @@
 	"kiteslip/internal/standin"
 )
 
-func TestReports(t *testing.T) {
+func TestReport(t *testing.T) {
 	address, reports := standin.NewRegistry(t)
 	b, err := Dial(address, "n3")
 	if err != nil {
@@ -23,23 +23,23 @@
 	}
 }
 
-// A registry that is down is no reason to fail: later reports may pass.
+// An unreachable registry is not a failure: later reports may succeed.
 func TestRegistryDown(t *testing.T) {
 	b, err := Dial("127.0.0.1:9", "n3")
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.Report(false) //nolint:errcheck // either way
-	b.Report(false) //nolint:errcheck // the system may tell of the first one's fate here
+	b.Report(false) //nolint:errcheck // the system may report the first one's failure here
 	if err := b.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A quarter of the reports is lost: even with nine lost in a row one comes
-// before the registry drops the server, 3 s after the last.
-func TestIntervalOutlivesLosses(t *testing.T) {
+// With a quarter of the reports lost, even nine losses in a row leave one report
+// within the 3 s after which the registry drops the server.
+func TestReportIntervalToleratesLoss(t *testing.T) {
 	if 10*ReportIntervalUS >= 3_000_000 {
-		t.Errorf("a report every %d us", ReportIntervalUS)
+		t.Errorf("report interval %d us", ReportIntervalUS)
 	}
 }
