--- a/internal/ledger/edge_cases_test.go
+++ b/internal/ledger/edge_cases_test.go
@@ -16,29 +16,28 @@
 	"kiteslip"
 )
 
-// breaking is a connection on which nothing more can be written once it is told.
-type breaking struct {
+// breakableConn is a connection whose writes fail once broken is set.
+type breakableConn struct {
 	net.Conn
 	broken *atomic.Bool
 }
 
-func (b breaking) Write(p []byte) (int, error) {
+func (b breakableConn) Write(p []byte) (int, error) {
 	if b.broken.Load() {
-		return 0, errors.New("broken before a byte")
+		return 0, errors.New("connection broken before the first byte")
 	}
 	return b.Conn.Write(p)
 }
 
-// A kept connection that breaks before a byte of a call is written, and an
-// address that refuses the next one: the call never ran, and is told so. Where
-// the next one is taken the call is made once.
-func TestKeptConnectionBreaksBeforeTheCall(t *testing.T) {
+// An idle connection breaks before a byte of a call is written. If the next
+// connection is refused, the call has certainly not run; otherwise it is made once.
+func TestIdleConnectionBreaksBeforeCall(t *testing.T) {
 	t.Parallel()
 	for _, refused := range []bool{true, false} {
-		r := open(t, 1, nil)
+		f := newFixture(t, 1, nil)
 		var broken atomic.Bool
 		dials := 0
-		r.carrier.DialContext = func(_ context.Context, network, address string) (net.Conn, error) {
+		f.transport.DialContext = func(_ context.Context, network, address string) (net.Conn, error) {
 			if dials++; dials > 1 && refused {
 				return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 			}
@@ -46,27 +45,27 @@
 			if dials > 1 {
 				return c, err
 			}
-			return breaking{c, &broken}, err
+			return breakableConn{c, &broken}, err
 		}
-		r.Call(1, "a", []byte("first"), longest.Microseconds())
-		if got := r.next(); got.Outcome != kiteslip.OK {
+		f.Call(1, "a", []byte("first"), maxWait.Microseconds())
+		if got := f.nextResult(); got.Outcome != kiteslip.OK {
 			t.Fatalf("%+v", got)
 		}
 		broken.Store(true)
-		r.Call(2, "b", []byte("second"), longest.Microseconds())
-		got := r.next()
+		f.Call(2, "b", []byte("second"), maxWait.Microseconds())
+		got := f.nextResult()
 		if refused && (got.Outcome != kiteslip.Unreachable || got.Reason != ConnectionRefused) || !refused && got.Outcome != kiteslip.OK {
 			t.Errorf("refused %v: %+v", refused, got)
 		}
-		if n := r.far.Effects()["second"]; !refused && n != 1 || refused && n != 0 {
-			t.Errorf("refused %v: the call had its effect %d times", refused, n)
+		if n := f.server.Effects()["second"]; !refused && n != 1 || refused && n != 0 {
+			t.Errorf("refused %v: the call took effect %d times", refused, n)
 		}
 	}
 }
 
-// Whatever a ledger sends in place of a plain reply ends the call once, in a way
-// that claims nothing, and spoils no other call.
-func TestOddReplies(t *testing.T) {
+// An unusual or malformed reply ends the call once, with an outcome that proves
+// nothing, and affects no other call.
+func TestUnusualReplies(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name, reply string
@@ -78,9 +77,9 @@
 		{"bytes after the reply", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", false, kiteslip.OK},
 		{"shorter than it says", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false, kiteslip.Reset},
 		{"cut in the head", "HTTP/1.1 200 OK\r\nConte", false, kiteslip.Reset},
-		{"a length that is none", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", false, kiteslip.Reset},
+		{"invalid length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", false, kiteslip.Reset},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", false, kiteslip.Reset},
-		{"a head without end", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*headMost) + "\r\n\r\n", false, kiteslip.Reset},
+		{"endless header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes) + "\r\n\r\n", false, kiteslip.Reset},
 		{"silence after the head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", true, kiteslip.TimedOut},
 		{"silence", "", true, kiteslip.TimedOut},
 		{"nothing", "", false, kiteslip.Reset},
@@ -99,7 +98,7 @@
 						return
 					}
 					http.ReadRequest(bufio.NewReader(conn)) //nolint:errcheck // the call
-					io.WriteString(conn, c.reply)           //nolint:errcheck // seen by the client
+					io.WriteString(conn, c.reply)           //nolint:errcheck // the client reports a failure
 					if !c.hold {
 						conn.Close()
 						continue
@@ -112,18 +111,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			patience := longest
+			timeout := maxWait
 			if c.hold {
-				patience = 100 * time.Millisecond
+				timeout = 100 * time.Millisecond
 			}
-			client.Call(1, "a", []byte("body"), patience.Microseconds())
+			client.Call(1, "a", []byte("body"), timeout.Microseconds())
 			got := <-results
 			if got.Outcome != c.outcome || c.outcome == kiteslip.OK && string(got.Reply) != "ok" {
 				t.Errorf("%+v, want outcome %d", got, c.outcome)
 			}
 			client.Close()
 			if len(results) > 0 {
-				t.Errorf("a second end: %+v", <-results)
+				t.Errorf("a second result: %+v", <-results)
 			}
 		})
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,12 +1,12 @@
-// Package ledger makes calls to what lies below, by HTTP/1.1 beside the loop.
+// Package ledger makes the downstream calls by HTTP/1.1, outside the event loop.
 //
 // A Client belongs to one goroutine, the loop; so does the function that its
-// results are handed to, through the hand-over that New is given. Each Call ends
-// with one Result, unless it is abandoned first. Nothing here waits, and no name
-// is ever looked up: an address is an IP address and a port.
+// results are handed to, through the queue behind the function that New is given.
+// Each Call ends with one Result, unless it is abandoned first. No method but
+// Close blocks, and names are not resolved: an address is an IP address and a port.
 //
-// What a Result proves is stated in docs/design/calls.md. Only Full,
-// Unreachable and Moot say that nothing ran.
+// docs/design/calls.md states what a Result proves. Only Rejected, Unreachable and
+// NoSuchRun say that nothing ran.
 package ledger
 
 import (
@@ -22,14 +22,14 @@
 	"kiteslip"
 )
 
-// The bounds of a client.
+// The limits of a client.
 const (
-	replyMost   = 64 << 10        // bytes of a reply; one of a call that goes well holds 4 KiB
-	headMost    = 16 << 10        // bytes of a reply's head
-	idleMost    = 8 * time.Second // the far side closes after 10
-	callsMost   = 4096            // calls in hand
-	dialWithin  = time.Second
-	patientMost = time.Hour
+	maxReplyBytes  = 64 << 10        // a successful reply holds 4 KiB
+	maxHeaderBytes = 16 << 10        // of a reply
+	idleTimeout    = 8 * time.Second // the ledger closes idle connections after 10 s
+	maxCalls       = 4096            // in progress
+	dialTimeout    = time.Second
+	maxCallTimeout = time.Hour
 )
 
 // Result is the end of one call.
@@ -38,22 +38,22 @@
 	Outcome kiteslip.Outcome
 	Reason  EndReason
 	Reply   []byte // OK only; unchanged
-	Err     error  // what was seen, where it is not OK
+	Err     error  // the cause, if Reason is not OK
 }
 
 // Client makes calls. See the package comment.
 type Client struct {
-	address string
-	hand    func(Result)
-	carrier *http.Transport
+	address   string
+	onResult  func(Result)
+	transport *http.Transport
 
-	mu   sync.Mutex
-	out  map[uint64]context.CancelFunc
-	done bool
-	wait sync.WaitGroup
+	mu      sync.Mutex
+	cancels map[uint64]context.CancelFunc
+	closed  bool
+	running sync.WaitGroup
 }
 
-// CheckAddress says what is wrong with an address; nil = it can be used.
+// CheckAddress returns an error that says what is wrong with an address, or nil.
 func CheckAddress(address string) error {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || at.Port() == 0 {
@@ -62,93 +62,92 @@
 	return nil
 }
 
-// New returns a client of the ledger at address that holds at most conns
-// connections. hand takes each result, on a goroutine of the client's, and must
-// not wait.
-func New(address string, conns int, hand func(Result)) (*Client, error) {
+// New returns a client of the ledger at address with at most conns connections.
+// onResult receives each result on a goroutine of the client and must not block.
+func New(address string, conns int, onResult func(Result)) (*Client, error) {
 	if err := CheckAddress(address); err != nil {
 		return nil, fmt.Errorf("ledger %w", err)
 	}
 	conns = max(1, conns)
-	dialer := net.Dialer{Timeout: dialWithin, KeepAlive: -1}
-	return &Client{address: address, hand: hand, out: map[uint64]context.CancelFunc{}, carrier: &http.Transport{
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
+	return &Client{address: address, onResult: onResult, cancels: map[uint64]context.CancelFunc{}, transport: &http.Transport{
 		DialContext:            dialer.DialContext,
 		DisableCompression:     true,
 		MaxConnsPerHost:        conns,
 		MaxIdleConns:           conns,
 		MaxIdleConnsPerHost:    conns,
-		IdleConnTimeout:        idleMost,
-		MaxResponseHeaderBytes: headMost,
+		IdleConnTimeout:        idleTimeout,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}}, nil
 }
 
-// SetAddress gives the ledger another address. Calls that are out end where they were
-// made; connections that carry none are closed.
+// SetAddress changes the ledger's address. Calls in progress end at the old one;
+// idle connections are closed.
 func (c *Client) SetAddress(address string) error {
 	if err := CheckAddress(address); err != nil {
 		return fmt.Errorf("ledger %w", err)
 	}
 	if address != c.address {
 		c.address = address
-		c.carrier.CloseIdleConnections()
+		c.transport.CloseIdleConnections()
 	}
 	return nil
 }
 
-var errBusy = errors.New("ledger: too many calls are in hand")
+var errTooManyCalls = errors.New("ledger: too many calls in progress")
 
-// Call makes a call for the run named ref, given up after patience microseconds.
-func (c *Client) Call(token uint64, ref string, body []byte, patience int64) {
-	within := min(time.Duration(patience)*time.Microsecond, patientMost)
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Call makes a call for the run named ref, which times out after timeout microseconds.
+func (c *Client) Call(token uint64, ref string, body []byte, timeout int64) {
+	limit := min(time.Duration(timeout)*time.Microsecond, maxCallTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	c.mu.Lock()
-	full := c.done || len(c.out) >= callsMost
-	if !full {
-		c.out[token] = cancel
-		c.wait.Add(1)
+	rejected := c.closed || len(c.cancels) >= maxCalls
+	if !rejected {
+		c.cancels[token] = cancel
+		c.running.Add(1)
 	}
 	c.mu.Unlock()
-	if full {
+	if rejected {
 		cancel()
-		c.hand(Result{Token: token, Outcome: kiteslip.Unreachable, Reason: NoConnection, Err: errBusy})
+		c.onResult(Result{Token: token, Outcome: kiteslip.Unreachable, Reason: NoConnection, Err: errTooManyCalls})
 		return
 	}
-	post := post{address: c.address, ref: ref, body: body, within: within, carrier: c.carrier}
+	post := post{address: c.address, ref: ref, body: body, timeout: limit, transport: c.transport}
 	go func() {
-		defer c.wait.Done()
+		defer c.running.Done()
 		defer cancel()
-		result := post.make(ctx)
+		result := post.do(ctx)
 		result.Token = token
 		c.mu.Lock()
-		_, wanted := c.out[token]
-		delete(c.out, token)
+		_, wanted := c.cancels[token]
+		delete(c.cancels, token)
 		c.mu.Unlock()
 		if wanted {
-			c.hand(result)
+			c.onResult(result)
 		}
 	}()
 }
 
-// Abandon gives a call up: its connection is closed, and nothing is heard of it.
+// Abandon cancels a call: its connection is closed, and it gets no Result.
 func (c *Client) Abandon(token uint64) {
 	c.mu.Lock()
-	cancel := c.out[token]
-	delete(c.out, token)
+	cancel := c.cancels[token]
+	delete(c.cancels, token)
 	c.mu.Unlock()
 	if cancel != nil {
 		cancel()
 	}
 }
 
-// Close gives up all calls and closes the connections. It returns once none is left.
+// Close abandons all calls, closes the connections and returns once all have ended.
 func (c *Client) Close() {
 	c.mu.Lock()
-	c.done = true
-	for token, cancel := range c.out {
-		delete(c.out, token)
+	c.closed = true
+	for token, cancel := range c.cancels {
+		delete(c.cancels, token)
 		cancel()
 	}
 	c.mu.Unlock()
-	c.wait.Wait()
-	c.carrier.CloseIdleConnections()
+	c.running.Wait()
+	c.transport.CloseIdleConnections()
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -10,44 +10,47 @@
 	standin "kiteslip/internal/standin/ledger"
 )
 
-const longest = 20 * time.Second // of a wait in these tests
+const maxWait = 20 * time.Second // for a result
 
-type rig struct {
+// fixture is a Client of a stand-in ledger.
+type fixture struct {
 	*Client
 	t       *testing.T
-	far     *standin.Ledger
+	server  *standin.Ledger
 	results chan Result
 }
 
-func open(t *testing.T, conns int, script func(standin.Call) standin.Act) *rig {
+// newFixture starts a stand-in ledger that acts by script, and a Client of it.
+func newFixture(t *testing.T, conns int, script func(standin.Call) standin.Act) *fixture {
 	t.Helper()
-	far, err := standin.Serve(script)
+	server, err := standin.Serve(script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(far.Down)
-	r := &rig{t: t, far: far, results: make(chan Result, 1024)}
-	if r.Client, err = New(far.Address, conns, func(got Result) { r.results <- got }); err != nil {
+	t.Cleanup(server.Down)
+	f := &fixture{t: t, server: server, results: make(chan Result, 1024)}
+	if f.Client, err = New(server.Address, conns, func(got Result) { f.results <- got }); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	return r
+	t.Cleanup(f.Close)
+	return f
 }
 
-func (r *rig) next() Result {
-	r.t.Helper()
+// nextResult waits for the next result.
+func (f *fixture) nextResult() Result {
+	f.t.Helper()
 	select {
-	case got := <-r.results:
+	case got := <-f.results:
 		return got
-	case <-time.After(longest):
-		r.t.Fatal("the call does not end")
+	case <-time.After(maxWait):
+		f.t.Fatal("the call does not end")
 		return Result{}
 	}
 }
 
-// Each way in which a call ends has its own outcome; only what the protocol
-// says proves that nothing ran is told so.
-func TestEnds(t *testing.T) {
+// Each way in which a call ends has its own end reason; only replies that prove by
+// the protocol that nothing ran are reported so.
+func TestEndReasons(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
@@ -57,27 +60,27 @@
 	}{
 		{"good", standin.Act{}, kiteslip.OK, OK},
 		{"turned away", standin.Act{Status: 503, Untouched: true}, kiteslip.Rejected, Rejected},
-		{"503 without a word", standin.Act{Status: 503}, kiteslip.Failed, Unconfirmed},
+		{"503 without the header", standin.Act{Status: 503}, kiteslip.Failed, Unconfirmed},
 		{"error", standin.Act{Status: 500}, kiteslip.Failed, ServerError},
 		{"error that claims nothing ran", standin.Act{Status: 500, Untouched: true}, kiteslip.Failed, ServerError},
 		{"out of time", standin.Act{Status: 504}, kiteslip.TimedOut, RemoteTimeout},
 		{"no run", standin.Act{Status: 409, Untouched: true}, kiteslip.NotStarted, NoSuchRun},
-		{"409 without a word", standin.Act{Status: 409}, kiteslip.Failed, Unconfirmed},
+		{"409 without the header", standin.Act{Status: 409}, kiteslip.Failed, Unconfirmed},
 		{"another status", standin.Act{Status: 302, Untouched: true}, kiteslip.Failed, UnexpectedStatus},
 		{"broken", standin.Act{Break: true}, kiteslip.Reset, ConnectionBroken},
 		{"no HTTP", standin.Act{Garble: true}, kiteslip.Reset, Malformed},
-		{"oversized", standin.Act{Size: replyMost + 1}, kiteslip.Reset, Oversized},
+		{"oversized", standin.Act{Size: maxReplyBytes + 1}, kiteslip.Reset, Oversized},
 		{"slow", standin.Act{After: time.Minute}, kiteslip.TimedOut, CallTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := open(t, 1, func(standin.Call) standin.Act { return c.act })
-			patience := longest
+			f := newFixture(t, 1, func(standin.Call) standin.Act { return c.act })
+			timeout := maxWait
 			if c.act.After > 0 {
-				patience = 50 * time.Millisecond
+				timeout = 50 * time.Millisecond
 			}
-			r.Call(7, "9b1f03aa5c7e2d41", []byte("body\x00"), patience.Microseconds())
-			got := r.next()
+			f.Call(7, "9b1f03aa5c7e2d41", []byte("body\x00"), timeout.Microseconds())
+			got := f.nextResult()
 			if got.Token != 7 || got.Outcome != c.outcome || got.Reason != c.end {
 				t.Errorf("%+v, want outcome %d and end %v", got, c.outcome, c.end)
 			}
@@ -88,23 +91,23 @@
 	}
 }
 
-// A ledger that is down proves that nothing ran, and is used again once it is back.
-func TestDownAndBack(t *testing.T) {
+// A call to a ledger that is down has certainly not run, and the ledger is used again once it is up.
+func TestLedgerRestart(t *testing.T) {
 	t.Parallel()
-	r := open(t, 2, nil)
-	for i, up := range []bool{true, false, true} { // the last one must not meet a connection of the first
+	f := newFixture(t, 2, nil)
+	for i, up := range []bool{true, false, true} { // the last one must not use a connection of the first
 		if i > 0 && up {
-			if err := r.far.Up(); err != nil {
+			if err := f.server.Up(); err != nil {
 				t.Fatal(err)
 			}
 		} else if !up {
-			r.far.Down()
+			f.server.Down()
 		}
-		r.Call(uint64(i), "a", nil, longest.Microseconds())
-		got := r.next()
-		if !up && got.Reason == ConnectionBroken { // the kept connection was not known to be gone yet; it is now
-			r.Call(uint64(i), "a", nil, longest.Microseconds())
-			got = r.next()
+		f.Call(uint64(i), "a", nil, maxWait.Microseconds())
+		got := f.nextResult()
+		if !up && got.Reason == ConnectionBroken { // the loss of the idle connection had not been noticed yet
+			f.Call(uint64(i), "a", nil, maxWait.Microseconds())
+			got = f.nextResult()
 		}
 		if up && got.Outcome != kiteslip.OK || !up && (got.Outcome != kiteslip.Unreachable || got.Reason != ConnectionRefused) {
 			t.Errorf("up %v: %+v", up, got)
@@ -112,112 +115,112 @@
 	}
 }
 
-// Many calls share few connections; one that never gets one has not run.
-func TestRoomForTen(t *testing.T) {
+// Many calls share few connections; a call that never gets one has not run.
+func TestCallsShareConnections(t *testing.T) {
 	t.Parallel()
-	came, release := make(chan struct{}, 101), make(chan struct{})
-	r := open(t, 10, func(standin.Call) standin.Act { came <- struct{}{}; <-release; return standin.Act{} })
+	started, release := make(chan struct{}, 101), make(chan struct{})
+	f := newFixture(t, 10, func(standin.Call) standin.Act { started <- struct{}{}; <-release; return standin.Act{} })
 	for i := range uint64(100) {
-		r.Call(i, "a", nil, longest.Microseconds())
+		f.Call(i, "a", nil, maxWait.Microseconds())
 	}
-	for range 10 { // all connections are taken
-		<-came
+	for range 10 { // all connections are in use
+		<-started
 	}
-	r.Call(100, "a", nil, 50_000)
-	if got := r.next(); got.Token != 100 || got.Outcome != kiteslip.Unreachable || got.Reason != NoConnection {
-		t.Errorf("%+v, want the one that could not wait", got)
+	f.Call(100, "a", nil, 50_000)
+	if got := f.nextResult(); got.Token != 100 || got.Outcome != kiteslip.Unreachable || got.Reason != NoConnection {
+		t.Errorf("%+v, want the call that got no connection in time", got)
 	}
 	close(release)
 	ended := map[uint64]bool{}
 	for range 100 {
-		got := r.next()
+		got := f.nextResult()
 		if ended[got.Token] || got.Outcome != kiteslip.OK {
 			t.Errorf("%+v, ended before: %v", got, ended[got.Token])
 		}
 		ended[got.Token] = true
 	}
-	if _, most := r.far.Connections(); most > 10 {
-		t.Errorf("%d connections, room for 10", most)
+	if _, most := f.server.Connections(); most > 10 {
+		t.Errorf("%d connections, want at most 10", most)
 	}
-	if seen, _ := r.far.Seen(); seen != 100 {
+	if seen, _ := f.server.Seen(); seen != 100 {
 		t.Errorf("the ledger saw %d calls, want 100", seen)
 	}
 }
 
-// A call given up closes its connection, and nothing is heard of it.
-func TestAbandoned(t *testing.T) {
+// An abandoned call closes its connection and gets no result.
+func TestAbandonedCall(t *testing.T) {
 	t.Parallel()
-	came := make(chan struct{}, 1)
-	r := open(t, 1, func(c standin.Call) standin.Act {
+	started := make(chan struct{}, 1)
+	f := newFixture(t, 1, func(c standin.Call) standin.Act {
 		if c.Ref == "long" {
-			came <- struct{}{}
+			started <- struct{}{}
 			return standin.Act{After: time.Minute}
 		}
 		return standin.Act{}
 	})
-	r.Call(1, "long", nil, longest.Microseconds())
-	<-came
-	r.Abandon(1)
-	r.Call(2, "short", nil, longest.Microseconds())
-	if got := r.next(); got.Token != 2 || got.Outcome != kiteslip.OK {
+	f.Call(1, "long", nil, maxWait.Microseconds())
+	<-started
+	f.Abandon(1)
+	f.Call(2, "short", nil, maxWait.Microseconds())
+	if got := f.nextResult(); got.Token != 2 || got.Outcome != kiteslip.OK {
 		t.Errorf("%+v", got)
 	}
-	r.Close()
-	if _, givenUp := r.far.Seen(); givenUp != 1 || len(r.results) != 0 {
-		t.Errorf("%d calls given up, %d results more", givenUp, len(r.results))
+	f.Close()
+	if _, abandoned := f.server.Seen(); abandoned != 1 || len(f.results) != 0 {
+		t.Errorf("%d calls abandoned, %d further results", abandoned, len(f.results))
 	}
-	r.Call(3, "late", nil, longest.Microseconds())
-	if got := r.next(); got.Outcome != kiteslip.Unreachable {
-		t.Errorf("after the close: %+v", got)
+	f.Call(3, "late", nil, maxWait.Microseconds())
+	if got := f.nextResult(); got.Outcome != kiteslip.Unreachable {
+		t.Errorf("after Close: %+v", got)
 	}
 }
 
-// Calls go to the new address; the one that is out ends where it was made.
-func TestMove(t *testing.T) {
+// After SetAddress calls go to the new address; one in progress ends at the old one.
+func TestSetAddress(t *testing.T) {
 	t.Parallel()
-	came, release := make(chan struct{}), make(chan struct{})
+	started, release := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	r := open(t, 2, func(standin.Call) standin.Act { once.Do(func() { close(came) }); <-release; return standin.Act{} })
+	f := newFixture(t, 2, func(standin.Call) standin.Act { once.Do(func() { close(started) }); <-release; return standin.Act{} })
 	next, err := standin.Serve(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Down)
-	r.Call(1, "a", []byte("old"), longest.Microseconds())
-	<-came
-	if err := r.SetAddress("localhost:1"); err == nil {
-		t.Error("a name is taken as an address")
+	f.Call(1, "a", []byte("old"), maxWait.Microseconds())
+	<-started
+	if err := f.SetAddress("localhost:1"); err == nil {
+		t.Error("a host name is accepted as an address")
 	}
-	if err := r.SetAddress(next.Address); err != nil {
+	if err := f.SetAddress(next.Address); err != nil {
 		t.Fatal(err)
 	}
-	r.Call(2, "b", []byte("new"), longest.Microseconds())
-	if got := r.next(); got.Token != 2 || string(got.Reply) != standin.Reply("new") {
+	f.Call(2, "b", []byte("new"), maxWait.Microseconds())
+	if got := f.nextResult(); got.Token != 2 || string(got.Reply) != standin.Reply("new") {
 		t.Errorf("%+v", got)
 	}
 	close(release)
-	if got := r.next(); got.Token != 1 || string(got.Reply) != standin.Reply("old") {
+	if got := f.nextResult(); got.Token != 1 || string(got.Reply) != standin.Reply("old") {
 		t.Errorf("%+v", got)
 	}
 }
 
-// One connection serves call after call.
-func TestConnectionIsKept(t *testing.T) {
+// Calls made one after the other share one connection.
+func TestConnectionReused(t *testing.T) {
 	t.Parallel()
-	r := open(t, 4, nil)
+	f := newFixture(t, 4, nil)
 	for i := range uint64(20) {
-		r.Call(i, "a", nil, longest.Microseconds())
-		r.next()
+		f.Call(i, "a", nil, maxWait.Microseconds())
+		f.nextResult()
 	}
-	if open, most := r.far.Connections(); open != 1 || most != 1 {
-		t.Errorf("%d connections open, %d at most", open, most)
+	if current, most := f.server.Connections(); current != 1 || most != 1 {
+		t.Errorf("%d connections open, %d at most", current, most)
 	}
 }
 
-func TestAddresses(t *testing.T) {
+func TestCheckAddress(t *testing.T) {
 	for _, bad := range []string{"", "ledger:7700", "localhost:7700", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:x"} {
 		if CheckAddress(bad) == nil {
-			t.Errorf("%q passes", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 	for _, good := range []string{"127.0.0.1:7700", "[::1]:7700"} {
@@ -227,16 +230,16 @@
 	}
 }
 
-// A reply too slow for the dial: an address where nobody answers is given up in time.
+// A call to an address that accepts connections but never replies times out.
 func TestSilentListener(t *testing.T) {
 	t.Parallel()
-	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections in its queue, and never reads
+	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections into its backlog, and never reads
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	results := make(chan Result, 1)
-	c, err := New(l.Addr().String(), 1, func(r Result) { results <- r })
+	c, err := New(l.Addr().String(), 1, func(f Result) { results <- f })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ledger/post.go
+++ b/internal/ledger/post.go
@@ -17,66 +17,66 @@
 	"kiteslip"
 )
 
-// EndReason is what was seen of a call's end, finer than its outcome: it is counted.
+// EndReason says how a call ended, in more detail than its outcome, for counting.
 type EndReason uint8
 
-// The ends.
+// The end reasons.
 const (
 	OK                EndReason = iota
 	Rejected                    // 503, and it never ran
 	ServerError                 // 500
 	RemoteTimeout               // 504: it ran out of time, or its run has ended
 	NoSuchRun                   // 409: no run waits for it, and it never ran
-	Unconfirmed                 // 503 or 409 without the word that it never ran
-	UnexpectedStatus            // a status that the protocol does not have
-	ConnectionRefused           // the connection was refused, or could not be made
-	NoConnection                // none was free in time
-	ConnectionBroken            // the connection broke under the call
-	CallTimeout                 // given up at the end of its patience
-	Oversized                   // a reply of more than is allowed
-	Malformed                   // a reply that is no HTTP
-	ends
+	Unconfirmed                 // 503 or 409 without the header that says it never ran
+	UnexpectedStatus            // a status that the protocol does not define
+	ConnectionRefused           // the connection was refused, or could not be established
+	NoConnection                // no connection was free in time
+	ConnectionBroken            // the connection broke during the call
+	CallTimeout                 // the timeout expired
+	Oversized                   // the reply exceeds maxReplyBytes
+	Malformed                   // the reply is not HTTP
+	endReasonCount
 )
 
-var endWords = [ends]string{"ok", "turned_away", "error", "expired", "moot", "unproved", "status", "refused",
+var endReasonNames = [endReasonCount]string{"ok", "turned_away", "error", "expired", "moot", "unproved", "status", "refused",
 	"no_connection", "broken", "slow", "oversized", "malformed"}
 
 func (e EndReason) String() string {
-	if e < ends {
-		return endWords[e]
+	if e < endReasonCount {
+		return endReasonNames[e]
 	}
 	return "unknown"
 }
 
-// EndReasons lists all ends, for those who count by them.
+// EndReasons returns all end reasons, for counters by reason.
 func EndReasons() []EndReason {
 	var all []EndReason
-	for e := range ends {
+	for e := range endReasonCount {
 		all = append(all, e)
 	}
 	return all
 }
 
-// post is one call.
+// post is the HTTP request of one call.
 type post struct {
-	address string
-	ref     string
-	body    []byte
-	within  time.Duration
-	carrier http.RoundTripper
+	address   string
+	ref       string
+	body      []byte
+	timeout   time.Duration
+	transport http.RoundTripper
 }
 
-// trace is how far a call got. The transport calls it on goroutines of its own.
-type trace struct {
-	connected atomic.Bool // there was a connection to write it on
-	refused   atomic.Bool // a connection was tried and could not be made
+// connTrace records how far a call got. The transport sets it from its own goroutines.
+type connTrace struct {
+	connected atomic.Bool // the call was given a connection
+	refused   atomic.Bool // a connection could not be established
 }
 
-func (t *trace) hooks() *httptrace.ClientTrace {
+func (t *connTrace) hooks() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
-		// Another try begins only where nothing was written on the connection before.
+		// The transport retries only if nothing was written on the previous connection.
 		GetConn: func(string) { t.connected.Store(false) },
-		// From here on bytes may have gone out: the transport writes as soon as it has a connection.
+		// From here on bytes may have been sent: the transport writes as soon as it has a connection.
 		GotConn: func(httptrace.GotConnInfo) { t.connected.Store(true) },
 		ConnectDone: func(_, _ string, err error) {
 			if err != nil {
@@ -86,38 +86,38 @@
 	}
 }
 
-// make makes the call and says how it ended. The transport does not repeat a
-// POST of which anything may have been written.
-func (p *post) make(ctx context.Context) Result {
-	var seen trace
-	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, seen.hooks()), http.MethodPost,
+// do makes the call and returns how it ended. The transport does not retry a POST
+// of which anything may have been written.
+func (p *post) do(ctx context.Context) Result {
+	var trace connTrace
+	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace.hooks()), http.MethodPost,
 		"http://"+p.address+"/post", bytes.NewReader(p.body))
 	if err != nil {
 		return Result{Outcome: kiteslip.Unreachable, Reason: ConnectionRefused, Err: err}
 	}
 	request.Header = http.Header{
 		"X-Txn-Ref":  {p.ref},
-		"X-Limit-Ms": {strconv.FormatInt(max(1, p.within.Milliseconds()), 10)},
+		"X-Limit-Ms": {strconv.FormatInt(max(1, p.timeout.Milliseconds()), 10)},
 		"User-Agent": nil,
 	}
-	response, err := p.carrier.RoundTrip(request)
+	response, err := p.transport.RoundTrip(request)
 	if err != nil {
-		return failed(ctx, err, &seen)
+		return failureOf(ctx, err, &trace)
 	}
 	defer response.Body.Close()
-	reply, err := io.ReadAll(io.LimitReader(response.Body, replyMost+1))
+	reply, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes+1))
 	switch {
 	case err != nil:
-		return failed(ctx, err, &seen)
-	case len(reply) > replyMost:
-		return Result{Outcome: kiteslip.Reset, Reason: Oversized, Err: fmt.Errorf("ledger: a reply of over %d bytes", replyMost)}
+		return failureOf(ctx, err, &trace)
+	case len(reply) > maxReplyBytes:
+		return Result{Outcome: kiteslip.Reset, Reason: Oversized, Err: fmt.Errorf("ledger: reply longer than %d bytes", maxReplyBytes)}
 	}
-	return judge(response, reply)
+	return resultOf(response, reply)
 }
 
-// judge words a whole reply. What proves that a call never ran is believed only
-// where the protocol says so.
-func judge(response *http.Response, reply []byte) Result {
+// resultOf returns the result of a complete reply. That a call never ran is
+// accepted only for the statuses for which the protocol defines it.
+func resultOf(response *http.Response, reply []byte) Result {
 	if response.StatusCode == http.StatusOK {
 		return Result{Outcome: kiteslip.OK, Reason: OK, Reply: reply}
 	}
@@ -140,16 +140,16 @@
 	return r
 }
 
-// failed words a call without a whole reply.
-func failed(ctx context.Context, err error, seen *trace) Result {
-	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
+// failureOf returns the result of a call without a complete reply.
+func failureOf(ctx context.Context, err error, trace *connTrace) Result {
+	timedOut := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	r := Result{Outcome: kiteslip.Reset, Reason: ConnectionBroken, Err: err}
 	switch {
-	case !seen.connected.Load() && (seen.refused.Load() || errors.Is(err, syscall.ECONNREFUSED)) && !late:
+	case !trace.connected.Load() && (trace.refused.Load() || errors.Is(err, syscall.ECONNREFUSED)) && !timedOut:
 		r.Outcome, r.Reason = kiteslip.Unreachable, ConnectionRefused
-	case !seen.connected.Load():
+	case !trace.connected.Load():
 		r.Outcome, r.Reason = kiteslip.Unreachable, NoConnection
-	case late:
+	case timedOut:
 		r.Outcome, r.Reason = kiteslip.TimedOut, CallTimeout
 	case strings.Contains(err.Error(), "malformed HTTP"):
 		r.Reason = Malformed
