--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -14,6 +14,7 @@
 // AnswerCounts counts final answers by their code.
 type AnswerCounts struct{ Served, Refused, Failed int }
 
+// add counts one answer.
 func (n *AnswerCounts) add(code Code) {
 	switch code {
 	case Served:
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -46,7 +46,7 @@
 // CallsInFlight returns the number of calls that have not ended.
 func (c *Core) CallsInFlight() int { return len(c.calls.inFlight) }
 
-// NeedsCall takes in that the run of r waits for a downstream call. An earlier
+// NeedsCall reports that the run of r waits for a downstream call. An earlier
 // call of the run is over: a run requests another only once it has continued.
 func (c *Core) NeedsCall(r *Request, notice uint64, body []byte) {
 	if r.phase != running {
@@ -76,7 +76,7 @@
 	c.calls.ledger.Call(s.token, r.TryID, s.body, timeout)
 }
 
-// CallDone takes in the end of a call and reports whether a run waited for it.
+// CallDone handles the end of a call and reports whether a run waited for it.
 // After OK the run continues with the reply; otherwise it still waits for a call.
 func (c *Core) CallDone(now int64, token uint64, outcome kiteslip.Outcome, reply []byte) bool {
 	r := c.calls.inFlight[token]
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -161,7 +161,7 @@
 // SetGauges sets the machine's readings for the next step.
 func (c *Core) SetGauges(g kiteslip.Gauges) { c.gauges = g }
 
-// Drain takes in the shutdown notice: the process is stopped at stop.
+// Drain begins the graceful shutdown after the shutdown notice: the process is stopped at deadline.
 func (c *Core) Drain(now, deadline int64) {
 	if c.drainingSince != 0 {
 		return
--- a/internal/core/journal.go
+++ b/internal/core/journal.go
@@ -91,7 +91,7 @@
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Ready, ID: r.id})
 }
 
-// Recorded takes in that the record written under that token is durable, or failed.
+// Recorded reports that the record written under that token is durable, or failed.
 func (c *Core) Recorded(now int64, token uint32, err error) {
 	id := kiteslip.RequestID(token)
 	if r := c.pendingEnds[id]; r != nil {
--- a/internal/core/journal_test.go
+++ b/internal/core/journal_test.go
@@ -89,11 +89,11 @@
 	}{
 		{"arrived", func(h *harness) { h.submit(1, "k", 0, 1_500_000) }, "runs"},
 		{"asked to be prepared", func(h *harness) { h.core.Step(h.now) }, "runs"},
-		{"start on record", func(h *harness) { d.flush(h, 1, false) }, "unknown"},
-		{"run begun", func(h *harness) { h.core.Step(h.now) }, "unknown"},
-		{"run over", func(h *harness) { h.finish(0, kiteslip.OK) }, "unknown"},
-		{"end under way", func(h *harness) { h.core.Step(h.now) }, "unknown"},
-		{"end on record", func(h *harness) { d.flush(h, 1, false) }, "served"},
+		{"start recorded", func(h *harness) { d.flush(h, 1, false) }, "unknown"},
+		{"run started", func(h *harness) { h.core.Step(h.now) }, "unknown"},
+		{"run ended", func(h *harness) { h.finish(0, kiteslip.OK) }, "unknown"},
+		{"end being recorded", func(h *harness) { h.core.Step(h.now) }, "unknown"},
+		{"end recorded", func(h *harness) { d.flush(h, 1, false) }, "served"},
 		{"answered", func(h *harness) { h.core.Step(h.now) }, "served"},
 	}
 	for last := range steps {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -85,6 +85,7 @@
 	}
 }
 
+// keyed reports whether a class is keyed.
 func (c *Core) keyed(class int) bool {
 	return c.settings.Policy.Classes[class].Effect == kiteslip.Keyed
 }
@@ -204,14 +205,14 @@
 	c.completeAs(r, 0, kiteslip.NotStarted)
 }
 
-// PeerRunEnded takes in the end of a run of the peer.
+// PeerRunEnded handles the end of a run of the peer.
 func (c *Core) PeerRunEnded(class int, key string, arrived int64, outcome kiteslip.Outcome, result []byte) {
 	if e := c.keyTable[entryName(class, key)]; e != nil && e.started != nil && e.started.remote && e.started.Arrived == arrived {
 		c.Done(e.started, outcome, 0, result)
 	}
 }
 
-// PeerLost takes in that the peer is gone or silent. Its runs end without a
+// PeerLost reports that the peer is gone or silent. Its runs end without a
 // result, and claims that it has not answered fail.
 func (c *Core) PeerLost() {
 	c.peer = nil
@@ -249,7 +250,7 @@
 	r.peerClaims = nil
 }
 
-// HandedOver takes in that another process has taken over: this one is stopped at
+// HandedOver reports that another process has taken over: this one is stopped at
 // stop and answers what it has read until then.
 func (c *Core) HandedOver(stop int64) {
 	c.events = append(c.events, kiteslip.Event{Kind: kiteslip.Handover, Deadline: stop})
--- a/internal/core/runs.go
+++ b/internal/core/runs.go
@@ -2,7 +2,7 @@
 
 import "kiteslip"
 
-// Done takes in the end of r's run, after elapsed microseconds.
+// Done handles the end of r's run, after elapsed microseconds.
 func (c *Core) Done(r *Request, outcome kiteslip.Outcome, elapsed int64, result []byte) {
 	if r.phase != running {
 		return
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -15,7 +15,7 @@
 	MaxWaitMultiple = 2
 )
 
-// Submit takes in a request that was read at now; it may be answered before
+// Submit accepts a request that was read at now; it may be answered before
 // Submit returns. An error means that the request was not accepted, and the Core
 // will not answer it.
 func (c *Core) Submit(now int64, r *Request) error {
@@ -73,6 +73,7 @@
 	return nil
 }
 
+// rejected returns an error with a cause to count it by.
 func rejected(cause, format string, args ...any) error {
 	return &reject.Error{Cause: cause, Err: fmt.Errorf(format, args...)}
 }
@@ -157,7 +158,7 @@
 	return 0
 }
 
-// Disconnected takes in that the caller of r has gone.
+// Disconnected reports that the caller of r has gone.
 func (c *Core) Disconnected(r *Request) {
 	if r.answered {
 		return
--- a/internal/core/window_edge_test.go
+++ b/internal/core/window_edge_test.go
@@ -65,10 +65,10 @@
 // A window that becomes shorter allows nothing that the longer one forbade, both
 // for requests that have run and for those still to run.
 func TestWindowShrinks(t *testing.T) {
-	for _, begun := range []bool{true, false} {
+	for _, started := range []bool{true, false} {
 		h := newHarness(t) // 3 s
 		first := h.submit(1, "k", 0, 1_400_000)
-		if begun {
+		if started {
 			h.core.Step(h.now)
 		}
 		if err := h.core.Reconfigure(shortWindowSettings(0), nil, nil); err != nil {
@@ -76,7 +76,7 @@
 		}
 		h.core.Step(h.now)
 		if len(h.running) != 1 || h.running[0] != first {
-			t.Fatalf("begun before %v: %d runs in progress", begun, len(h.running))
+			t.Fatalf("started before %v: %d runs in progress", started, len(h.running))
 		}
 		h.finish(0, kiteslip.OK)
 		h.core.Step(h.now)
@@ -84,7 +84,7 @@
 		second := h.submit(1, "k", 0, 1_400_000) // harness.Run fails the test if it runs
 		h.core.Step(h.now)
 		if a := h.answers[second]; len(a) != 1 || a[0].Code != Served {
-			t.Errorf("begun before %v: %+v", begun, a)
+			t.Errorf("started before %v: %+v", started, a)
 		}
 	}
 }
--- a/internal/engine/commands.go
+++ b/internal/engine/commands.go
@@ -25,6 +25,7 @@
 	l.continueRun(r, fmt.Appendf(nil, "SKIP %s %d\r\n", r.TryID, notice))
 }
 
+// continueRun sends a reply or skip to the run of r, or keeps it for the next connection.
 func (l *Link) continueRun(r *core.Request, parts ...[]byte) {
 	if u := l.runs[r.TryID]; u != nil {
 		u.reply = pendingCommand{parts: parts}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -93,7 +93,7 @@
 	l.send(fmt.Appendf(nil, "ATTACH %d\r\n", l.lastNotice))
 }
 
-// ConnectionLost takes in that the connection is lost. Runs continue meanwhile.
+// ConnectionLost reports the loss of the connection. Runs continue meanwhile.
 // Those that the engine has certainly read are waited for; the others are uncertain.
 func (l *Link) ConnectionLost() {
 	l.send, l.ready, l.statPending = nil, false, false
@@ -124,13 +124,14 @@
 	}
 }
 
-// Await takes in a run that an earlier process sent: it may still be in progress,
+// Await adds a run that an earlier process sent: it may still be in progress,
 // or have ended while no process was connected. It is never sent again; if nothing
 // is reported of it by its deadline, it has failed.
 func (l *Link) Await(r *core.Request) {
 	l.runs[r.TryID] = &run{r: r, sentAt: l.now(), uncertain: true, linkLost: true}
 }
 
+// sendRun sends the RUN or RESUME of u.
 func (l *Link) sendRun(u *run) {
 	if u.sentAt == 0 && !u.resumed {
 		l.tries++
@@ -292,6 +293,7 @@
 	return used, nil
 }
 
+// outcomes maps the words of a DONE notice.
 var outcomes = map[string]kiteslip.Outcome{
 	"complete": kiteslip.OK, "error": kiteslip.Failed, "cancelled": kiteslip.Cancelled, "unknown": kiteslip.NotStarted,
 }
@@ -335,6 +337,7 @@
 	return true
 }
 
+// stats handles a STATS notice, given its words after the first.
 func (l *Link) stats(words [][]byte) {
 	if len(words) == 0 {
 		return
--- a/internal/keystore/powerloss.go
+++ b/internal/keystore/powerloss.go
@@ -22,6 +22,7 @@
 	powerOff func()
 }
 
+// countOp counts one write or sync and calls powerOff at the chosen one.
 func (f *powerLossFS) countOp() {
 	if f.opsLeft.Add(-1) == 0 {
 		f.powerOff()
@@ -72,7 +73,7 @@
 	reading := func(i int) ClockReading {
 		return ClockReading{Wall: epoch + int64(i)*1000, Uptime: int64(i)*1000 + 1e6, BootID: 5}
 	}
-	type state struct{ begun, over bool }
+	type state struct{ started, finished bool }
 	acknowledged, written := map[string]state{}, map[string]state{}
 	var after *vfs.MemFS
 	var acknowledgedAtLoss map[string]state // acknowledged when the power failed
@@ -107,7 +108,7 @@
 		for range 1 + rng.IntN(4) {
 			key := fmt.Sprint("k", rng.IntN(200))
 			r := Record{Class: "c", Key: key, TryID: "n", Arrived: epoch, WindowEnd: epoch + window}
-			if w := written[key]; w.begun {
+			if w := written[key]; w.started {
 				r.Finished, r.Outcome, r.Result = true, 1, []byte(result(key))
 			}
 			written[key] = state{true, r.Finished}
@@ -141,12 +142,12 @@
 		found[r.Key] = r
 	}
 	for key, was := range acknowledgedAtLoss {
-		if r, there := found[key]; !there || was.over && !r.Finished {
+		if r, there := found[key]; !there || was.finished && !r.Finished {
 			return errors.Join(s.Close(), fmt.Errorf("key %s was acknowledged and is lost", key))
 		}
 	}
 	for key, r := range found {
-		if !written[key].begun || r.Finished && string(r.Result) != result(key) {
+		if !written[key].started || r.Finished && string(r.Result) != result(key) {
 			return errors.Join(s.Close(), fmt.Errorf("key %s: %+v was never written", key, r))
 		}
 	}
--- a/internal/keystore/store.go
+++ b/internal/keystore/store.go
@@ -100,6 +100,7 @@
 	}
 }
 
+// failure returns the error with which the store has failed, or nil.
 func (s *Store) failure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,6 +179,7 @@
 	return err
 }
 
+// get returns the value of a database key, or nil.
 func (s *Store) get(key string) ([]byte, error) {
 	value, closer, err := s.db.Get([]byte(key))
 	if errors.Is(err, pebble.ErrNotFound) {
--- a/internal/ledger/post.go
+++ b/internal/ledger/post.go
@@ -38,6 +38,7 @@
 	endReasonCount
 )
 
+// endReasonNames are the names of the end reasons in metrics and causes.
 var endReasonNames = [endReasonCount]string{"ok", "turned_away", "error", "expired", "moot", "unproved", "status", "refused",
 	"no_connection", "broken", "slow", "oversized", "malformed"}
 
@@ -72,6 +73,7 @@
 	refused   atomic.Bool // a connection could not be established
 }
 
+// hooks returns the hooks that set t.
 func (t *connTrace) hooks() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		// The transport retries only if nothing was written on the previous connection.
