--- a/cmd/kitelab/calls.go
+++ b/cmd/kitelab/calls.go
@@ -16,13 +16,13 @@
 
 // The promises.
 const (
-	callsAddedMost = time.Millisecond // by the ledger's client, in the 99th percentile
-	callsCostMost  = 500 * time.Microsecond
-	callsServed    = 0.6 // of the runs; one call in four goes wrong, and the ledger and the link come and go
+	maxCallAddedP99 = time.Millisecond // by the ledger's client, in the 99th percentile
+	maxCallCPU      = 500 * time.Microsecond
+	minServedShare  = 0.6 // of the runs; one call in four goes wrong, and the ledger and the link come and go
 )
 
 func (c *callsCmd) Run() error {
-	var v verdict
+	var v shortfalls
 	l, err := calls.Open(c.Program, calls.Faulty)
 	if err != nil {
 		return err
@@ -33,11 +33,11 @@
 		return err
 	}
 	fmt.Println(o)
-	v.want(o.Late == 0 && o.Unanswered == 0, "%d answers late, %d absent", o.Late, o.Unanswered)
-	v.want(o.Wrong == 0, "%d results that no run made", o.Wrong)
-	v.want(o.SecondRuns == 0 && o.SecondEffect == 0, "%d keyed runs and %d calls with an effect made twice", o.SecondRuns, o.SecondEffect)
-	v.want(o.Unended == 0, "%d calls without one end", o.Unended)
-	v.want(float64(o.Served) >= callsServed*float64(o.Runs), "%d of %d runs served, want %v", o.Served, o.Runs, callsServed)
+	v.require(o.Late == 0 && o.Unanswered == 0, "%d answers late, %d absent", o.Late, o.Unanswered)
+	v.require(o.Wrong == 0, "%d results that no run made", o.Wrong)
+	v.require(o.SecondRuns == 0 && o.SecondEffect == 0, "%d keyed runs and %d calls with an effect made twice", o.SecondRuns, o.SecondEffect)
+	v.require(o.Unended == 0, "%d calls without one end", o.Unended)
+	v.require(float64(o.Served) >= minServedShare*float64(o.Runs), "%d of %d runs served, want %v", o.Served, o.Runs, minServedShare)
 	if l, err = calls.Open(c.Program, nil); err != nil {
 		return err
 	}
@@ -56,9 +56,9 @@
 	fmt.Printf("a request without a call: %v of the processor, median %v, 99th %v\n", none.CPU, none.Median, none.P99)
 	fmt.Printf("a request with one call:  %v of the processor, median %v, 99th %v\n", one.CPU, one.Median, one.P99)
 	cost, added := one.CPU-none.CPU, one.P99-none.P99
-	v.want(added <= callsAddedMost, "a call adds %v to the 99th percentile, want %v", added, callsAddedMost)
-	v.want(cost <= callsCostMost, "a call costs %v of the processor, want %v", cost, callsCostMost)
-	return v.end(fmt.Sprintf("calls: runs=%d calls=%d given_up=%d served=%d refused=%d failed=%d cuts=%d downs=%d late=%d absent=%d wrong=%d "+
+	v.require(added <= maxCallAddedP99, "a call adds %v to the 99th percentile, want %v", added, maxCallAddedP99)
+	v.require(cost <= maxCallCPU, "a call costs %v of the processor, want %v", cost, maxCallCPU)
+	return v.finish(fmt.Sprintf("calls: runs=%d calls=%d given_up=%d served=%d refused=%d failed=%d cuts=%d downs=%d late=%d absent=%d wrong=%d "+
 		"second_runs=%d second_effects=%d unended=%d cost_us=%d added_p50_us=%d added_p99_us=%d", o.Runs, o.Calls, o.GivenUp, o.Served, o.Refused, o.Failed,
 		o.Cuts, o.Downs, o.Late, o.Unanswered, o.Wrong, o.SecondRuns, o.SecondEffect, o.Unended, cost.Microseconds(),
 		(one.Median - none.Median).Microseconds(), added.Microseconds()))
--- a/cmd/kitelab/door.go
+++ b/cmd/kitelab/door.go
@@ -28,46 +28,46 @@
 	Least       float64       `default:"0.8" help:"The least served connection's part of the median."`
 }
 
-// slackMS is how late an answer may be by the platform's rules.
-const slackMS = 60
+// answerSlackMS is how late an answer may be by the platform's rules.
+const answerSlackMS = 60
 
 func (c *doorCmd) Run() error {
-	early, err := c.play(0)
+	early, err := c.measure(0)
 	if err != nil {
 		return err
 	}
-	settled, err := c.play(time.Second)
+	settled, err := c.measure(time.Second)
 	if err != nil {
 		return err
 	}
 	fmt.Println("asking from the start: ", early)
 	fmt.Println("asking 1 s after it:   ", settled)
-	var v verdict
-	v.want(early.late == 0, "%d answers came after their due time", early.late)
-	v.want(early.unanswered == 0, "%d requests had no answer", early.unanswered)
-	share := float64(early.least) / float64(max(1, early.median))
-	v.want(share >= c.Least, "the least served connection got %.2f of the median, want %.2f", share, c.Least)
-	return v.end(fmt.Sprintf("door: late=%d least_share=%.3f slowest_ms=%d refused=%.4f cpu_us=%.1f settled_cpu_us=%.1f",
-		early.late, share, early.slowest, early.refused, early.cpu, settled.cpu))
+	var v shortfalls
+	v.require(early.late == 0, "%d answers came after their due time", early.late)
+	v.require(early.unanswered == 0, "%d requests had no answer", early.unanswered)
+	share := float64(early.minAnswers) / float64(max(1, early.medianAnswers))
+	v.require(share >= c.Least, "the least served connection got %.2f of the median, want %.2f", share, c.Least)
+	return v.finish(fmt.Sprintf("door: late=%d least_share=%.3f slowest_ms=%d refused=%.4f cpu_us=%.1f settled_cpu_us=%.1f",
+		early.late, share, early.maxMS, early.refusedShare, early.cpuUS, settled.cpuUS))
 }
 
 // doorRound is one round's outcome.
 type doorRound struct {
-	answers, late, unanswered int64
-	least, median, most       int64
-	slowest                   int64 // ms
-	p99                       int64
-	refused                   float64
-	cpu                       float64 // microseconds for a request
+	answers, late, unanswered             int64
+	minAnswers, medianAnswers, maxAnswers int64
+	maxMS                                 int64 // ms
+	p99MS                                 int64
+	refusedShare                          float64
+	cpuUS                                 float64 // microseconds for a request
 }
 
 func (r doorRound) String() string {
 	return fmt.Sprintf("%d answers, %.1f%% refused, %d late; by connection least %d, median %d, most %d; 99th %d ms, slowest %d ms; %.1f us of processor time a request",
-		r.answers, 100*r.refused, r.late, r.least, r.median, r.most, r.p99, r.slowest, r.cpu)
+		r.answers, 100*r.refusedShare, r.late, r.minAnswers, r.medianAnswers, r.maxAnswers, r.p99MS, r.maxMS, r.cpuUS)
 }
 
-// play starts the program and lets all connections ask, so long after they stand.
-func (c *doorCmd) play(settle time.Duration) (r doorRound, err error) {
+// measure starts the program and lets all connections ask, so long after they stand.
+func (c *doorCmd) measure(settle time.Duration) (r doorRound, err error) {
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
 		return r, err
@@ -93,10 +93,10 @@
 		return r, err
 	}
 	defer p.Stop()
-	return c.ask(listen, settle, p.Cmd)
+	return c.sendLoad(listen, settle, p.Cmd)
 }
 
-func (c *doorCmd) ask(address string, settle time.Duration, program *exec.Cmd) (r doorRound, err error) {
+func (c *doorCmd) sendLoad(address string, settle time.Duration, program *exec.Cmd) (r doorRound, err error) {
 	counts := make([]int64, c.Connections)
 	var refused, unanswered atomic.Int64
 	var mu sync.Mutex
@@ -106,15 +106,15 @@
 	began := time.Now()
 	for i := range c.Connections {
 		all.Go(func() {
-			k := asker{c: c, i: i, end: began.Add(settle + c.For), times: hdrhistogram.New(1, 60_000_000, 2)}
+			k := doorClient{cmd: c, index: i, end: began.Add(settle + c.For), latencies: hdrhistogram.New(1, 60_000_000, 2)}
 			if err := k.run(address, settle); err != nil {
 				errs <- err
 			}
 			counts[i] = k.answers
 			refused.Add(k.refused)
-			unanswered.Add(int64(len(k.sent)))
+			unanswered.Add(int64(len(k.sentAt)))
 			mu.Lock()
-			times.Merge(k.times)
+			times.Merge(k.latencies)
 			mu.Unlock()
 		})
 	}
@@ -132,12 +132,12 @@
 		r.answers += n
 	}
 	slices.Sort(counts)
-	r.least, r.median, r.most = counts[0], counts[len(counts)/2], counts[len(counts)-1]
+	r.minAnswers, r.medianAnswers, r.maxAnswers = counts[0], counts[len(counts)/2], counts[len(counts)-1]
 	r.unanswered = unanswered.Load()
-	r.refused = float64(refused.Load()) / float64(max(1, r.answers))
-	r.cpu = float64(cpu.Microseconds()) / float64(max(1, r.answers))
-	r.slowest, r.p99 = times.Max()/1000, times.ValueAtQuantile(99)/1000
-	most := c.Limit.Milliseconds() + slackMS
+	r.refusedShare = float64(refused.Load()) / float64(max(1, r.answers))
+	r.cpuUS = float64(cpu.Microseconds()) / float64(max(1, r.answers))
+	r.maxMS, r.p99MS = times.Max()/1000, times.ValueAtQuantile(99)/1000
+	most := c.Limit.Milliseconds() + answerSlackMS
 	for _, bar := range times.Distribution() {
 		if bar.From/1000 > most {
 			r.late += bar.Count
@@ -146,35 +146,35 @@
 	return r, nil
 }
 
-// asker is one connection that keeps its requests open.
-type asker struct {
-	c                *doorCmd
-	i                int
+// doorClient is one connection that keeps its requests open.
+type doorClient struct {
+	cmd              *doorCmd
+	index            int
 	end              time.Time
 	stream           uint32
-	sent             map[uint32]time.Time
+	sentAt           map[uint32]time.Time
 	answers, refused int64
-	times            *hdrhistogram.Histogram
+	latencies        *hdrhistogram.Histogram
 }
 
-func (k *asker) run(address string, settle time.Duration) error {
+func (k *doorClient) run(address string, settle time.Duration) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	time.Sleep(settle)
-	conn.SetDeadline(k.end.Add(k.c.Limit + 2*time.Second)) //nolint:errcheck // a TCP connection takes it
-	k.sent = map[uint32]time.Time{}
+	conn.SetDeadline(k.end.Add(k.cmd.Limit + 2*time.Second)) //nolint:errcheck // a TCP connection takes it
+	k.sentAt = map[uint32]time.Time{}
 	var out []byte
-	for range k.c.Deep {
-		out = k.request(out)
+	for range k.cmd.Deep {
+		out = k.appendRequest(out)
 	}
 	if _, err = conn.Write(out); err != nil {
 		return err
 	}
 	buf := make([]byte, 0, 64<<10)
-	for len(k.sent) > 0 {
+	for len(k.sentAt) > 0 {
 		n, err := conn.Read(buf[len(buf):cap(buf)])
 		if err != nil {
 			if err == io.EOF || os.IsTimeout(err) {
@@ -195,7 +195,7 @@
 			}
 			used += n
 			if f.Type == frame.Answer {
-				out = k.answer(f, out)
+				out = k.handleAnswer(f, out)
 			}
 		}
 		buf = buf[:copy(buf, buf[used:])]
@@ -208,28 +208,28 @@
 	return nil
 }
 
-func (k *asker) answer(f frame.Frame, out []byte) []byte {
-	at, open := k.sent[f.Stream]
+func (k *doorClient) handleAnswer(f frame.Frame, out []byte) []byte {
+	at, open := k.sentAt[f.Stream]
 	if !open || len(f.Payload) == 0 {
 		return out
 	}
-	delete(k.sent, f.Stream)
+	delete(k.sentAt, f.Stream)
 	k.answers++
 	if f.Payload[0] != frame.Served {
 		k.refused++
 	}
-	k.times.RecordValue(max(1, time.Since(at).Microseconds())) //nolint:errcheck // it lies within the bounds
+	k.latencies.RecordValue(max(1, time.Since(at).Microseconds())) //nolint:errcheck // it lies within the bounds
 	if time.Now().Before(k.end) {
-		out = k.request(out)
+		out = k.appendRequest(out)
 	}
 	return out
 }
 
-func (k *asker) request(out []byte) []byte {
+func (k *doorClient) appendRequest(out []byte) []byte {
 	k.stream++
 	now := time.Now()
-	k.sent[k.stream] = now
-	return frame.AppendRequest(out, k.stream, probe.Fields("look", fmt.Sprintf("%08x%08x", k.i, k.stream), now, k.c.Limit), []byte("b"))
+	k.sentAt[k.stream] = now
+	return frame.AppendRequest(out, k.stream, probe.Fields("look", fmt.Sprintf("%08x%08x", k.index, k.stream), now, k.cmd.Limit), []byte("b"))
 }
 
 // processorTime is what a process has used so far, as the system counts it.
--- a/cmd/kitelab/fleetday.go
+++ b/cmd/kitelab/fleetday.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if len(report.Short) > 0 {
-		return errShort
+		return errFallsShort
 	}
 	return nil
 }
--- a/cmd/kitelab/heap.go
+++ b/cmd/kitelab/heap.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// heapLive is the heap that the last collection found live; reading it stops nothing.
-const heapLive = "/gc/heap/live:bytes"
+// liveHeapMetric is the heap that the last collection found live; reading it stops nothing.
+const liveHeapMetric = "/gc/heap/live:bytes"
 
-// heapPeak runs f with the collector at work after each 5% of growth, and
+// peakLiveHeap runs f with the collector at work after each 5% of growth, and
 // returns the most that a collection found live above what was live before,
 // sampled every 2 ms.
-func heapPeak(f func() error) (uint64, error) {
+func peakLiveHeap(f func() error) (uint64, error) {
 	defer debug.SetGCPercent(debug.SetGCPercent(5))
 	runtime.GC()
-	sample := []metrics.Sample{{Name: heapLive}}
+	sample := []metrics.Sample{{Name: liveHeapMetric}}
 	read := func() uint64 {
 		metrics.Read(sample)
 		if sample[0].Value.Kind() != metrics.KindUint64 {
--- a/cmd/kitelab/live.go
+++ b/cmd/kitelab/live.go
@@ -18,8 +18,8 @@
 	Boxes    int     `default:"0" help:"Play with so many boxes; 0 = those of the scenario."`
 }
 
-// lateMost is how late the callers may be at the 99th percentile, microseconds.
-const lateMost = 1000
+// maxLateUS is how late the callers may be at the 99th percentile, microseconds.
+const maxLateUS = 1000
 
 func (c *liveCmd) Run() error {
 	day, name, err := fleet.Load(c.Scenario)
@@ -32,25 +32,25 @@
 	}
 	if c.Seconds > 0 {
 		day.Length = int64(c.Seconds * fleet.Second)
-		day.From = min(day.From, day.Length/4)
+		day.Warmup = min(day.Warmup, day.Length/4)
 	}
-	o, late, err := playLive(c.Program, day, interrupted(), func(at int64, o *fleet.Outcome) {
-		second := min(int(at/fleet.Second), len(o.Windows)-1)
+	o, late, err := playLive(c.Program, day, interruptChannel(), func(at int64, o *fleet.Outcome) {
+		second := min(int(at/fleet.Second), len(o.ServedBySecond)-1)
 		now := 0.0
 		if second > 0 {
-			now = o.Windows[second-1]
+			now = o.ServedBySecond[second-1]
 		}
 		fmt.Fprintf(os.Stderr, "\r%3d s: %6d asked, %.3f of the worth in the last second, %.3f in all, %d tries, %d boxes lost   ",
-			at/fleet.Second, o.Asked, now, o.Whole, o.Tries, o.Deaths)
+			at/fleet.Second, o.Asked, now, o.Whole, o.Tries, o.BoxesLost)
 	})
 	fmt.Fprintln(os.Stderr)
 	if err != nil {
 		return err
 	}
-	run := &experiment.Run{Name: name + " on loopback", Incidents: day.Failures, Days: []experiment.Seeded{{Seed: 1, Outcome: o}}}
+	run := &experiment.Run{Name: name + " on loopback", Failures: day.Failures, Days: []experiment.SeedOutcome{{Seed: 1, Outcome: o}}}
 	printRun(os.Stdout, run)
 	fmt.Printf("the callers were late by %d us at the 99th percentile, %d us at most\n", late.P99, late.Max)
-	if late.P99 > lateMost {
+	if late.P99 > maxLateUS {
 		fmt.Println("this run was late: its latencies are not to be trusted")
 	}
 	return c.write([]*experiment.Run{run}, nil)
@@ -62,5 +62,5 @@
 		return nil, fleet.Lateness{}, err
 	}
 	defer f.Close()
-	return fleet.Live(day, f.Remotes(), f.Replies, stop, watch)
+	return fleet.PlayLive(day, f.Remotes(), f.Replies, stop, watch)
 }
--- a/cmd/kitelab/main.go
+++ b/cmd/kitelab/main.go
@@ -32,26 +32,26 @@
 	HollowCallers hollowCallersCmd `cmd:"" hidden:"" help:"Callers of a fleet day."`
 }
 
-// errShort says that a figure falls short of what is promised.
-var errShort = errors.New("a figure falls short")
+// errFallsShort says that a figure falls short of what is promised.
+var errFallsShort = errors.New("a figure falls short")
 
-// verdict gathers what falls short.
-type verdict []string
+// shortfalls gathers what falls short.
+type shortfalls []string
 
-func (v *verdict) want(ok bool, format string, args ...any) {
+func (v *shortfalls) require(ok bool, format string, args ...any) {
 	if !ok {
 		*v = append(*v, fmt.Sprintf(format, args...))
 	}
 }
 
-// end prints what falls short, then the closing line.
-func (v verdict) end(line string) error {
+// finish prints what falls short, then the closing line.
+func (v shortfalls) finish(line string) error {
 	for _, s := range v {
 		fmt.Println("short:", s)
 	}
 	fmt.Println(line)
 	if len(v) > 0 {
-		return errShort
+		return errFallsShort
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 func main() {
 	ctx := kong.Parse(&cli{}, kong.Name("kitelab"), kong.UsageOnError(), kong.Description("Measurements of kiteslip."))
 	if err := ctx.Run(); err != nil {
-		if !errors.Is(err, errShort) {
+		if !errors.Is(err, errFallsShort) {
 			fmt.Fprintln(os.Stderr, "kitelab:", err)
 		}
 		os.Exit(1)
--- a/cmd/kitelab/pools.go
+++ b/cmd/kitelab/pools.go
@@ -15,13 +15,13 @@
 
 // The promises.
 const (
-	cheapFull   = 0.98
-	cheapHalved = 0.95
-	cheapSlow   = 0.95
-	worthLeast  = 0.98
-	keptLeast   = 0.90
-	lentLeast   = 0.97
-	costMost    = 1.10
+	minCheapFull   = 0.98
+	minCheapHalved = 0.95
+	minCheapSlow   = 0.95
+	minWorthRatio  = 0.98
+	minKeptShare   = 0.90
+	minLentShare   = 0.97
+	maxCostRatio   = 1.10
 )
 
 func (c *poolsCmd) Run() error {
@@ -35,7 +35,7 @@
 	all.Wait()
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "day\tgauges\tlandmark off\ton (worst)\tworth off\ton (mean)\tratio (worst)\tdone\tothers keep\t")
-	var v verdict
+	var v shortfalls
 	worst := map[string]*lab.Compared{}
 	for i := range list {
 		if errs[i] != nil {
@@ -44,7 +44,7 @@
 		r := &list[i]
 		fmt.Fprintf(w, "%s\t%v\t%.3f\t%.3f\t%.4f\t%.4f\t%.4f\t%.3f\t%.3f\t\n", r.Name, r.Gauges, r.CheapOff, r.CheapOn,
 			r.WorthOff, r.WorthOn, r.Worth, r.Done, r.Kept)
-		v.want(r.Overdue == 0, "%s: %d answers after their due time", r.Name, r.Overdue)
+		v.require(r.Overdue == 0, "%s: %d answers after their due time", r.Name, r.Overdue)
 		if o := worst[r.Name]; o == nil {
 			copied := *r
 			worst[r.Name] = &copied
@@ -54,19 +54,19 @@
 		}
 	}
 	w.Flush()
-	for name, least := range map[string]float64{"full": cheapFull, "halved": cheapHalved, "slow-flood": cheapSlow} {
+	for name, least := range map[string]float64{"full": minCheapFull, "halved": minCheapHalved, "slow-flood": minCheapSlow} {
 		r := worst[name]
-		v.want(r.CheapOn >= least, "%s: landmark-search in time %.3f, want %.2f", name, r.CheapOn, least)
-		v.want(r.Worth >= worthLeast, "%s: worth %.3f of that without pools, want %.2f", name, r.Worth, worthLeast)
+		v.require(r.CheapOn >= least, "%s: landmark-search in time %.3f, want %.2f", name, r.CheapOn, least)
+		v.require(r.Worth >= minWorthRatio, "%s: worth %.3f of that without pools, want %.2f", name, r.Worth, minWorthRatio)
 	}
-	v.want(worst["calm"].Worth >= 1, "calm: worth %.4f of that without pools, want 1", worst["calm"].Worth)
+	v.require(worst["calm"].Worth >= 1, "calm: worth %.4f of that without pools, want 1", worst["calm"].Worth)
 	flood := worst["cheap-flood"].Kept
-	v.want(flood >= keptLeast, "cheap-flood: others keep %.3f of what their share carries, want %.2f", flood, keptLeast)
+	v.require(flood >= minKeptShare, "cheap-flood: others keep %.3f of what their share carries, want %.2f", flood, minKeptShare)
 	lent := 2.0
 	for _, name := range lab.ClassNames {
 		lent = min(lent, worst["alone-"+name].Done)
 	}
-	v.want(lent >= lentLeast, "one class alone gets %.3f done of what it does without pools, want %.2f", lent, lentLeast)
+	v.require(lent >= minLentShare, "one class alone gets %.3f done of what it does without pools, want %.2f", lent, minLentShare)
 	cost := 0.0
 	for _, open := range []int{100, 2000} {
 		ratio, off, on, err := lab.CostRatio(open, 3_000_000/open, 15)
@@ -74,10 +74,10 @@
 			return err
 		}
 		fmt.Printf("a decision with %d open: %v without pools, %v with, ratio %.3f\n", open, off, on, ratio)
-		v.want(ratio <= costMost, "a decision with %d open costs %.3f, want %.2f at most", open, ratio, costMost)
+		v.require(ratio <= maxCostRatio, "a decision with %d open costs %.3f, want %.2f at most", open, ratio, maxCostRatio)
 		cost = max(cost, ratio)
 	}
-	return v.end(fmt.Sprintf("pools: full=%.3f halved=%.3f slow_flood=%.3f worth=%.3f calm=%.4f flood_kept=%.3f lent=%.3f cost=%.3f",
+	return v.finish(fmt.Sprintf("pools: full=%.3f halved=%.3f slow_flood=%.3f worth=%.3f calm=%.4f flood_kept=%.3f lent=%.3f cost=%.3f",
 		worst["full"].CheapOn, worst["halved"].CheapOn, worst["slow-flood"].CheapOn,
 		min(worst["full"].Worth, worst["halved"].Worth, worst["slow-flood"].Worth), worst["calm"].Worth, flood, lent, cost))
 }
--- a/cmd/kitelab/runs.go
+++ b/cmd/kitelab/runs.go
@@ -18,8 +18,8 @@
 	"kiteslip/internal/lab/report"
 )
 
-// interrupted is closed at the first ctrl-C or SIGTERM.
-func interrupted() <-chan struct{} {
+// interruptChannel is closed at the first ctrl-C or SIGTERM.
+func interruptChannel() <-chan struct{} {
 	signals, stop := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	go func() {
@@ -74,8 +74,8 @@
 	return os.WriteFile(path, append(b, '\n'), 0o644)
 }
 
-// obtain plays a scenario file, or reads a run that was written before.
-func obtain(path string, seeds int, state string, stop experiment.Stop) (*experiment.Run, error) {
+// playOrLoad plays a scenario file, or reads a run that was written before.
+func playOrLoad(path string, seeds int, state string, stop experiment.Stop) (*experiment.Run, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 }
 
 func (c *runCmd) Run() error {
-	run, err := obtain(c.Scenario, max(1, c.Seeds), c.State, interrupted())
+	run, err := playOrLoad(c.Scenario, max(1, c.Seeds), c.State, interruptChannel())
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 // printRun prints the means of a run, and the worst of what must not be.
 func printRun(w io.Writer, run *experiment.Run) {
 	n := float64(len(run.Days))
-	var p fleet.Parts
+	var p fleet.ScoreParts
 	asked, tries, overdue, twice, deaths := 0, 0, 0, 0, 0
 	for _, d := range run.Days {
 		o := d.Outcome
@@ -130,7 +130,7 @@
 		p.WorstWindow += o.WorstWindow / n
 		p.WorstClass += o.WorstClass / n
 		p.WorstTeam += o.WorstTeam / n
-		asked, tries, overdue, twice, deaths = asked+o.Asked, tries+o.Tries, overdue+o.Overdue, twice+o.Twice, deaths+o.Deaths
+		asked, tries, overdue, twice, deaths = asked+o.Asked, tries+o.Tries, overdue+o.DeadlineExceeded, twice+o.DuplicateRuns, deaths+o.BoxesLost
 	}
 	fmt.Fprintf(w, "%s: score %.4f over %d days (whole %.4f, worst ten seconds %.4f, worst class %.4f, worst team %.4f)\n",
 		run.Name, p.Score, len(run.Days), p.Whole, p.WorstWindow, p.WorstClass, p.WorstTeam)
@@ -154,12 +154,12 @@
 }
 
 func (c *compareCmd) Run() error {
-	stop := interrupted()
-	a, err := obtain(c.A, c.Seeds, c.State, stop)
+	stop := interruptChannel()
+	a, err := playOrLoad(c.A, c.Seeds, c.State, stop)
 	if err != nil {
 		return err
 	}
-	b, err := obtain(c.B, c.Seeds, c.State, stop)
+	b, err := playOrLoad(c.B, c.Seeds, c.State, stop)
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	stop := interrupted()
+	stop := interruptChannel()
 	base, err := experiment.Play(string(text), c.Seeds, c.State, stop, progress("as it is"))
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%s\tscore\tless as it is\t95%% interval\t\t\n", c.Key)
 	for _, v := range c.Values {
-		changed, err := set(string(text), c.Key, v)
+		changed, err := setScenarioKey(string(text), c.Key, v)
 		if err != nil {
 			return err
 		}
@@ -220,8 +220,8 @@
 	return t.Flush()
 }
 
-// set puts a value into a scenario's text. A whole number stays one.
-func set(text, key string, value float64) (string, error) {
+// setScenarioKey puts a value into a scenario's text. A whole number stays one.
+func setScenarioKey(text, key string, value float64) (string, error) {
 	var tree map[string]any
 	if _, err := toml.Decode(text, &tree); err != nil {
 		return "", err
@@ -260,7 +260,7 @@
 func (c *reportCmd) Run() error {
 	var runs []*experiment.Run
 	for _, path := range c.Run_ {
-		run, err := obtain(path, 1, "", nil)
+		run, err := playOrLoad(path, 1, "", nil)
 		if err != nil {
 			return err
 		}
--- a/cmd/kitelab/slopes.go
+++ b/cmd/kitelab/slopes.go
@@ -38,5 +38,5 @@
 		}
 		kept = c.Out
 	}
-	return verdict(short).end(fmt.Sprintf("slopes: build=%s slopes=%d knees=%d short=%d kept=%s", file.Build, len(file.Slopes), knees, len(short), kept))
+	return shortfalls(short).finish(fmt.Sprintf("slopes: build=%s slopes=%d knees=%d short=%d kept=%s", file.Build, len(file.Slopes), knees, len(short), kept))
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -19,14 +19,14 @@
 
 // Run is the outcome of one setting on some seeds.
 type Run struct {
-	Name      string          `json:"Name"`
-	Digest    string          `json:"Digest"` // of the scenario's text: another text is another run
-	Incidents []fleet.Failure `json:"Incidents"`
-	Days      []Seeded        `json:"Days"` // in order of seeds, from 1
+	Name     string          `json:"Name"`
+	Digest   string          `json:"Digest"` // of the scenario's text: another text is another run
+	Failures []fleet.Failure `json:"Incidents"`
+	Days     []SeedOutcome   `json:"Days"` // in order of seeds, from 1
 }
 
-// Seeded is the outcome of one seed.
-type Seeded struct {
+// SeedOutcome is the outcome of one seed.
+type SeedOutcome struct {
 	Seed    uint64         `json:"Seed"`
 	Outcome *fleet.Outcome `json:"Outcome"`
 }
@@ -37,7 +37,7 @@
 // ErrStopped says that a run was stopped; what is done is kept.
 var ErrStopped = errors.New("experiment: stopped")
 
-const mostLine = 16 << 20
+const maxLineBytes = 16 << 20
 
 // Play plays a scenario's text on seeds 1 to n. What the file named state holds
 // of the same text is not played again; state "" keeps nothing. progress is told
@@ -48,8 +48,8 @@
 		return nil, err
 	}
 	sum := sha256.Sum256([]byte(text))
-	run := &Run{Name: name, Digest: hex.EncodeToString(sum[:8]), Incidents: day.Failures, Days: make([]Seeded, n)}
-	keep, err := run.resume(state)
+	run := &Run{Name: name, Digest: hex.EncodeToString(sum[:8]), Failures: day.Failures, Days: make([]SeedOutcome, n)}
+	keep, err := run.loadState(state)
 	if err != nil {
 		return nil, err
 	}
@@ -93,9 +93,9 @@
 				if err != nil {
 					failed = err
 				} else {
-					run.Days[i] = Seeded{d.Seed, outcome}
+					run.Days[i] = SeedOutcome{d.Seed, outcome}
 					if keep != nil {
-						failed = errors.Join(failed, run.keep(keep, i))
+						failed = errors.Join(failed, run.appendState(keep, i))
 					}
 					done++
 					progress(done, n)
@@ -137,15 +137,15 @@
 func classes(o *fleet.Outcome) []fleet.Group { return o.Classes }
 func teams(o *fleet.Outcome) []fleet.Group   { return o.Teams }
 
-// line is a day as the state file has it.
-type line struct {
+// stateLine is a day as the state file has it.
+type stateLine struct {
 	Digest string `json:"Digest"`
-	Seeded
+	SeedOutcome
 }
 
-// resume takes in the days that the state file holds and opens it for more. A
+// loadState takes in the days that the state file holds and opens it for more. A
 // last line that was cut short is passed over.
-func (r *Run) resume(state string) (*os.File, error) {
+func (r *Run) loadState(state string) (*os.File, error) {
 	if state == "" {
 		return nil, nil
 	}
@@ -154,16 +154,16 @@
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxLineBytes)
 	whole := int64(0)
 	for in.Scan() {
-		var l line
+		var l stateLine
 		if err := json.Unmarshal(in.Bytes(), &l); err != nil {
 			break
 		}
 		whole += int64(len(in.Bytes())) + 1
 		if l.Digest == r.Digest && l.Seed >= 1 && l.Seed <= uint64(len(r.Days)) && l.Outcome != nil {
-			r.Days[l.Seed-1] = l.Seeded
+			r.Days[l.Seed-1] = l.SeedOutcome
 		}
 	}
 	if err := in.Err(); err != nil {
@@ -184,8 +184,8 @@
 	return f, nil
 }
 
-func (r *Run) keep(f *os.File, i int) error {
-	b, err := json.Marshal(line{r.Digest, r.Days[i]})
+func (r *Run) appendState(f *os.File, i int) error {
+	b, err := json.Marshal(stateLine{r.Digest, r.Days[i]})
 	if err != nil {
 		return err
 	}
@@ -258,22 +258,22 @@
 	}
 	s := rows[0]
 	text := fmt.Sprintf("B is %s: score %+.4f, 95%% interval %+.4f to %+.4f over %d seeds", s.Verdict, s.Mean, s.Low, s.High, s.Pairs)
-	if s.Verdict == paired.CantTell {
+	if s.Verdict == paired.Inconclusive {
 		text = fmt.Sprintf("can't tell: score %+.4f, 95%% interval %+.4f to %+.4f over %d seeds", s.Mean, s.Low, s.High, s.Pairs)
-		if s.More > 0 {
-			text += fmt.Sprintf("; about %d more seeds would tell", s.More)
+		if s.MorePairs > 0 {
+			text += fmt.Sprintf("; about %d more seeds would tell", s.MorePairs)
 		}
 	}
 	if len(better) > 0 {
-		text += fmt.Sprintf("\nB helps: %s", join(better))
+		text += fmt.Sprintf("\nB helps: %s", joinNames(better))
 	}
 	if len(worse) > 0 {
-		text += fmt.Sprintf("\nB hurts: %s", join(worse))
+		text += fmt.Sprintf("\nB hurts: %s", joinNames(worse))
 	}
 	return text
 }
 
-func join(list []string) string {
+func joinNames(list []string) string {
 	text := ""
 	for i, s := range list {
 		if i > 0 {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	"kiteslip/internal/lab/paired"
 )
 
-func text(t *testing.T, name string, changes ...string) string {
+func scenarioText(t *testing.T, name string, changes ...string) string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "..", "..", "scenarios", name+".toml"))
 	if err != nil {
@@ -28,14 +28,14 @@
 	return s
 }
 
-func silent(int, int) {}
+func ignoreProgress(int, int) {}
 
 // A run that was stopped goes on where it was, also after its last line was cut
 // short, and has the same outcome as one that was never stopped.
 func TestStopAndResume(t *testing.T) {
 	t.Parallel()
-	scenario, state := text(t, "calm-lunch"), filepath.Join(t.TempDir(), "state")
-	whole, err := Play(scenario, 6, "", nil, silent)
+	scenario, state := scenarioText(t, "calm-lunch"), filepath.Join(t.TempDir(), "state")
+	whole, err := Play(scenario, 6, "", nil, ignoreProgress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// row finds a figure.
-func row(t *testing.T, rows []Row, name string) Row {
+// findRow finds a figure.
+func findRow(t *testing.T, rows []Row, name string) Row {
 	t.Helper()
 	for _, r := range rows {
 		if r.Name == name {
@@ -89,7 +89,7 @@
 	var runs [2]*Run
 	for i, s := range []string{a, b} {
 		var err error
-		if runs[i], err = Play(s, seeds, "", nil, silent); err != nil {
+		if runs[i], err = Play(s, seeds, "", nil, ignoreProgress); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -101,11 +101,11 @@
 }
 
 // A failure of ten seconds shows in the worst ten seconds, and far less in the whole.
-func TestEffectInTheWorstWindow(t *testing.T) {
+func TestShortFailureShowsInWorstWindow(t *testing.T) {
 	t.Parallel()
-	calm := text(t, "calm-lunch")
+	calm := scenarioText(t, "calm-lunch")
 	rows := compare(t, calm, calm+"\n[[failure]]\nkind = \"slow\"\nat_s = 15\nfor_s = 6\nshare = 0.4\nfactor = 0.2\n", 8)
-	worst, whole := row(t, rows, "worst ten seconds"), row(t, rows, "whole")
+	worst, whole := findRow(t, rows, "worst ten seconds"), findRow(t, rows, "whole")
 	if worst.Verdict != paired.Worse || worst.Mean > 2*whole.Mean {
 		t.Errorf("worst ten seconds %+v, whole %+v", worst, whole)
 	}
@@ -115,12 +115,12 @@
 }
 
 // A change that helps one class and hurts another: the verdict says both.
-func TestHelpsOneHurtsAnother(t *testing.T) {
+func TestVerdictNamesGainsAndLosses(t *testing.T) {
 	t.Parallel()
-	full := text(t, "month-end", "load = 0.8", "load = 1.2")
+	full := scenarioText(t, "month-end", "load = 0.8", "load = 1.2")
 	pools := "[server]\ncheap_reserve = 0.25\n[[server.pool]]\nname = \"landmarks\"\nclasses = [\"landmark-search\"]\nshare = 0.8\n[fleet]"
 	rows := compare(t, full, strings.Replace(full, "[fleet]", pools, 1), 6)
-	if r := row(t, rows, "class landmark-search"); r.Verdict != paired.Better {
+	if r := findRow(t, rows, "class landmark-search"); r.Verdict != paired.Better {
 		t.Errorf("landmark-search: %+v", r)
 	}
 	verdict := Verdict(rows)
@@ -132,13 +132,13 @@
 // Equal settings can't be told apart by chance, and are the same on the same seeds.
 func TestEqualSettings(t *testing.T) {
 	t.Parallel()
-	s := text(t, "fifth-dies")
+	s := scenarioText(t, "fifth-dies")
 	for _, r := range compare(t, s, s, 3) {
-		if r.Verdict != paired.NoChange {
+		if r.Verdict != paired.NoDifference {
 			t.Errorf("%+v", r)
 		}
 	}
-	if _, err := Compare(&Run{}, &Run{Days: []Seeded{{1, &fleet.Outcome{}}}}); err == nil {
+	if _, err := Compare(&Run{}, &Run{Days: []SeedOutcome{{1, &fleet.Outcome{}}}}); err == nil {
 		t.Error("runs without a common seed are compared")
 	}
 }
--- a/internal/lab/fleet/callers.go
+++ b/internal/lab/fleet/callers.go
@@ -8,165 +8,172 @@
 	"kiteslip/internal/core"
 )
 
-// traffic draws the first arrival of each class, for a capacity in work a second.
-func (w *world) traffic(capacity float64) {
-	day := w.day
-	mean := 0.0
+// initTraffic sets up the arrival stream of each class, with its first arrival,
+// and the state of the callers. capacity is the work that all boxes do in a second.
+func (sim *simulation) initTraffic(capacity float64) {
+	day := sim.day
+	meanWork := 0.0
 	for i := range day.Classes {
-		mean += day.Classes[i].Part * (day.Classes[i].Least + day.Classes[i].Most) / 2
+		meanWork += day.Classes[i].TrafficShare * (day.Classes[i].MinWork + day.Classes[i].MaxWork) / 2
 	}
-	rate := day.Load * capacity * Second / mean
+	rate := day.Load * capacity * Second / meanWork
 	for i := range day.Classes {
-		s := stream{rng: rand.New(rand.NewPCG(day.Seed, uint64(i+1))), mean: rate * day.Classes[i].Part}
-		if day.Skew > 1 {
-			s.zipf = rand.NewZipf(s.rng, day.Skew, 1, max(1, day.Subjects-1))
+		s := arrivalStream{rng: rand.New(rand.NewPCG(day.Seed, uint64(i+1))), meanRate: rate * day.Classes[i].TrafficShare}
+		if day.SubjectSkew > 1 {
+			s.zipf = rand.NewZipf(s.rng, day.SubjectSkew, 1, max(1, day.Subjects-1))
 		}
-		s.next = w.draw(&s, epoch)
-		w.streams = append(w.streams, s)
+		s.next = sim.nextArrival(&s, epoch)
+		sim.streams = append(sim.streams, s)
 	}
-	w.turn = make([]int, len(day.Callers))
-	w.away = make([][]int64, len(day.Callers))
+	sim.roundRobin = make([]int, len(day.Callers))
+	sim.avoidUntil = make([][]int64, len(day.Callers))
 	sum := 0.0
 	for i := range day.Callers {
-		w.turn[i] = i * 7
-		w.away[i] = make([]int64, day.Boxes)
+		sim.roundRobin[i] = i * 7
+		sim.avoidUntil[i] = make([]int64, day.Boxes)
 		sum += day.Callers[i].Weight
-		w.weights = append(w.weights, sum)
+		sim.cumulativeWeights = append(sim.cumulativeWeights, sum)
 	}
 }
 
-// shape is the rate at a time, over the mean.
-func (d *Day) shape(at int64) float64 {
-	if len(d.Shape) == 0 {
+// rateAt returns the arrival rate at the given time of the day, as a multiple of
+// the mean rate, interpolated linearly between the points of RateCurve.
+func (d *Day) rateAt(at int64) float64 {
+	if len(d.RateCurve) == 0 {
 		return 1
 	}
-	if at <= d.Shape[0].At {
-		return d.Shape[0].Rate
+	if at <= d.RateCurve[0].At {
+		return d.RateCurve[0].Rate
 	}
-	for i := 1; i < len(d.Shape); i++ {
-		if a, b := d.Shape[i-1], d.Shape[i]; at < b.At {
+	for i := 1; i < len(d.RateCurve); i++ {
+		if a, b := d.RateCurve[i-1], d.RateCurve[i]; at < b.At {
 			return a.Rate + (b.Rate-a.Rate)*float64(at-a.At)/float64(b.At-a.At)
 		}
 	}
-	return d.Shape[len(d.Shape)-1].Rate
+	return d.RateCurve[len(d.RateCurve)-1].Rate
 }
 
-// draw returns the next arrival after at: of the highest rate, thinned to the
-// one of the moment (Lewis, Shedler 1979).
-func (w *world) draw(s *stream, at int64) int64 {
+// nextArrival returns the first arrival after the given instant, or math.MaxInt64
+// if there is none before the day ends. The Poisson process at the peak rate is
+// thinned to the rate of the moment (Lewis, Shedler 1979).
+func (sim *simulation) nextArrival(s *arrivalStream, at int64) int64 {
 	peak := 1.0
-	for _, p := range w.day.Shape {
+	for _, p := range sim.day.RateCurve {
 		peak = max(peak, p.Rate)
 	}
-	end := epoch + w.day.Length
-	for s.mean > 0 {
-		at += int64(s.rng.ExpFloat64()/(s.mean*peak)*Second) + 1
+	end := epoch + sim.day.Length
+	for s.meanRate > 0 {
+		at += int64(s.rng.ExpFloat64()/(s.meanRate*peak)*Second) + 1
 		if at >= end {
 			break
 		}
-		if s.rng.Float64()*peak < w.day.shape(at-epoch) {
+		if s.rng.Float64()*peak < sim.day.rateAt(at-epoch) {
 			return at
 		}
 	}
 	return math.MaxInt64
 }
 
-// ask lets a client ask: all that is drawn for the request comes from its own
-// stream, so that it is the same whatever becomes of others.
-func (w *world) ask(class int) {
-	s, c := &w.streams[class], &w.day.Classes[class]
-	r := &request{class: class, first: s.next, due: s.next + c.Timeout, work: c.Least + (c.Most-c.Least)*s.rng.Float64(), last: -1}
-	r.team = pickPart(s.rng.Float64(), len(w.day.Teams), func(i int) float64 { return w.day.Teams[i].Part })
-	x := s.rng.Float64() * w.weights[len(w.weights)-1]
-	for r.caller < len(w.weights)-1 && x >= w.weights[r.caller] {
+// startRequest begins a new request of a class and sends its first try. All its
+// properties are drawn from the stream of its class, so that they do not depend
+// on the outcome of other requests.
+func (sim *simulation) startRequest(class int) {
+	s, c := &sim.streams[class], &sim.day.Classes[class]
+	r := &request{class: class, arrivedAt: s.next, deadline: s.next + c.Timeout, work: c.MinWork + (c.MaxWork-c.MinWork)*s.rng.Float64(), lastBox: -1}
+	r.team = pickWeighted(s.rng.Float64(), len(sim.day.Teams), func(i int) float64 { return sim.day.Teams[i].TrafficShare })
+	x := s.rng.Float64() * sim.cumulativeWeights[len(sim.cumulativeWeights)-1]
+	for r.caller < len(sim.cumulativeWeights)-1 && x >= sim.cumulativeWeights[r.caller] {
 		r.caller++
 	}
 	if s.zipf != nil {
 		r.subject = 1 + s.zipf.Uint64()
 	} else {
-		r.subject = 1 + s.rng.Uint64N(max(1, w.day.Subjects))
+		r.subject = 1 + s.rng.Uint64N(max(1, sim.day.Subjects))
 	}
-	if r.subject == 1 && w.day.Poison > 0 {
-		r.work *= w.day.Poison
+	if r.subject == 1 && sim.day.TopSubjectFactor > 0 {
+		r.work *= sim.day.TopSubjectFactor
 	}
-	w.names++
-	r.name = "r" + strconv.FormatUint(w.names, 16)
-	s.next = w.draw(s, s.next)
-	w.score.asked(r)
-	w.try(r)
+	sim.nameCount++
+	r.key = "r" + strconv.FormatUint(sim.nameCount, 16)
+	s.next = sim.nextArrival(s, s.next)
+	sim.score.requestStarted(r)
+	sim.sendTry(r)
 }
 
-// pickPart picks by parts that need not add up to 1.
-func pickPart(x float64, n int, part func(int) float64) int {
+// pickWeighted returns the index that x, from 0 to below 1, selects out of n with
+// the given weights, which need not add up to 1.
+func pickWeighted(x float64, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
-		sum += part(i)
+		sum += weight(i)
 	}
 	x *= sum
 	for i := range n {
-		if x -= part(i); x < 0 {
+		if x -= weight(i); x < 0 {
 			return i
 		}
 	}
 	return max(0, n-1)
 }
 
-// choose picks a box for the next try, or -1: boxes that the caller was told to
-// stay away from come last, and so does the one tried before.
-func (w *world) choose(r *request) int {
-	c, n := &w.day.Callers[r.caller], len(w.boxes)
-	away := w.away[r.caller]
-	fits := func(i int) bool {
-		return !w.boxes[i].dead && !w.boxes[i].leaving && i != r.last && (!c.Heeds || away[i] <= w.now)
+// chooseBox returns the box for the next try of a request, or -1 if there is none.
+// It leaves out boxes that are down or draining, the box of the last try and, for
+// a caller that follows advice, boxes whose retry-after has not passed.
+func (sim *simulation) chooseBox(r *request) int {
+	c, n := &sim.day.Callers[r.caller], len(sim.boxes)
+	avoidUntil := sim.avoidUntil[r.caller]
+	eligible := func(i int) bool {
+		return !sim.boxes[i].down && !sim.boxes[i].draining && i != r.lastBox && (!c.FollowsAdvice || avoidUntil[i] <= sim.now)
 	}
-	at := 0
-	switch c.Choose {
-	case Two:
+	start := 0
+	switch c.Balancing {
+	case LeastOpen:
 		best := -1
 		for range 4 {
-			i := w.pick.IntN(n)
-			if fits(i) && (best < 0 || w.boxes[i].open < w.boxes[best].open) {
+			i := sim.rng.IntN(n)
+			if eligible(i) && (best < 0 || sim.boxes[i].openTries < sim.boxes[best].openTries) {
 				best = i
 			}
 		}
 		if best >= 0 {
 			return best
 		}
-		at = w.pick.IntN(n)
-	case Subject:
-		at = int((r.subject*0x9e3779b97f4a7c15>>33)%uint64(n)) + r.tries
+		start = sim.rng.IntN(n)
+	case BySubject:
+		start = int((r.subject*0x9e3779b97f4a7c15>>33)%uint64(n)) + r.tries
 	default:
-		at = w.turn[r.caller]
-		w.turn[r.caller]++
+		start = sim.roundRobin[r.caller]
+		sim.roundRobin[r.caller]++
 	}
 	for i := range n {
-		if b := (at + i) % n; fits(b) {
+		if b := (start + i) % n; eligible(b) {
 			return b
 		}
 	}
 	return -1
 }
 
-// try sends a try, if there is anywhere to send it.
-func (w *world) try(r *request) {
-	b := w.choose(r)
+// sendTry sends the next try of a request. The request ends as refused if no box
+// is eligible.
+func (sim *simulation) sendTry(r *request) {
+	b := sim.chooseBox(r)
 	if b < 0 {
-		w.end(r, nil)
+		sim.endRequest(r, nil)
 		return
 	}
-	m := w.boxes[b]
-	t := &try{r: r, box: b, life: m.life, lively: true}
+	m := sim.boxes[b]
+	t := &try{request: r, box: b, incarnation: m.incarnation, pending: true}
 	r.tries++
-	r.last = b
-	w.Tries++
-	m.open++
-	at := w.now + w.day.Delay
+	r.lastBox = b
+	sim.Tries++
+	m.openTries++
+	at := sim.now + sim.day.NetworkDelay
 	if m.remote != nil {
-		m.stream++
-		m.tries[m.stream] = t
-		m.remote.Send(Sent{ID: m.stream, Class: r.class, Team: r.team, Caller: r.caller, Key: r.name, Subject: r.subject,
-			Wait: r.due - w.now, Work: r.work})
-		w.hasten(t)
+		m.lastStream++
+		m.tries[m.lastStream] = t
+		m.remote.Send(RemoteTry{ID: m.lastStream, Class: r.class, Team: r.team, Caller: r.caller, Key: r.key, Subject: r.subject,
+			Timeout: r.deadline - sim.now, Work: r.work})
+		sim.scheduleHedge(t)
 		return
 	}
 	i := len(m.inbox)
@@ -176,123 +183,128 @@
 		i--
 	}
 	m.inbox[i] = arrival{at, t}
-	w.places.set(b, m.next())
-	w.hasten(t)
+	sim.schedule.set(b, m.nextEvent())
+	sim.scheduleHedge(t)
 }
 
-// hasten lets a hasty caller try another box after a while.
-func (w *world) hasten(t *try) {
-	r := t.r
-	if c := &w.day.Callers[r.caller]; c.Hasty > 0 && r.tries < c.Tries {
-		w.after(w.now+c.Hasty, func() {
-			if !r.over && t.lively && w.now < r.due {
-				w.try(r)
+// scheduleHedge schedules a further try on another box for when this one is not
+// answered within the caller's HedgeDelay.
+func (sim *simulation) scheduleHedge(t *try) {
+	r := t.request
+	if c := &sim.day.Callers[r.caller]; c.HedgeDelay > 0 && r.tries < c.MaxTries {
+		sim.scheduleAt(sim.now+c.HedgeDelay, func() {
+			if !r.ended && t.pending && sim.now < r.deadline {
+				sim.sendTry(r)
 			}
 		})
 	}
 }
 
-// answered takes an answer in at its caller.
-func (w *world) answered(t *try, a core.Answer) {
-	r := t.r
-	c := &w.day.Callers[r.caller]
-	if a.Code == core.Refused && a.RetryAfter > 0 && c.Heeds && w.boxes[t.box].life == t.life {
-		w.away[r.caller][t.box] = w.now + a.RetryAfter
+// handleAnswer processes an answer at its caller: it ends the request or sends the
+// next try.
+func (sim *simulation) handleAnswer(t *try, a core.Answer) {
+	r := t.request
+	c := &sim.day.Callers[r.caller]
+	if a.Code == core.Refused && a.RetryAfter > 0 && c.FollowsAdvice && sim.boxes[t.box].incarnation == t.incarnation {
+		sim.avoidUntil[r.caller][t.box] = sim.now + a.RetryAfter
 	}
-	if r.over {
+	if r.ended {
 		return
 	}
 	if a.Code == core.Served {
-		w.end(r, &a)
+		sim.endRequest(r, &a)
 		return
 	}
-	if w.now >= r.due || r.tries >= c.Tries || a.NoFailover && c.Heeds {
-		if c.Hasty == 0 || r.tries >= c.Tries {
-			w.end(r, &a)
+	if sim.now >= r.deadline || r.tries >= c.MaxTries || a.NoFailover && c.FollowsAdvice {
+		if c.HedgeDelay == 0 || r.tries >= c.MaxTries {
+			sim.endRequest(r, &a)
 		}
 		return
 	}
-	w.try(r)
+	sim.sendTry(r)
 }
 
-// end is the end of a request for its client.
-func (w *world) end(r *request, a *core.Answer) {
-	if !r.over {
-		r.over = true
-		w.score.ended(r, w.now, a)
+// endRequest ends a request and scores it. a is the final answer, nil if no try
+// could be sent.
+func (sim *simulation) endRequest(r *request, a *core.Answer) {
+	if !r.ended {
+		r.ended = true
+		sim.score.requestEnded(r, sim.now, a)
 	}
 }
 
-// plan puts a failure on the agenda.
-func (w *world) plan(f *Failure) {
-	if f.Kind == Down {
-		w.after(epoch+f.At, func() { w.ledger.downTo = epoch + f.At + f.For })
+// scheduleFailure schedules the effects of a failure on the boxes or the ledger.
+func (sim *simulation) scheduleFailure(f *Failure) {
+	if f.Kind == LedgerDown {
+		sim.scheduleAt(epoch+f.At, func() { sim.ledger.downUntil = epoch + f.At + f.Duration })
 		return
 	}
-	n := min(len(w.boxes), max(1, int(math.Round(f.Share*float64(len(w.boxes))))))
+	n := min(len(sim.boxes), max(1, int(math.Round(f.BoxShare*float64(len(sim.boxes))))))
 	for i := range n {
-		m := w.boxes[(f.First+i)%len(w.boxes)]
+		m := sim.boxes[(f.FirstBox+i)%len(sim.boxes)]
 		at := epoch + f.At
 		switch f.Kind {
-		case Die:
-			w.after(at, m.die)
-			w.after(at+f.For, func() { m.back(f) })
-		case Slow:
-			w.after(at, func() { m.scale(f.Factor) })
-			w.after(at+f.For, func() { m.scale(1) })
+		case Crash:
+			sim.scheduleAt(at, m.crash)
+			sim.scheduleAt(at+f.Duration, func() { m.restart(f) })
+		case Slowdown:
+			sim.scheduleAt(at, func() { m.setSpeed(f.SpeedFactor) })
+			sim.scheduleAt(at+f.Duration, func() { m.setSpeed(1) })
 		case Pause:
-			w.after(at, func() { m.pause(f.For) })
+			sim.scheduleAt(at, func() { m.pause(f.Duration) })
 		case Deploy:
-			at += f.For * int64(i) / int64(n)
-			w.after(at, func() {
-				if !m.dead {
-					m.leaving = true
+			at += f.Duration * int64(i) / int64(n)
+			sim.scheduleAt(at, func() {
+				if !m.down {
+					m.draining = true
 					m.drain()
 				}
 			})
-			w.after(at+drainFor, func() {
-				m.die()
-				m.back(f)
+			sim.scheduleAt(at+drainUS, func() {
+				m.crash()
+				m.restart(f)
 			})
 		}
 	}
 }
 
-// drain gives the notice to leave.
+// drain sends the shutdown notice to the server of the box.
 func (m *machine) drain() {
 	if m.remote != nil {
 		m.remote.Drain()
 		return
 	}
-	m.core.Drain(m.w.now, m.w.now+drainFor)
-	m.w.places.set(m.number, m.w.now)
+	m.core.Drain(m.sim.now, m.sim.now+drainUS)
+	m.sim.schedule.set(m.number, m.sim.now)
 }
 
-func (m *machine) scale(factor float64) {
+// setSpeed sets the speed of the box to a share of its usual speed.
+func (m *machine) setSpeed(factor float64) {
 	if m.remote != nil {
-		m.remote.Scale(factor)
-	} else if !m.dead {
-		m.box.Scale(m.w.now, factor)
-		m.w.places.set(m.number, m.next())
+		m.remote.SetSpeed(factor)
+	} else if !m.down {
+		m.box.Scale(m.sim.now, factor)
+		m.sim.schedule.set(m.number, m.nextEvent())
 	}
 }
 
-// pause stops the box and its server: the cores do nothing, nothing is read.
-func (m *machine) pause(span int64) {
-	if m.dead {
+// pause stops the cores of the box and its server for a time in microseconds:
+// nothing runs and nothing is read.
+func (m *machine) pause(duration int64) {
+	if m.down {
 		return
 	}
 	if m.remote != nil {
-		m.remote.Pause(span)
+		m.remote.Pause(duration)
 		return
 	}
-	m.box.Scale(m.w.now, 0)
-	m.paused = m.w.now + span
-	life := m.life
-	m.w.after(m.paused, func() {
-		if m.life == life {
-			m.scale(1)
+	m.box.Scale(m.sim.now, 0)
+	m.pausedUntil = m.sim.now + duration
+	incarnation := m.incarnation
+	m.sim.scheduleAt(m.pausedUntil, func() {
+		if m.incarnation == incarnation {
+			m.setSpeed(1)
 		}
 	})
-	m.w.places.set(m.number, m.next())
+	m.sim.schedule.set(m.number, m.nextEvent())
 }
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -1,7 +1,7 @@
 package fleet
 
 import (
-	order "container/heap"
+	"container/heap"
 	"hash/fnv"
 	"math"
 
@@ -9,215 +9,223 @@
 	"kiteslip/internal/core"
 )
 
-// Calls below and pauses, in simulated time. All boxes share one ledger with a
-// number of places, each of which serves one call at a time, in order of
-// arrival (a queue with many servers; it does not thrash as a real one may). A
-// run of a class that calls does half of its work before its call.
+// This file simulates downstream calls and halted runs. All boxes share one
+// ledger, which is a first-come, first-served queue with Concurrency parallel
+// servers; unlike a real one it does not slow down under overload. A run of a
+// class that calls the ledger does half of its work before its call.
 
-// Below describes the ledger.
-type Below struct {
-	Places      int     // calls that it serves at once, for all boxes
-	Least, Most int64   // microseconds for one call
-	Turns       float64 // share of the calls that it turns away unseen
-	Loses       float64 // share that it never answers
+// LedgerSpec describes the ledger.
+type LedgerSpec struct {
+	Concurrency      int     // calls that it serves at once, for all boxes together
+	MinTime, MaxTime int64   // bounds of the time for one call, microseconds
+	RejectShare      float64 // share of the calls that it rejects at once
+	LossShare        float64 // share of the calls that it never answers
 }
 
-// Down is a failure in which the ledger refuses every call.
-const Down FailureKind = Deploy + 1
+// LedgerDown is a failure in which no call reaches the ledger.
+const LedgerDown FailureKind = Deploy + 1
 
-// ledger is the one that all boxes call.
+// ledger is the state of the ledger that all boxes call.
 type ledger struct {
-	Below
-	free   times // when each place is free
-	downTo int64
-	calls  int64
+	LedgerSpec
+	freeAt    instantHeap // when each of the parallel servers is free
+	downUntil int64
+	calls     int64
 }
 
-type times []int64
+// instantHeap is a min-heap of instants, for container/heap.
+type instantHeap []int64
 
-func (t times) Len() int           { return len(t) }
-func (t times) Less(i, j int) bool { return t[i] < t[j] }
-func (t times) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *times) Push(x any)        { *t = append(*t, x.(int64)) }
-func (t *times) Pop() any {
+func (t instantHeap) Len() int           { return len(t) }
+func (t instantHeap) Less(i, j int) bool { return t[i] < t[j] }
+func (t instantHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *instantHeap) Push(x any)        { *t = append(*t, x.(int64)) }
+func (t *instantHeap) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
 }
 
-func newLedger(b *Below) *ledger {
-	if b == nil {
+// newLedger returns a ledger in which nothing runs, or nil if there is no spec.
+func newLedger(spec *LedgerSpec) *ledger {
+	if spec == nil {
 		return nil
 	}
-	return &ledger{Below: *b, free: make(times, b.Places)}
+	return &ledger{LedgerSpec: *spec, freeAt: make(instantHeap, spec.Concurrency)}
 }
 
-// call says when and how a call made at now ends, if nobody gives it up.
+// call returns when and how a call that arrives at now ends unless it is abandoned;
+// math.MaxInt64 is never. The draws depend on ref and the number of earlier calls.
 func (l *ledger) call(now int64, ref string) (at int64, outcome kiteslip.Outcome) {
 	l.calls++
 	h := fnv.New64a()
 	h.Write([]byte(ref))                                                    //nolint:errcheck // it never fails
 	h.Write([]byte{byte(l.calls), byte(l.calls >> 8), byte(l.calls >> 16)}) //nolint:errcheck // as above
-	part := func(n uint) float64 { return float64(h.Sum64()>>n&0xffff) / 0x10000 }
+	draw := func(n uint) float64 { return float64(h.Sum64()>>n&0xffff) / 0x10000 }
 	switch {
-	case now < l.downTo:
+	case now < l.downUntil:
 		return now, kiteslip.Unreachable
-	case part(0) < l.Turns:
+	case draw(0) < l.RejectShare:
 		return now, kiteslip.Rejected
 	}
-	start := max(now, l.free[0])
-	l.free[0] = start + l.Least + int64(part(16)*float64(l.Most-l.Least))
-	end := l.free[0]
-	order.Fix(&l.free, 0)
-	if part(32) < l.Loses {
+	start := max(now, l.freeAt[0])
+	l.freeAt[0] = start + l.MinTime + int64(draw(16)*float64(l.MaxTime-l.MinTime))
+	end := l.freeAt[0]
+	heap.Fix(&l.freeAt, 0)
+	if draw(32) < l.LossShare {
 		return math.MaxInt64, kiteslip.OK
 	}
 	return end, kiteslip.OK
 }
 
-// piece is a run that has not ended: what is left of it after its call, whether
-// it stands there, and the work that was left when it was stopped.
-type piece struct {
-	id      uint64 // on the cores
-	began   int64
-	rest    float64 // work after the call; 0 = it makes none, or has made it
-	stands  bool
-	stopped bool
-	left    float64
+// runState is the state of a run that has not ended. It is on the cores unless
+// atCall or halted is set. Work is in microseconds at speed 1.
+type runState struct {
+	id            uint64 // of the part that is on the cores
+	began         int64
+	workAfterCall float64 // 0 = it makes no call, or has made it
+	atCall        bool    // it waits for its call
+	halted        bool
+	workLeft      float64 // when it was halted
 }
 
-// begin puts the first piece of a run on the cores.
-func (m *machine) begin(r *core.Request, work float64) {
-	p := &piece{began: m.w.now}
-	if m.w.ledger != nil && m.w.day.Classes[r.Class].CallsDownstream {
-		p.rest = work / 2
+// beginRun puts the part of a run before its call on the cores, or all of it if it
+// makes no call.
+func (m *machine) beginRun(r *core.Request, work float64) {
+	run := &runState{began: m.sim.now}
+	if m.sim.ledger != nil && m.sim.day.Classes[r.Class].CallsDownstream {
+		run.workAfterCall = work / 2
 	}
-	m.pieces[r] = p
-	m.onCores(r, p, work-p.rest)
+	m.runStates[r] = run
+	m.runOnCores(r, run, work-run.workAfterCall)
 }
 
-func (m *machine) onCores(r *core.Request, p *piece, work float64) {
-	m.runs++
-	p.id, p.stands, p.stopped = m.runs, false, false
-	m.live[p.id] = r
-	m.box.Begin(m.w.now, p.id, work)
+// runOnCores puts the given work of a run on the cores, under a new ID.
+func (m *machine) runOnCores(r *core.Request, run *runState, work float64) {
+	m.lastRunID++
+	run.id, run.atCall, run.halted = m.lastRunID, false, false
+	m.runsByID[run.id] = r
+	m.box.Begin(m.sim.now, run.id, work)
 }
 
-// pieceOver takes in that a piece is done: the run stands at its call, or is over.
-func (m *machine) pieceOver(r *core.Request, at int64) {
-	p := m.pieces[r]
-	if p.rest == 0 {
-		delete(m.pieces, r)
-		m.core.Done(r, kiteslip.OK, at-p.began, r.Body)
+// phaseDone is called when the part of a run that was on the cores is done: the run
+// makes its call, is cancelled if its request was answered meanwhile, or is over.
+func (m *machine) phaseDone(r *core.Request, at int64) {
+	run := m.runStates[r]
+	if run.workAfterCall == 0 {
+		delete(m.runStates, r)
+		m.core.Done(r, kiteslip.OK, at-run.began, r.Body)
 		return
 	}
-	if m.over(r) {
-		m.cancel(r)
+	if m.isAnswered(r) {
+		m.cancelRun(r)
 		return
 	}
-	p.stands = true
-	m.core.NeedsCall(r, p.id, nil)
+	run.atCall = true
+	m.core.NeedsCall(r, run.id, nil)
 }
 
-// over says whether the caller of r has its answer.
-func (m *machine) over(r *core.Request) bool { return m.tries[r.Stream] == nil }
+// isAnswered reports whether r has its final answer.
+func (m *machine) isAnswered(r *core.Request) bool { return m.tries[r.Stream] == nil }
 
-// cancel ends a run whose request is over, as an engine does at a call.
-func (m *machine) cancel(r *core.Request) {
-	p := m.pieces[r]
-	delete(m.pieces, r)
-	m.core.Done(r, kiteslip.Cancelled, m.w.now-p.began, nil)
+// cancelRun ends a run whose request has been answered, as an engine does when the
+// run makes its call.
+func (m *machine) cancelRun(r *core.Request) {
+	run := m.runStates[r]
+	delete(m.runStates, r)
+	m.core.Done(r, kiteslip.Cancelled, m.sim.now-run.began, nil)
 }
 
-// soon lets what f tells the box's server be taken in at that time, in the
-// box's life of now, and not while it is paused.
-func (m *machine) soon(at int64, f func()) {
-	life := m.life
-	m.w.after(at, func() {
+// scheduleStep schedules f and then a step of the core. It does nothing if the box
+// has crashed by then, and is put off to the end of a pause.
+func (m *machine) scheduleStep(at int64, f func()) {
+	incarnation := m.incarnation
+	m.sim.scheduleAt(at, func() {
 		switch {
-		case m.dead || m.life != life:
-		case m.w.now < m.paused:
-			m.soon(m.paused, f)
+		case m.down || m.incarnation != incarnation:
+		case m.sim.now < m.pausedUntil:
+			m.scheduleStep(m.pausedUntil, f)
 		default:
 			f()
-			m.core.Step(m.w.now)
-			m.w.places.set(m.number, m.next())
+			m.core.Step(m.sim.now)
+			m.sim.schedule.set(m.number, m.nextEvent())
 		}
 	})
 }
 
-// requestOver lets the engine see that a request is over: a run that stands at a
-// call, or is stopped, ends.
-func (m *machine) requestOver(stream uint32) {
-	for r, p := range m.pieces {
-		if r.Stream == stream && (p.stands || p.stopped) {
-			m.soon(m.w.now, func() {
-				if m.pieces[r] == p {
-					m.cancel(r)
+// requestAnswered cancels the run of a request that has its answer, if the run waits
+// for a call or is halted.
+func (m *machine) requestAnswered(stream uint32) {
+	for r, run := range m.runStates {
+		if r.Stream == stream && (run.atCall || run.halted) {
+			m.scheduleStep(m.sim.now, func() {
+				if m.runStates[r] == run {
+					m.cancelRun(r)
 				}
 			})
 		}
 	}
 }
 
-// Call makes a call: it ends as the ledger says, or at the end of its patience.
-func (m *machine) Call(token uint64, ref string, _ []byte, patience int64) {
-	now := m.w.now
-	m.w.Calls++
-	at, outcome := m.w.ledger.call(now+m.w.day.Delay, ref)
-	if at >= now+patience-m.w.day.Delay {
-		at, outcome = now+patience, kiteslip.TimedOut
+// Call makes a downstream call, which ends as the ledger decides or at its timeout.
+func (m *machine) Call(token uint64, ref string, _ []byte, timeout int64) {
+	now := m.sim.now
+	m.sim.Calls++
+	at, outcome := m.sim.ledger.call(now+m.sim.day.NetworkDelay, ref)
+	if at >= now+timeout-m.sim.day.NetworkDelay {
+		at, outcome = now+timeout, kiteslip.TimedOut
 	} else {
-		at += m.w.day.Delay
+		at += m.sim.day.NetworkDelay
 	}
-	m.soon(at, func() { m.core.CallDone(m.w.now, token, outcome, nil) })
+	m.scheduleStep(at, func() { m.core.CallDone(m.sim.now, token, outcome, nil) })
 }
 
-// Abandon gives a call up. The ledger goes on with it.
+// Abandon does nothing: the ledger carries on with a call that was abandoned.
 func (m *machine) Abandon(uint64) {}
 
-// Reply goes on after a call.
-func (m *machine) Reply(r *core.Request, _ []byte) { m.proceed(r) }
+// Reply continues a run whose call has ended.
+func (m *machine) Reply(r *core.Request, _ []byte) { m.continueAfterCall(r) }
 
-// Skip goes on without it.
+// Skip continues a run without its call.
 func (m *machine) Skip(r *core.Request, _ uint64) {
-	m.w.Skips++
-	m.proceed(r)
+	m.sim.SkippedCalls++
+	m.continueAfterCall(r)
 }
 
-func (m *machine) proceed(r *core.Request) {
-	p := m.pieces[r]
-	rest := p.rest
-	p.rest = 0
-	m.onCores(r, p, rest)
+// continueAfterCall puts the rest of a run on the cores.
+func (m *machine) continueAfterCall(r *core.Request) {
+	run := m.runStates[r]
+	rest := run.workAfterCall
+	run.workAfterCall = 0
+	m.runOnCores(r, run, rest)
 }
 
 // Halt stops a run that is on the cores.
 func (m *machine) Halt(r *core.Request) {
-	p := m.pieces[r]
-	if p == nil || p.stands || p.stopped {
+	run := m.runStates[r]
+	if run == nil || run.atCall || run.halted {
 		return
 	}
-	left, ok := m.box.Take(m.w.now, p.id)
+	left, ok := m.box.Take(m.sim.now, run.id)
 	if !ok {
-		return // its end is on the way
+		return // it has ended, and its end is about to be processed
 	}
-	delete(m.live, p.id)
-	p.left, p.stopped = left, true
-	m.soon(m.w.now, func() {
-		if m.pieces[r] != p || !p.stopped {
+	delete(m.runsByID, run.id)
+	run.workLeft, run.halted = left, true
+	m.scheduleStep(m.sim.now, func() {
+		if m.runStates[r] != run || !run.halted {
 			return
 		}
-		if m.w.day.Policy.Stop != kiteslip.StopFreeze || m.over(r) {
-			delete(m.pieces, r)
+		if m.sim.day.Policy.Stop != kiteslip.StopFreeze || m.isAnswered(r) {
+			delete(m.runStates, r)
 		}
-		m.core.Done(r, kiteslip.Cancelled, m.w.now-p.began, nil)
+		m.core.Done(r, kiteslip.Cancelled, m.sim.now-run.began, nil)
 	})
 }
 
-// Resume goes on with a run that was stopped.
+// Resume continues a run that was halted.
 func (m *machine) Resume(r *core.Request) {
-	if p := m.pieces[r]; p != nil {
-		m.onCores(r, p, p.left)
+	if run := m.runStates[r]; run != nil {
+		m.runOnCores(r, run, run.workLeft)
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,10 @@
-// Package fleet plays days of a whole fleet in simulated time: many boxes, each
-// with the real core and module, callers with habits of their own in front of
-// them, and failures. The same day and seed give the same outcome to the byte.
+// Package fleet simulates a whole fleet: many boxes, each a machine with a server
+// that runs the real core and policy, the callers in front of them, and failures.
+// A simulation is called a day. The same day and seed give the same outcome, byte
+// for byte. A day can also be played in real time against real programs, see
+// PlayLive.
+//
+// Instants and durations are int64 microseconds of the simulated clock.
 package fleet
 
 import (
@@ -18,128 +22,131 @@
 // Second is one second of the simulated clock.
 const Second = 1_000_000
 
-// epoch is when a day starts on that clock.
+// epoch is the instant at which a day starts.
 const epoch = 1_000 * Second
 
-// Choice is how a caller chooses a box.
-type Choice uint8
+// Balancing is how a caller chooses a box.
+type Balancing uint8
 
-// The choices.
+// The ways to choose.
 const (
-	Turn    Choice = iota // in turn
-	Two                   // the one with fewer open requests of two drawn
-	Subject               // by the request's subject
+	RoundRobin Balancing = iota // in turn
+	LeastOpen                   // the one with the fewest open tries of four drawn at random
+	BySubject                   // by a hash of the request's subject
 )
 
-// Caller is one caller, in front of one client process.
+// Caller is one caller with its share of the traffic and its manner of retrying.
 type Caller struct {
-	Weight float64 // its part of the traffic
-	Choose Choice
-	Tries  int   // at most, the first included
-	Hasty  int64 // after so long without an answer it tries another box; 0 = never
-	Heeds  bool  // advice to stay away, and the wish not to try elsewhere
+	Weight        float64 // its share of the traffic, relative to the other callers
+	Balancing     Balancing
+	MaxTries      int   // for each request, the first included
+	HedgeDelay    int64 // after this time without an answer it also tries another box; 0 = never
+	FollowsAdvice bool  // it obeys retry-after and no failover
 }
 
-// Class is a class of requests: the module's view, and its traffic.
+// Class is a class of requests: the settings of the policy, and its traffic.
 type Class struct {
 	kiteslip.Class
-	Name        string
-	Part        float64 // of the requests
-	Least, Most float64 // work, microseconds at the yardstick's speed
+	Name             string
+	TrafficShare     float64 // relative to the other classes
+	MinWork, MaxWork float64 // bounds of the core time of a run, microseconds at speed 1
 }
 
-// Team is one team, with its part of the traffic.
+// Team is one team, with its share of the traffic.
 type Team struct {
-	Name string
-	Part float64
+	Name         string
+	TrafficShare float64 // relative to the other teams
 }
 
-// Point is the rate at a time: between points it changes evenly.
-type Point struct {
+// RatePoint is the arrival rate at an instant of the day; between two points it is
+// interpolated linearly.
+type RatePoint struct {
 	At   int64
 	Rate float64 // times the mean rate
 }
 
-// FailureKind is what befalls boxes.
+// FailureKind is the kind of a failure.
 type FailureKind uint8
 
-// The kinds.
+// The kinds of failures of boxes; LedgerDown is one more.
 const (
-	Die    FailureKind = iota // gone, and back cold after For
-	Slow                      // at Factor of the speed
-	Pause                     // nothing moves, then everything at once
-	Deploy                    // drained and replaced cold one after the other, within For
+	Crash    FailureKind = iota // the box stops at once, and restarts cold after Duration
+	Slowdown                    // the box runs at SpeedFactor of its speed
+	Pause                       // box and server stand still; what becomes due meanwhile happens at the end
+	Deploy                      // boxes are drained and replaced cold one after the other, within Duration
 )
 
+// String returns the kind's name in scenario files.
 func (k FailureKind) String() string {
-	return [...]string{"die", "slow", "pause", "deploy", "ledger_down"}[min(k, Down)]
+	return [...]string{"die", "slow", "pause", "deploy", "ledger_down"}[min(k, LedgerDown)]
 }
 
-// Failure is one thing that goes wrong.
+// Failure is one failure of a day.
 type Failure struct {
-	Kind   FailureKind `json:"Kind"`
-	At     int64       `json:"At"`
-	For    int64       `json:"For"`
-	Share  float64     `json:"Share"`  // of the boxes
-	First  int         `json:"First"`  // the first of them; they follow by number
-	Factor float64     `json:"Factor"` // Slow: of the speed. Die, Deploy: of the speed at the return
-	Warm   int64       `json:"Warm"`   // Die, Deploy: until the full speed
+	Kind        FailureKind `json:"Kind"`
+	At          int64       `json:"At"`
+	Duration    int64       `json:"For"`
+	BoxShare    float64     `json:"Share"`  // of the boxes that fail
+	FirstBox    int         `json:"First"`  // number of the first box that fails; the others follow by number
+	SpeedFactor float64     `json:"Factor"` // share of the speed: during a Slowdown; at the restart after a Crash or Deploy
+	WarmupTime  int64       `json:"Warm"`   // Crash, Deploy: from the restart to full speed
 }
 
-// Day is what is played.
+// Day describes one simulation: the fleet, its settings, the traffic and the
+// failures.
 type Day struct {
-	Boxes    int
-	Box      box.Spec
-	Spread   float64 // speeds lie evenly within this part above and below
-	Policy   kiteslip.Settings
-	Pools    *pool.Settings
-	Classes  []Class
-	Teams    []Team
-	Callers  []Caller
-	Load     float64 // of what all cores can do
-	Shape    []Point
-	Skew     float64 // of the subjects, a Zipf exponent above 1; 0 = all alike
-	Subjects uint64
-	UWSGI    bool    // live days: the work is done by a uwsgi server, not by the engine
-	Poison   float64 // work for the most popular subject, over the usual; 0 = as for others
-	Failures []Failure
-	Length   int64
-	From     int64 // what came before is not counted
-	Seed     uint64
-	Delay    int64  // one way between callers and boxes
-	Below    *Below // nil = nothing lies below
-	Untold   bool   // callers do not say how long they wait
+	Boxes            int
+	Box              box.Spec
+	SpeedSpread      float64 // speeds are uniform within this share above and below the mean
+	Policy           kiteslip.Settings
+	Pools            *pool.Settings
+	Classes          []Class
+	Teams            []Team
+	Callers          []Caller
+	Load             float64 // mean offered work, as a share of the capacity of all cores
+	RateCurve        []RatePoint
+	SubjectSkew      float64 // Zipf exponent of the subjects' popularity, above 1; 0 = uniform
+	Subjects         uint64
+	UWSGI            bool    // live days: a uwsgi server does the work, not the engine
+	TopSubjectFactor float64 // multiplies the work for the most popular subject; 0 = 1
+	Failures         []Failure
+	Length           int64
+	Warmup           int64 // requests that begin before this time are not counted
+	Seed             uint64
+	NetworkDelay     int64       // one way between callers and boxes
+	Ledger           *LedgerSpec // nil = no downstream calls
+	TimeoutsNotSent  bool        // requests carry no deadline
 }
 
 const (
-	drainFor   = 3_000_000 // from the notice to leave to the end, in a deploy
-	fallenFor  = 6_000_000 // a box that fell over is back after this
-	fallenCold = 0.21      // ... at this part of its speed
-	fallenWarm = 17_000_000
+	drainUS             = 3_000_000  // from the shutdown notice to the end, in a deploy
+	collapseDowntimeUS  = 6_000_000  // from the collapse of an overloaded box to its restart
+	collapseSpeedFactor = 0.21       // share of the speed after that restart
+	collapseWarmupUS    = 17_000_000 // from that restart to full speed
 )
 
-// request is one request of a client, all tries together.
+// request is one request of a client, with all its tries.
 type request struct {
 	class, team, caller int
 	subject             uint64
-	first, due          int64
+	arrivedAt, deadline int64
 	work                float64
-	name                string
+	key                 string
 	tries               int
-	over                bool
-	last                int // the box of the last try
+	ended               bool
+	lastBox             int // the box of the last try; -1 = none yet
 }
 
-// try is one try of it at a box.
+// try is one try of a request at a box.
 type try struct {
-	r      *request
-	box    int
-	life   int
-	lively bool  // not answered yet
-	due    int64 // as the box must see it
+	request     *request
+	box         int
+	incarnation int
+	pending     bool  // its caller has no answer yet
+	deadline    int64 // by which the box must answer
 }
 
-// inbox is what is on its way to a box.
+// arrival is a try on its way to a box, and when it arrives.
 type arrival struct {
 	at int64
 	t  *try
@@ -147,193 +154,198 @@
 
 // machine is one box with its server.
 type machine struct {
-	w       *world
-	number  int
-	box     *box.Box
-	core    *core.Core
-	life    int
-	dead    bool
-	leaving bool
-	paused  int64 // until then
-	speed   float64
-	inbox   []arrival // in order of time
-	live    map[uint64]*core.Request
-	pieces  map[*core.Request]*piece // runs that have not ended
-	tries   map[uint32]*try
-	runs    uint64
-	stream  uint32
-	open    int // tries without an answer, as callers count them
-	ran     map[string]int64
-	remote  Remote // the real program, on loopback; nil = emulated
+	sim            *simulation
+	number         int
+	box            *box.Box
+	core           *core.Core
+	incarnation    int
+	down           bool
+	draining       bool
+	pausedUntil    int64 // in the past = not paused
+	speed          float64
+	inbox          []arrival // ordered by time
+	runsByID       map[uint64]*core.Request
+	runStates      map[*core.Request]*runState // runs that have not ended
+	tries          map[uint32]*try
+	lastRunID      uint64
+	lastStream     uint32
+	openTries      int              // tries without an answer, as their callers count them
+	lastRunArrival map[string]int64 // by key: when the request of its last run arrived
+	remote         Remote           // the real program; nil = simulated
 }
 
-// timer is what a caller or the day wants to be called for.
+// timer is a scheduled action that belongs to no box.
 type timer struct {
-	at   int64
-	what func()
+	at     int64
+	action func()
 }
 
-type world struct {
-	day     *Day
-	now     int64
-	boxes   []*machine
-	streams []stream
-	places  heap // of boxes, then streams, then the agenda
-	agenda  []timer
-	pick    *rand.Rand
-	turn    []int     // by caller
-	away    [][]int64 // by caller and box: until then
-	weights []float64
-	names   uint64
-	ledger  *ledger // nil = there is none
-	score   scorer
+// simulation is the state of a day that is played. Its parties, as schedule numbers
+// them, are the boxes, the arrival streams and, last, the timers.
+type simulation struct {
+	day               *Day
+	now               int64
+	boxes             []*machine
+	streams           []arrivalStream
+	schedule          eventHeap
+	timers            []timer // ordered by time
+	rng               *rand.Rand
+	roundRobin        []int     // by caller: the next box in turn
+	avoidUntil        [][]int64 // by caller and box: when the last retry-after ends
+	cumulativeWeights []float64 // by caller
+	nameCount         uint64    // keys and try IDs given out
+	ledger            *ledger   // nil = there is none
+	score             scorer
 	Outcome
 }
 
-// stream is the arrivals of one class.
-type stream struct {
-	rng  *rand.Rand
-	zipf *rand.Zipf
-	mean float64 // a second
-	next int64
+// arrivalStream generates the requests of one class.
+type arrivalStream struct {
+	rng      *rand.Rand
+	zipf     *rand.Zipf // of the subjects; nil = uniform
+	meanRate float64    // requests a second
+	next     int64      // the next arrival; math.MaxInt64 = none
 }
 
-// Play plays a day to its end.
+// Play simulates a day to its end, and at most 30 s longer for requests that are
+// still open.
 func Play(day Day) (*Outcome, error) {
 	if err := day.check(); err != nil {
 		return nil, err
 	}
-	w, err := newWorld(&day, nil)
+	sim, err := newSimulation(&day, nil)
 	if err != nil {
 		return nil, err
 	}
 	end := epoch + day.Length
 	for {
-		who, at := w.places.first()
+		party, at := sim.schedule.earliest()
 		if at == math.MaxInt64 || at > end+30*Second {
 			break
 		}
-		w.now = max(w.now, at)
-		w.step(who)
-		if w.now > end && w.score.open == 0 {
+		sim.now = max(sim.now, at)
+		sim.runParty(party)
+		if sim.now > end && sim.score.openRequests == 0 {
 			break
 		}
 	}
-	w.score.finish(&w.Outcome)
-	return &w.Outcome, nil
+	sim.score.finish(&sim.Outcome)
+	return &sim.Outcome, nil
 }
 
-// newWorld prepares a day. With remotes its boxes are real programs.
-func newWorld(day *Day, remotes []Remote) (*world, error) {
-	w := &world{day: day, now: epoch, pick: rand.New(rand.NewPCG(day.Seed, 99)), ledger: newLedger(day.Below)}
-	w.Outcome.Boxes = day.Boxes
-	w.score.start(day)
+// newSimulation prepares a day. If remotes is not nil, its boxes are real programs.
+func newSimulation(day *Day, remotes []Remote) (*simulation, error) {
+	sim := &simulation{day: day, now: epoch, rng: rand.New(rand.NewPCG(day.Seed, 99)), ledger: newLedger(day.Ledger)}
+	sim.Outcome.Boxes = day.Boxes
+	sim.score.start(day)
 	total := 0.0
-	for i, speed := range day.Speeds() {
-		m := &machine{w: w, number: i, ran: map[string]int64{}, speed: speed}
+	for i, speed := range day.BoxSpeeds() {
+		m := &machine{sim: sim, number: i, lastRunArrival: map[string]int64{}, speed: speed}
 		total += speed
 		if remotes != nil {
 			m.remote = remotes[i]
-			m.life, m.tries = 1, map[uint32]*try{}
+			m.incarnation, m.tries = 1, map[uint32]*try{}
 		} else if err := m.start(false); err != nil {
 			return nil, err
 		}
-		w.boxes = append(w.boxes, m)
+		sim.boxes = append(sim.boxes, m)
 	}
-	w.traffic(total * day.Box.Speed * float64(day.Box.Cores))
+	sim.initTraffic(total * day.Box.Speed * float64(day.Box.Cores))
 	for i := range day.Failures {
-		w.plan(&day.Failures[i])
+		sim.scheduleFailure(&day.Failures[i])
 	}
-	w.places.init(day.Boxes + len(w.streams) + 1)
-	for i := range w.boxes {
-		w.places.set(i, w.boxes[i].next())
+	sim.schedule.init(day.Boxes + len(sim.streams) + 1)
+	for i := range sim.boxes {
+		sim.schedule.set(i, sim.boxes[i].nextEvent())
 	}
-	for i := range w.streams {
-		w.places.set(day.Boxes+i, w.streams[i].next)
+	for i := range sim.streams {
+		sim.schedule.set(day.Boxes+i, sim.streams[i].next)
 	}
-	w.rest()
-	return w, nil
+	sim.rescheduleTimers()
+	return sim, nil
 }
 
-// step lets one party do what is due for it.
-func (w *world) step(who int) {
-	boxes := w.day.Boxes
+// runParty processes the events of one party that are due.
+func (sim *simulation) runParty(party int) {
+	boxes := sim.day.Boxes
 	switch {
-	case who < boxes:
-		w.boxes[who].play()
-		w.places.set(who, w.boxes[who].next())
-	case who < boxes+len(w.streams):
-		w.ask(who - boxes)
-		w.places.set(who, w.streams[who-boxes].next)
+	case party < boxes:
+		sim.boxes[party].advance()
+		sim.schedule.set(party, sim.boxes[party].nextEvent())
+	case party < boxes+len(sim.streams):
+		sim.startRequest(party - boxes)
+		sim.schedule.set(party, sim.streams[party-boxes].next)
 	default:
-		for len(w.agenda) > 0 && w.agenda[0].at <= w.now {
-			what := w.agenda[0].what
-			w.agenda = w.agenda[1:]
-			what()
+		for len(sim.timers) > 0 && sim.timers[0].at <= sim.now {
+			action := sim.timers[0].action
+			sim.timers = sim.timers[1:]
+			action()
 		}
-		w.rest()
+		sim.rescheduleTimers()
 	}
 }
 
-// Speeds are those of the boxes, over the mean.
-func (d *Day) Speeds() []float64 {
+// BoxSpeeds returns the speed of each box, as a multiple of the mean.
+func (d *Day) BoxSpeeds() []float64 {
 	rng := rand.New(rand.NewPCG(d.Seed, 98))
 	list := make([]float64, d.Boxes)
 	for i := range list {
-		list[i] = 1 + d.Spread*(2*rng.Float64()-1)
+		list[i] = 1 + d.SpeedSpread*(2*rng.Float64()-1)
 	}
 	return list
 }
 
-// after puts something on the agenda.
-func (w *world) after(at int64, what func()) {
-	i := len(w.agenda)
-	w.agenda = append(w.agenda, timer{})
-	for i > 0 && w.agenda[i-1].at > at {
-		w.agenda[i] = w.agenda[i-1]
+// scheduleAt schedules an action, after those of the same instant.
+func (sim *simulation) scheduleAt(at int64, action func()) {
+	i := len(sim.timers)
+	sim.timers = append(sim.timers, timer{})
+	for i > 0 && sim.timers[i-1].at > at {
+		sim.timers[i] = sim.timers[i-1]
 		i--
 	}
-	w.agenda[i] = timer{at, what}
-	w.rest()
+	sim.timers[i] = timer{at, action}
+	sim.rescheduleTimers()
 }
 
-func (w *world) rest() {
+// rescheduleTimers enters the first timer into the schedule.
+func (sim *simulation) rescheduleTimers() {
 	at := int64(math.MaxInt64)
-	if len(w.agenda) > 0 {
-		at = w.agenda[0].at
+	if len(sim.timers) > 0 {
+		at = sim.timers[0].at
 	}
-	if len(w.places.at) > 0 {
-		w.places.set(len(w.places.at)-1, at)
+	if len(sim.schedule.at) > 0 {
+		sim.schedule.set(len(sim.schedule.at)-1, at)
 	}
 }
 
-// start begins a life of the box.
+// start starts the box and its server with empty state. cold tells the policy that
+// it has just been started.
 func (m *machine) start(cold bool) error {
-	w, day := m.w, m.w.day
-	m.life++
-	m.dead, m.leaving, m.paused, m.open = false, false, 0, 0
-	m.live, m.tries, m.inbox = map[uint64]*core.Request{}, map[uint32]*try{}, nil
-	m.pieces = map[*core.Request]*piece{}
+	sim, day := m.sim, m.sim.day
+	m.incarnation++
+	m.down, m.draining, m.pausedUntil, m.openTries = false, false, 0, 0
+	m.runsByID, m.tries, m.inbox = map[uint64]*core.Request{}, map[uint32]*try{}, nil
+	m.runStates = map[*core.Request]*runState{}
 	spec := day.Box
 	spec.Speed *= m.speed
-	m.box = box.New(spec, w.now)
-	module := day.Policy
-	module.JustStarted = cold
-	module.Workers, module.Callers = day.Boxes, len(day.Callers)
+	m.box = box.New(spec, sim.now)
+	policy := day.Policy
+	policy.JustStarted = cold
+	policy.Workers, policy.Callers = day.Boxes, len(day.Callers)
 	var err error
-	m.core, err = core.New(core.Settings{Policy: module, Pools: day.Pools, Seed: day.Seed<<20 ^ uint64(m.number)<<8 ^ uint64(m.life)}, m)
+	m.core, err = core.New(core.Settings{Policy: policy, Pools: day.Pools, Seed: day.Seed<<20 ^ uint64(m.number)<<8 ^ uint64(m.incarnation)}, m)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	if w.ledger != nil {
+	if sim.ledger != nil {
 		m.core.SetLedger(m)
 	}
 	return nil
 }
 
-// next is when the box wants to be played.
-func (m *machine) next() int64 {
-	if m.dead || m.remote != nil {
+// nextEvent returns when the box has something to do next.
+func (m *machine) nextEvent() int64 {
+	if m.down || m.remote != nil {
 		return math.MaxInt64
 	}
 	at := int64(math.MaxInt64)
@@ -345,91 +357,93 @@
 			at = min(at, t)
 		}
 	}
-	return max(at, m.paused)
+	return max(at, m.pausedUntil)
 }
 
-// play lets the box do what is due. After a pause that is everything at once.
-func (m *machine) play() {
-	now := m.w.now
-	if m.dead || now < m.paused {
+// advance processes what is due at the box: ends of runs, arrivals, a step of the
+// core, and its collapse. After a pause that is all that became due meanwhile.
+func (m *machine) advance() {
+	now := m.sim.now
+	if m.down || now < m.pausedUntil {
 		return
 	}
 	for _, e := range m.box.Advance(now) {
-		r := m.live[e.ID]
-		delete(m.live, e.ID)
-		m.pieceOver(r, e.At)
+		r := m.runsByID[e.ID]
+		delete(m.runsByID, e.ID)
+		m.phaseDone(r, e.At)
 	}
 	for len(m.inbox) > 0 && m.inbox[0].at <= now {
 		a := m.inbox[0]
 		m.inbox = m.inbox[1:]
-		m.take(a)
+		m.submit(a)
 	}
 	m.core.Step(now)
 	if m.box.Fallen() {
-		m.w.Fallen++
-		m.die()
-		m.w.after(now+fallenFor, func() { m.back(&Failure{Factor: fallenCold, Warm: fallenWarm}) })
+		m.sim.Collapses++
+		m.crash()
+		m.sim.scheduleAt(now+collapseDowntimeUS, func() { m.restart(&Failure{SpeedFactor: collapseSpeedFactor, WarmupTime: collapseWarmupUS}) })
 	}
 }
 
-// take hands a try to the core.
-func (m *machine) take(a arrival) {
-	r := a.t.r
-	m.stream++
-	m.tries[m.stream] = a.t
-	m.w.names++
-	due := r.due
-	if a.t.due = due; m.w.day.Untold {
-		due, a.t.due = 0, a.at+m.w.day.Classes[r.class].Timeout
-	}
-	err := m.core.Submit(m.w.now, &core.Request{TryID: strconv.FormatUint(m.w.names, 16), Class: r.class, Tenant: r.team, Caller: r.caller,
-		Key: r.name, Subject: r.subject, Arrived: a.at, Deadline: due, SizeKB: 16, Retry: m.w.day.Policy.MarksRetries && r.tries > 1, Body: strconv.AppendInt(nil, int64(r.work), 10),
-		Stream: m.stream, ReplyTo: m})
+// submit submits a try to the core.
+func (m *machine) submit(a arrival) {
+	r := a.t.request
+	m.lastStream++
+	m.tries[m.lastStream] = a.t
+	m.sim.nameCount++
+	deadline := r.deadline
+	if a.t.deadline = deadline; m.sim.day.TimeoutsNotSent {
+		deadline, a.t.deadline = 0, a.at+m.sim.day.Classes[r.class].Timeout
+	}
+	err := m.core.Submit(m.sim.now, &core.Request{TryID: strconv.FormatUint(m.sim.nameCount, 16), Class: r.class, Tenant: r.team, Caller: r.caller,
+		Key: r.key, Subject: r.subject, Arrived: a.at, Deadline: deadline, SizeKB: 16, Retry: m.sim.day.Policy.MarksRetries && r.tries > 1, Body: strconv.AppendInt(nil, int64(r.work), 10),
+		Stream: m.lastStream, ReplyTo: m})
 	if err != nil {
-		m.Answer(m.stream, core.Answer{Code: core.Failed})
+		m.Answer(m.lastStream, core.Answer{Code: core.Failed})
 	}
 }
 
-// Run puts a request on the cores.
+// Run starts the run of a request, and counts keyed runs that should not happen.
 func (m *machine) Run(r *core.Request) {
-	m.w.Runs++
-	if r.Key != "" && m.w.day.Classes[r.Class].Effect == kiteslip.Keyed {
-		if last, ran := m.ran[r.Key]; ran && r.Arrived <= last+m.w.day.Classes[r.Class].Window {
-			m.w.Twice++
+	m.sim.Runs++
+	if r.Key != "" && m.sim.day.Classes[r.Class].Effect == kiteslip.Keyed {
+		if last, ran := m.lastRunArrival[r.Key]; ran && r.Arrived <= last+m.sim.day.Classes[r.Class].Window {
+			m.sim.DuplicateRuns++
 		}
-		m.ran[r.Key] = r.Arrived
+		m.lastRunArrival[r.Key] = r.Arrived
 	}
-	m.begin(r, box.Work(r.Body))
+	m.beginRun(r, box.Work(r.Body))
 }
 
-// Answer takes a final answer on its way to the caller.
+// Answer sends a final answer to the caller.
 func (m *machine) Answer(stream uint32, a core.Answer) {
 	t := m.tries[stream]
 	delete(m.tries, stream)
-	if m.w.ledger != nil {
-		m.requestOver(stream)
+	if m.sim.ledger != nil {
+		m.requestAnswered(stream)
 	}
-	if t == nil || !t.lively {
+	if t == nil || !t.pending {
 		return
 	}
-	t.lively = false
-	m.open--
-	w := m.w
-	if w.now > t.due+60_000 {
-		w.Overdue++
+	t.pending = false
+	m.openTries--
+	sim := m.sim
+	if sim.now > t.deadline+60_000 {
+		sim.DeadlineExceeded++
 	}
-	w.after(w.now+w.day.Delay, func() { w.answered(t, a) })
+	sim.scheduleAt(sim.now+sim.day.NetworkDelay, func() { sim.handleAnswer(t, a) })
 }
 
-// die ends the box's life: what it held is lost, and its callers see the connections end.
-func (m *machine) die() {
-	if m.dead {
+// crash stops the box at once. All tries that it holds are lost; their callers see
+// the connections end.
+func (m *machine) crash() {
+	if m.down {
 		return
 	}
-	m.dead = true
-	m.w.Deaths++
+	m.down = true
+	m.sim.BoxesLost++
 	lost := make([]*try, 0, len(m.tries)+len(m.inbox))
-	for stream := uint32(1); stream <= m.stream; stream++ {
+	for stream := uint32(1); stream <= m.lastStream; stream++ {
 		if t := m.tries[stream]; t != nil {
 			lost = append(lost, t)
 		}
@@ -437,36 +451,36 @@
 	for _, a := range m.inbox {
 		lost = append(lost, a.t)
 	}
-	m.tries, m.inbox, m.live = map[uint32]*try{}, nil, map[uint64]*core.Request{}
-	m.pieces = map[*core.Request]*piece{}
+	m.tries, m.inbox, m.runsByID = map[uint32]*try{}, nil, map[uint64]*core.Request{}
+	m.runStates = map[*core.Request]*runState{}
 	if m.remote != nil {
-		m.remote.Die()
+		m.remote.Kill()
 	} else {
-		m.box.Die(m.w.now)
+		m.box.Die(m.sim.now)
 	}
-	m.w.places.set(m.number, math.MaxInt64)
+	m.sim.schedule.set(m.number, math.MaxInt64)
 	for _, t := range lost {
-		if t.lively {
-			t.lively = false
-			m.w.after(m.w.now+m.w.day.Delay, func() { m.w.answered(t, core.Answer{Code: core.Failed}) })
+		if t.pending {
+			t.pending = false
+			m.sim.scheduleAt(m.sim.now+m.sim.day.NetworkDelay, func() { m.sim.handleAnswer(t, core.Answer{Code: core.Failed}) })
 		}
 	}
 }
 
-// back starts the box anew, cold.
-func (m *machine) back(f *Failure) {
-	if !m.dead {
+// restart starts a box that is down, cold.
+func (m *machine) restart(f *Failure) {
+	if !m.down {
 		return
 	}
 	if m.remote != nil {
-		m.life++
-		m.dead, m.leaving, m.open = false, false, 0
-		m.remote.Back(f.Factor, f.Warm)
+		m.incarnation++
+		m.down, m.draining, m.openTries = false, false, 0
+		m.remote.Restart(f.SpeedFactor, f.WarmupTime)
 		return
 	}
 	if err := m.start(true); err != nil {
-		panic(err) // the settings were good before
+		panic(err) // the same settings were valid at the first start
 	}
-	m.box.Cold(m.w.now, f.Factor, f.Warm)
-	m.w.places.set(m.number, m.w.now)
+	m.box.Cold(m.sim.now, f.SpeedFactor, f.WarmupTime)
+	m.sim.schedule.set(m.number, m.sim.now)
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -8,20 +8,21 @@
 	"testing"
 )
 
-// shelf is a ready scenario, made short.
-func shelf(t *testing.T, name string, seed uint64) Day {
+// loadScenario loads a scenario of the scenarios folder and checks its name.
+func loadScenario(t *testing.T, name string, seed uint64) Day {
 	t.Helper()
 	day, got, err := Load(filepath.Join("..", "..", "..", "scenarios", name+".toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got != name {
-		t.Errorf("%s calls itself %s", name, got)
+		t.Errorf("the scenario in %s.toml has the name %s", name, got)
 	}
 	day.Seed = seed
 	return day
 }
 
+// play plays a day that must be valid.
 func play(t *testing.T, day Day) *Outcome {
 	t.Helper()
 	o, err := Play(day)
@@ -31,10 +32,9 @@
 	return o
 }
 
-// Every scenario of the shelf can be played, is the same the second time, and
-// breaks no rule: no answer after its due time, no second run of a key on one box,
-// one end for each request.
-func TestShelf(t *testing.T) {
+// Every scenario must be playable and reproducible, and break no rule: no answer
+// after its deadline, no second run of a key on one box, one end for each request.
+func TestScenariosAreReproducible(t *testing.T) {
 	t.Parallel()
 	files, err := os.ReadDir(filepath.Join("..", "..", "..", "scenarios"))
 	if err != nil || len(files) < 8 {
@@ -44,107 +44,113 @@
 		name := strings.TrimSuffix(f.Name(), ".toml")
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			day := shelf(t, name, 3)
+			day := loadScenario(t, name, 3)
 			o := play(t, day)
 			if again := play(t, day); !reflect.DeepEqual(o, again) {
-				t.Error("a second play differs")
+				t.Error("the same day and seed gave another outcome")
 			}
-			if o.Overdue > 0 || o.Twice > 0 {
-				t.Errorf("%d answers after their due time, %d second runs", o.Overdue, o.Twice)
+			if o.DeadlineExceeded > 0 || o.DuplicateRuns > 0 {
+				t.Errorf("%d answers after their deadline, %d duplicate runs", o.DeadlineExceeded, o.DuplicateRuns)
 			}
 			ended := 0
 			for _, g := range o.Classes {
 				ended += g.InTime + g.Late + g.Refused + g.Failed
 			}
 			if ended != o.Asked || o.Asked < 1000 {
-				t.Errorf("%d asked, %d ended", o.Asked, ended)
+				t.Errorf("%d requests, %d ended", o.Asked, ended)
 			}
-			if other := shelf(t, name, 4); reflect.DeepEqual(o, play(t, other)) {
-				t.Error("another seed gives the same day")
+			if other := loadScenario(t, name, 4); reflect.DeepEqual(o, play(t, other)) {
+				t.Error("another seed gave the same outcome")
 			}
 		})
 	}
 }
 
-// mean is the mean of f over some seeds.
-func mean(t *testing.T, name string, change func(*Day), f func(*Outcome) float64) float64 {
+// meanOverSeeds returns the mean of a figure of a scenario over three seeds, with
+// the day modified by change unless it is nil.
+func meanOverSeeds(t *testing.T, name string, change func(*Day), figure func(*Outcome) float64) float64 {
 	t.Helper()
 	sum := 0.0
 	for seed := range uint64(3) {
-		day := shelf(t, name, seed+1)
+		day := loadScenario(t, name, seed+1)
 		if change != nil {
 			change(&day)
 		}
-		sum += f(play(t, day)) / 3
+		sum += figure(play(t, day)) / 3
 	}
 	return sum
 }
 
-func score(o *Outcome) float64 { return o.Score }
-func worst(o *Outcome) float64 { return o.WorstWindow }
+func overallScore(o *Outcome) float64     { return o.Score }
+func worstWindowShare(o *Outcome) float64 { return o.WorstWindow }
 
-// Failures hurt, each in its place: without them the same draws go better.
-func TestFailuresHurt(t *testing.T) {
+// A failure that has no effect would go unnoticed: without its failures, each of
+// these scenarios must have a better worst window on the same seeds.
+func TestFailuresLowerWorstWindow(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"fifth-dies", "rolling-deploy", "slow-zone", "pause-burst", "retry-storm"} {
-		with := mean(t, name, nil, worst)
-		without := mean(t, name, func(d *Day) { d.Failures = nil }, worst)
+		with := meanOverSeeds(t, name, nil, worstWindowShare)
+		without := meanOverSeeds(t, name, func(d *Day) { d.Failures = nil }, worstWindowShare)
 		if with >= without {
-			t.Errorf("%s: the worst ten seconds are %.3f with the failure and %.3f without", name, with, without)
+			t.Errorf("%s: the worst ten seconds score %.3f with the failure and %.3f without", name, with, without)
 		}
 	}
 }
 
-// Cold replacements that overlap hurt more than ones that follow each other warm.
+// A deploy whose replacements start cold must score lower than one whose
+// replacements run at full speed at once.
 func TestOverlappingColdReplacements(t *testing.T) {
 	t.Parallel()
-	cold := mean(t, "rolling-deploy", nil, score)
-	warm := mean(t, "rolling-deploy", func(d *Day) { d.Failures[0].Factor, d.Failures[0].Warm = 1, 0 }, score)
+	cold := meanOverSeeds(t, "rolling-deploy", nil, overallScore)
+	warm := meanOverSeeds(t, "rolling-deploy", func(d *Day) { d.Failures[0].SpeedFactor, d.Failures[0].WarmupTime = 1, 0 }, overallScore)
 	if cold >= warm {
 		t.Errorf("cold replacements score %.3f, warm ones %.3f", cold, warm)
 	}
-	if o := play(t, shelf(t, "rolling-deploy", 1)); o.Deaths != 9 {
-		t.Errorf("%d boxes of ten were replaced, want 9", o.Deaths)
+	if o := play(t, loadScenario(t, "rolling-deploy", 1)); o.BoxesLost != 9 {
+		t.Errorf("%d boxes of ten were lost in the deploy, want 9", o.BoxesLost)
 	}
 }
 
-// A pause shows in what waited through it, and all of that is answered once it is over.
-func TestPauseAnswersAtOnce(t *testing.T) {
+// A pause of all boxes must lower the share of its own second or the next, every
+// request must still end, and five seconds later the fleet must have recovered.
+func TestPauseDelaysAnswers(t *testing.T) {
 	t.Parallel()
-	day := shelf(t, "calm-lunch", 2)
-	day.Load, day.Callers = 0.3, []Caller{{Weight: 1, Tries: 1}}
+	day := loadScenario(t, "calm-lunch", 2)
+	day.Load, day.Callers = 0.3, []Caller{{Weight: 1, MaxTries: 1}}
 	quiet := play(t, day)
-	day.Failures = []Failure{{Kind: Pause, At: 20 * Second, For: Second, Share: 1}}
+	day.Failures = []Failure{{Kind: Pause, At: 20 * Second, Duration: Second, BoxShare: 1}}
 	o := play(t, day)
 	late, ended := 0, 0
 	for i, g := range o.Classes {
 		late += g.Late - quiet.Classes[i].Late
 		ended += g.InTime + g.Late + g.Refused
 	}
-	if o.Windows[19] > quiet.Windows[19]-0.05 && o.Windows[20] > quiet.Windows[20]-0.05 || ended != o.Asked {
-		t.Errorf("second 19 and 20: %.3f, %.3f of the worth, without the pause %.3f, %.3f; %d of %d ended", o.Windows[19], o.Windows[20],
-			quiet.Windows[19], quiet.Windows[20], ended, o.Asked)
+	if o.ServedBySecond[19] > quiet.ServedBySecond[19]-0.05 && o.ServedBySecond[20] > quiet.ServedBySecond[20]-0.05 || ended != o.Asked {
+		t.Errorf("second 19 and 20: %.3f, %.3f of the worth, without the pause %.3f, %.3f; %d of %d ended", o.ServedBySecond[19], o.ServedBySecond[20],
+			quiet.ServedBySecond[19], quiet.ServedBySecond[20], ended, o.Asked)
 	}
-	if o.Windows[25] < quiet.Windows[25]-0.2 {
-		t.Errorf("five seconds after the pause the share is %.3f, without it %.3f", o.Windows[25], quiet.Windows[25])
+	if o.ServedBySecond[25] < quiet.ServedBySecond[25]-0.2 {
+		t.Errorf("five seconds after the pause the share is %.3f, without it %.3f", o.ServedBySecond[25], quiet.ServedBySecond[25])
 	}
 }
 
-// Callers that ignore advice cost more tries than ones that heed it.
+// Callers that ignore retry-after and no failover must need more tries than callers
+// that follow them.
 func TestCallersThatIgnoreAdvice(t *testing.T) {
 	t.Parallel()
-	tries := func(heeds bool) float64 {
-		return mean(t, "month-end", func(d *Day) {
+	triesPerRequest := func(follow bool) float64 {
+		return meanOverSeeds(t, "month-end", func(d *Day) {
 			for i := range d.Callers {
-				d.Callers[i].Heeds, d.Callers[i].Tries = heeds, 20
+				d.Callers[i].FollowsAdvice, d.Callers[i].MaxTries = follow, 20
 			}
 		}, func(o *Outcome) float64 { return float64(o.Tries) / float64(o.Asked) })
 	}
-	if heeding, ignoring := tries(true), tries(false); ignoring < 1.05*heeding {
-		t.Errorf("%.3f tries a request where advice is ignored, %.3f where it is heeded", ignoring, heeding)
+	if following, ignoring := triesPerRequest(true), triesPerRequest(false); ignoring < 1.05*following {
+		t.Errorf("%.3f tries a request where advice is ignored, %.3f where it is followed", ignoring, following)
 	}
 }
 
+// An invalid value in a scenario must be reported under its key.
 func TestScenarioErrorsNameTheKey(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("..", "..", "..", "scenarios", "fifth-dies.toml"))
@@ -165,7 +171,7 @@
 	} {
 		changed := strings.Replace(string(text), c.old, c.new, 1)
 		if changed == string(text) {
-			t.Fatalf("%q is not in the file", c.old)
+			t.Fatalf("%q is not in the scenario", c.old)
 		}
 		if _, _, err := Parse(changed); err == nil || !strings.Contains(err.Error(), c.key) {
 			t.Errorf("%q for %q: %v, want an error that names %s", c.new, c.old, err, c.key)
@@ -173,26 +179,27 @@
 	}
 }
 
-// Boxes that fall over when crowded do so under a program that is not told of
-// it, and do not under one that is.
-func TestBoxesFallOver(t *testing.T) {
+// Boxes that collapse under too many runs must do so if the server does not know
+// the bound, and must not if it does.
+func TestOverloadedBoxesCollapse(t *testing.T) {
 	t.Parallel()
-	fallen := func(told float64) float64 {
-		return mean(t, "month-end", func(d *Day) {
-			d.Box.Falls, d.Policy.MaxRunsPerCore, d.Load = 2, told, 1.2
-		}, func(o *Outcome) float64 { return float64(o.Fallen) })
+	collapses := func(maxRunsPerCore float64) float64 {
+		return meanOverSeeds(t, "month-end", func(d *Day) {
+			d.Box.Falls, d.Policy.MaxRunsPerCore, d.Load = 2, maxRunsPerCore, 1.2
+		}, func(o *Outcome) float64 { return float64(o.Collapses) })
 	}
-	if untold, told := fallen(0), fallen(2); untold == 0 || told > 0 {
-		t.Errorf("%.1f boxes fall over where the program is not told, %.1f where it is", untold, told)
+	if unknown, known := collapses(0), collapses(2); unknown == 0 || known > 0 {
+		t.Errorf("%.1f boxes collapse if the server does not know the bound, %.1f if it does", unknown, known)
 	}
 }
 
-// A poisonous subject hurts requests that are not about it.
-func TestPoisonousSubject(t *testing.T) {
+// A popular subject with expensive requests must lower the score of the worst
+// window: it takes capacity from the requests about other subjects.
+func TestExpensiveSubjectHurtsOthers(t *testing.T) {
 	t.Parallel()
-	with := mean(t, "poison-subject", nil, worst)
-	without := mean(t, "poison-subject", func(d *Day) { d.Poison = 0 }, worst)
+	with := meanOverSeeds(t, "poison-subject", nil, worstWindowShare)
+	without := meanOverSeeds(t, "poison-subject", func(d *Day) { d.TopSubjectFactor = 0 }, worstWindowShare)
 	if with >= without {
-		t.Errorf("the worst ten seconds are %.3f with a poisonous subject and %.3f without", with, without)
+		t.Errorf("the worst ten seconds score %.3f with an expensive subject and %.3f without", with, without)
 	}
 }
--- a/internal/lab/fleet/heap.go
+++ b/internal/lab/fleet/heap.go
@@ -2,40 +2,42 @@
 
 import "math"
 
-// heap is an indexed heap of moments: each party has one, ties go by number.
-type heap struct {
-	at    []int64 // by party
-	order []int   // parties, as a heap
-	place []int   // by party: where it is in order
+// eventHeap is an indexed min-heap of the next event of each party. Events at the
+// same instant are ordered by the number of their party.
+type eventHeap struct {
+	at       []int64 // by party: the instant of its next event; math.MaxInt64 = none
+	order    []int   // parties, as a heap
+	position []int   // by party: its index in order
 }
 
-func (h *heap) init(n int) {
-	h.at, h.order, h.place = make([]int64, n), make([]int, n), make([]int, n)
+// init makes the heap one of n parties that have no event.
+func (h *eventHeap) init(n int) {
+	h.at, h.order, h.position = make([]int64, n), make([]int, n), make([]int, n)
 	for i := range n {
-		h.at[i], h.order[i], h.place[i] = math.MaxInt64, i, i
+		h.at[i], h.order[i], h.position[i] = math.MaxInt64, i, i
 	}
 }
 
-func (h *heap) less(i, j int) bool {
+func (h *eventHeap) less(i, j int) bool {
 	a, b := h.order[i], h.order[j]
 	return h.at[a] < h.at[b] || h.at[a] == h.at[b] && a < b
 }
 
-func (h *heap) swap(i, j int) {
+func (h *eventHeap) swap(i, j int) {
 	h.order[i], h.order[j] = h.order[j], h.order[i]
-	h.place[h.order[i]], h.place[h.order[j]] = i, j
+	h.position[h.order[i]], h.position[h.order[j]] = i, j
 }
 
-// first is the party whose moment is the earliest.
-func (h *heap) first() (who int, at int64) { return h.order[0], h.at[h.order[0]] }
+// earliest returns the party whose event is the earliest, and its instant.
+func (h *eventHeap) earliest() (party int, at int64) { return h.order[0], h.at[h.order[0]] }
 
-// set gives a party its next moment.
-func (h *heap) set(who int, at int64) {
-	if len(h.at) == 0 || h.at[who] == at {
+// set sets the instant of a party's next event. It does nothing before init.
+func (h *eventHeap) set(party int, at int64) {
+	if len(h.at) == 0 || h.at[party] == at {
 		return
 	}
-	h.at[who] = at
-	i := h.place[who]
+	h.at[party] = at
+	i := h.position[party]
 	for i > 0 && h.less(i, (i-1)/2) {
 		h.swap(i, (i-1)/2)
 		i = (i - 1) / 2
--- a/internal/lab/fleet/live.go
+++ b/internal/lab/fleet/live.go
@@ -10,25 +10,27 @@
 	"kiteslip/internal/core"
 )
 
-// Sent is a try on its way to a real program.
-type Sent struct {
-	ID                  uint32 // names it in the Reply
+// RemoteTry is a try that is sent to a real program.
+type RemoteTry struct {
+	ID                  uint32 // the Reply carries the same
 	Class, Team, Caller int
 	Key                 string
 	Subject             uint64
-	Wait                int64   // how long its caller waits from now, microseconds
-	Work                float64 // microseconds at the yardstick's speed
+	Timeout             int64   // how long its caller still waits, microseconds
+	Work                float64 // microseconds at speed 1
 }
 
-// Remote is a box that is a real program. Its calls do not wait; each Send is
-// followed by one Reply, also where the connection ends.
+// Remote is a box whose server is a real program. Its methods do not block; each
+// Send is followed by exactly one Reply, also if the connection ends.
 type Remote interface {
-	Send(s Sent)
-	Die()                            // at once, with all that it holds
-	Back(factor float64, warm int64) // cold
-	Scale(factor float64)
-	Pause(span int64) // microseconds
-	Drain()
+	Send(s RemoteTry)
+	Kill() // without answering what is queued or runs
+	// Restart starts the box again at a share of its usual speed, which it reaches
+	// after warmup microseconds.
+	Restart(factor float64, warmup int64)
+	SetSpeed(factor float64) // a share of the usual speed
+	Pause(duration int64)    // microseconds
+	Drain()                  // sends the shutdown notice
 }
 
 // Reply is the end of a try.
@@ -38,95 +40,98 @@
 	Answer core.Answer
 }
 
-// nearby is how long before its time something is waited for awake, in microseconds.
-const nearby = 1500
+// busyWaitUS is the time before an event that is spent polling instead of on a
+// timer, because timers are too coarse.
+const busyWaitUS = 1500
 
-// Lateness is how late the caller side itself was in sending, in microseconds.
+// Lateness is by how much the callers sent their requests later than planned, in
+// microseconds.
 type Lateness struct{ P99, Max int64 }
 
-// Live plays a day against real programs, one for each box, on the machine's
-// clock. The draws are those of Play. watch is told four times a second how the
-// day stands; stop ends it early.
-func Live(day Day, remotes []Remote, replies <-chan Reply, stop <-chan struct{}, watch func(at int64, o *Outcome)) (*Outcome, Lateness, error) {
+// PlayLive plays a day against real programs, one for each box, in real time. Its
+// random draws are the same as those of Play. watch, if not nil, is called four
+// times a second with the time of the day and the outcome so far; closing stop ends
+// the day early.
+func PlayLive(day Day, remotes []Remote, replies <-chan Reply, stop <-chan struct{}, watch func(at int64, o *Outcome)) (*Outcome, Lateness, error) {
 	if err := day.check(); err != nil {
 		return nil, Lateness{}, err
 	}
-	w, err := newWorld(&day, remotes)
+	sim, err := newSimulation(&day, remotes)
 	if err != nil {
 		return nil, Lateness{}, err
 	}
 	late := hdrhistogram.New(1, 60*Second, 3)
-	began := time.Now()
-	clock := func() int64 { return epoch + time.Since(began).Microseconds() }
+	started := time.Now()
+	clock := func() int64 { return epoch + time.Since(started).Microseconds() }
 	end := epoch + day.Length
-	look := int64(epoch + Second/4)
+	nextWatch := int64(epoch + Second/4)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		w.now = max(w.now, clock())
-		who, at := w.places.first()
-		if at <= w.now {
-			if who >= day.Boxes && who < day.Boxes+len(w.streams) {
-				late.RecordValue(max(1, w.now-at)) //nolint:errcheck // a longer one counts as the bound
+		sim.now = max(sim.now, clock())
+		party, at := sim.schedule.earliest()
+		if at <= sim.now {
+			if party >= day.Boxes && party < day.Boxes+len(sim.streams) {
+				late.RecordValue(max(1, sim.now-at)) //nolint:errcheck // a longer one counts as the bound
 			}
-			w.step(who)
+			sim.runParty(party)
 			continue
 		}
-		if w.now >= end && w.score.open == 0 || w.now > end+30*Second {
+		if sim.now >= end && sim.score.openRequests == 0 || sim.now > end+30*Second {
 			break
 		}
-		if w.now >= look && watch != nil {
-			look += Second / 4
-			watch(w.now-epoch, w.standing())
+		if sim.now >= nextWatch && watch != nil {
+			nextWatch += Second / 4
+			watch(sim.now-epoch, sim.interimOutcome())
 		}
-		until := min(at, look)
+		until := min(at, nextWatch)
 		if until == math.MaxInt64 {
-			until = w.now + Second/4
+			until = sim.now + Second/4
 		}
-		if until-w.now <= nearby { // timers are too coarse for it
+		if until-sim.now <= busyWaitUS {
 			select {
 			case r := <-replies:
-				w.now = max(w.now, clock())
-				w.reply(r)
+				sim.now = max(sim.now, clock())
+				sim.handleRemoteReply(r)
 			default:
 				runtime.Gosched()
 			}
 			continue
 		}
-		timer.Reset(time.Duration(until-w.now-nearby) * time.Microsecond)
+		timer.Reset(time.Duration(until-sim.now-busyWaitUS) * time.Microsecond)
 		select {
 		case r := <-replies:
-			w.now = max(w.now, clock())
-			w.reply(r)
+			sim.now = max(sim.now, clock())
+			sim.handleRemoteReply(r)
 		case <-timer.C:
 		case <-stop:
-			w.score.finish(&w.Outcome)
-			return &w.Outcome, Lateness{late.ValueAtQuantile(99), late.Max()}, nil
+			sim.score.finish(&sim.Outcome)
+			return &sim.Outcome, Lateness{late.ValueAtQuantile(99), late.Max()}, nil
 		}
 	}
-	w.score.finish(&w.Outcome)
-	return &w.Outcome, Lateness{late.ValueAtQuantile(99), late.Max()}, nil
+	sim.score.finish(&sim.Outcome)
+	return &sim.Outcome, Lateness{late.ValueAtQuantile(99), late.Max()}, nil
 }
 
-// reply takes in an answer of a real program.
-func (w *world) reply(r Reply) {
-	m := w.boxes[r.Box]
+// handleRemoteReply processes the answer of a real program to a try.
+func (sim *simulation) handleRemoteReply(r Reply) {
+	m := sim.boxes[r.Box]
 	t := m.tries[r.ID]
 	delete(m.tries, r.ID)
-	if t == nil || !t.lively {
+	if t == nil || !t.pending {
 		return
 	}
-	t.lively = false
-	m.open--
-	if w.now > t.r.due+60_000 {
-		w.Overdue++
+	t.pending = false
+	m.openTries--
+	if sim.now > t.request.deadline+60_000 {
+		sim.DeadlineExceeded++
 	}
-	w.answered(t, r.Answer)
+	sim.handleAnswer(t, r.Answer)
 }
 
-// standing is the outcome so far.
-func (w *world) standing() *Outcome {
-	o := w.Outcome
-	w.score.finish(&o)
+// interimOutcome returns the outcome so far.
+func (sim *simulation) interimOutcome() *Outcome {
+	o := sim.Outcome
+	sim.score.finish(&o)
 	return &o
 }
--- a/internal/lab/fleet/scale_test.go
+++ b/internal/lab/fleet/scale_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// BenchmarkPlay plays the same incident on a few boxes and on many, with the
-// same number of requests a box: the ratio of ns/request is what grows with
-// the fleet. Run with -cpuprofile to see where.
+// BenchmarkPlay plays the same scenario on few boxes and on many, with the same
+// number of requests for each box. The ratio of the two ns/request shows how the
+// cost of a request grows with the size of the fleet.
 func BenchmarkPlay(b *testing.B) {
 	for _, boxes := range []int{10, 1000} {
 		b.Run(fmt.Sprint(boxes, "boxes"), func(b *testing.B) {
@@ -15,18 +15,18 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			day.Seed, day.Failures, day.From, day.Boxes = 1, nil, 0, boxes
-			day.Length = 18 * Second // some 200 requests a box
+			day.Seed, day.Failures, day.Warmup, day.Boxes = 1, nil, 0, boxes
+			day.Length = 18 * Second // about 200 requests for each box
 			b.ReportAllocs()
-			asked := 0
+			requests := 0
 			for b.Loop() {
 				o, err := Play(day)
 				if err != nil {
 					b.Fatal(err)
 				}
-				asked += o.Asked
+				requests += o.Asked
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(asked), "ns/request")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(requests), "ns/request")
 		})
 	}
 }
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -22,12 +22,12 @@
 
 // Fleet is a fleet of real programs for one day.
 type Fleet struct {
-	Replies chan fleet.Reply
-	day     *fleet.Day
-	path    string
-	dir     string
-	boxes   []*remote
-	names   atomic.Uint64
+	Replies       chan fleet.Reply
+	day           *fleet.Day
+	programPath   string
+	dir           string
+	boxes         []*remote
+	lastRequestID atomic.Uint64
 }
 
 // remote is one box: a process, its engine and the callers' connections to it.
@@ -37,40 +37,40 @@
 	listen string
 	speed  float64
 
-	mu      sync.Mutex
-	engine  *box.Engine
-	program *Program
-	free    []*conn // with room for another request
-	conns   map[*conn]struct{}
-	life    int
+	mu          sync.Mutex
+	engine      *box.Engine
+	program     *Program
+	freeConns   []*conn // with room for another request
+	conns       map[*conn]struct{}
+	incarnation int
 }
 
 // conn is one connection of the callers to a box.
 type conn struct {
 	net.Conn
-	b      *remote
-	life   int
-	stream uint32
-	open   map[uint32]uint32 // by stream: the try
-	gone   bool
-	away   bool
-	listed bool // among the free ones
+	b           *remote
+	incarnation int
+	lastStream  uint32
+	open        map[uint32]uint32 // by stream: the try
+	closed      bool
+	goAway      bool
+	inFreeList  bool // among the free ones
 }
 
-// backlog is how many answers may wait for the loop that plays the day.
-const backlog = 1 << 16
+// maxQueuedReplies is how many answers may wait for the loop that plays the day.
+const maxQueuedReplies = 1 << 16
 
 // Launch starts the boxes of a day; speeds lie as Play has them.
 func Launch(path string, day *fleet.Day) (*Fleet, error) {
-	if day.Below != nil {
+	if day.Ledger != nil {
 		return nil, errors.New("live: calls below are played in simulated time alone")
 	}
 	dir, err := os.MkdirTemp("", "kitelab")
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Replies: make(chan fleet.Reply, backlog), day: day, path: path, dir: dir}
-	for i, speed := range day.Speeds() {
+	f := &Fleet{Replies: make(chan fleet.Reply, maxQueuedReplies), day: day, programPath: path, dir: dir}
+	for i, speed := range day.BoxSpeeds() {
 		b := &remote{f: f, number: i, speed: speed, conns: map[*conn]struct{}{}}
 		f.boxes = append(f.boxes, b)
 	}
@@ -104,14 +104,14 @@
 func (f *Fleet) Close() {
 	var all sync.WaitGroup
 	for _, b := range f.boxes {
-		all.Go(b.Die)
+		all.Go(b.Kill)
 	}
 	all.Wait()
 	os.RemoveAll(f.dir) //nolint:errcheck // a folder of the system's for passing files
 }
 
-// settings words the module's settings for the program.
-func (f *Fleet) settings(listen, engine string) ([]byte, error) {
+// platformFile words the module's settings for the program.
+func (f *Fleet) platformFile(listen, engine string) ([]byte, error) {
 	m := &f.day.Policy
 	var classes, tenants []any
 	effects := map[kiteslip.Effect]string{kiteslip.Repeatable: "repeatable", kiteslip.Keyed: "by_key"}
@@ -138,8 +138,8 @@
 	})
 }
 
-// operator words the backend and the pools for the program.
-func (f *Fleet) operator(backend string) string {
+// operatorFile words the backend and the pools for the program.
+func (f *Fleet) operatorFile(backend string) string {
 	text := ""
 	if backend != "" {
 		text = fmt.Sprintf("[[service]]\nname = \"lab\"\nbackend = %q\n", backend)
@@ -171,7 +171,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := b.f.settings(b.listen, engine.Address)
+	text, err := b.f.platformFile(b.listen, engine.Address)
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 			return err
 		}
 	}
-	program, err := Start(b.f.path, dir, b.listen, text, b.f.operator(backend))
+	program, err := Start(b.f.programPath, dir, b.listen, text, b.f.operatorFile(backend))
 	if err != nil {
 		engine.Close()
 		return err
@@ -194,17 +194,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.engine, b.program = engine, program
-	b.life++
+	b.incarnation++
 	return nil
 }
 
-// Die ends the box at once.
-func (b *remote) Die() {
+// Kill ends the box at once.
+func (b *remote) Kill() {
 	b.mu.Lock()
 	engine, program := b.engine, b.program
 	b.engine, b.program = nil, nil
 	conns := b.conns
-	b.conns, b.free = map[*conn]struct{}{}, nil
+	b.conns, b.freeConns = map[*conn]struct{}{}, nil
 	b.mu.Unlock()
 	if program != nil {
 		program.Process.Signal(syscall.SIGCONT) //nolint:errcheck // it may not be paused
@@ -218,18 +218,18 @@
 	}
 }
 
-// Back starts it anew, cold.
-func (b *remote) Back(factor float64, warm int64) {
+// Restart starts it anew, cold.
+func (b *remote) Restart(factor float64, warm int64) {
 	go func() {
 		if err := b.start(); err != nil {
 			fmt.Fprintln(os.Stderr, "kitelab: box", b.number, "does not come back:", err)
 			return
 		}
-		b.change(func(x *box.Box, now int64) { x.Cold(now, factor, warm) })
+		b.changeBox(func(x *box.Box, now int64) { x.Cold(now, factor, warm) })
 	}()
 }
 
-func (b *remote) change(f func(*box.Box, int64)) {
+func (b *remote) changeBox(f func(*box.Box, int64)) {
 	b.mu.Lock()
 	engine := b.engine
 	b.mu.Unlock()
@@ -238,28 +238,28 @@
 	}
 }
 
-// Scale sets the speed to a part of the usual.
-func (b *remote) Scale(factor float64) {
-	b.change(func(x *box.Box, now int64) { x.Scale(now, factor) })
+// SetSpeed sets the speed to a part of the usual.
+func (b *remote) SetSpeed(factor float64) {
+	b.changeBox(func(x *box.Box, now int64) { x.Scale(now, factor) })
 }
 
 // Pause stops the process and the cores for a while.
 func (b *remote) Pause(span int64) {
 	b.mu.Lock()
-	program, life := b.program, b.life
+	program, life := b.program, b.incarnation
 	b.mu.Unlock()
 	if program == nil {
 		return
 	}
-	b.Scale(0)
+	b.SetSpeed(0)
 	program.Process.Signal(syscall.SIGSTOP) //nolint:errcheck // it may have ended
 	time.AfterFunc(time.Duration(span)*time.Microsecond, func() {
 		b.mu.Lock()
-		same := b.life == life && b.program != nil
+		same := b.incarnation == life && b.program != nil
 		b.mu.Unlock()
 		if same {
 			program.Process.Signal(syscall.SIGCONT) //nolint:errcheck // it may have ended
-			b.Scale(1)
+			b.SetSpeed(1)
 		}
 	})
 }
@@ -273,17 +273,17 @@
 	}
 }
 
-// take returns a connection with room, a new one if there is none.
-func (b *remote) take() (*conn, error) {
+// connection returns a connection with room, a new one if there is none.
+func (b *remote) connection() (*conn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.free) > 0 {
-		c := b.free[len(b.free)-1]
-		if !c.gone && !c.away && len(c.open) < frame.MaxStreams-1 {
+	for len(b.freeConns) > 0 {
+		c := b.freeConns[len(b.freeConns)-1]
+		if !c.closed && !c.goAway && len(c.open) < frame.MaxStreams-1 {
 			return c, nil
 		}
-		c.listed = false
-		b.free = b.free[:len(b.free)-1]
+		c.inFreeList = false
+		b.freeConns = b.freeConns[:len(b.freeConns)-1]
 	}
 	if b.program == nil {
 		return nil, errors.New("the box is dead")
@@ -292,16 +292,16 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, b: b, life: b.life, open: map[uint32]uint32{}, listed: true}
+	c := &conn{Conn: nc, b: b, incarnation: b.incarnation, open: map[uint32]uint32{}, inFreeList: true}
 	b.conns[c] = struct{}{}
-	b.free = append(b.free, c)
+	b.freeConns = append(b.freeConns, c)
 	go c.read()
 	return c, nil
 }
 
 // Send sends a try; it fails, as an answer, where the box can't be reached.
-func (b *remote) Send(s fleet.Sent) {
-	c, err := b.take()
+func (b *remote) Send(s fleet.RemoteTry) {
+	c, err := b.connection()
 	if err != nil {
 		b.f.reply(b.number, s.ID, core.Answer{Code: core.Failed})
 		return
@@ -309,17 +309,17 @@
 	day := b.f.day
 	class := &day.Classes[s.Class]
 	fields := []frame.Field{{Name: "kind", Value: class.Name}, {Name: "owner", Value: day.Teams[s.Team].Name},
-		{Name: "req", Value: fmt.Sprintf("%016x", b.f.names.Add(1))}, {Name: "via", Value: strconv.Itoa(s.Caller + 1)},
+		{Name: "req", Value: fmt.Sprintf("%016x", b.f.lastRequestID.Add(1))}, {Name: "via", Value: strconv.Itoa(s.Caller + 1)},
 		{Name: "ts", Value: strconv.FormatInt(time.Now().UnixMilli(), 10)},
-		{Name: "timeout", Value: strconv.FormatInt(max(1, s.Wait/1000), 10)},
+		{Name: "timeout", Value: strconv.FormatInt(max(1, s.Timeout/1000), 10)},
 		{Name: "ms", Value: strconv.FormatFloat(s.Work/1000, 'f', 1, 64)}, {Name: "need", Value: "16"}, {Name: "level", Value: "0.5"},
 		{Name: "subject", Value: fmt.Sprintf("%016x", s.Subject)}}
 	if class.Effect == kiteslip.Keyed {
 		fields = append(fields, frame.Field{Name: "opkey", Value: s.Key})
 	}
 	b.mu.Lock()
-	c.stream++
-	stream := c.stream
+	c.lastStream++
+	stream := c.lastStream
 	c.open[stream] = s.ID
 	b.mu.Unlock()
 	if _, err := c.Write(frame.AppendRequest(nil, stream, fields, strconv.AppendInt(nil, int64(s.Work), 10))); err != nil {
@@ -346,7 +346,7 @@
 			if bad != nil || used == 0 {
 				break
 			}
-			c.take(f)
+			c.handleFrame(f)
 			buf = buf[used:]
 		}
 		if err != nil {
@@ -355,7 +355,7 @@
 	}
 	c.Close()
 	c.b.mu.Lock()
-	c.gone = true
+	c.closed = true
 	delete(c.b.conns, c)
 	open := c.open
 	c.open = nil
@@ -365,17 +365,17 @@
 	}
 }
 
-func (c *conn) take(f frame.Frame) {
+func (c *conn) handleFrame(f frame.Frame) {
 	c.b.mu.Lock()
 	if f.Type == frame.GoAway {
-		c.away = true
+		c.goAway = true
 	}
 	id, known := c.open[f.Stream]
 	if f.Type == frame.Answer {
 		delete(c.open, f.Stream)
-		if known && !c.away && !c.listed {
-			c.listed = true
-			c.b.free = append(c.b.free, c)
+		if known && !c.goAway && !c.inFreeList {
+			c.inFreeList = true
+			c.b.freeConns = append(c.b.freeConns, c)
 		}
 	}
 	c.b.mu.Unlock()
--- a/internal/lab/paired/paired.go
+++ b/internal/lab/paired/paired.go
@@ -20,14 +20,14 @@
 
 // The verdicts.
 const (
-	Better     Verdict = "better"
-	Worse      Verdict = "worse"
-	CantTell   Verdict = "can't tell"
-	NoChange   Verdict = "no difference" // all pairs are equal
-	resamples          = 2000
-	least              = 3
-	confidence         = 0.95
-	most               = 1 << 20
+	Better       Verdict = "better"
+	Worse        Verdict = "worse"
+	Inconclusive Verdict = "can't tell"
+	NoDifference Verdict = "no difference" // all pairs are equal
+	resamples            = 2000
+	minPairs             = 3
+	confidence           = 0.95
+	maxPairs             = 1 << 20
 )
 
 // Difference is the outcome of a comparison, B less A.
@@ -36,29 +36,29 @@
 	Mean      float64
 	Low, High float64 // of the 95% interval of the mean
 	Verdict   Verdict
-	More      int // further pairs that would likely tell; 0 = none are needed, or no number would
+	MorePairs int // further pairs that would likely tell; 0 = none are needed, or no number would
 }
 
-// ErrPairs says that there are not enough scores, or not as many of both.
-var ErrPairs = errors.New("paired: scores don't come in pairs")
+// ErrUnpaired says that there are not enough scores, or not as many of both.
+var ErrUnpaired = errors.New("paired: scores don't come in pairs")
 
 // Compare compares the scores of A and B; a[i] and b[i] come from one draw.
 func Compare(a, b []float64) (Difference, error) {
-	if len(a) != len(b) || len(a) < least || len(a) > most {
-		return Difference{}, fmt.Errorf("%w: %d and %d, want as many of both, %d at least", ErrPairs, len(a), len(b), least)
+	if len(a) != len(b) || len(a) < minPairs || len(a) > maxPairs {
+		return Difference{}, fmt.Errorf("%w: %d and %d, want as many of both, %d at least", ErrUnpaired, len(a), len(b), minPairs)
 	}
 	d := make([]float64, len(a))
 	for i := range d {
 		d[i] = b[i] - a[i]
 		if math.IsNaN(d[i]) || math.IsInf(d[i], 0) {
-			return Difference{}, fmt.Errorf("%w: pair %d is %v and %v", ErrPairs, i, a[i], b[i])
+			return Difference{}, fmt.Errorf("%w: pair %d is %v and %v", ErrUnpaired, i, a[i], b[i])
 		}
 	}
-	mean, err := moments(d)
-	out := Difference{Pairs: len(d), Mean: mean, Low: mean, High: mean, Verdict: NoChange}
+	mean, err := meanAndError(d)
+	out := Difference{Pairs: len(d), Mean: mean, Low: mean, High: mean, Verdict: NoDifference}
 	if err == 0 {
 		if mean != 0 {
-			out.Verdict = sign(mean)
+			out.Verdict = verdictOf(mean)
 		}
 		return out, nil
 	}
@@ -69,7 +69,7 @@
 		for i := range sample {
 			sample[i] = d[rng.IntN(len(d))]
 		}
-		m, e := moments(sample)
+		m, e := meanAndError(sample)
 		if e == 0 { // all alike: the spread of the whole stands in for its own
 			e = err
 		}
@@ -81,36 +81,36 @@
 	out.High = mean - quantile(t, tail)*err
 	switch {
 	case out.Low > 0 || out.High < 0:
-		out.Verdict = sign(mean)
+		out.Verdict = verdictOf(mean)
 	default:
-		out.Verdict = CantTell
-		out.More = more(mean, err, len(d))
+		out.Verdict = Inconclusive
+		out.MorePairs = morePairs(mean, err, len(d))
 	}
 	return out, nil
 }
 
-func sign(mean float64) Verdict {
+func verdictOf(mean float64) Verdict {
 	if mean > 0 {
 		return Better
 	}
 	return Worse
 }
 
-// more is how many further pairs would make the mean as it is stand out.
-func more(mean, err float64, n int) int {
+// morePairs is how many further pairs would make the mean as it is stand out.
+func morePairs(mean, err float64, n int) int {
 	if mean == 0 {
 		return 0
 	}
 	const z = 2.3 // the interval's half width, and some power beside it
 	need := float64(n) * (z * err / math.Abs(mean)) * (z * err / math.Abs(mean))
-	if need > most {
+	if need > maxPairs {
 		return 0
 	}
 	return max(1, int(math.Ceil(need))-n)
 }
 
-// moments are the mean and its standard error.
-func moments(x []float64) (mean, err float64) {
+// meanAndError are the mean and its standard error.
+func meanAndError(x []float64) (mean, err float64) {
 	for _, v := range x {
 		mean += v
 	}
--- a/internal/lab/paired/paired_test.go
+++ b/internal/lab/paired/paired_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// draw makes n paired scores whose difference has that mean and is skewed, as
+// drawScores makes n paired scores whose difference has that mean and is skewed, as
 // worst windows are.
-func draw(seed uint64, n int, shift float64) (a, b []float64) {
+func drawScores(seed uint64, n int, shift float64) (a, b []float64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for range n {
 		day := rng.Float64()
@@ -20,12 +20,12 @@
 }
 
 // The interval covers the truth as often as it says.
-func TestCoverage(t *testing.T) {
+func TestIntervalCoverage(t *testing.T) {
 	t.Parallel()
 	covered := 0
 	const rounds = 400
 	for seed := range uint64(rounds) {
-		a, b := draw(seed, 20, 0.01)
+		a, b := drawScores(seed, 20, 0.01)
 		d, err := Compare(a, b)
 		if err != nil {
 			t.Fatal(err)
@@ -45,23 +45,23 @@
 		shift float64
 		n     int
 		want  Verdict
-	}{{0.2, 20, Better}, {-0.2, 20, Worse}, {0, 20, CantTell}} {
-		a, b := draw(7, c.n, c.shift)
+	}{{0.2, 20, Better}, {-0.2, 20, Worse}, {0, 20, Inconclusive}} {
+		a, b := drawScores(7, c.n, c.shift)
 		if d, err := Compare(a, b); err != nil || d.Verdict != c.want {
 			t.Errorf("a shift of %v: %+v, %v", c.shift, d, err)
 		}
 	}
 	same := []float64{1, 2, 3, 4}
-	if d, err := Compare(same, same); err != nil || d.Verdict != NoChange || d.Low != 0 || d.High != 0 {
+	if d, err := Compare(same, same); err != nil || d.Verdict != NoDifference || d.Low != 0 || d.High != 0 {
 		t.Errorf("equal scores: %+v, %v", d, err)
 	}
-	a, b := draw(3, 6, 0.02)
+	a, b := drawScores(3, 6, 0.02)
 	d, err := Compare(a, b)
-	if err != nil || d.Verdict != CantTell || d.More < 1 {
+	if err != nil || d.Verdict != Inconclusive || d.MorePairs < 1 {
 		t.Fatalf("few pairs: %+v, %v", d, err)
 	}
 	for _, bad := range [][2][]float64{{{1}, {1}}, {{1, 2, 3}, {1, 2}}, {{1, 2, math.NaN()}, {1, 2, 3}}} {
-		if _, err := Compare(bad[0], bad[1]); !errors.Is(err, ErrPairs) {
+		if _, err := Compare(bad[0], bad[1]); !errors.Is(err, ErrUnpaired) {
 			t.Errorf("%v: %v", bad, err)
 		}
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	width  = 20 * vg.Centimeter
-	height = 8 * vg.Centimeter
+	plotWidth  = 20 * vg.Centimeter
+	plotHeight = 8 * vg.Centimeter
 )
 
 var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
@@ -63,7 +63,7 @@
 		if len(run.Days) == 0 {
 			return fmt.Errorf("report: the run %q has no days", run.Name)
 		}
-		s, err := describe(run)
+		s, err := newSection(run)
 		if err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
@@ -77,14 +77,14 @@
 	return page.Execute(w, data)
 }
 
-func describe(run *experiment.Run) (section, error) {
+func newSection(run *experiment.Run) (section, error) {
 	s := section{Name: run.Name, Days: len(run.Days), Groups: run.Groups()}
-	for _, of := range []func(*experiment.Run) (*plot.Plot, error){latency, share, refused} {
+	for _, of := range []func(*experiment.Run) (*plot.Plot, error){latencyPlot, servedPlot, refusedPlot} {
 		p, err := of(run)
 		if err != nil {
 			return s, err
 		}
-		svg, err := inline(p)
+		svg, err := renderSVG(p)
 		if err != nil {
 			return s, err
 		}
@@ -93,37 +93,37 @@
 	return s, nil
 }
 
-var prolog = regexp.MustCompile(`(?s)^.*?<svg`)
+var svgProlog = regexp.MustCompile(`(?s)^.*?<svg`)
 
-func inline(p *plot.Plot) (template.HTML, error) {
-	c := vgsvg.New(width, height)
+func renderSVG(p *plot.Plot) (template.HTML, error) {
+	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	return template.HTML(prolog.ReplaceAllString(b.String(), "<svg")), nil //nolint:gosec // the library escapes its text
+	return template.HTML(svgProlog.ReplaceAllString(b.String(), "<svg")), nil //nolint:gosec // the library escapes its text
 }
 
-// latency is what was served, by percentile, from when it was asked.
-func latency(run *experiment.Run) (*plot.Plot, error) {
+// latencyPlot is what was served, by percentile, from when it was asked.
+func latencyPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "latency by percentile, from when a request was meant to be sent"
 	p.X.Label.Text, p.Y.Label.Text = "percentile", "ms"
-	names := make([]plot.Tick, len(fleet.Quantiles))
-	for i, q := range fleet.Quantiles {
+	names := make([]plot.Tick, len(fleet.PercentileRanks))
+	for i, q := range fleet.PercentileRanks {
 		names[i] = plot.Tick{Value: float64(i), Label: fmt.Sprint(q)}
 	}
 	p.X.Tick.Marker = plot.ConstantTicks(names)
 	for c, g := range run.Days[0].Outcome.Classes {
-		xy := make(plotter.XYs, len(fleet.Quantiles))
+		xy := make(plotter.XYs, len(fleet.PercentileRanks))
 		for i := range xy {
 			xy[i].X = float64(i)
 			for _, d := range run.Days {
 				xy[i].Y += d.Outcome.Percentiles[c][i] / float64(len(run.Days))
 			}
 		}
-		if err := line(p, g.Name, xy, c); err != nil {
+		if err := addLine(p, g.Name, xy, c); err != nil {
 			return nil, err
 		}
 	}
@@ -131,13 +131,13 @@
 	return p, nil
 }
 
-// overTime is a figure by second, the mean of the days.
-func overTime(run *experiment.Run, of func(*fleet.Outcome, int) float64) plotter.XYs {
-	xy := make(plotter.XYs, len(run.Days[0].Outcome.Windows))
+// meanBySecond is a figure by second, the mean of the days.
+func meanBySecond(run *experiment.Run, of func(*fleet.Outcome, int) float64) plotter.XYs {
+	xy := make(plotter.XYs, len(run.Days[0].Outcome.ServedBySecond))
 	for i := range xy {
 		xy[i].X = float64(i)
 		for _, d := range run.Days {
-			if i < len(d.Outcome.Windows) {
+			if i < len(d.Outcome.ServedBySecond) {
 				xy[i].Y += of(d.Outcome, i) / float64(len(run.Days))
 			}
 		}
@@ -145,31 +145,31 @@
 	return xy
 }
 
-func share(run *experiment.Run) (*plot.Plot, error) {
+func servedPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "part of the worth served", "second", "part"
 	p.Y.Min, p.Y.Max = 0, 1
-	if err := line(p, "served", overTime(run, func(o *fleet.Outcome, i int) float64 { return o.Windows[i] }), 0); err != nil {
+	if err := addLine(p, "served", meanBySecond(run, func(o *fleet.Outcome, i int) float64 { return o.ServedBySecond[i] }), 0); err != nil {
 		return nil, err
 	}
-	return p, mark(p, run, 1)
+	return p, markFailures(p, run, 1)
 }
 
-func refused(run *experiment.Run) (*plot.Plot, error) {
+func refusedPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "refusals", "second", "requests a day"
-	xy := overTime(run, func(o *fleet.Outcome, i int) float64 { return float64(o.Refused[i]) })
+	xy := meanBySecond(run, func(o *fleet.Outcome, i int) float64 { return float64(o.RefusedBySecond[i]) })
 	top := 1.0
 	for _, v := range xy {
 		top = max(top, v.Y)
 	}
-	if err := line(p, "refused", xy, 1); err != nil {
+	if err := addLine(p, "refused", xy, 1); err != nil {
 		return nil, err
 	}
-	return p, mark(p, run, top)
+	return p, markFailures(p, run, top)
 }
 
-func line(p *plot.Plot, name string, xy plotter.XYs, n int) error {
+func addLine(p *plot.Plot, name string, xy plotter.XYs, n int) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
 		return err
@@ -181,17 +181,17 @@
 	return nil
 }
 
-// mark shows from when to when each failure lasts.
-func mark(p *plot.Plot, run *experiment.Run, top float64) error {
-	for _, f := range run.Incidents {
-		from, to := float64(f.At)/fleet.Second, float64(f.At+f.For)/fleet.Second
+// markFailures shows from when to when each failure lasts.
+func markFailures(p *plot.Plot, run *experiment.Run, top float64) error {
+	for _, f := range run.Failures {
+		from, to := float64(f.At)/fleet.Second, float64(f.At+f.Duration)/fleet.Second
 		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
 		if err != nil {
 			return err
 		}
 		area.Color, area.LineStyle.Width = color.NRGBA{R: 200, A: 40}, 0
 		p.Add(area)
-		p.Legend.Add(fmt.Sprintf("%s, %.0f%% of the boxes", f.Kind, 100*f.Share), area)
+		p.Legend.Add(fmt.Sprintf("%s, %.0f%% of the boxes", f.Kind, 100*f.BoxShare), area)
 	}
 	return nil
 }
