--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment runs days over seeds on all cores, keeps what is done in a
-// file so that a run can be stopped and resumed, and compares two runs.
+// Package experiment plays the days of a scenario on several seeds in parallel,
+// records finished days in a state file, so that a run can be stopped and resumed,
+// and compares two runs.
 package experiment
 
 import (
@@ -17,10 +18,10 @@
 	"kiteslip/internal/lab/paired"
 )
 
-// Run is the outcome of one setting on some seeds.
+// Run is the outcome of one scenario on several seeds.
 type Run struct {
 	Name     string          `json:"Name"`
-	Digest   string          `json:"Digest"` // of the scenario's text: another text is another run
+	Digest   string          `json:"Digest"` // of the scenario's text; a run with another text is another run
 	Failures []fleet.Failure `json:"Incidents"`
 	Days     []SeedOutcome   `json:"Days"` // in order of seeds, from 1
 }
@@ -31,17 +32,19 @@
 	Outcome *fleet.Outcome `json:"Outcome"`
 }
 
-// Stop ends a run after the days that are under way.
+// Stop is a channel that, once closed, ends a run after the days in progress.
 type Stop <-chan struct{}
 
-// ErrStopped says that a run was stopped; what is done is kept.
+// ErrStopped is returned when a run was stopped before its last day. The finished
+// days are in the state file.
 var ErrStopped = errors.New("experiment: stopped")
 
+// maxLineBytes bounds a line of the state file.
 const maxLineBytes = 16 << 20
 
-// Play plays a scenario's text on seeds 1 to n. What the file named state holds
-// of the same text is not played again; state "" keeps nothing. progress is told
-// how many are done.
+// Play plays the scenario in text on seeds 1 to n. Days of the same text that the
+// file named state holds are not played again, and finished days are appended to
+// it; "" means no state file. progress is called with the number of finished days.
 func Play(text string, n int, state string, stop Stop, progress func(done, of int)) (*Run, error) {
 	day, name, err := fleet.Parse(text)
 	if err != nil {
@@ -49,12 +52,12 @@
 	}
 	sum := sha256.Sum256([]byte(text))
 	run := &Run{Name: name, Digest: hex.EncodeToString(sum[:8]), Failures: day.Failures, Days: make([]SeedOutcome, n)}
-	keep, err := run.loadState(state)
+	stateFile, err := run.loadState(state)
 	if err != nil {
 		return nil, err
 	}
-	if keep != nil {
-		defer keep.Close()
+	if stateFile != nil {
+		defer stateFile.Close()
 	}
 	var mu sync.Mutex
 	var failed error
@@ -66,7 +69,7 @@
 	}
 	progress(done, n)
 	stopped := false
-	take := func() int {
+	nextDay := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		select {
@@ -82,10 +85,10 @@
 		next++
 		return next - 1
 	}
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range min(n, runtime.GOMAXPROCS(0)) {
-		all.Go(func() {
-			for i := take(); i >= 0; i = take() {
+		workers.Go(func() {
+			for i := nextDay(); i >= 0; i = nextDay() {
 				d := day
 				d.Seed = uint64(i + 1)
 				outcome, err := fleet.Play(d)
@@ -94,8 +97,8 @@
 					failed = err
 				} else {
 					run.Days[i] = SeedOutcome{d.Seed, outcome}
-					if keep != nil {
-						failed = errors.Join(failed, run.appendState(keep, i))
+					if stateFile != nil {
+						failed = errors.Join(failed, run.appendState(stateFile, i))
 					}
 					done++
 					progress(done, n)
@@ -104,7 +107,7 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	switch {
 	case failed != nil:
 		return nil, failed
@@ -114,16 +117,16 @@
 	return run, nil
 }
 
-// Groups are the classes, then the teams, over all days: counts added up,
-// latencies and shares as means of the days.
+// Groups returns the classes, then the teams, over all days: counts are sums,
+// latencies and shares are means of the days.
 func (r *Run) Groups() []fleet.Group {
 	var list []fleet.Group
 	n := float64(len(r.Days))
-	for _, of := range []func(*fleet.Outcome) []fleet.Group{classes, teams} {
-		for i, g := range of(r.Days[0].Outcome) {
+	for _, groups := range []func(*fleet.Outcome) []fleet.Group{classes, teams} {
+		for i, g := range groups(r.Days[0].Outcome) {
 			sum := fleet.Group{Name: g.Name}
 			for _, d := range r.Days {
-				x := of(d.Outcome)[i]
+				x := groups(d.Outcome)[i]
 				sum.Asked, sum.InTime, sum.Late = sum.Asked+x.Asked, sum.InTime+x.InTime, sum.Late+x.Late
 				sum.Refused, sum.Failed = sum.Refused+x.Refused, sum.Failed+x.Failed
 				sum.MedianMS, sum.P99MS, sum.Share = sum.MedianMS+x.MedianMS/n, sum.P99MS+x.P99MS/n, sum.Share+x.Share/n
@@ -134,17 +137,20 @@
 	return list
 }
 
+// classes returns the groups of the classes.
 func classes(o *fleet.Outcome) []fleet.Group { return o.Classes }
-func teams(o *fleet.Outcome) []fleet.Group   { return o.Teams }
 
-// stateLine is a day as the state file has it.
+// teams returns the groups of the teams.
+func teams(o *fleet.Outcome) []fleet.Group { return o.Teams }
+
+// stateLine is a line of the state file: one day.
 type stateLine struct {
 	Digest string `json:"Digest"`
 	SeedOutcome
 }
 
-// loadState takes in the days that the state file holds and opens it for more. A
-// last line that was cut short is passed over.
+// loadState reads the days of the state file that belong to the run and opens the
+// file for appending. A last line that was cut short is removed.
 func (r *Run) loadState(state string) (*os.File, error) {
 	if state == "" {
 		return nil, nil
@@ -153,37 +159,38 @@
 	if err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
-	in := bufio.NewScanner(f)
-	in.Buffer(nil, maxLineBytes)
-	whole := int64(0)
-	for in.Scan() {
+	scanner := bufio.NewScanner(f)
+	scanner.Buffer(nil, maxLineBytes)
+	validBytes := int64(0)
+	for scanner.Scan() {
 		var l stateLine
-		if err := json.Unmarshal(in.Bytes(), &l); err != nil {
+		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil {
 			break
 		}
-		whole += int64(len(in.Bytes())) + 1
+		validBytes += int64(len(scanner.Bytes())) + 1
 		if l.Digest == r.Digest && l.Seed >= 1 && l.Seed <= uint64(len(r.Days)) && l.Outcome != nil {
 			r.Days[l.Seed-1] = l.SeedOutcome
 		}
 	}
-	if err := in.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		f.Close()
 		return nil, fmt.Errorf("experiment: %s: %w", state, err)
 	}
-	if info, err := f.Stat(); err == nil && info.Size() > whole {
-		err = f.Truncate(whole)
+	if info, err := f.Stat(); err == nil && info.Size() > validBytes {
+		err = f.Truncate(validBytes)
 		if err != nil {
 			f.Close()
 			return nil, fmt.Errorf("experiment: %w", err)
 		}
 	}
-	if _, err := f.Seek(whole, 0); err != nil {
+	if _, err := f.Seek(validBytes, 0); err != nil {
 		f.Close()
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
 	return f, nil
 }
 
+// appendState appends the day with index i to the state file.
 func (r *Run) appendState(f *os.File, i int) error {
 	b, err := json.Marshal(stateLine{r.Digest, r.Days[i]})
 	if err != nil {
@@ -193,19 +200,19 @@
 	return err
 }
 
-// Row is one figure of a comparison.
+// Row compares one figure of two runs.
 type Row struct {
 	Name string
-	A, B float64 // means
+	A, B float64 // means over the seeds
 	paired.Difference
 }
 
-// Compare compares two runs on the seeds that both have: the score, its parts,
-// and each class and team that both have.
+// Compare compares two runs on the seeds that both have: the score first, then its
+// parts and the share of each class and team that both have.
 func Compare(a, b *Run) ([]Row, error) {
 	type figure struct {
-		name string
-		of   func(*fleet.Outcome) float64
+		name  string
+		value func(*fleet.Outcome) float64
 	}
 	figures := []figure{
 		{"score", func(o *fleet.Outcome) float64 { return o.Score }},
@@ -216,23 +223,23 @@
 	}
 	n := min(len(a.Days), len(b.Days))
 	if n == 0 {
-		return nil, fmt.Errorf("experiment: no seed is in both runs")
+		return nil, fmt.Errorf("experiment: the runs have no seed in common")
 	}
-	group := func(kind string, list func(*fleet.Outcome) []fleet.Group) {
-		for i, g := range list(a.Days[0].Outcome) {
-			if others := list(b.Days[0].Outcome); i < len(others) && others[i].Name == g.Name {
-				figures = append(figures, figure{kind + " " + g.Name, func(o *fleet.Outcome) float64 { return list(o)[i].Share }})
+	addGroups := func(kind string, groups func(*fleet.Outcome) []fleet.Group) {
+		for i, g := range groups(a.Days[0].Outcome) {
+			if others := groups(b.Days[0].Outcome); i < len(others) && others[i].Name == g.Name {
+				figures = append(figures, figure{kind + " " + g.Name, func(o *fleet.Outcome) float64 { return groups(o)[i].Share }})
 			}
 		}
 	}
-	group("class", classes)
-	group("team", teams)
+	addGroups("class", classes)
+	addGroups("team", teams)
 	var rows []Row
 	for _, f := range figures {
 		var x, y []float64
 		row := Row{Name: f.name}
 		for i := range n {
-			x, y = append(x, f.of(a.Days[i].Outcome)), append(y, f.of(b.Days[i].Outcome))
+			x, y = append(x, f.value(a.Days[i].Outcome)), append(y, f.value(b.Days[i].Outcome))
 			row.A += x[i] / float64(n)
 			row.B += y[i] / float64(n)
 		}
@@ -245,7 +252,8 @@
 	return rows, nil
 }
 
-// Verdict says in words what the rows amount to, for better and for worse.
+// Verdict sums up the rows of Compare in words: the score, and which figures B
+// improves and which it worsens.
 func Verdict(rows []Row) string {
 	var better, worse []string
 	for _, r := range rows[1:] {
@@ -273,6 +281,7 @@
 	return text
 }
 
+// joinNames joins names with commas.
 func joinNames(list []string) string {
 	text := ""
 	for i, s := range list {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -12,6 +12,8 @@
 	"kiteslip/internal/lab/paired"
 )
 
+// scenarioText reads a scenario, shortened to five boxes and 40 seconds, and
+// replaces each of changes by the one that follows it.
 func scenarioText(t *testing.T, name string, changes ...string) string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "..", "..", "scenarios", name+".toml"))
@@ -28,14 +30,16 @@
 	return s
 }
 
+// ignoreProgress is a progress function that does nothing.
 func ignoreProgress(int, int) {}
 
-// A run that was stopped goes on where it was, also after its last line was cut
-// short, and has the same outcome as one that was never stopped.
+// A run that was stopped must resume from its state file, also if the last line was
+// cut short, and give the same outcome as a run that was never stopped. Days of
+// another scenario text must not be taken from the file.
 func TestStopAndResume(t *testing.T) {
 	t.Parallel()
 	scenario, state := scenarioText(t, "calm-lunch"), filepath.Join(t.TempDir(), "state")
-	whole, err := Play(scenario, 6, "", nil, ignoreProgress)
+	uninterrupted, err := Play(scenario, 6, "", nil, ignoreProgress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,31 +52,31 @@
 	if err != nil && !errors.Is(err, ErrStopped) {
 		t.Fatal(err)
 	}
-	kept, err := os.ReadFile(state)
-	if err != nil || len(kept) == 0 {
-		t.Fatalf("%d bytes are kept, %v", len(kept), err)
+	stored, err := os.ReadFile(state)
+	if err != nil || len(stored) == 0 {
+		t.Fatalf("the state file has %d bytes, %v", len(stored), err)
 	}
-	if err := os.WriteFile(state, append(kept, kept[:len(kept)/2]...), 0o600); err != nil {
+	if err := os.WriteFile(state, append(stored, stored[:len(stored)/2]...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	first := -1
-	again, err := Play(scenario, 6, state, nil, func(done, of int) {
-		if first < 0 {
-			first = done
+	firstDone := -1
+	resumed, err := Play(scenario, 6, state, nil, func(done, of int) {
+		if firstDone < 0 {
+			firstDone = done
 		}
 	})
-	if err != nil || first == 0 {
-		t.Fatalf("resumed with %d days done: %v", first, err)
+	if err != nil || firstDone == 0 {
+		t.Fatalf("resumed with %d days done: %v", firstDone, err)
 	}
-	if !reflect.DeepEqual(whole, again) {
-		t.Error("a resumed run differs from a whole one")
+	if !reflect.DeepEqual(uninterrupted, resumed) {
+		t.Error("a resumed run differs from an uninterrupted one")
 	}
-	if _, err := Play(strings.Replace(scenario, "load = 0.7", "load = 0.6", 1), 1, state, nil, func(done, of int) { first = done }); err != nil || first != 1 {
-		t.Errorf("another text takes the days of the first: %v", err)
+	if _, err := Play(strings.Replace(scenario, "load = 0.7", "load = 0.6", 1), 1, state, nil, func(done, of int) { firstDone = done }); err != nil || firstDone != 1 {
+		t.Errorf("a run of another text took the days of the first: %v", err)
 	}
 }
 
-// findRow finds a figure.
+// findRow returns the row of a figure.
 func findRow(t *testing.T, rows []Row, name string) Row {
 	t.Helper()
 	for _, r := range rows {
@@ -84,6 +88,7 @@
 	return Row{}
 }
 
+// compare plays two scenario texts on the same seeds and compares them.
 func compare(t *testing.T, a, b string, seeds int) []Row {
 	t.Helper()
 	var runs [2]*Run
@@ -100,7 +105,8 @@
 	return rows
 }
 
-// A failure of ten seconds shows in the worst ten seconds, and far less in the whole.
+// A short failure lowers the worst ten seconds much more than the whole, where it is
+// averaged out; the verdict must name the worst ten seconds.
 func TestShortFailureShowsInWorstWindow(t *testing.T) {
 	t.Parallel()
 	calm := scenarioText(t, "calm-lunch")
@@ -114,7 +120,7 @@
 	}
 }
 
-// A change that helps one class and hurts another: the verdict says both.
+// If a change improves one class and worsens another, the verdict must say both.
 func TestVerdictNamesGainsAndLosses(t *testing.T) {
 	t.Parallel()
 	full := scenarioText(t, "month-end", "load = 0.8", "load = 1.2")
@@ -129,7 +135,8 @@
 	}
 }
 
-// Equal settings can't be told apart by chance, and are the same on the same seeds.
+// A scenario compared with itself on the same seeds must show no difference in any
+// figure, and runs without a common seed must be rejected.
 func TestEqualSettings(t *testing.T) {
 	t.Parallel()
 	s := scenarioText(t, "fifth-dies")
@@ -139,6 +146,6 @@
 		}
 	}
 	if _, err := Compare(&Run{}, &Run{Days: []SeedOutcome{{1, &fleet.Outcome{}}}}); err == nil {
-		t.Error("runs without a common seed are compared")
+		t.Error("runs without a common seed were compared")
 	}
 }
