--- a/internal/lab/paired/paired.go
+++ b/internal/lab/paired/paired.go
@@ -1,10 +1,11 @@
-// Package paired says whether one setting does better than another, from scores
-// of both on the same draws.
+// Package paired decides whether one setting scores better than another, from the
+// scores of both on the same random draws.
 //
-// The interval is the studentized bootstrap (Efron, Tibshirani, An Introduction
+// The confidence interval is the studentized bootstrap (Efron, Tibshirani, An Introduction
 // to the Bootstrap, 1993, chapter 12) of the mean difference: each resample's
-// mean is measured in its own standard errors, which corrects the plain
-// percentile interval for few pairs. The same input gives the same output.
+// mean is measured in its own standard errors, which makes the interval more
+// accurate for few pairs than the plain percentile interval. The result is
+// deterministic.
 package paired
 
 import (
@@ -15,15 +16,15 @@
 	"slices"
 )
 
-// Verdict is what can be said of a difference.
+// Verdict is the conclusion from a difference.
 type Verdict string
 
-// The verdicts.
+// The verdicts, and the parameters of the comparison.
 const (
 	Better       Verdict = "better"
 	Worse        Verdict = "worse"
 	Inconclusive Verdict = "can't tell"
-	NoDifference Verdict = "no difference" // all pairs are equal
+	NoDifference Verdict = "no difference" // the scores of every pair are equal
 	resamples            = 2000
 	minPairs             = 3
 	confidence           = 0.95
@@ -36,13 +37,14 @@
 	Mean      float64
 	Low, High float64 // of the 95% interval of the mean
 	Verdict   Verdict
-	MorePairs int // further pairs that would likely tell; 0 = none are needed, or no number would
+	MorePairs int // estimate of the further pairs needed for a verdict; 0 = none, or no number would do
 }
 
-// ErrUnpaired says that there are not enough scores, or not as many of both.
+// ErrUnpaired is returned for too few scores, for lists of different lengths and for
+// differences that are not finite.
 var ErrUnpaired = errors.New("paired: scores don't come in pairs")
 
-// Compare compares the scores of A and B; a[i] and b[i] come from one draw.
+// Compare compares the scores of A and B. a[i] and b[i] come from the same draw.
 func Compare(a, b []float64) (Difference, error) {
 	if len(a) != len(b) || len(a) < minPairs || len(a) > maxPairs {
 		return Difference{}, fmt.Errorf("%w: %d and %d, want as many of both, %d at least", ErrUnpaired, len(a), len(b), minPairs)
@@ -54,9 +56,9 @@
 			return Difference{}, fmt.Errorf("%w: pair %d is %v and %v", ErrUnpaired, i, a[i], b[i])
 		}
 	}
-	mean, err := meanAndError(d)
+	mean, stdErr := meanAndError(d)
 	out := Difference{Pairs: len(d), Mean: mean, Low: mean, High: mean, Verdict: NoDifference}
-	if err == 0 {
+	if stdErr == 0 {
 		if mean != 0 {
 			out.Verdict = verdictOf(mean)
 		}
@@ -70,25 +72,26 @@
 			sample[i] = d[rng.IntN(len(d))]
 		}
 		m, e := meanAndError(sample)
-		if e == 0 { // all alike: the spread of the whole stands in for its own
-			e = err
+		if e == 0 { // all values are equal: use the standard error of all pairs
+			e = stdErr
 		}
 		t = append(t, (m-mean)/e)
 	}
 	slices.Sort(t)
 	tail := (1 - confidence) / 2
-	out.Low = mean - quantile(t, 1-tail)*err
-	out.High = mean - quantile(t, tail)*err
+	out.Low = mean - quantile(t, 1-tail)*stdErr
+	out.High = mean - quantile(t, tail)*stdErr
 	switch {
 	case out.Low > 0 || out.High < 0:
 		out.Verdict = verdictOf(mean)
 	default:
 		out.Verdict = Inconclusive
-		out.MorePairs = morePairs(mean, err, len(d))
+		out.MorePairs = morePairs(mean, stdErr, len(d))
 	}
 	return out, nil
 }
 
+// verdictOf returns the verdict for a mean difference that is significant.
 func verdictOf(mean float64) Verdict {
 	if mean > 0 {
 		return Better
@@ -96,37 +99,39 @@
 	return Worse
 }
 
-// morePairs is how many further pairs would make the mean as it is stand out.
-func morePairs(mean, err float64, n int) int {
+// morePairs estimates how many further pairs would make the mean significant if it
+// stayed as it is.
+func morePairs(mean, stdErr float64, n int) int {
 	if mean == 0 {
 		return 0
 	}
-	const z = 2.3 // the interval's half width, and some power beside it
-	need := float64(n) * (z * err / math.Abs(mean)) * (z * err / math.Abs(mean))
-	if need > maxPairs {
+	const z = 2.3 // half width of the 95% interval in standard errors, with a margin for power
+	pairs := float64(n) * (z * stdErr / math.Abs(mean)) * (z * stdErr / math.Abs(mean))
+	if pairs > maxPairs {
 		return 0
 	}
-	return max(1, int(math.Ceil(need))-n)
+	return max(1, int(math.Ceil(pairs))-n)
 }
 
-// meanAndError are the mean and its standard error.
-func meanAndError(x []float64) (mean, err float64) {
+// meanAndError returns the mean and its standard error; an error that is only
+// rounding is returned as 0.
+func meanAndError(x []float64) (mean, stdErr float64) {
 	for _, v := range x {
 		mean += v
 	}
 	mean /= float64(len(x))
-	ss := 0.0
+	squares := 0.0
 	for _, v := range x {
-		ss += (v - mean) * (v - mean)
+		squares += (v - mean) * (v - mean)
 	}
-	err = math.Sqrt(ss / float64(len(x)-1) / float64(len(x)))
-	if err < 1e-12*(1+math.Abs(mean)) {
-		err = 0
+	stdErr = math.Sqrt(squares / float64(len(x)-1) / float64(len(x)))
+	if stdErr < 1e-12*(1+math.Abs(mean)) {
+		stdErr = 0
 	}
-	return mean, err
+	return mean, stdErr
 }
 
-// quantile interpolates between the sorted values.
+// quantile returns a quantile of sorted values, by linear interpolation.
 func quantile(sorted []float64, q float64) float64 {
 	at := q * float64(len(sorted)-1)
 	i := int(at)
--- a/internal/lab/paired/paired_test.go
+++ b/internal/lab/paired/paired_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// drawScores makes n paired scores whose difference has that mean and is skewed, as
-// worst windows are.
+// drawScores returns n pairs of scores whose differences have the mean shift. Their
+// noise is skewed, as it is in the scores of worst windows.
 func drawScores(seed uint64, n int, shift float64) (a, b []float64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for range n {
@@ -19,7 +19,8 @@
 	return a, b
 }
 
-// The interval covers the truth as often as it says.
+// An interval that is too narrow or too wide would give wrong verdicts: 95% intervals
+// must cover the true difference in about 95% of the rounds.
 func TestIntervalCoverage(t *testing.T) {
 	t.Parallel()
 	covered := 0
@@ -35,10 +36,12 @@
 		}
 	}
 	if share := float64(covered) / rounds; share < 0.92 || share > 0.98 {
-		t.Errorf("95%% intervals cover the truth in %.3f of the rounds", share)
+		t.Errorf("95%% intervals cover the true difference in %.3f of the rounds", share)
 	}
 }
 
+// The verdicts on a clear gain, a clear loss, no shift, equal scores and too few
+// pairs; and input that must be rejected.
 func TestVerdicts(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
