--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what became of a run as one self-contained HTML page:
-// tables, and plots as inline SVG.
+// Package report writes the result of a run, or of a comparison of two runs, as one
+// self-contained HTML page with tables and inline SVG plots.
 package report
 
 import (
@@ -22,11 +22,14 @@
 	"kiteslip/internal/lab/fleet"
 )
 
+// The size of a plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 )
 
+// page is the template of the page; it names the fields of Write's data, section,
+// experiment.Row and fleet.Group.
 var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>kitelab: {{.Title}}</title>
 <style>body{font:15px sans-serif;max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}
@@ -44,6 +47,7 @@
 </body></html>
 `))
 
+// section is the part of the page about one run. The template names its fields.
 type section struct {
 	Name   string
 	Days   int
@@ -77,10 +81,11 @@
 	return page.Execute(w, data)
 }
 
+// newSection returns the section of a run, with its plots.
 func newSection(run *experiment.Run) (section, error) {
 	s := section{Name: run.Name, Days: len(run.Days), Groups: run.Groups()}
-	for _, of := range []func(*experiment.Run) (*plot.Plot, error){latencyPlot, servedPlot, refusedPlot} {
-		p, err := of(run)
+	for _, newPlot := range []func(*experiment.Run) (*plot.Plot, error){latencyPlot, servedPlot, refusedPlot} {
+		p, err := newPlot(run)
 		if err != nil {
 			return s, err
 		}
@@ -93,28 +98,31 @@
 	return s, nil
 }
 
+// svgProlog matches what comes before the svg element in an SVG file.
 var svgProlog = regexp.MustCompile(`(?s)^.*?<svg`)
 
+// renderSVG returns a plot as an svg element.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
-	c := vgsvg.New(plotWidth, plotHeight)
-	p.Draw(draw.New(c))
-	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	canvas := vgsvg.New(plotWidth, plotHeight)
+	p.Draw(draw.New(canvas))
+	var svg bytes.Buffer
+	if _, err := canvas.WriteTo(&svg); err != nil {
 		return "", err
 	}
-	return template.HTML(svgProlog.ReplaceAllString(b.String(), "<svg")), nil //nolint:gosec // the library escapes its text
+	return template.HTML(svgProlog.ReplaceAllString(svg.String(), "<svg")), nil //nolint:gosec // the plot library escapes text
 }
 
-// latencyPlot is what was served, by percentile, from when it was asked.
+// latencyPlot plots the latency of served requests by percentile, for each class.
+// Latency counts from the planned start of a request.
 func latencyPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "latency by percentile, from when a request was meant to be sent"
 	p.X.Label.Text, p.Y.Label.Text = "percentile", "ms"
-	names := make([]plot.Tick, len(fleet.PercentileRanks))
+	ticks := make([]plot.Tick, len(fleet.PercentileRanks))
 	for i, q := range fleet.PercentileRanks {
-		names[i] = plot.Tick{Value: float64(i), Label: fmt.Sprint(q)}
+		ticks[i] = plot.Tick{Value: float64(i), Label: fmt.Sprint(q)}
 	}
-	p.X.Tick.Marker = plot.ConstantTicks(names)
+	p.X.Tick.Marker = plot.ConstantTicks(ticks)
 	for c, g := range run.Days[0].Outcome.Classes {
 		xy := make(plotter.XYs, len(fleet.PercentileRanks))
 		for i := range xy {
@@ -131,20 +139,21 @@
 	return p, nil
 }
 
-// meanBySecond is a figure by second, the mean of the days.
-func meanBySecond(run *experiment.Run, of func(*fleet.Outcome, int) float64) plotter.XYs {
+// meanBySecond returns a figure of each second, as the mean of the days.
+func meanBySecond(run *experiment.Run, value func(*fleet.Outcome, int) float64) plotter.XYs {
 	xy := make(plotter.XYs, len(run.Days[0].Outcome.ServedBySecond))
 	for i := range xy {
 		xy[i].X = float64(i)
 		for _, d := range run.Days {
 			if i < len(d.Outcome.ServedBySecond) {
-				xy[i].Y += of(d.Outcome, i) / float64(len(run.Days))
+				xy[i].Y += value(d.Outcome, i) / float64(len(run.Days))
 			}
 		}
 	}
 	return xy
 }
 
+// servedPlot plots the share of the worth that was served, by second.
 func servedPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "part of the worth served", "second", "part"
@@ -155,6 +164,7 @@
 	return p, markFailures(p, run, 1)
 }
 
+// refusedPlot plots the refused requests, by second.
 func refusedPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "refusals", "second", "requests a day"
@@ -169,19 +179,20 @@
 	return p, markFailures(p, run, top)
 }
 
-func addLine(p *plot.Plot, name string, xy plotter.XYs, n int) error {
+// addLine adds a line with a name in the legend and the color of the given index.
+func addLine(p *plot.Plot, name string, xy plotter.XYs, colorIndex int) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
 		return err
 	}
-	l.Color = plotutil.Color(n)
+	l.Color = plotutil.Color(colorIndex)
 	l.Width = vg.Points(1.5)
 	p.Add(l)
 	p.Legend.Add(name, l)
 	return nil
 }
 
-// markFailures shows from when to when each failure lasts.
+// markFailures shades the time of each failure, up to the height top.
 func markFailures(p *plot.Plot, run *experiment.Run, top float64) error {
 	for _, f := range run.Failures {
 		from, to := float64(f.At)/fleet.Second, float64(f.At+f.Duration)/fleet.Second
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -12,8 +12,9 @@
 	"kiteslip/internal/lab/experiment"
 )
 
-// The page holds all it shows, its plots are whole, failures are marked, and
-// names from a scenario can't break out of it.
+// The page must have its tables, the verdict, the marks of failures and complete
+// plots, load nothing from elsewhere, and escape names from a scenario: a name with
+// markup would otherwise run in the reader's browser.
 func TestPage(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join("..", "..", "..", "scenarios", "fifth-dies.toml"))
@@ -44,7 +45,7 @@
 		}
 	}
 	if strings.Contains(html, "<script>") || strings.Contains(html, "src=") || strings.Contains(html, "href=") {
-		t.Error("the page runs or fetches something")
+		t.Error("the page runs a script or loads something")
 	}
 	plots := 0
 	for _, part := range strings.SplitAfter(html, "</svg>") {
@@ -65,6 +66,6 @@
 		t.Errorf("%d plots, want 6", plots)
 	}
 	if err := Write(io.Discard, []*experiment.Run{{Name: "empty"}}, nil); err == nil {
-		t.Error("a run without days is written")
+		t.Error("a run without days was written")
 	}
 }
