--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -22,7 +22,7 @@
 
 // Fleet is a fleet of real programs for one day.
 type Fleet struct {
-	Replies       chan fleet.Reply
+	Replies       chan fleet.Reply // for fleet.PlayLive
 	day           *fleet.Day
 	programPath   string
 	dir           string
@@ -30,7 +30,8 @@
 	lastRequestID atomic.Uint64
 }
 
-// remote is one box: a process, its engine and the callers' connections to it.
+// remote is one box: a process, its engine and the callers' connections to it. It
+// implements fleet.Remote.
 type remote struct {
 	f      *Fleet
 	number int
@@ -40,7 +41,7 @@
 	mu          sync.Mutex
 	engine      *box.Engine
 	program     *Program
-	freeConns   []*conn // with room for another request
+	freeConns   []*conn // that may have room for another request
 	conns       map[*conn]struct{}
 	incarnation int
 }
@@ -51,19 +52,20 @@
 	b           *remote
 	incarnation int
 	lastStream  uint32
-	open        map[uint32]uint32 // by stream: the try
+	open        map[uint32]uint32 // by stream: the ID of the open try
 	closed      bool
 	goAway      bool
-	inFreeList  bool // among the free ones
+	inFreeList  bool
 }
 
-// maxQueuedReplies is how many answers may wait for the loop that plays the day.
+// maxQueuedReplies bounds the answers that wait for the loop that plays the day.
 const maxQueuedReplies = 1 << 16
 
-// Launch starts the boxes of a day; speeds lie as Play has them.
+// Launch starts the boxes of a day with the program at path. Their speeds are those
+// that fleet.Play would use.
 func Launch(path string, day *fleet.Day) (*Fleet, error) {
 	if day.Ledger != nil {
-		return nil, errors.New("live: calls below are played in simulated time alone")
+		return nil, errors.New("live: downstream calls are only supported in simulated time")
 	}
 	dir, err := os.MkdirTemp("", "kitelab")
 	if err != nil {
@@ -75,15 +77,15 @@
 		f.boxes = append(f.boxes, b)
 	}
 	errs := make([]error, len(f.boxes))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, b := range f.boxes {
-		all.Go(func() {
+		wg.Go(func() {
 			if b.listen, errs[i] = FreeAddress(); errs[i] == nil {
 				errs[i] = b.start()
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	if err := errors.Join(errs...); err != nil {
 		f.Close()
 		return nil, err
@@ -91,7 +93,7 @@
 	return f, nil
 }
 
-// Remotes are the boxes, for fleet.Live.
+// Remotes returns the boxes, for fleet.PlayLive.
 func (f *Fleet) Remotes() []fleet.Remote {
 	list := make([]fleet.Remote, len(f.boxes))
 	for i, b := range f.boxes {
@@ -100,19 +102,19 @@
 	return list
 }
 
-// Close ends all processes.
+// Close ends all processes and removes their files.
 func (f *Fleet) Close() {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, b := range f.boxes {
-		all.Go(b.Kill)
+		wg.Go(b.Kill)
 	}
-	all.Wait()
-	os.RemoveAll(f.dir) //nolint:errcheck // a folder of the system's for passing files
+	wg.Wait()
+	os.RemoveAll(f.dir) //nolint:errcheck // it is in the system's folder for temporary files
 }
 
-// platformFile words the module's settings for the program.
+// platformFile returns the day's settings as a platform's file for the program.
 func (f *Fleet) platformFile(listen, engine string) ([]byte, error) {
-	m := &f.day.Policy
+	policy := &f.day.Policy
 	var classes, tenants []any
 	effects := map[kiteslip.Effect]string{kiteslip.Repeatable: "repeatable", kiteslip.Keyed: "by_key"}
 	for i := range f.day.Classes {
@@ -121,24 +123,25 @@
 			"window_us": c.Window, "worth": c.Worth, "late_worth": c.LateWorth})
 	}
 	for i := range f.day.Teams {
-		tenants = append(tenants, map[string]any{"name": f.day.Teams[i].Name, "quota_per_s": m.Tenants[i].Quota})
+		tenants = append(tenants, map[string]any{"name": f.day.Teams[i].Name, "quota_per_s": policy.Tenants[i].Quota})
 	}
 	return json.Marshal(map[string]any{
 		"name": "lab", "listen": listen, "engine": engine, "seed": "1", "stop_ms": 3500,
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"settings": map[string]any{
 			"classes": classes, "tenants": tenants,
-			"ceilings":    map[string]any{"retry_after": m.MaxRetryAfter > 0, "max_retry_after_us": m.MaxRetryAfter},
-			"family_info": map[string]any{"cores": m.Cores, "memory_kb": m.MemoryKB, "blowup": m.RunFactor, "key_kb": m.KeyKB, "idle_us": 60_000_000, "callers": len(f.day.Callers)},
-			"goal": map[string]any{"whole": m.Goal.Whole, "worst_class": m.Goal.WorstClass, "worst_tenant": m.Goal.WorstTenant,
-				"worst_window": m.Goal.WorstWindow},
-			"rules":            map[string]any{"answer_slack_us": m.AnswerSlack, "drain_grace_us": m.DrainGrace, "fall_multiple": m.MaxRunsPerCore, "fall_us": m.MaxRunsWindow},
-			"over_share_worth": m.OverShareWorth, "worth_by": "work", "tick_us": m.Tick, "group_size": f.day.Boxes,
+			"ceilings":    map[string]any{"retry_after": policy.MaxRetryAfter > 0, "max_retry_after_us": policy.MaxRetryAfter},
+			"family_info": map[string]any{"cores": policy.Cores, "memory_kb": policy.MemoryKB, "blowup": policy.RunFactor, "key_kb": policy.KeyKB, "idle_us": 60_000_000, "callers": len(f.day.Callers)},
+			"goal": map[string]any{"whole": policy.Goal.Whole, "worst_class": policy.Goal.WorstClass, "worst_tenant": policy.Goal.WorstTenant,
+				"worst_window": policy.Goal.WorstWindow},
+			"rules":            map[string]any{"answer_slack_us": policy.AnswerSlack, "drain_grace_us": policy.DrainGrace, "fall_multiple": policy.MaxRunsPerCore, "fall_us": policy.MaxRunsWindow},
+			"over_share_worth": policy.OverShareWorth, "worth_by": "work", "tick_us": policy.Tick, "group_size": f.day.Boxes,
 		},
 	})
 }
 
-// operatorFile words the backend and the pools for the program.
+// operatorFile returns the backend, if any, and the pools as an operator's file for
+// the program; it is empty if there are neither.
 func (f *Fleet) operatorFile(backend string) string {
 	text := ""
 	if backend != "" {
@@ -163,7 +166,7 @@
 	return text
 }
 
-// start begins a life of the box.
+// start starts the engine and the process of the box.
 func (b *remote) start() error {
 	spec := b.f.day.Box
 	spec.Speed *= b.speed
@@ -198,7 +201,7 @@
 	return nil
 }
 
-// Kill ends the box at once.
+// Kill ends the process, the engine and the connections of the box at once.
 func (b *remote) Kill() {
 	b.mu.Lock()
 	engine, program := b.engine, b.program
@@ -218,17 +221,18 @@
 	}
 }
 
-// Restart starts it anew, cold.
-func (b *remote) Restart(factor float64, warm int64) {
+// Restart starts the box again, cold.
+func (b *remote) Restart(factor float64, warmup int64) {
 	go func() {
 		if err := b.start(); err != nil {
-			fmt.Fprintln(os.Stderr, "kitelab: box", b.number, "does not come back:", err)
+			fmt.Fprintln(os.Stderr, "kitelab: box", b.number, "was not restarted:", err)
 			return
 		}
-		b.changeBox(func(x *box.Box, now int64) { x.Cold(now, factor, warm) })
+		b.changeBox(func(x *box.Box, now int64) { x.Cold(now, factor, warmup) })
 	}()
 }
 
+// changeBox calls f with the emulated box and the current time, unless it is down.
 func (b *remote) changeBox(f func(*box.Box, int64)) {
 	b.mu.Lock()
 	engine := b.engine
@@ -238,24 +242,24 @@
 	}
 }
 
-// SetSpeed sets the speed to a part of the usual.
+// SetSpeed sets the speed of the box to a share of its usual speed.
 func (b *remote) SetSpeed(factor float64) {
 	b.changeBox(func(x *box.Box, now int64) { x.Scale(now, factor) })
 }
 
-// Pause stops the process and the cores for a while.
-func (b *remote) Pause(span int64) {
+// Pause stops the process and the cores for a time in microseconds.
+func (b *remote) Pause(duration int64) {
 	b.mu.Lock()
-	program, life := b.program, b.incarnation
+	program, incarnation := b.program, b.incarnation
 	b.mu.Unlock()
 	if program == nil {
 		return
 	}
 	b.SetSpeed(0)
 	program.Process.Signal(syscall.SIGSTOP) //nolint:errcheck // it may have ended
-	time.AfterFunc(time.Duration(span)*time.Microsecond, func() {
+	time.AfterFunc(time.Duration(duration)*time.Microsecond, func() {
 		b.mu.Lock()
-		same := b.incarnation == life && b.program != nil
+		same := b.incarnation == incarnation && b.program != nil
 		b.mu.Unlock()
 		if same {
 			program.Process.Signal(syscall.SIGCONT) //nolint:errcheck // it may have ended
@@ -264,7 +268,7 @@
 	})
 }
 
-// Drain gives the notice to leave.
+// Drain sends the shutdown notice to the process.
 func (b *remote) Drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -273,7 +277,8 @@
 	}
 }
 
-// connection returns a connection with room, a new one if there is none.
+// connection returns a connection with room for another request, a new one if there
+// is none.
 func (b *remote) connection() (*conn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -286,7 +291,7 @@
 		b.freeConns = b.freeConns[:len(b.freeConns)-1]
 	}
 	if b.program == nil {
-		return nil, errors.New("the box is dead")
+		return nil, errors.New("the box is down")
 	}
 	nc, err := net.DialTimeout("tcp", b.listen, time.Second)
 	if err != nil {
@@ -299,7 +304,7 @@
 	return c, nil
 }
 
-// Send sends a try; it fails, as an answer, where the box can't be reached.
+// Send sends a try. If the box can't be reached, the reply is a failed answer.
 func (b *remote) Send(s fleet.RemoteTry) {
 	c, err := b.connection()
 	if err != nil {
@@ -323,18 +328,20 @@
 	c.open[stream] = s.ID
 	b.mu.Unlock()
 	if _, err := c.Write(frame.AppendRequest(nil, stream, fields, strconv.AppendInt(nil, int64(s.Work), 10))); err != nil {
-		c.Close() // its reader answers what is open
+		c.Close() // its reader replies to the open tries
 	}
 }
 
-func (f *Fleet) reply(b int, id uint32, a core.Answer) {
+// reply queues the end of a try for the loop that plays the day.
+func (f *Fleet) reply(number int, id uint32, a core.Answer) {
 	select {
-	case f.Replies <- fleet.Reply{Box: b, ID: id, Answer: a}:
-	default: // the day is over, and nobody takes them any more
+	case f.Replies <- fleet.Reply{Box: number, ID: id, Answer: a}:
+	default: // the queue is full because the day is over
 	}
 }
 
-// read passes answers on until the connection ends; what is open then has failed.
+// read processes frames until the connection ends. Tries that are open then have
+// failed.
 func (c *conn) read() {
 	var buf []byte
 	chunk := make([]byte, 32<<10)
@@ -342,8 +349,8 @@
 		n, err := c.Read(chunk)
 		buf = append(buf, chunk[:n]...)
 		for {
-			f, used, bad := frame.Split(buf)
-			if bad != nil || used == 0 {
+			f, used, splitErr := frame.Split(buf)
+			if splitErr != nil || used == 0 {
 				break
 			}
 			c.handleFrame(f)
@@ -365,6 +372,8 @@
 	}
 }
 
+// handleFrame processes one frame: an answer, or the notice that the server takes no
+// more requests on this connection.
 func (c *conn) handleFrame(f frame.Frame) {
 	c.b.mu.Lock()
 	if f.Type == frame.GoAway {
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -8,7 +8,7 @@
 	"kiteslip/internal/lab/fleet"
 )
 
-// buildProgram builds the program.
+// buildProgram builds kiteslip and returns the path of the program.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "kiteslip")
@@ -18,9 +18,9 @@
 	return program
 }
 
-// A short day against the real program, in which a box dies and comes back:
-// every request has its end, none late by the rules, and the draws are those of
-// simulated time.
+// A short day against the real program in which a box crashes and restarts. Requests
+// open at the crash must end, none after its deadline, and the requests must be the
+// same as in simulated time.
 func TestLiveDayWithCrash(t *testing.T) {
 	program := buildProgram(t)
 	day, _, err := fleet.Load(filepath.Join("..", "..", "..", "scenarios", "fifth-dies.toml"))
@@ -34,8 +34,8 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	looks := 0
-	o, _, err := fleet.PlayLive(day, f.Remotes(), f.Replies, nil, func(int64, *fleet.Outcome) { looks++ })
+	watchCalls := 0
+	o, _, err := fleet.PlayLive(day, f.Remotes(), f.Replies, nil, func(int64, *fleet.Outcome) { watchCalls++ })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,8 +43,8 @@
 	for _, g := range o.Classes {
 		ended += g.InTime + g.Late + g.Refused + g.Failed
 	}
-	if ended != o.Asked || o.Asked < 50 || o.DeadlineExceeded > 0 || o.BoxesLost != 1 || o.Whole < 0.3 || looks < 10 {
-		t.Errorf("%d asked, %d ended, %d overdue, %d deaths, %.3f of the worth, %d looks", o.Asked, ended, o.DeadlineExceeded, o.BoxesLost, o.Whole, looks)
+	if ended != o.Asked || o.Asked < 50 || o.DeadlineExceeded > 0 || o.BoxesLost != 1 || o.Whole < 0.3 || watchCalls < 10 {
+		t.Errorf("%d requests, %d ended, %d after their deadline, %d boxes lost, %.3f of the worth served, %d calls of watch", o.Asked, ended, o.DeadlineExceeded, o.BoxesLost, o.Whole, watchCalls)
 	}
 	emulated, err := fleet.Play(day)
 	if err != nil {
@@ -55,7 +55,8 @@
 	}
 }
 
-// The same with the work done by uwsgi servers: what is served is what they made.
+// A short day against the real program with uwsgi servers that do the work; nearly
+// all of the worth must be served.
 func TestLiveDayWithUWSGI(t *testing.T) {
 	program := buildProgram(t)
 	day, _, err := fleet.Load(filepath.Join("..", "..", "..", "scenarios", "calm-lunch.toml"))
@@ -73,6 +74,6 @@
 		t.Fatal(err)
 	}
 	if o.Asked < 10 || o.DeadlineExceeded > 0 || o.Whole < 0.9 {
-		t.Errorf("%d asked, %d overdue, %.3f of the worth", o.Asked, o.DeadlineExceeded, o.Whole)
+		t.Errorf("%d requests, %d after their deadline, %.3f of the worth served", o.Asked, o.DeadlineExceeded, o.Whole)
 	}
 }
--- a/internal/lab/live/program.go
+++ b/internal/lab/live/program.go
@@ -1,6 +1,6 @@
-// Package live runs days of internal/lab/fleet against the real program on
-// loopback: a process for each box, an emulated engine behind it, and callers
-// that send when they mean to, whatever becomes of what they sent before.
+// Package live plays days of internal/lab/fleet against the real program on
+// loopback: one process for each box with an emulated engine behind it, and callers
+// that send at planned times, independent of earlier answers (an open loop).
 package live
 
 import (
@@ -15,28 +15,29 @@
 	"time"
 )
 
-// Program is a process of the real program.
+// Program is a running process of the real program.
 type Program struct{ *exec.Cmd }
 
-// Start starts the program with a platform's file and, unless it is
-// empty, an operator's file, and waits until it takes connections.
+// Start starts the program at path with the given platform's file and, unless it is
+// empty, operator's file, both written to dir, and waits at most 5 s until it accepts
+// connections on listen.
 func Start(path, dir, listen string, settings []byte, operator string) (*Program, error) {
-	file := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(file, settings, 0o600); err != nil {
+	platformPath := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(platformPath, settings, 0o600); err != nil {
 		return nil, err
 	}
 	args := []string{"serve", "--log-level", "error"}
 	if operator != "" {
-		over := filepath.Join(dir, "operator.toml")
-		if err := os.WriteFile(over, []byte(operator), 0o600); err != nil {
+		operatorPath := filepath.Join(dir, "operator.toml")
+		if err := os.WriteFile(operatorPath, []byte(operator), 0o600); err != nil {
 			return nil, err
 		}
-		args = append(args, "--operator", over)
+		args = append(args, "--operator", operatorPath)
 	}
 	p := &Program{exec.Command(path, args...)}
-	p.Env = append(os.Environ(), "EDGE_CONFIG="+file, "TMPDIR="+dir)
+	p.Env = append(os.Environ(), "EDGE_CONFIG="+platformPath, "TMPDIR="+dir)
 	p.Stderr = os.Stderr
-	p.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // ctrl-C is for who plays, who then ends it
+	p.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // ctrl-C must reach only the parent, which then ends the process
 	if err := p.Start(); err != nil {
 		return nil, err
 	}
@@ -48,22 +49,22 @@
 		time.Sleep(time.Millisecond)
 	}
 	p.Kill()
-	return nil, fmt.Errorf("the program does not listen on %s", listen)
+	return nil, fmt.Errorf("the program did not accept connections on %s", listen)
 }
 
-// Kill ends the process at once.
+// Kill ends the process at once, by SIGKILL.
 func (p *Program) Kill() {
 	p.Process.Kill() //nolint:errcheck // it may have ended
 	p.Wait()         //nolint:errcheck // it was killed
 }
 
-// Stop lets the process drain and end.
+// Stop sends the shutdown notice and waits until the process has drained and ended.
 func (p *Program) Stop() {
 	p.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
-	p.Wait()                          //nolint:errcheck // its answers were counted
+	p.Wait()                          //nolint:errcheck // its exit status does not matter
 }
 
-// PeakKB is the most memory that the process has had in use.
+// PeakKB returns the largest resident memory that the process has had.
 func (p *Program) PeakKB() (int, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 	if err != nil {
@@ -74,10 +75,10 @@
 			return strconv.Atoi(strings.TrimSuffix(strings.TrimSpace(rest), " kB"))
 		}
 	}
-	return 0, fmt.Errorf("/proc/%d/status does not tell the memory", p.Process.Pid)
+	return 0, fmt.Errorf("/proc/%d/status has no VmHWM line", p.Process.Pid)
 }
 
-// FreeAddress is a loopback address that nothing listens on.
+// FreeAddress returns a loopback address that nothing listens on at the moment.
 func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
