--- a/cmd/kitelab/calls.go
+++ b/cmd/kitelab/calls.go
@@ -7,6 +7,7 @@
 	"kiteslip/internal/lab/calls"
 )
 
+// callsCmd measures downstream calls under faults, and their cost.
 type callsCmd struct {
 	Program string `default:"bin/kiteslip" help:"The program that is measured."`
 	Runs    int    `default:"10000" help:"Runs with calls, under faults."`
@@ -14,21 +15,22 @@
 	Seed    uint64 `default:"5" help:"Of the runs and the faults."`
 }
 
-// The promises.
+// The bounds that the measurement must keep.
 const (
-	maxCallAddedP99 = time.Millisecond // by the ledger's client, in the 99th percentile
-	maxCallCPU      = 500 * time.Microsecond
-	minServedShare  = 0.6 // of the runs; one call in four goes wrong, and the ledger and the link come and go
+	maxCallAddedP99 = time.Millisecond       // latency that one call adds at the 99th percentile
+	maxCallCPU      = 500 * time.Microsecond // processor time that one call adds
+	minServedShare  = 0.6                    // of the runs, while one call in four fails and the ledger and its link are down at times
 )
 
+// Run plays the measurement.
 func (c *callsCmd) Run() error {
 	var v shortfalls
-	l, err := calls.Open(c.Program, calls.Faulty)
+	rig, err := calls.Open(c.Program, calls.Faulty)
 	if err != nil {
 		return err
 	}
-	o, err := l.Faults(c.Runs, c.Seed)
-	l.Close()
+	o, err := rig.Faults(c.Runs, c.Seed)
+	rig.Close()
 	if err != nil {
 		return err
 	}
@@ -38,18 +40,18 @@
 	v.require(o.SecondRuns == 0 && o.SecondEffect == 0, "%d keyed runs and %d calls with an effect made twice", o.SecondRuns, o.SecondEffect)
 	v.require(o.Unended == 0, "%d calls without one end", o.Unended)
 	v.require(float64(o.Served) >= minServedShare*float64(o.Runs), "%d of %d runs served, want %v", o.Served, o.Runs, minServedShare)
-	if l, err = calls.Open(c.Program, nil); err != nil {
+	if rig, err = calls.Open(c.Program, nil); err != nil {
 		return err
 	}
-	defer l.Close()
-	if _, err = l.Cost(c.Cost/10, 1); err != nil { // the first ones pay for what is kept
+	defer rig.Close()
+	if _, err = rig.Cost(c.Cost/10, 1); err != nil { // warm-up: the first requests also pay for state that is set up once
 		return err
 	}
-	none, err := l.Cost(c.Cost, 0)
+	none, err := rig.Cost(c.Cost, 0)
 	if err != nil {
 		return err
 	}
-	one, err := l.Cost(c.Cost, 1)
+	one, err := rig.Cost(c.Cost, 1)
 	if err != nil {
 		return err
 	}
--- a/cmd/kitelab/capacity.go
+++ b/cmd/kitelab/capacity.go
@@ -8,6 +8,7 @@
 	"kiteslip/internal/lab/scale/capacity"
 )
 
+// capacityCmd renders the tables of the capacity page.
 type capacityCmd struct {
 	Page   string   `default:"docs/CAPACITY.md" help:"The page whose tables are rendered."`
 	Target string   `default:"docs/capacity/target-fleet.toml" help:"The operators' target."`
@@ -15,6 +16,7 @@
 	Check  bool     `help:"Change nothing, and end with 1 if the page is not what the files give."`
 }
 
+// Run renders the page, or checks that it is up to date.
 func (c *capacityCmd) Run() error {
 	in, err := capacity.Load(c.Target, c.Files...)
 	if err != nil {
--- a/cmd/kitelab/door.go
+++ b/cmd/kitelab/door.go
@@ -19,6 +19,8 @@
 	"kiteslip/internal/standin/box"
 )
 
+// doorCmd measures many connections that each keep several requests open from the
+// start: whether all are answered in time and served alike.
 type doorCmd struct {
 	Program     string        `default:"bin/kiteslip" help:"The program that is measured."`
 	Connections int           `default:"1000" help:"Connections."`
@@ -28,9 +30,11 @@
 	Least       float64       `default:"0.8" help:"The least served connection's part of the median."`
 }
 
-// answerSlackMS is how late an answer may be by the platform's rules.
+// answerSlackMS is by how much an answer may exceed its deadline.
 const answerSlackMS = 60
 
+// Run plays the measurement once with requests from the start and once with requests
+// from one second later, which shows what accepting the connections costs.
 func (c *doorCmd) Run() error {
 	early, err := c.measure(0)
 	if err != nil {
@@ -51,22 +55,25 @@
 		early.late, share, early.maxMS, early.refusedShare, early.cpuUS, settled.cpuUS))
 }
 
-// doorRound is one round's outcome.
+// doorRound is the outcome of one round. minAnswers, medianAnswers and maxAnswers
+// are by connection.
 type doorRound struct {
 	answers, late, unanswered             int64
 	minAnswers, medianAnswers, maxAnswers int64
-	maxMS                                 int64 // ms
+	maxMS                                 int64
 	p99MS                                 int64
 	refusedShare                          float64
-	cpuUS                                 float64 // microseconds for a request
+	cpuUS                                 float64 // processor time of the program for each answer
 }
 
+// String returns the outcome as a line of text.
 func (r doorRound) String() string {
 	return fmt.Sprintf("%d answers, %.1f%% refused, %d late; by connection least %d, median %d, most %d; 99th %d ms, slowest %d ms; %.1f us of processor time a request",
 		r.answers, 100*r.refusedShare, r.late, r.minAnswers, r.medianAnswers, r.maxAnswers, r.p99MS, r.maxMS, r.cpuUS)
 }
 
-// measure starts the program and lets all connections ask, so long after they stand.
+// measure starts the program and plays one round. The connections send their first
+// requests the time settle after they are established.
 func (c *doorCmd) measure(settle time.Duration) (r doorRound, err error) {
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
@@ -96,17 +103,18 @@
 	return c.sendLoad(listen, settle, p.Cmd)
 }
 
+// sendLoad sends the requests of all connections and sums up their answers.
 func (c *doorCmd) sendLoad(address string, settle time.Duration, program *exec.Cmd) (r doorRound, err error) {
 	counts := make([]int64, c.Connections)
 	var refused, unanswered atomic.Int64
 	var mu sync.Mutex
-	times := hdrhistogram.New(1, 60_000_000, 3)
-	var all sync.WaitGroup
+	latencies := hdrhistogram.New(1, 60_000_000, 3)
+	var wg sync.WaitGroup
 	errs := make(chan error, c.Connections)
-	began := time.Now()
+	started := time.Now()
 	for i := range c.Connections {
-		all.Go(func() {
-			k := doorClient{cmd: c, index: i, end: began.Add(settle + c.For), latencies: hdrhistogram.New(1, 60_000_000, 2)}
+		wg.Go(func() {
+			k := doorClient{cmd: c, index: i, end: started.Add(settle + c.For), latencies: hdrhistogram.New(1, 60_000_000, 2)}
 			if err := k.run(address, settle); err != nil {
 				errs <- err
 			}
@@ -114,11 +122,11 @@
 			refused.Add(k.refused)
 			unanswered.Add(int64(len(k.sentAt)))
 			mu.Lock()
-			times.Merge(k.latencies)
+			latencies.Merge(k.latencies)
 			mu.Unlock()
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	select {
 	case err := <-errs:
 		return r, err
@@ -136,17 +144,17 @@
 	r.unanswered = unanswered.Load()
 	r.refusedShare = float64(refused.Load()) / float64(max(1, r.answers))
 	r.cpuUS = float64(cpu.Microseconds()) / float64(max(1, r.answers))
-	r.maxMS, r.p99MS = times.Max()/1000, times.ValueAtQuantile(99)/1000
-	most := c.Limit.Milliseconds() + answerSlackMS
-	for _, bar := range times.Distribution() {
-		if bar.From/1000 > most {
-			r.late += bar.Count
+	r.maxMS, r.p99MS = latencies.Max()/1000, latencies.ValueAtQuantile(99)/1000
+	maxMS := c.Limit.Milliseconds() + answerSlackMS
+	for _, bucket := range latencies.Distribution() {
+		if bucket.From/1000 > maxMS {
+			r.late += bucket.Count
 		}
 	}
 	return r, nil
 }
 
-// doorClient is one connection that keeps its requests open.
+// doorClient is one connection that sends a new request for each answer.
 type doorClient struct {
 	cmd              *doorCmd
 	index            int
@@ -157,6 +165,8 @@
 	latencies        *hdrhistogram.Histogram
 }
 
+// run plays the connection until all its requests are answered. Requests without an
+// answer are left in sentAt.
 func (k *doorClient) run(address string, settle time.Duration) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -178,7 +188,7 @@
 		n, err := conn.Read(buf[len(buf):cap(buf)])
 		if err != nil {
 			if err == io.EOF || os.IsTimeout(err) {
-				return nil // what has no answer is counted
+				return nil // the requests without an answer are counted by sendLoad
 			}
 			return err
 		}
@@ -208,6 +218,7 @@
 	return nil
 }
 
+// handleAnswer counts an answer and, before the end, appends a new request to out.
 func (k *doorClient) handleAnswer(f frame.Frame, out []byte) []byte {
 	at, open := k.sentAt[f.Stream]
 	if !open || len(f.Payload) == 0 {
@@ -225,6 +236,7 @@
 	return out
 }
 
+// appendRequest appends a new request to out.
 func (k *doorClient) appendRequest(out []byte) []byte {
 	k.stream++
 	now := time.Now()
@@ -232,13 +244,13 @@
 	return frame.AppendRequest(out, k.stream, probe.Fields("look", fmt.Sprintf("%08x%08x", k.index, k.stream), now, k.cmd.Limit), []byte("b"))
 }
 
-// processorTime is what a process has used so far, as the system counts it.
+// processorTime returns the user and system time that a process has used so far.
 func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	// After the name in brackets: state is the first field, utime the 12th, stime the 13th.
+	// After the name in parentheses, state is the first field, utime the 12th and stime the 13th.
 	end := slices.Index(text, ')')
 	if end < 0 {
 		return 0, fmt.Errorf("/proc/%d/stat is not understood", pid)
@@ -253,6 +265,6 @@
 	if _, err = fmt.Sscan(string(text[end+1:]), append(args, &user, &system)...); err != nil {
 		return 0, fmt.Errorf("/proc/%d/stat: %w", pid, err)
 	}
-	const ticks = 100 // a second, on all systems that the program runs on
-	return time.Duration(user+system) * time.Second / ticks, nil
+	const ticksPerSecond = 100 // on all systems that the program runs on
+	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
--- a/cmd/kitelab/fleetday.go
+++ b/cmd/kitelab/fleetday.go
@@ -12,6 +12,7 @@
 	"kiteslip/internal/lab/scale/hollow"
 )
 
+// fleetdayCmd plays the day of the target fleet, compressed in time.
 type fleetdayCmd struct {
 	Program        string `default:"bin/kiteslip" help:"The program that is measured."`
 	Seed           uint64 `default:"32" help:"Of the content, the changes, the plan and the callers."`
@@ -21,6 +22,7 @@
 	Out            string `default:"docs/capacity/fleetday.json" help:"Where the figures of a whole day are kept; \"\" = nowhere."`
 }
 
+// Run plays the day, or prints its plan.
 func (c *fleetdayCmd) Run() error {
 	form := fleetday.Full()
 	if c.Small {
@@ -37,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	kept := figures.New("bin/kitelab fleetday")
+	file := figures.New("bin/kitelab fleetday")
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	report, err := fleetday.Play(ctx, fleetday.Options{Form: form, Program: c.Program, Self: []string{self},
@@ -47,8 +49,8 @@
 	}
 	report.Write(os.Stdout)
 	if c.Out != "" && !c.Small && !c.WithoutControl {
-		kept.Figures = report.Figures
-		if err = kept.Save(c.Out); err != nil {
+		file.Figures = report.Figures
+		if err = file.Save(c.Out); err != nil {
 			return err
 		}
 	}
@@ -58,15 +60,21 @@
 	return nil
 }
 
-// The processes that a fleet day starts of this binary.
 type (
+	// hollowServersCmd is the process of hollow servers that a fleet day starts from
+	// this binary.
 	hollowServersCmd struct {
 		Spec string `arg:"" help:"What the servers are to be."`
 	}
+	// hollowCallersCmd is the process of callers that a fleet day starts from this
+	// binary.
 	hollowCallersCmd struct {
 		Spec string `arg:"" help:"What the callers are to be."`
 	}
 )
 
+// Run runs the servers, commanded on the standard input.
 func (c *hollowServersCmd) Run() error { return hollow.RunServers(c.Spec, os.Stdin, os.Stdout) }
+
+// Run runs the callers, commanded on the standard input.
 func (c *hollowCallersCmd) Run() error { return hollow.RunCallers(c.Spec, os.Stdin, os.Stdout) }
--- a/cmd/kitelab/heap.go
+++ b/cmd/kitelab/heap.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// liveHeapMetric is the heap that the last collection found live; reading it stops nothing.
+// liveHeapMetric is the heap that the last collection marked as live. Reading it does
+// not stop the program.
 const liveHeapMetric = "/gc/heap/live:bytes"
 
-// peakLiveHeap runs f with the collector at work after each 5% of growth, and
-// returns the most that a collection found live above what was live before,
-// sampled every 2 ms.
+// peakLiveHeap runs f with a collection after each 5% of heap growth and returns the
+// largest live heap less the live heap before, in bytes, sampled every 2 ms.
 func peakLiveHeap(f func() error) (uint64, error) {
 	defer debug.SetGCPercent(debug.SetGCPercent(5))
 	runtime.GC()
@@ -27,14 +27,14 @@
 	base := read()
 	stop, done := make(chan struct{}), make(chan uint64)
 	go func() {
-		var most uint64
+		var peak uint64
 		tick := time.NewTicker(2 * time.Millisecond)
 		defer tick.Stop()
 		for {
-			most = max(most, read())
+			peak = max(peak, read())
 			select {
 			case <-stop:
-				done <- most
+				done <- peak
 				return
 			case <-tick.C:
 			}
--- a/cmd/kitelab/lab.go
+++ b/cmd/kitelab/lab.go
@@ -17,32 +17,36 @@
 	"kiteslip/internal/pool"
 )
 
+// labCmd measures the laboratory itself: whether simulated days are reproducible,
+// its intervals are right and it agrees with the real program.
 type labCmd struct {
 	Program   string `default:"bin/kiteslip" help:"The program that is played against."`
 	Scenarios string `default:"scenarios" type:"existingdir" help:"The shelf."`
 }
 
-// The promises.
+// The parameters of the measurement, and the bounds that it must keep.
 const (
-	minCoverage, maxCoverage = 0.93, 0.97
-	maxScaleRatio            = 1.3
-	maxLatencyGap            = 0.10
-	maxGoodputGap            = 0.03
-	maxScoreGap              = 0.01
-	boxMemoryDayUS           = 4 * fleet.Second // of a day whose live heap is measured, with the collector at work often
-	maxBoxKB                 = 64               // live heap of one box of 1,000: its core, module, engine and open requests
-	minBindingRefusals       = 0.10             // refused on the days where decisions bind, on both sides
-	liveSeconds              = 10
+	minCoverage, maxCoverage = 0.93, 0.97       // how often 95% intervals cover the truth
+	maxScaleRatio            = 1.3              // cost of a request with 1,000 boxes, over that with 10
+	maxLatencyGap            = 0.10             // loopback against simulated time, relative
+	maxGoodputGap            = 0.03             // likewise
+	maxScoreGap              = 0.01             // between two runs of a day on loopback
+	boxMemoryDayUS           = 4 * fleet.Second // length of the day whose live heap is measured; the frequent collections make it slow
+	maxBoxKB                 = 64               // live heap of one box of 1,000: its core, policy, engine and open requests
+	minBindingRefusals       = 0.10             // share refused on overloaded days that bind, on loopback and in simulated time
+	liveSeconds              = 10               // length of the days on loopback
 )
 
-// overloadedDays are days over capacity, made of the first three: those that bind
-// must refuse at least bindingLeast on both sides.
+// overloadedDays are days over capacity, derived from the first three days of the
+// comparison. On those that bind, loopback and simulated time must both refuse at
+// least minBindingRefusals.
 var overloadedDays = []struct {
 	base  int
 	load  float64
 	binds bool
 }{{0, 1.1, false}, {0, 1.5, true}, {1, 1.5, true}}
 
+// Run plays the measurement.
 func (c *labCmd) Run() error {
 	var v shortfalls
 	load := func(name string) (fleet.Day, error) {
@@ -88,7 +92,8 @@
 		boxKB, worst.latency, worst.goodput, worst.bindingDays, worst.repeatGap, late))
 }
 
-// intervalCoverage compares equal settings on days drawn apart, 200 times.
+// intervalCoverage compares equal settings on independently drawn days 200 times and
+// returns how often the interval covers zero.
 func intervalCoverage(day fleet.Day) (float64, error) {
 	const rounds, pairs = 200, 8
 	failure := day.Failures[0]
@@ -129,8 +134,8 @@
 	return float64(covered.Load()) / rounds, nil
 }
 
-// measureScale plays a million requests on 10 boxes and on 1,000, and returns the
-// ratio of their cost and the live heap of one box of 1,000, in KB.
+// measureScale plays 200,000 requests on 10 boxes and a million on 1,000. It returns
+// the ratio of the costs of one request and the live heap of one box of 1,000, in KB.
 func measureScale(day fleet.Day) (float64, float64, error) {
 	day.Failures, day.Warmup = nil, 0
 	cost := func(boxes int, requests float64) (time.Duration, int, float64, error) {
@@ -169,13 +174,13 @@
 	return (float64(large) / float64(m)) / (float64(small) / float64(n)), kb, nil
 }
 
-// loopbackGap is how far loopback and simulated time lie apart.
+// loopbackGap is by how much loopback and simulated time differ at most.
 type loopbackGap struct {
 	latency, goodput, repeatGap float64
-	bindingDays                 int // days compared where the module turns work away
+	bindingDays                 int // days compared on which the policy must refuse work
 }
 
-// refusedShare is the part of the requests that ended refused.
+// refusedShare returns the share of the requests that were refused.
 func refusedShare(o *fleet.Outcome) float64 {
 	n := 0
 	for _, g := range o.Classes {
@@ -184,16 +189,17 @@
 	return float64(n) / float64(max(1, o.Asked))
 }
 
-// playedDay is a day on loopback and in simulated time.
+// playedDay is a day with its outcomes on loopback and in simulated time.
 type playedDay struct {
 	name           string
 	day            fleet.Day
 	emulated, real *fleet.Outcome
 	lateUS         int64
-	binds          bool // the module is to turn work away
+	binds          bool // the policy must refuse work
 }
 
-// playAll plays the days, two at a time on loopback: more would be late on four cores.
+// playAll plays the days on loopback and in simulated time. Two at a time run on
+// loopback: on four cores the callers of more would be late.
 func (c *labCmd) playAll(days []playedDay) error {
 	for pair := range slices.Chunk(days, 2) {
 		var all sync.WaitGroup
@@ -217,8 +223,9 @@
 	return nil
 }
 
-// compareWithLoopback plays three scenarios on loopback and in simulated time, one of them
-// twice, and a change that is known to hurt.
+// compareWithLoopback plays three scenarios on loopback and in simulated time, also
+// overloaded, one of them twice, and a change that is known to lower the score. It
+// returns the largest differences and lateness.
 func (c *labCmd) compareWithLoopback(v *shortfalls, load func(string) (fleet.Day, error)) (worst loopbackGap, late int64, err error) {
 	var days []playedDay
 	for i, name := range []string{"calm-lunch", "slow-zone", "pause-burst"} {
@@ -238,7 +245,7 @@
 	again.name, changed.name = "slow-zone again", "calm-lunch with the running limit halved"
 	changed.day = withHalvedLimit(changed.day)
 	days = append(days, again, changed)
-	// Where the module turns work away: the comparison can fail where it matters.
+	// Overloaded days: agreement counts most where the policy must refuse work.
 	firstOver := len(days)
 	for _, o := range overloadedDays {
 		p := days[o.base]
@@ -260,7 +267,7 @@
 		refused := [2]float64{refusedShare(p.real), refusedShare(p.emulated)}
 		fmt.Printf("%s: score %.4f and goodput %.4f on loopback, %.4f and %.4f emulated; refused %.3f and %.3f; latencies lie %.3f apart at most; callers late by %d us\n",
 			p.name, p.real.Score, p.real.Whole, p.emulated.Score, p.emulated.Whole, refused[0], refused[1], d.latency, p.lateUS)
-		if i < 3 || i >= firstOver { // not the repeat nor the halved limit: they are judged below
+		if i < 3 || i >= firstOver { // the repeat and the halved limit are judged below
 			worst.latency, worst.goodput = max(worst.latency, d.latency), max(worst.goodput, d.goodput)
 		}
 		if p.binds {
@@ -274,7 +281,8 @@
 	return worst, late, c.checkKnownChange(v, &days[0], &days[4])
 }
 
-// withHalvedLimit is a day on which one pool of all classes has half of the running places.
+// withHalvedLimit returns the day with one pool of all classes that may use half of
+// the running slots.
 func withHalvedLimit(day fleet.Day) fleet.Day {
 	all := pool.Spec{Name: "all", MaxShare: 0.5}
 	for i := range day.Classes {
@@ -285,8 +293,9 @@
 	return day
 }
 
-// checkKnownChange compares a change that is known to hurt in simulated time, and looks
-// whether loopback lies within the interval of what the same draws promise there.
+// checkKnownChange checks that a change that is known to lower the score, from a to b,
+// is found to do so in simulated time, and that its effect on loopback is within half
+// an interval of its effect in simulated time on the same draws.
 func (c *labCmd) checkKnownChange(v *shortfalls, a, b *playedDay) error {
 	const seeds = 24
 	before, after := make([]float64, seeds), make([]float64, seeds)
--- a/cmd/kitelab/live.go
+++ b/cmd/kitelab/live.go
@@ -9,6 +9,7 @@
 	"kiteslip/internal/lab/live"
 )
 
+// liveCmd plays a scenario against the real program.
 type liveCmd struct {
 	outputs
 	Scenario string  `arg:"" type:"existingfile" help:"A scenario file."`
@@ -18,9 +19,11 @@
 	Boxes    int     `default:"0" help:"Play with so many boxes; 0 = those of the scenario."`
 }
 
-// maxLateUS is how late the callers may be at the 99th percentile, microseconds.
+// maxLateUS is by how much the callers may be late at the 99th percentile before the
+// latencies of a run are no longer valid.
 const maxLateUS = 1000
 
+// Run plays the day, with its progress on the standard error, and prints the outcome.
 func (c *liveCmd) Run() error {
 	day, name, err := fleet.Load(c.Scenario)
 	if err != nil {
@@ -56,6 +59,7 @@
 	return c.write([]*experiment.Run{run}, nil)
 }
 
+// playLive plays a day against the program at the given path.
 func playLive(program string, day fleet.Day, stop <-chan struct{}, watch func(int64, *fleet.Outcome)) (*fleet.Outcome, fleet.Lateness, error) {
 	f, err := live.Launch(program, &day)
 	if err != nil {
--- a/cmd/kitelab/main.go
+++ b/cmd/kitelab/main.go
@@ -1,6 +1,6 @@
-// Command kitelab measures what kiteslip promises: each sub-command plays one
-// measurement with fixed seeds, prints its figures and ends with 1 if one of
-// them falls short.
+// Command kitelab plays scenarios and measures kiteslip. A measurement has fixed
+// seeds, prints its figures and ends with exit code 1 if one of them is out of its
+// bounds.
 package main
 
 import (
@@ -11,6 +11,7 @@
 	"github.com/alecthomas/kong"
 )
 
+// cli is the command line: kong derives the commands from its fields.
 type cli struct {
 	Run     runCmd     `cmd:"" help:"Play a scenario on some seeds, in simulated time."`
 	Compare compareCmd `cmd:"" help:"Compare two scenarios, or earlier runs, seed by seed."`
@@ -32,19 +33,22 @@
 	HollowCallers hollowCallersCmd `cmd:"" hidden:"" help:"Callers of a fleet day."`
 }
 
-// errFallsShort says that a figure falls short of what is promised.
+// errFallsShort is returned if a figure is out of its bounds; what falls short has
+// been printed.
 var errFallsShort = errors.New("a figure falls short")
 
-// shortfalls gathers what falls short.
+// shortfalls are the descriptions of the figures that are out of their bounds.
 type shortfalls []string
 
+// require adds a shortfall unless ok.
 func (v *shortfalls) require(ok bool, format string, args ...any) {
 	if !ok {
 		*v = append(*v, fmt.Sprintf(format, args...))
 	}
 }
 
-// finish prints what falls short, then the closing line.
+// finish prints the shortfalls and the closing line, and returns errFallsShort if
+// there are any.
 func (v shortfalls) finish(line string) error {
 	for _, s := range v {
 		fmt.Println("short:", s)
--- a/cmd/kitelab/pools.go
+++ b/cmd/kitelab/pools.go
@@ -9,21 +9,24 @@
 	"kiteslip/internal/lab"
 )
 
+// poolsCmd compares class pools with no pools in simulated time.
 type poolsCmd struct {
 	Seeds int `default:"10" help:"Days of each scenario."`
 }
 
-// The promises.
+// The bounds that the measurement must keep. minCheapX are shares of the
+// landmark-search requests that are served in time on day X.
 const (
 	minCheapFull   = 0.98
 	minCheapHalved = 0.95
 	minCheapSlow   = 0.95
-	minWorthRatio  = 0.98
-	minKeptShare   = 0.90
-	minLentShare   = 0.97
-	maxCostRatio   = 1.10
+	minWorthRatio  = 0.98 // worth served with pools, over that without
+	minKeptShare   = 0.90 // what other pools keep of their share under a flood of landmark-search
+	minLentShare   = 0.97 // what a class alone gets done with pools, over that without
+	maxCostRatio   = 1.10 // time of a decision with pools, over that without
 )
 
+// Run plays the measurement.
 func (c *poolsCmd) Run() error {
 	scenarios := lab.PoolScenarios()
 	list := make([]lab.Compared, 2*len(scenarios))
--- a/cmd/kitelab/runs.go
+++ b/cmd/kitelab/runs.go
@@ -18,7 +18,7 @@
 	"kiteslip/internal/lab/report"
 )
 
-// interruptChannel is closed at the first ctrl-C or SIGTERM.
+// interruptChannel returns a channel that is closed at the first SIGINT or SIGTERM.
 func interruptChannel() <-chan struct{} {
 	signals, stop := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -30,7 +30,7 @@
 	return stop
 }
 
-// progress shows how far a run is on standard error.
+// progress returns a function that shows the progress of a run on the standard error.
 func progress(name string) func(done, of int) {
 	return func(done, of int) {
 		fmt.Fprintf(os.Stderr, "\r%s: %d of %d days", name, done, of)
@@ -40,12 +40,13 @@
 	}
 }
 
-// outputs are where a run goes besides the terminal.
+// outputs are the files that a run is written to, and their flags.
 type outputs struct {
 	JSON string `type:"path" help:"Write the run to this file; compare and report take it."`
 	HTML string `type:"path" help:"Write a report with plots to this file."`
 }
 
+// write writes the last of the runs as JSON, and all of them as a report.
 func (o *outputs) write(runs []*experiment.Run, rows []experiment.Row) error {
 	if o.JSON != "" {
 		if err := writeJSON(o.JSON, runs[len(runs)-1]); err != nil {
@@ -66,6 +67,7 @@
 	return f.Close()
 }
 
+// writeJSON writes a run to a file.
 func writeJSON(path string, run *experiment.Run) error {
 	b, err := json.MarshalIndent(run, "", " ")
 	if err != nil {
@@ -74,7 +76,7 @@
 	return os.WriteFile(path, append(b, '\n'), 0o644)
 }
 
-// playOrLoad plays a scenario file, or reads a run that was written before.
+// playOrLoad plays a scenario file, or reads a run that was written to a .json file.
 func playOrLoad(path string, seeds int, state string, stop experiment.Stop) (*experiment.Run, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,6 +104,7 @@
 	return run, nil
 }
 
+// runCmd plays a scenario in simulated time.
 type runCmd struct {
 	outputs
 	Scenario string `arg:"" type:"existingfile" help:"A scenario file, see scenarios/."`
@@ -109,6 +112,7 @@
 	State    string `type:"path" help:"Keep each day that is done in this file, and go on where it ends."`
 }
 
+// Run plays the days and prints their means.
 func (c *runCmd) Run() error {
 	run, err := playOrLoad(c.Scenario, max(1, c.Seeds), c.State, interruptChannel())
 	if err != nil {
@@ -118,7 +122,7 @@
 	return c.write([]*experiment.Run{run}, nil)
 }
 
-// printRun prints the means of a run, and the worst of what must not be.
+// printRun prints the means of a run, its counts and how often rules were broken.
 func printRun(w io.Writer, run *experiment.Run) {
 	n := float64(len(run.Days))
 	var p fleet.ScoreParts
@@ -145,6 +149,7 @@
 	t.Flush()
 }
 
+// compareCmd compares two scenarios or runs seed by seed.
 type compareCmd struct {
 	outputs
 	A     string `arg:"" type:"existingfile" help:"A scenario file, or a run as --json wrote it (of another build, say)."`
@@ -153,6 +158,7 @@
 	State string `type:"path" help:"Keep each day that is done in this file, and go on where it ends."`
 }
 
+// Run plays or loads both and prints their differences.
 func (c *compareCmd) Run() error {
 	stop := interruptChannel()
 	a, err := playOrLoad(c.A, c.Seeds, c.State, stop)
@@ -171,6 +177,7 @@
 	return c.write([]*experiment.Run{a, b}, rows)
 }
 
+// printRows prints the rows of a comparison and its verdict.
 func printRows(w io.Writer, rows []experiment.Row) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\tA\tB\tB less A\t95% interval\tB is\t")
@@ -181,6 +188,7 @@
 	fmt.Fprintln(w, experiment.Verdict(rows))
 }
 
+// sweepCmd compares a scenario with itself under other values of one key.
 type sweepCmd struct {
 	Scenario string    `arg:"" type:"existingfile" help:"A scenario file."`
 	Key      string    `required:"" help:"The key, with dots: server.memory_mb, fleet.boxes, load."`
@@ -189,6 +197,7 @@
 	State    string    `type:"path" help:"Keep each day that is done in this file, and go on where it ends."`
 }
 
+// Run plays the scenario as it is and with each value, and prints the differences.
 func (c *sweepCmd) Run() error {
 	text, err := os.ReadFile(c.Scenario)
 	if err != nil {
@@ -220,29 +229,30 @@
 	return t.Flush()
 }
 
-// setScenarioKey puts a value into a scenario's text. A whole number stays one.
+// setScenarioKey returns a scenario's text with another value of one key. An integral
+// value is written as an integer.
 func setScenarioKey(text, key string, value float64) (string, error) {
 	var tree map[string]any
 	if _, err := toml.Decode(text, &tree); err != nil {
 		return "", err
 	}
-	at := tree
+	table := tree
 	parts := strings.Split(key, ".")
 	for _, part := range parts[:len(parts)-1] {
-		next, ok := at[part].(map[string]any)
+		next, ok := table[part].(map[string]any)
 		if !ok {
-			if at[part] != nil {
+			if table[part] != nil {
 				return "", fmt.Errorf("%s is no table of the scenario", part)
 			}
 			next = map[string]any{}
-			at[part] = next
+			table[part] = next
 		}
-		at = next
+		table = next
 	}
 	if value == float64(int64(value)) {
-		at[parts[len(parts)-1]] = int64(value)
+		table[parts[len(parts)-1]] = int64(value)
 	} else {
-		at[parts[len(parts)-1]] = value
+		table[parts[len(parts)-1]] = value
 	}
 	var out strings.Builder
 	if err := toml.NewEncoder(&out).Encode(tree); err != nil {
@@ -252,11 +262,13 @@
 	return out.String(), err
 }
 
+// reportCmd writes the report of one or two runs.
 type reportCmd struct {
 	Run_ []string `arg:"" name:"run" type:"existingfile" help:"One run as --json wrote it, or two to compare."`
 	HTML string   `default:"report.html" type:"path" help:"The file."`
 }
 
+// Run prints the runs and writes the report.
 func (c *reportCmd) Run() error {
 	var runs []*experiment.Run
 	for _, path := range c.Run_ {
--- a/cmd/kitelab/shutdown.go
+++ b/cmd/kitelab/shutdown.go
@@ -7,6 +7,7 @@
 	"kiteslip/internal/lab/shutdown"
 )
 
+// shutdownCmd measures many processes that restart together under load.
 type shutdownCmd struct {
 	Program   string `default:"bin/kiteslip" help:"The program that is measured."`
 	Processes int    `default:"30" help:"Processes that restart together, on one core."`
@@ -14,12 +15,13 @@
 	Seed      uint64 `default:"7" help:"Of the callers and the faults."`
 }
 
-// The promises.
+// The bounds that the measurement must keep.
 const (
-	readyTime     = 10 * time.Second
-	minReadyShare = 0.9
+	readyTime     = 10 * time.Second // within which a start should be ready
+	minReadyShare = 0.9              // of the starts, within readyTime
 )
 
+// Run plays the measurement.
 func (c *shutdownCmd) Run() error {
 	o, err := shutdown.Play(c.Program, c.Processes, c.Waves, c.Seed)
 	if err != nil {
--- a/cmd/kitelab/slopes.go
+++ b/cmd/kitelab/slopes.go
@@ -7,6 +7,7 @@
 	"kiteslip/internal/lab/scale/target"
 )
 
+// slopesCmd measures how the figures of one server grow with the size of the fleet.
 type slopesCmd struct {
 	Program string   `default:"bin/kiteslip" help:"The program that is measured."`
 	Target  string   `default:"docs/capacity/target-fleet.toml" help:"The operators' target."`
@@ -15,6 +16,7 @@
 	Only    []string `help:"Parts to measure: decision, memory, start, traffic, delta, version, follow, connections, latency. Nothing is kept then."`
 }
 
+// Run plays the measurement and saves the slopes.
 func (c *slopesCmd) Run() error {
 	t, err := target.Load(c.Target)
 	if err != nil {
