--- a/cmd/kitelab/main.go
+++ b/cmd/kitelab/main.go
@@ -1,6 +1,6 @@
-// Command kitelab measures what kiteslip promises: each sub-command plays one
-// measurement with fixed seeds, prints its figures and ends with 1 if one of
-// them falls short.
+// Command kitelab plays scenarios and measures kiteslip. A measurement has fixed
+// seeds, prints its figures and ends with exit code 1 if one of them is out of its
+// bounds.
 package main
 
 import (
@@ -11,6 +11,7 @@
 	"github.com/alecthomas/kong"
 )
 
+// cli is the command line: kong derives the commands from its fields.
 type cli struct {
 	Run     runCmd     `cmd:"" help:"Play a scenario on some seeds, in simulated time."`
 	Compare compareCmd `cmd:"" help:"Compare two scenarios, or earlier runs, seed by seed."`
@@ -32,26 +33,29 @@
 	HollowCallers hollowCallersCmd `cmd:"" hidden:"" help:"Callers of a fleet day."`
 }
 
-// errShort says that a figure falls short of what is promised.
-var errShort = errors.New("a figure falls short")
+// errFallsShort is returned if a figure is out of its bounds; what falls short has
+// been printed.
+var errFallsShort = errors.New("a figure falls short")
 
-// verdict gathers what falls short.
-type verdict []string
+// shortfalls are the descriptions of the figures that are out of their bounds.
+type shortfalls []string
 
-func (v *verdict) want(ok bool, format string, args ...any) {
+// require adds a shortfall unless ok.
+func (v *shortfalls) require(ok bool, format string, args ...any) {
 	if !ok {
 		*v = append(*v, fmt.Sprintf(format, args...))
 	}
 }
 
-// end prints what falls short, then the closing line.
-func (v verdict) end(line string) error {
+// finish prints the shortfalls and the closing line, and returns errFallsShort if
+// there are any.
+func (v shortfalls) finish(line string) error {
 	for _, s := range v {
 		fmt.Println("short:", s)
 	}
 	fmt.Println(line)
 	if len(v) > 0 {
-		return errShort
+		return errFallsShort
 	}
 	return nil
 }
@@ -59,7 +63,7 @@
 func main() {
 	ctx := kong.Parse(&cli{}, kong.Name("kitelab"), kong.UsageOnError(), kong.Description("Measurements of kiteslip."))
 	if err := ctx.Run(); err != nil {
-		if !errors.Is(err, errShort) {
+		if !errors.Is(err, errFallsShort) {
 			fmt.Fprintln(os.Stderr, "kitelab:", err)
 		}
 		os.Exit(1)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what became of a run as one self-contained HTML page:
-// tables, and plots as inline SVG.
+// Package report writes the result of a run, or of a comparison of two runs, as one
+// self-contained HTML page with tables and inline SVG plots.
 package report
 
 import (
@@ -22,11 +22,14 @@
 	"kiteslip/internal/lab/fleet"
 )
 
+// The size of a plot.
 const (
-	width  = 20 * vg.Centimeter
-	height = 8 * vg.Centimeter
+	plotWidth  = 20 * vg.Centimeter
+	plotHeight = 8 * vg.Centimeter
 )
 
+// page is the template of the page; it names the fields of Write's data, section,
+// experiment.Row and fleet.Group.
 var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>kitelab: {{.Title}}</title>
 <style>body{font:15px sans-serif;max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}
@@ -44,6 +47,7 @@
 </body></html>
 `))
 
+// section is the part of the page about one run. The template names its fields.
 type section struct {
 	Name   string
 	Days   int
@@ -63,7 +67,7 @@
 		if len(run.Days) == 0 {
 			return fmt.Errorf("report: the run %q has no days", run.Name)
 		}
-		s, err := describe(run)
+		s, err := newSection(run)
 		if err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
@@ -77,14 +81,15 @@
 	return page.Execute(w, data)
 }
 
-func describe(run *experiment.Run) (section, error) {
+// newSection returns the section of a run, with its plots.
+func newSection(run *experiment.Run) (section, error) {
 	s := section{Name: run.Name, Days: len(run.Days), Groups: run.Groups()}
-	for _, of := range []func(*experiment.Run) (*plot.Plot, error){latency, share, refused} {
-		p, err := of(run)
+	for _, newPlot := range []func(*experiment.Run) (*plot.Plot, error){latencyPlot, servedPlot, refusedPlot} {
+		p, err := newPlot(run)
 		if err != nil {
 			return s, err
 		}
-		svg, err := inline(p)
+		svg, err := renderSVG(p)
 		if err != nil {
 			return s, err
 		}
@@ -93,37 +98,40 @@
 	return s, nil
 }
 
-var prolog = regexp.MustCompile(`(?s)^.*?<svg`)
+// svgProlog matches what comes before the svg element in an SVG file.
+var svgProlog = regexp.MustCompile(`(?s)^.*?<svg`)
 
-func inline(p *plot.Plot) (template.HTML, error) {
-	c := vgsvg.New(width, height)
-	p.Draw(draw.New(c))
-	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+// renderSVG returns a plot as an svg element.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
+	canvas := vgsvg.New(plotWidth, plotHeight)
+	p.Draw(draw.New(canvas))
+	var svg bytes.Buffer
+	if _, err := canvas.WriteTo(&svg); err != nil {
 		return "", err
 	}
-	return template.HTML(prolog.ReplaceAllString(b.String(), "<svg")), nil //nolint:gosec // the library escapes its text
+	return template.HTML(svgProlog.ReplaceAllString(svg.String(), "<svg")), nil //nolint:gosec // the plot library escapes text
 }
 
-// latency is what was served, by percentile, from when it was asked.
-func latency(run *experiment.Run) (*plot.Plot, error) {
+// latencyPlot plots the latency of served requests by percentile, for each class.
+// Latency counts from the planned start of a request.
+func latencyPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "latency by percentile, from when a request was meant to be sent"
 	p.X.Label.Text, p.Y.Label.Text = "percentile", "ms"
-	names := make([]plot.Tick, len(fleet.Quantiles))
-	for i, q := range fleet.Quantiles {
-		names[i] = plot.Tick{Value: float64(i), Label: fmt.Sprint(q)}
+	ticks := make([]plot.Tick, len(fleet.PercentileRanks))
+	for i, q := range fleet.PercentileRanks {
+		ticks[i] = plot.Tick{Value: float64(i), Label: fmt.Sprint(q)}
 	}
-	p.X.Tick.Marker = plot.ConstantTicks(names)
+	p.X.Tick.Marker = plot.ConstantTicks(ticks)
 	for c, g := range run.Days[0].Outcome.Classes {
-		xy := make(plotter.XYs, len(fleet.Quantiles))
+		xy := make(plotter.XYs, len(fleet.PercentileRanks))
 		for i := range xy {
 			xy[i].X = float64(i)
 			for _, d := range run.Days {
 				xy[i].Y += d.Outcome.Percentiles[c][i] / float64(len(run.Days))
 			}
 		}
-		if err := line(p, g.Name, xy, c); err != nil {
+		if err := addLine(p, g.Name, xy, c); err != nil {
 			return nil, err
 		}
 	}
@@ -131,67 +139,70 @@
 	return p, nil
 }
 
-// overTime is a figure by second, the mean of the days.
-func overTime(run *experiment.Run, of func(*fleet.Outcome, int) float64) plotter.XYs {
-	xy := make(plotter.XYs, len(run.Days[0].Outcome.Windows))
+// meanBySecond returns a figure of each second, as the mean of the days.
+func meanBySecond(run *experiment.Run, value func(*fleet.Outcome, int) float64) plotter.XYs {
+	xy := make(plotter.XYs, len(run.Days[0].Outcome.ServedBySecond))
 	for i := range xy {
 		xy[i].X = float64(i)
 		for _, d := range run.Days {
-			if i < len(d.Outcome.Windows) {
-				xy[i].Y += of(d.Outcome, i) / float64(len(run.Days))
+			if i < len(d.Outcome.ServedBySecond) {
+				xy[i].Y += value(d.Outcome, i) / float64(len(run.Days))
 			}
 		}
 	}
 	return xy
 }
 
-func share(run *experiment.Run) (*plot.Plot, error) {
+// servedPlot plots the share of the worth that was served, by second.
+func servedPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "part of the worth served", "second", "part"
 	p.Y.Min, p.Y.Max = 0, 1
-	if err := line(p, "served", overTime(run, func(o *fleet.Outcome, i int) float64 { return o.Windows[i] }), 0); err != nil {
+	if err := addLine(p, "served", meanBySecond(run, func(o *fleet.Outcome, i int) float64 { return o.ServedBySecond[i] }), 0); err != nil {
 		return nil, err
 	}
-	return p, mark(p, run, 1)
+	return p, markFailures(p, run, 1)
 }
 
-func refused(run *experiment.Run) (*plot.Plot, error) {
+// refusedPlot plots the refused requests, by second.
+func refusedPlot(run *experiment.Run) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "refusals", "second", "requests a day"
-	xy := overTime(run, func(o *fleet.Outcome, i int) float64 { return float64(o.Refused[i]) })
+	xy := meanBySecond(run, func(o *fleet.Outcome, i int) float64 { return float64(o.RefusedBySecond[i]) })
 	top := 1.0
 	for _, v := range xy {
 		top = max(top, v.Y)
 	}
-	if err := line(p, "refused", xy, 1); err != nil {
+	if err := addLine(p, "refused", xy, 1); err != nil {
 		return nil, err
 	}
-	return p, mark(p, run, top)
+	return p, markFailures(p, run, top)
 }
 
-func line(p *plot.Plot, name string, xy plotter.XYs, n int) error {
+// addLine adds a line with a name in the legend and the color of the given index.
+func addLine(p *plot.Plot, name string, xy plotter.XYs, colorIndex int) error {
 	l, err := plotter.NewLine(xy)
 	if err != nil {
 		return err
 	}
-	l.Color = plotutil.Color(n)
+	l.Color = plotutil.Color(colorIndex)
 	l.Width = vg.Points(1.5)
 	p.Add(l)
 	p.Legend.Add(name, l)
 	return nil
 }
 
-// mark shows from when to when each failure lasts.
-func mark(p *plot.Plot, run *experiment.Run, top float64) error {
-	for _, f := range run.Incidents {
-		from, to := float64(f.At)/fleet.Second, float64(f.At+f.For)/fleet.Second
+// markFailures shades the time of each failure, up to the height top.
+func markFailures(p *plot.Plot, run *experiment.Run, top float64) error {
+	for _, f := range run.Failures {
+		from, to := float64(f.At)/fleet.Second, float64(f.At+f.Duration)/fleet.Second
 		area, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
 		if err != nil {
 			return err
 		}
 		area.Color, area.LineStyle.Width = color.NRGBA{R: 200, A: 40}, 0
 		p.Add(area)
-		p.Legend.Add(fmt.Sprintf("%s, %.0f%% of the boxes", f.Kind, 100*f.Share), area)
+		p.Legend.Add(fmt.Sprintf("%s, %.0f%% of the boxes", f.Kind, 100*f.BoxShare), area)
 	}
 	return nil
 }
