--- a/internal/lab/scale/capacity/capacity.go
+++ b/internal/lab/scale/capacity/capacity.go
@@ -121,7 +121,7 @@
 func (in *Inputs) figure(role, name, when string) *figures.Figure {
 	for _, f := range in.Files {
 		for i := range f.Figures {
-			if g := &f.Figures[i]; g.Role == role && g.Name == name && g.When == when && !g.Trial {
+			if g := &f.Figures[i]; g.Role == role && g.Name == name && g.State == when && !g.Trial {
 				return g
 			}
 		}
@@ -190,8 +190,8 @@
 		unit string
 	}{
 		{"servers", float64(f.Servers), ""}, {"regions", float64(f.Regions), ""}, {"zones", float64(f.Zones), ""}, {"callers", float64(f.Callers), ""},
-		{"services", float64(f.Services), ""}, {"requests at the peak", f.RequestsPerS, "a second"}, {"... for each server in the mean", in.Target.PerServer(), "a second"},
-		{"... with a zone lost", in.Target.PerServer() * in.Target.ZoneLost(), "a second"},
+		{"services", float64(f.Services), ""}, {"requests at the peak", f.RequestsPerS, "a second"}, {"... for each server in the mean", in.Target.RequestsPerServer(), "a second"},
+		{"... with a zone lost", in.Target.RequestsPerServer() * in.Target.ZoneLossFactor(), "a second"},
 		{"routes", float64(f.Routes), ""}, {"tenants", float64(f.Tenants), ""}, {"descriptors of a server", float64(f.Descriptors), ""},
 		{"added to a request, 99 in 100", p.AddedP99MS, "ms"}, {"changes of configuration", p.ChangesPerDay, "a day"}, {"in force everywhere within", p.InForceWithinS, "s"},
 		{"control: of a server's core", c.CorePercent, "%"}, {"control: of a server's memory", c.MemoryMB, "MB"}, {"control: of a server's network", c.KBPerS, "KB/s"},
@@ -211,11 +211,11 @@
 		v    float64
 		unit string
 	}{
-		{"a hot server's requests at the peak", a.HotServerPerS, "a second"}, {"an ordinary hour's part of the peak", a.OrdinaryPart, ""},
-		{"requests that a busy server holds", float64(a.Held), ""}, {"... that a flooded one holds", float64(a.HeldMost), ""},
-		{"part of the requests that carry a key", a.KeyedPart, ""}, {"a key is kept for", a.KeyWindowS, "s"}, {"body of a request, and of its result", float64(a.BodyBytes), "bytes"},
-		{"a caller keeps a connection that it does not use for", a.RestS, "s"}, {"the operators' door is asked for figures every", a.DoorEveryS, "s"},
-		{"regions lose each other (told: several)", a.CutsPerYear, "times a year"}, {"... for (told: minutes)", a.CutMinutes, "minutes"},
+		{"a hot server's requests at the peak", a.HotServerPerS, "a second"}, {"an ordinary hour's part of the peak", a.OrdinaryFraction, ""},
+		{"requests that a busy server holds", float64(a.Queued), ""}, {"... that a flooded one holds", float64(a.MaxQueued), ""},
+		{"part of the requests that carry a key", a.KeyedFraction, ""}, {"a key is kept for", a.KeyWindowS, "s"}, {"body of a request, and of its result", float64(a.BodyBytes), "bytes"},
+		{"a caller keeps a connection that it does not use for", a.IdleTimeoutS, "s"}, {"the operators' door is asked for figures every", a.AdminQueryIntervalS, "s"},
+		{"regions lose each other (told: several)", a.PartitionsPerYear, "times a year"}, {"... for (told: minutes)", a.PartitionMinutes, "minutes"},
 		{"cores of a server's machine for this program", a.ServerCores, ""}, {"memory of it for this program", a.ServerMemoryMB, "MB"},
 	} {
 		t.row("**assumed:** "+r.what, number(r.v), r.unit)
@@ -246,7 +246,7 @@
 				knee = "none"
 			}
 			any = true
-			t.row("`"+s.Name+"`", s.Of, number(s.Fixed), number(s.PerUnit), s.Unit+" by "+s.By, fmt.Sprintf("%.0f%%", 100*s.Residual), number(last.Size),
+			t.row("`"+s.Name+"`", s.Description, number(s.Fixed), number(s.PerUnit), s.Unit+" by "+s.SizeName, fmt.Sprintf("%.0f%%", 100*s.Residual), number(last.Size),
 				number(s.Predicted), number(last.Value), knee, "`"+f.Command+"`")
 		}
 	}
@@ -258,7 +258,7 @@
 
 // roleTable has the rows that come of slopes, then the figures as measured.
 func (in *Inputs) roleTable(role string) string {
-	t := newTable(slices.Concat([]string{"what"}, figures.When, []string{"unit", "allowed", "margin", "breaks at", "from", "carried by"})...)
+	t := newTable(slices.Concat([]string{"what"}, figures.States, []string{"unit", "allowed", "margin", "breaks at", "from", "carried by"})...)
 	for _, r := range rows() {
 		if r.role == role {
 			in.row(t, &r)
@@ -280,7 +280,7 @@
 func (in *Inputs) figureRow(t *table, f *figures.File, of *figures.Figure) {
 	cells := []string{of.Name}
 	margin := ""
-	for _, when := range figures.When {
+	for _, when := range figures.States {
 		g := in.figure(of.Role, of.Name, when)
 		if g == nil {
 			cells = append(cells, notMeasured)
@@ -303,20 +303,20 @@
 		if g.Bound != 0 {
 			v := g.Value
 			switch {
-			case g.Least:
+			case g.LowerBound:
 			case g.P99 != 0:
 				v = max(v, g.P99)
 			default:
 				v = max(v, g.Worst)
 			}
-			margin = marginOf(v, g.Bound, g.Least)
+			margin = marginOf(v, g.Bound, g.LowerBound)
 		}
 		cells = append(cells, s)
 	}
 	allowed := ""
 	if of.Bound != 0 {
 		allowed = "at most " + number(of.Bound)
-		if of.Least {
+		if of.LowerBound {
 			allowed = "at least " + number(of.Bound)
 		}
 	}
--- a/internal/lab/scale/capacity/capacity_test.go
+++ b/internal/lab/scale/capacity/capacity_test.go
@@ -80,9 +80,9 @@
 	text := rendered(t)
 	for _, r := range rows() {
 		cells := line(t, text, r.role, r.what)
-		for i := range figures.When {
+		for i := range figures.States {
 			if got := strings.TrimSpace(cells[1+i]); got != notMeasured {
-				t.Errorf("%s, %s: %q, and nothing was measured", r.what, figures.When[i], got)
+				t.Errorf("%s, %s: %q, and nothing was measured", r.what, figures.States[i], got)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 func straight(name string, fixed, per float64, sizes ...float64) figures.Slope {
-	s := figures.Slope{Name: name, Role: figures.Core, Unit: "x", By: "things", Fixed: fixed, PerUnit: per}
+	s := figures.Slope{Name: name, Role: figures.Core, Unit: "x", SizeName: "things", Fixed: fixed, PerUnit: per}
 	for _, size := range sizes {
 		s.Points = append(s.Points, figures.Point{Size: size, Value: fixed + per*size})
 	}
@@ -119,9 +119,9 @@
 	show := straight("show-stat/routes", 80, 72, 4, 450, 2800)
 	f := file(show)
 	f.Figures = []figures.Figure{
-		{Name: "publisher's core", Role: figures.Control, When: figures.AllStart, Unit: "cores", Value: 2, P99: 30, Bound: 1, Run: "bin/kitelab fleetday"},
-		{Name: "a trial", Role: figures.Control, When: figures.Peak, Unit: "cores", Value: 777, Bound: 1, Trial: true},
-		{Name: "goodput", Role: figures.Control, When: figures.Peak, Unit: "parts", Value: 0.5, Bound: 0.9, Least: true},
+		{Name: "publisher's core", Role: figures.Control, State: figures.AllStart, Unit: "cores", Value: 2, P99: 30, Bound: 1, Run: "bin/kitelab fleetday"},
+		{Name: "a trial", Role: figures.Control, State: figures.Peak, Unit: "cores", Value: 777, Bound: 1, Trial: true},
+		{Name: "goodput", Role: figures.Control, State: figures.Peak, Unit: "parts", Value: 0.5, Bound: 0.9, LowerBound: true},
 	}
 	text := rendered(t, f)
 	if strings.Contains(text, "777") {
--- a/internal/lab/scale/capacity/missing.go
+++ b/internal/lab/scale/capacity/missing.go
@@ -51,7 +51,7 @@
 	}
 	ratio("callers that hold a connection at a server, over its descriptors", "", 0, 1, "the target", "idle connections make room: `internal/server`", "")
 	list[len(list)-1].factor = callers(t) / float64(t.Fleet.Descriptors)
-	ratio("show-stat of all routes, every so often, over what control may send", "show-stat/routes", routes(t), controlBPS(t)*t.Assumed.DoorEveryS, "", "", "the door answers for what is asked")
+	ratio("show-stat of all routes, every so often, over what control may send", "show-stat/routes", routes(t), controlBPS(t)*t.Assumed.AdminQueryIntervalS, "", "", "the door answers for what is asked")
 	file := wall{what: "a request while a whole file (or a snapshot, by the same cause) is read beside the loop, over what may be added: the program has one processor for both where `limits.cores` is 1, and each step of a request waits for a slice of it",
 		roadmap: "reading in slices, in a process of its own, or on a second processor"}
 	if g := in.figure(figures.Settings, "SIGHUP with one changed tenant, longest round trip meanwhile, less the usual one", figures.Ordinary); g != nil {
@@ -66,7 +66,7 @@
 	} else {
 		list = append(list, wall{what: "a keyed request's decisions with all keys kept", roadmap: "keys by the time at which they end"})
 	}
-	for _, held := range []int{0, t.Assumed.Held, t.Assumed.HeldMost} {
+	for _, held := range []int{0, t.Assumed.Queued, t.Assumed.MaxQueued} {
 		name := fmt.Sprintf("decision over that of 3 tenants and 4 routes, %d held", held)
 		w := wall{what: name + ", over what is allowed", carried: "sums that are kept, decay where a group is touched: `kiteslip`"}
 		if g := in.figure(figures.Core, name, figures.Peak); g != nil {
@@ -78,10 +78,10 @@
 		for i := range f.Figures {
 			if g := &f.Figures[i]; !g.OK && !g.Trial && g.Bound != 0 && g.Role != figures.Core {
 				factor := max(g.Value, g.P99) / g.Bound
-				if g.Least {
+				if g.LowerBound {
 					factor = g.Bound / g.Value
 				}
-				list = append(list, wall{what: g.Name + " (" + g.When + ") falls short", factor: factor, from: "`" + g.Run + "`", roadmap: "see the run"})
+				list = append(list, wall{what: g.Name + " (" + g.State + ") falls short", factor: factor, from: "`" + g.Run + "`", roadmap: "see the run"})
 			}
 		}
 	}
--- a/internal/lab/scale/capacity/rows.go
+++ b/internal/lab/scale/capacity/rows.go
@@ -41,9 +41,9 @@
 func load(t *target.Target, when string) float64 {
 	switch when {
 	case figures.Ordinary:
-		return t.Assumed.OrdinaryPart
+		return t.Assumed.OrdinaryFraction
 	case figures.ZoneLost:
-		return t.ZoneLost()
+		return t.ZoneLossFactor()
 	}
 	return 1
 }
@@ -54,7 +54,7 @@
 
 // kept is how many keys the mean server keeps at the peak.
 func kept(t *target.Target) float64 {
-	return t.PerServer() * t.Assumed.KeyedPart * t.Assumed.KeyWindowS
+	return t.RequestsPerServer() * t.Assumed.KeyedFraction * t.Assumed.KeyWindowS
 }
 
 // held is how many requests a server holds in a state.
@@ -63,9 +63,9 @@
 	case figures.Ordinary:
 		return 0
 	case figures.ZoneLost, figures.AllStart:
-		return float64(t.Assumed.HeldMost)
+		return float64(t.Assumed.MaxQueued)
 	}
-	return float64(t.Assumed.Held)
+	return float64(t.Assumed.Queued)
 }
 
 func cores(t *target.Target) float64      { return t.Assumed.ServerCores }
@@ -78,18 +78,18 @@
 func rows() []row {
 	mean, hot := "64/s", "100/s"
 	byHeld := [5]string{"decision/tenants/held=0", "decision/tenants/held=50", "decision/tenants/held=500", "decision/tenants/held=50", "decision/tenants/held=500"}
-	perSecond := func(t *target.Target, when string) float64 { return load(t, when) * t.PerServer() / 1e6 }
+	perSecond := func(t *target.Target, when string) float64 { return load(t, when) * t.RequestsPerServer() / 1e6 }
 	return []row{
-		{role: figures.Fronts, what: "processor time of the whole program, the mean server (by requests, from 64/s)", unit: "cores", slopes: all("core/callers/" + mean), size: callers,
+		{role: figures.FrontEnds, what: "processor time of the whole program, the mean server (by requests, from 64/s)", unit: "cores", slopes: all("core/callers/" + mean), size: callers,
 			times: load, bound: cores, grows: "times the peak's requests", carried: "`internal/server`, `internal/frame`, `internal/uwsgi`"},
-		{role: figures.Fronts, what: "... a hot server (by requests, from 100/s)", unit: "cores", slopes: all("core/callers/" + hot), size: callers,
+		{role: figures.FrontEnds, what: "... a hot server (by requests, from 100/s)", unit: "cores", slopes: all("core/callers/" + hot), size: callers,
 			times: load, bound: cores, grows: "times the peak's requests", carried: "the same"},
-		{role: figures.Fronts, what: "memory of the whole program", unit: "KB", slopes: [5]string{"memory/callers/" + mean, "memory/callers/" + mean, "memory/callers/" + hot, "memory/callers/" + mean, "memory/connections"},
+		{role: figures.FrontEnds, what: "memory of the whole program", unit: "KB", slopes: [5]string{"memory/callers/" + mean, "memory/callers/" + mean, "memory/callers/" + hot, "memory/callers/" + mean, "memory/connections"},
 			size: callers, bound: memoryKB, carried: "`internal/server`"},
-		{role: figures.Fronts, what: "descriptors", unit: "", slopes: [5]string{"connections/callers/" + mean, "connections/callers/" + mean, "connections/callers/" + hot, "connections/callers/" + mean, "descriptors/connections"},
+		{role: figures.FrontEnds, what: "descriptors", unit: "", slopes: [5]string{"connections/callers/" + mean, "connections/callers/" + mean, "connections/callers/" + hot, "connections/callers/" + mean, "descriptors/connections"},
 			size: callers, bound: func(t *target.Target) float64 { return float64(t.Fleet.Descriptors) }, carried: "`internal/server` (idle ones make room)"},
-		{role: figures.Fronts, what: "added to a request, half of them", unit: "ms", slopes: [5]string{"", "added p50/callers/" + mean, "", "", ""}, size: callers, carried: "`internal/server`"},
-		{role: figures.Fronts, what: "added to a request, 99 in 100", unit: "ms", slopes: [5]string{"", "added p99/callers/" + mean, "added p99/callers/" + hot, "", ""}, size: callers,
+		{role: figures.FrontEnds, what: "added to a request, half of them", unit: "ms", slopes: [5]string{"", "added p50/callers/" + mean, "", "", ""}, size: callers, carried: "`internal/server`"},
+		{role: figures.FrontEnds, what: "added to a request, 99 in 100", unit: "ms", slopes: [5]string{"", "added p99/callers/" + mean, "added p99/callers/" + hot, "", ""}, size: callers,
 			bound: func(t *target.Target) float64 { return t.Promise.AddedP99MS }, carried: "`internal/server`"},
 
 		{role: figures.Core, what: "decisions of one request (0, 50, 500 held)", unit: "us", slopes: byHeld, size: tenants,
@@ -149,7 +149,7 @@
 
 		{role: figures.Operator, what: "one answer to show-stat", unit: "bytes", slopes: all("show-stat/routes"), size: routes, carried: "`internal/ops`, `internal/figures`"},
 		{role: figures.Operator, what: "... as asked for", unit: "bytes/s", slopes: all("show-stat/routes"), size: routes,
-			times: func(t *target.Target, _ string) float64 { return 1 / t.Assumed.DoorEveryS }, bound: controlBPS, carried: "the same"},
+			times: func(t *target.Target, _ string) float64 { return 1 / t.Assumed.AdminQueryIntervalS }, bound: controlBPS, carried: "the same"},
 		{role: figures.Operator, what: "one answer, to its end", unit: "ms", slopes: all("show-stat time/routes"), size: routes, carried: "the same"},
 	}
 }
@@ -159,7 +159,7 @@
 	cells := []string{r.what}
 	worst, size, from, run := math.Inf(-1), 0.0, "", ""
 	var s *figures.Slope
-	for i, when := range figures.When {
+	for i, when := range figures.States {
 		name := r.slopes[i]
 		of, f := in.slope(name)
 		if of == nil || name == "" {
@@ -207,14 +207,14 @@
 	}
 	last := s.Points[len(s.Points)-1]
 	if s.PerUnit <= 0 || s.Knee != "" && last.Value < s.Predicted {
-		return "not by " + s.By + " up to " + number(last.Size)
+		return "not by " + s.SizeName + " up to " + number(last.Size)
 	}
 	scale := worst / max(s.Fixed+s.PerUnit*size, math.SmallestNonzeroFloat64) // states scale the figure, and the fit misses a little
 	switch at := (bound/scale - s.Fixed) / s.PerUnit; {
 	case at > farthest*last.Size: // a line says nothing of what lies so far beyond its points
-		return fmt.Sprintf("over %s %s", number(farthest*last.Size), s.By)
+		return fmt.Sprintf("over %s %s", number(farthest*last.Size), s.SizeName)
 	case at > 0:
-		return number(at) + " " + s.By
+		return number(at) + " " + s.SizeName
 	}
 	return "at any"
 }
--- a/internal/lab/scale/figures/figures.go
+++ b/internal/lab/scale/figures/figures.go
@@ -1,8 +1,8 @@
-// Package figures is the form in which measurements of scale are kept: slopes
-// with their raw points and their fit, and single figures with what they must
-// be. A file is written by the run that measured it alone, and names the
-// machine, the build, the version of Go and the date; docs/CAPACITY.md is
-// rendered from such files.
+// Package figures defines the files that capacity measurements are stored in:
+// slopes with their raw points and fits, and single figures with their bounds. A
+// file is written only by the run that measured it, and names the machine, the
+// build, the Go version and the date; docs/CAPACITY.md is rendered from such
+// files.
 package figures
 
 import (
@@ -20,97 +20,100 @@
 	"time"
 )
 
-// The states of the fleet for which a figure holds.
+// The states of the fleet in which a figure holds.
 const (
-	Ordinary = "ordinary"      // an ordinary day
-	Peak     = "peak"          // the busiest moment of a day
-	ZoneLost = "zone lost"     // a zone is gone, the others carry its load
-	Apart    = "regions apart" // a region reaches no other
-	AllStart = "all start"     // everything starts at once
+	Ordinary     = "ordinary"      // the mean load of a day
+	Peak         = "peak"          // the highest load of a day
+	ZoneLost     = "zone lost"     // one zone has failed, the others carry its load
+	RegionsApart = "regions apart" // the regions are cut off from each other
+	AllStart     = "all start"     // all processes start at once
 )
 
-// When are the states, in the order of the page's columns.
-var When = []string{Ordinary, Peak, ZoneLost, Apart, AllStart}
+// States lists the states in the order of the page's columns.
+var States = []string{Ordinary, Peak, ZoneLost, RegionsApart, AllStart}
 
-// The roles, in the order of the page.
+// The roles: the parts of the system that a figure belongs to, in the order of
+// the page.
 const (
-	Fronts   = "fronts"
-	Core     = "core and module"
-	Engine   = "engine link"
-	Calls    = "calls"
-	Keys     = "keys"
-	Reports  = "reports"
-	Settings = "settings"
-	Caller   = "caller"
-	Registry = "registry and discovery"
-	Control  = "control machine"
-	Operator = "operator's file and door"
+	FrontEnds = "fronts"
+	Core      = "core and module"
+	Engine    = "engine link"
+	Calls     = "calls"
+	Keys      = "keys"
+	Reports   = "reports"
+	Settings  = "settings"
+	Caller    = "caller"
+	Registry  = "registry and discovery"
+	Control   = "control machine"
+	Operator  = "operator's file and door"
 )
 
-// Roles are all of them.
-var Roles = []string{Fronts, Core, Engine, Calls, Keys, Reports, Settings, Caller, Registry, Control, Operator}
+// Roles lists all roles in that order.
+var Roles = []string{FrontEnds, Core, Engine, Calls, Keys, Reports, Settings, Caller, Registry, Control, Operator}
 
-// File is what one run measured.
+// File holds the measurements of one run.
 type File struct {
 	Machine string   `json:"Machine"` // the processor's model
-	Cores   int      `json:"Cores"`   // that the run could use
-	Build   string   `json:"Build"`   // git describe of the source measured
-	Go      string   `json:"Go"`      // version of Go that built the measurement
-	Date    string   `json:"Date"`    // when the run began, RFC 3339
-	Command string   `json:"Command"` // how to measure it again
+	Cores   int      `json:"Cores"`   // available to the run
+	Build   string   `json:"Build"`   // git describe of the measured source
+	Go      string   `json:"Go"`      // Go version of the build
+	Date    string   `json:"Date"`    // start of the run, RFC 3339
+	Command string   `json:"Command"` // the command that repeats the measurement
 	Slopes  []Slope  `json:"Slopes,omitempty"`
 	Figures []Figure `json:"Figures,omitempty"`
 }
 
-// Slope is one figure by one size, everything else alike.
+// Slope is one quantity measured over several sizes with everything else equal,
+// and the line fitted to it.
 type Slope struct {
-	Name      string  `json:"Name"`   // its own, such as "decision/tenants/held=50"
-	Role      string  `json:"Role"`   // one of Roles
-	Of        string  `json:"Of"`     // what is measured, in plain words
-	Unit      string  `json:"Unit"`   // of the figure
-	By        string  `json:"By"`     // what the size counts
-	Points    []Point `json:"Points"` // by size; the largest is left out of the fit
-	Fixed     float64 `json:"Fixed"`  // the fit: figure = Fixed + PerUnit*size
-	PerUnit   float64 `json:"PerUnit"`
-	Residual  float64 `json:"Residual"`         // root mean square of the fitted points' misses, as part of the point; the largest is not among them
-	Predicted float64 `json:"Predicted"`        // by the fit for the largest size
-	Miss      float64 `json:"Miss"`             // |measured - predicted| / measured at the largest size
-	Knee      string  `json:"Knee,omitempty"`   // between which sizes the slope changes, where the miss says so
-	Bound     float64 `json:"Bound,omitempty"`  // the figure must not pass this at Target; 0 = no bound
-	Target    float64 `json:"Target,omitempty"` // the size at the operators' target; 0 = none
+	Name        string  `json:"Name"`   // unique, such as "decision/tenants/held=50"
+	Role        string  `json:"Role"`   // one of Roles
+	Description string  `json:"Of"`     // what is measured
+	Unit        string  `json:"Unit"`   // of the values
+	SizeName    string  `json:"By"`     // what the size counts
+	Points      []Point `json:"Points"` // sorted by size; the largest is left out of the fit
+	Fixed       float64 `json:"Fixed"`  // the fit: value = Fixed + PerUnit*size
+	PerUnit     float64 `json:"PerUnit"`
+	Residual    float64 `json:"Residual"`         // root mean square of the relative errors of the fitted points
+	Predicted   float64 `json:"Predicted"`        // value of the fit at the largest size
+	Miss        float64 `json:"Miss"`             // |measured - predicted| / measured at the largest size
+	Knee        string  `json:"Knee,omitempty"`   // between which sizes the slope changes, if Miss is too large
+	Bound       float64 `json:"Bound,omitempty"`  // upper bound of the value at Target; 0 = none
+	Target      float64 `json:"Target,omitempty"` // the size in the operators' target; 0 = none
 }
 
-// Point is the figure at one size: Value is the one of the fit (the median of
-// Raw, or its least where a disturbance can only add).
+// Point is the measurement at one size. Value is the one that is fitted: the
+// median of Raw, or its minimum where a disturbance can only add.
 type Point struct {
 	Size  float64   `json:"Size"`
 	Value float64   `json:"Value"`
-	Raw   []float64 `json:"Raw,omitempty"` // one for each repetition, in their order
+	Raw   []float64 `json:"Raw,omitempty"` // one value per repetition, in order
 }
 
-// Figure is one figure at the target, with what it must be.
+// Figure is one measurement at the target sizes, with its bound.
 type Figure struct {
-	Name  string  `json:"Name"`
-	Role  string  `json:"Role"` // one of Roles
-	When  string  `json:"When"` // one of When
-	Unit  string  `json:"Unit"`
-	Value float64 `json:"Value"`           // the mean, or the one value that there is
-	P99   float64 `json:"P99,omitempty"`   // 0 = not taken
-	Worst float64 `json:"Worst,omitempty"` // 0 = not taken
-	Bound float64 `json:"Bound,omitempty"` // 0 = none
-	Least bool    `json:"Least,omitempty"` // the bound is the least that is allowed, not the most
-	OK    bool    `json:"OK"`              // within the bound, or there is none
-	Run   string  `json:"Run"`             // the run that gave it, and what it was
-	Trial bool    `json:"Trial,omitempty"` // from a short form: never taken onto the page
+	Name       string  `json:"Name"`
+	Role       string  `json:"Role"` // one of Roles
+	State      string  `json:"When"` // one of States
+	Unit       string  `json:"Unit"`
+	Value      float64 `json:"Value"`           // the mean, or the only value
+	P99        float64 `json:"P99,omitempty"`   // 0 = not measured
+	Worst      float64 `json:"Worst,omitempty"` // 0 = not measured
+	Bound      float64 `json:"Bound,omitempty"` // 0 = none
+	LowerBound bool    `json:"Least,omitempty"` // Bound is a lower bound, not an upper one
+	OK         bool    `json:"OK"`              // within the bound, or without one
+	Run        string  `json:"Run"`             // the run that measured it
+	Trial      bool    `json:"Trial,omitempty"` // measured by a short run: never rendered on the page
 }
 
-// New is a file of this machine, build and moment.
+// New returns an empty file with this machine, build and time.
 func New(command string) *File {
 	return &File{Machine: machine(), Cores: runtime.NumCPU(), Build: build(), Go: runtime.Version(),
 		Date: time.Now().UTC().Format(time.RFC3339), Command: command}
 }
 
-// machine is the processor's model, or the architecture where the system does not tell.
+// machine returns the processor's model, or the architecture if the system does
+// not report it.
 func machine() string {
 	f, err := os.Open("/proc/cpuinfo")
 	if err != nil {
@@ -125,7 +128,8 @@
 	return runtime.GOARCH
 }
 
-// build is git describe of the folder, or the revision in the binary, or "unknown".
+// build returns git describe of the working directory, else the revision in the
+// binary, else "unknown".
 func build() string {
 	if out, err := exec.Command("git", "describe", "--always", "--dirty").Output(); err == nil {
 		return strings.TrimSpace(string(out))
@@ -140,7 +144,7 @@
 	return "unknown"
 }
 
-// Load reads a file.
+// Load reads and checks a file.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -156,7 +160,7 @@
 	return f, nil
 }
 
-// check names the first thing that a page can't be rendered from.
+// check reports the first reason why a page can't be rendered from the file.
 func (f *File) check() error {
 	names := map[string]bool{}
 	for _, s := range f.Slopes {
@@ -164,7 +168,7 @@
 			return fmt.Errorf("slope %q: role is %q, want one of %q", s.Name, s.Role, Roles)
 		}
 		if s.Name == "" || names[s.Name] {
-			return fmt.Errorf("slope %q: want a name of its own", s.Name)
+			return fmt.Errorf("slope %q: want a unique name", s.Name)
 		}
 		names[s.Name] = true
 		if len(s.Points) == 0 {
@@ -175,24 +179,24 @@
 		if !slices.Contains(Roles, g.Role) {
 			return fmt.Errorf("figure %q: role is %q, want one of %q", g.Name, g.Role, Roles)
 		}
-		if !slices.Contains(When, g.When) {
-			return fmt.Errorf("figure %q: when is %q, want one of %q", g.Name, g.When, When)
+		if !slices.Contains(States, g.State) {
+			return fmt.Errorf("figure %q: when is %q, want one of %q", g.Name, g.State, States)
 		}
-		key := g.Role + "/" + g.Name + "/" + g.When
+		key := g.Role + "/" + g.Name + "/" + g.State
 		if g.Name == "" || names[key] {
-			return fmt.Errorf("figure %q, %s: want a name of its own", g.Name, g.When)
+			return fmt.Errorf("figure %q, %s: want a unique name", g.Name, g.State)
 		}
 		names[key] = true
 	}
 	return nil
 }
 
-// Save writes the file in whole or not at all.
+// Save writes the file atomically, after a check of its content.
 func (f *File) Save(path string) error {
 	for i := range f.Slopes {
 		for _, v := range []float64{f.Slopes[i].Fixed, f.Slopes[i].PerUnit, f.Slopes[i].Predicted} {
 			if math.IsNaN(v) || math.IsInf(v, 0) {
-				return fmt.Errorf("figures: slope %q is not a number", f.Slopes[i].Name)
+				return fmt.Errorf("figures: slope %q has a result that is not a finite number", f.Slopes[i].Name)
 			}
 		}
 	}
@@ -216,7 +220,7 @@
 	return nil
 }
 
-// Slope returns the slope of that name, or nil.
+// Slope returns the slope with the given name, or nil.
 func (f *File) Slope(name string) *Slope {
 	for i := range f.Slopes {
 		if f.Slopes[i].Name == name {
@@ -226,8 +230,8 @@
 	return nil
 }
 
-// At is the figure that the slope gives for a size: the measured one where the
-// size was measured, otherwise the fit's.
+// At returns the value at a size: the measured one if the size was measured,
+// otherwise that of the fit.
 func (s *Slope) At(size float64) (value float64, measured bool) {
 	for _, p := range s.Points {
 		if p.Size == size {
--- a/internal/lab/scale/fleetday/cost.go
+++ b/internal/lab/scale/fleetday/cost.go
@@ -90,21 +90,21 @@
 	}
 	b := &r.form.Bounds
 	s.note("control, processor time: the worst of %d windows is %s", len(busy.cores), busy.worstCores)
-	s.figure("control_core", figures.Figure{Name: "control on the busiest real server over any minute: processor", Role: figures.Settings, When: figures.Peak, Unit: "cores",
+	s.figure("control_core", figures.Figure{Name: "control on the busiest real server over any minute: processor", Role: figures.Settings, State: figures.Peak, Unit: "cores",
 		Value: mean(busy.cores), Worst: most(busy.cores), Bound: b.CoreShare})
-	s.figure("control_core_idle", figures.Figure{Name: "control on a real server without callers over any minute: processor", Role: figures.Settings, When: figures.Ordinary, Unit: "cores",
+	s.figure("control_core_idle", figures.Figure{Name: "control on a real server without callers over any minute: processor", Role: figures.Settings, State: figures.Ordinary, Unit: "cores",
 		Value: mean(idle.cores), Worst: most(idle.cores), Bound: b.CoreShare})
-	s.figure("control_mb", figures.Figure{Name: "control on a real server: memory", Role: figures.Settings, When: figures.Peak, Unit: "MB",
+	s.figure("control_mb", figures.Figure{Name: "control on a real server: memory", Role: figures.Settings, State: figures.Peak, Unit: "MB",
 		Value: mean(busy.memory), Worst: most(busy.memory), Bound: b.MemoryMB})
 	real, other := s.bytes()
 	if len(real) == 0 {
 		s.short("no real server told its traffic over %v", r.form.Window)
 	} else {
-		s.figure("control_bytes_s", figures.Figure{Name: "control on a real server over any minute: both ways", Role: figures.Settings, When: figures.Peak, Unit: "bytes/s",
+		s.figure("control_bytes_s", figures.Figure{Name: "control on a real server over any minute: both ways", Role: figures.Settings, State: figures.Peak, Unit: "bytes/s",
 			Value: mean(real), Worst: most(real), Bound: b.BytesPerS})
 	}
 	if len(other) > 0 {
-		s.figure("", figures.Figure{Name: "control on a hollow server over any minute: both ways", Role: figures.Settings, When: figures.Peak, Unit: "bytes/s",
+		s.figure("", figures.Figure{Name: "control on a hollow server over any minute: both ways", Role: figures.Settings, State: figures.Peak, Unit: "bytes/s",
 			Value: mean(other), Worst: most(other), Bound: b.BytesPerS})
 	}
 	s.catchUp()
@@ -162,11 +162,11 @@
 		}
 	}
 	if len(cpu) > 0 {
-		s.figure("catch_up_cpu_s", figures.Figure{Name: "start and catch-up of a real server: processor", Role: figures.Settings, When: figures.AllStart, Unit: "s",
+		s.figure("catch_up_cpu_s", figures.Figure{Name: "start and catch-up of a real server: processor", Role: figures.Settings, State: figures.AllStart, Unit: "s",
 			Value: mean(cpu), Worst: most(cpu)})
 	}
 	if len(bytes) > 0 {
-		s.figure("catch_up_kb", figures.Figure{Name: "catch-up of a real server, up to the first reading", Role: figures.Settings, When: figures.AllStart, Unit: "KB",
+		s.figure("catch_up_kb", figures.Figure{Name: "catch-up of a real server, up to the first reading", Role: figures.Settings, State: figures.AllStart, Unit: "KB",
 			Value: mean(bytes), Worst: most(bytes)})
 	}
 }
@@ -195,7 +195,7 @@
 			return
 		}
 		s.note("likeness, %s: real %.5g %s, hollow %.5g", name, mean(a), unit, mean(b))
-		s.figure("like_"+key, figures.Figure{Name: "a hollow server against a real one: " + name, Role: figures.Settings, When: figures.Ordinary, Unit: "part",
+		s.figure("like_"+key, figures.Figure{Name: "a hollow server against a real one: " + name, Role: figures.Settings, State: figures.Ordinary, Unit: "part",
 			Value: math.Abs(mean(b)/mean(a) - 1), Bound: r.form.Bounds.Likeness})
 	}
 	if !r.form.Short { // some milliseconds of it can't be told from none
@@ -250,8 +250,8 @@
 		if phase == OneMachine {
 			key = "one_machine_core"
 		}
-		s.figure(key, figures.Figure{Name: name + ": processor", Role: figures.Control, When: when, Unit: "cores", Value: mean(cores), Worst: most(cores)})
-		s.figure("", figures.Figure{Name: name + ": memory", Role: figures.Control, When: when, Unit: "MB", Value: mean(memory), Worst: most(memory)})
+		s.figure(key, figures.Figure{Name: name + ": processor", Role: figures.Control, State: when, Unit: "cores", Value: mean(cores), Worst: most(cores)})
+		s.figure("", figures.Figure{Name: name + ": memory", Role: figures.Control, State: when, Unit: "MB", Value: mean(memory), Worst: most(memory)})
 	}
 	var relays []string
 	for _, m := range r.form.relays() {
@@ -284,7 +284,7 @@
 			if phase == OneMachine {
 				name = "one machine with all servers: bytes both ways"
 			}
-			s.figure("", figures.Figure{Name: name, Role: figures.Control, When: figures.Ordinary, Unit: "bytes/s", Value: sum / span})
+			s.figure("", figures.Figure{Name: name, Role: figures.Control, State: figures.Ordinary, Unit: "bytes/s", Value: sum / span})
 		}
 	}
 }
--- a/internal/lab/scale/fleetday/report.go
+++ b/internal/lab/scale/fleetday/report.go
@@ -37,7 +37,7 @@
 	f.Trial = s.day.rig.form.Short
 	f.OK = f.Bound == 0 || seen <= f.Bound
 	if !f.OK {
-		s.short("%s (%s): %.6g %s, want %.6g at most", f.Name, f.When, seen, f.Unit, f.Bound)
+		s.short("%s (%s): %.6g %s, want %.6g at most", f.Name, f.State, seen, f.Unit, f.Bound)
 	}
 	s.Figures = append(s.Figures, f)
 	if key != "" {
@@ -66,7 +66,7 @@
 		return fmt.Sprintf("%.4g", x)
 	}
 	for _, f := range r.Figures {
-		fmt.Fprintf(w, "%-58s %-13s %12.4g %12s %12s %12s  %s\n", f.Name, f.When, f.Value, number(f.P99), number(f.Worst), number(f.Bound), f.Unit)
+		fmt.Fprintf(w, "%-58s %-13s %12.4g %12s %12s %12s  %s\n", f.Name, f.State, f.Value, number(f.P99), number(f.Worst), number(f.Bound), f.Unit)
 	}
 	for _, s := range r.Short {
 		fmt.Fprintln(w, "short:", s)
@@ -117,8 +117,8 @@
 }
 
 // whens says to which state of the fleet a circumstance belongs.
-var whens = map[string]string{Zone: figures.ZoneLost, "start after " + Zone: figures.ZoneLost, Apart: figures.Apart,
-	Healed + ", versions made meanwhile": figures.Apart, Healed: figures.Apart, Together: figures.AllStart, "start after " + Together: figures.AllStart}
+var whens = map[string]string{Zone: figures.ZoneLost, "start after " + Zone: figures.ZoneLost, Apart: figures.RegionsApart,
+	Healed + ", versions made meanwhile": figures.RegionsApart, Healed: figures.RegionsApart, Together: figures.AllStart, "start after " + Together: figures.AllStart}
 
 func when(circumstance string) string {
 	if w := whens[circumstance]; w != "" {
@@ -141,13 +141,13 @@
 		} else {
 			worstFault = max(worstFault, worst)
 		}
-		s.figure("", figures.Figure{Name: "in force: " + name, Role: figures.Settings, When: when(name), Unit: "s", Value: quantile(list, 0.5).Seconds(),
+		s.figure("", figures.Figure{Name: "in force: " + name, Role: figures.Settings, State: when(name), Unit: "s", Value: quantile(list, 0.5).Seconds(),
 			P99: quantile(list, 0.99).Seconds(), Worst: worst, Bound: bound.Seconds()})
 		s.note("in force, %s: %d versions on servers", name, len(list))
 	}
 	for _, name := range sortedKeys(v.Starts) {
 		list := v.Starts[name]
-		s.figure("", figures.Figure{Name: "first version after a start: " + name, Role: figures.Settings, When: when(name), Unit: "s",
+		s.figure("", figures.Figure{Name: "first version after a start: " + name, Role: figures.Settings, State: when(name), Unit: "s",
 			Value: quantile(list, 0.5).Seconds(), P99: quantile(list, 0.99).Seconds(), Worst: quantile(list, 1).Seconds(), Bound: r.form.Bounds.FaultInForce.Seconds()})
 	}
 	for i, line := range append(slices.Clone(v.Disorder), v.Missing...) {
@@ -269,13 +269,13 @@
 			if len(pairs[fmt.Sprintf("%g/s %s", rate, side)]) == 0 {
 				continue
 			}
-			f := figures.Figure{Name: fmt.Sprintf("p99 added to a request at %g/s, %s control", rate, side), Role: figures.Fronts, When: figures.Peak, Unit: "ms",
+			f := figures.Figure{Name: fmt.Sprintf("p99 added to a request at %g/s, %s control", rate, side), Role: figures.FrontEnds, State: figures.Peak, Unit: "ms",
 				Value: ms("%g/s "+side, 0.99), Bound: float64(r.form.Bounds.Added) / 1e6}
 			s.figure(fmt.Sprintf("added_%g_%s_ms", rate, side), f)
 		}
 		if len(pairs[fmt.Sprintf("pair %g/s with", rate)]) > 0 && len(pairs[fmt.Sprintf("pair %g/s without", rate)]) > 0 {
 			s.figure(fmt.Sprintf("added_by_control_%g_ms", rate), figures.Figure{Name: fmt.Sprintf("p99 added by control at %g/s, the same requests", rate),
-				Role: figures.Settings, When: figures.Peak, Unit: "ms", Value: ms("pair %g/s with", 0.99) - ms("pair %g/s without", 0.99), Bound: float64(r.form.Bounds.AddedBy) / 1e6})
+				Role: figures.Settings, State: figures.Peak, Unit: "ms", Value: ms("pair %g/s with", 0.99) - ms("pair %g/s without", 0.99), Bound: float64(r.form.Bounds.AddedBy) / 1e6})
 		}
 	}
 	s.keys = append(s.keys, fmt.Sprintf("requests=%d refused=%d late=%d lost=%d wrong=%d late_callers_p99_us=%d",
--- a/internal/lab/scale/slopes/connections.go
+++ b/internal/lab/scale/slopes/connections.go
@@ -21,8 +21,8 @@
 	}
 	defer engine.Close()
 	slopes := []figures.Slope{
-		{Name: "memory/connections", Role: figures.Fronts, Of: "memory of a server whose callers never let go, RSS", Unit: "KB", Bound: m.target.Assumed.ServerMemoryMB * 1024},
-		{Name: "descriptors/connections", Role: figures.Fronts, Of: "descriptors of that server", Unit: "descriptors", Bound: float64(m.target.Fleet.Descriptors)},
+		{Name: "memory/connections", Role: figures.FrontEnds, Description: "memory of a server whose callers never let go, RSS", Unit: "KB", Bound: m.target.Assumed.ServerMemoryMB * 1024},
+		{Name: "descriptors/connections", Role: figures.FrontEnds, Description: "descriptors of that server", Unit: "descriptors", Bound: float64(m.target.Fleet.Descriptors)},
 	}
 	for _, n := range m.sizes(10, 100, 300, 600, 800, 1500, float64(m.target.Fleet.Callers)) {
 		memory, descriptors, again, err := m.crowd(engine.Address, int(n))
@@ -43,13 +43,13 @@
 				{Name: "connections ended by the server while all come at once", Unit: "connections", Value: float64(again.away + again.ended), OK: true},
 				{Name: "answer while all callers come at once", Unit: "ms", Value: part(again.times, 0.5), P99: part(again.times, 0.99), Worst: part(again.times, 1), OK: true},
 			} {
-				g.Role, g.When = figures.Caller, figures.AllStart
+				g.Role, g.State = figures.Caller, figures.AllStart
 				m.figure(g)
 			}
 		}
 	}
 	for _, s := range slopes {
-		s.By, s.Target = "callers", float64(m.target.Fleet.Callers)
+		s.SizeName, s.Target = "callers", float64(m.target.Fleet.Callers)
 		if err = m.keep(s); err != nil {
 			return err
 		}
--- a/internal/lab/scale/slopes/decision.go
+++ b/internal/lab/scale/slopes/decision.go
@@ -175,9 +175,9 @@
 		if err != nil {
 			return err
 		}
-		return m.keep(figures.Slope{Name: name, Role: figures.Core, Of: of, Unit: "us", By: by, Points: points, Target: target})
+		return m.keep(figures.Slope{Name: name, Role: figures.Core, Description: of, Unit: "us", SizeName: by, Points: points, Target: target})
 	}
-	for _, held := range []int{0, m.target.Assumed.Held, m.target.Assumed.HeldMost} {
+	for _, held := range []int{0, m.target.Assumed.Queued, m.target.Assumed.MaxQueued} {
 		err := slopeOf(fmt.Sprintf("decision/tenants/held=%d", held), fmt.Sprintf("one request's decisions with %d held, routes as many as tenants let", held),
 			"tenants", float64(tenants), m.tenants(), func(size float64) (*decider, error) {
 				// 3 tenants with 4 classes and 21,000 with 2,800 are the ends; between them the classes grow alike.
@@ -190,18 +190,18 @@
 		s := &m.file.Slopes[len(m.file.Slopes)-1]
 		ratio := s.Points[len(s.Points)-1].Value / s.Points[0].Value
 		m.say("%s: %.3g times that of 3 tenants", s.Name, ratio)
-		m.figure(figures.Figure{Name: fmt.Sprintf("decision over that of 3 tenants and 4 routes, %d held", held), Role: figures.Core, When: figures.Peak, Unit: "times",
+		m.figure(figures.Figure{Name: fmt.Sprintf("decision over that of 3 tenants and 4 routes, %d held", held), Role: figures.Core, State: figures.Peak, Unit: "times",
 			Value: ratio, Bound: worstRatio, OK: ratio <= worstRatio})
 		if !m.short {
 			m.want(ratio <= worstRatio, "a decision with %d held costs %.2f times that of 3 tenants, want %.2f at most", held, ratio, worstRatio)
 		}
 	}
 	if err := slopeOf("decision/routes", "one request's decisions with 50 held and 3 tenants", "routes", float64(routes), m.routes(), func(size float64) (*decider, error) {
-		return newDecider(site{teams: 3, routes: int(size), cores: decisionCores}, m.target.Assumed.Held, decisionSeed)
+		return newDecider(site{teams: 3, routes: int(size), cores: decisionCores}, m.target.Assumed.Queued, decisionSeed)
 	}); err != nil {
 		return err
 	}
-	if err := slopeOf("decision/held", "one request's decisions at the target's tenants and routes", "held requests", float64(m.target.Assumed.HeldMost),
+	if err := slopeOf("decision/held", "one request's decisions at the target's tenants and routes", "held requests", float64(m.target.Assumed.MaxQueued),
 		m.sizes(0, 8, 16, 31, 62, 125, 250, 500), func(size float64) (*decider, error) {
 			s := site{teams: tenants, routes: routes, cores: decisionCores}
 			if m.short {
@@ -211,7 +211,7 @@
 		}); err != nil {
 		return err
 	}
-	keys := m.target.PerServer() * m.target.Assumed.KeyedPart * m.target.Assumed.KeyWindowS
+	keys := m.target.RequestsPerServer() * m.target.Assumed.KeyedFraction * m.target.Assumed.KeyWindowS
 	return slopeOf("decision/keys", "one keyed request's decisions with so many keys kept", "kept keys", keys, m.sizes(30, 100, 300, 1000, 3000, 10000), func(size float64) (*decider, error) {
 		set := site{teams: 3, routes: 4, cores: decisionCores}.settings()
 		for i := range set.Classes {
--- a/internal/lab/scale/slopes/delta.go
+++ b/internal/lab/scale/slopes/delta.go
@@ -97,12 +97,12 @@
 		return err
 	}
 	whole := float64(len(full.text()))
-	m.figure(figures.Figure{Name: "operator's file at the target, whole", Role: figures.Operator, When: figures.Ordinary, Unit: "bytes", Value: whole, OK: true})
+	m.figure(figures.Figure{Name: "operator's file at the target, whole", Role: figures.Operator, State: figures.Ordinary, Unit: "bytes", Value: whole, OK: true})
 	for _, s := range []figures.Slope{
-		{Name: "delta bytes/changes", Of: "a delta that changes so many tenants", Unit: "bytes", By: "changes", Points: bytes, Target: 5000},
-		{Name: "delta apply/changes", Of: "such a delta is read and applied", Unit: "ms", By: "changes", Points: apply, Target: 5000},
-		{Name: "snapshot bytes/tenants", Of: "a snapshot with the target's routes", Unit: "bytes", By: "tenants", Points: snapshot, Target: float64(m.target.Fleet.Tenants)},
-		{Name: "snapshot open/tenants", Of: "such a snapshot is read and checked", Unit: "ms", By: "tenants", Points: opened, Target: float64(m.target.Fleet.Tenants)},
+		{Name: "delta bytes/changes", Description: "a delta that changes so many tenants", Unit: "bytes", SizeName: "changes", Points: bytes, Target: 5000},
+		{Name: "delta apply/changes", Description: "such a delta is read and applied", Unit: "ms", SizeName: "changes", Points: apply, Target: 5000},
+		{Name: "snapshot bytes/tenants", Description: "a snapshot with the target's routes", Unit: "bytes", SizeName: "tenants", Points: snapshot, Target: float64(m.target.Fleet.Tenants)},
+		{Name: "snapshot open/tenants", Description: "such a snapshot is read and checked", Unit: "ms", SizeName: "tenants", Points: opened, Target: float64(m.target.Fleet.Tenants)},
 	} {
 		s.Role = figures.Settings
 		if err = m.keep(s); err != nil {
--- a/internal/lab/scale/slopes/follow.go
+++ b/internal/lab/scale/slopes/follow.go
@@ -95,10 +95,10 @@
 // followed keeps the slopes and the figures at the target.
 func (m *measurement) followed(startMS float64, trip, inForce []figures.Point) error {
 	for _, s := range []figures.Slope{
-		{Name: "version request/changes", Of: "the longest round trip at a real server while it takes a version over, less the usual one", Points: trip},
-		{Name: "version in force/changes", Of: "from the publisher's word to a real server's, in force", Points: picked(inForce, slope.Median)},
+		{Name: "version request/changes", Description: "the longest round trip at a real server while it takes a version over, less the usual one", Points: trip},
+		{Name: "version in force/changes", Description: "from the publisher's word to a real server's, in force", Points: picked(inForce, slope.Median)},
 	} {
-		s.Role, s.Unit, s.By, s.Target = figures.Settings, "ms", "changes", many
+		s.Role, s.Unit, s.SizeName, s.Target = figures.Settings, "ms", "changes", many
 		if err := m.keep(s); err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 		return nil
 	}
 	m.say("a server that follows is ready with the target's version after %.0f ms", startMS)
-	m.figure(figures.Figure{Name: "start by a version with the target's settings", Role: figures.Settings, When: figures.AllStart, Unit: "ms", Value: startMS,
+	m.figure(figures.Figure{Name: "start by a version with the target's settings", Role: figures.Settings, State: figures.AllStart, Unit: "ms", Value: startMS,
 		Bound: readyWithinMS, OK: startMS <= readyWithinMS})
 	m.want(startMS <= readyWithinMS, "a start by the target's version takes %.0f ms, want %d at most", startMS, readyWithinMS)
 	for _, g := range []struct {
@@ -120,7 +120,7 @@
 				continue
 			}
 			ok := p.Value <= g.bound
-			m.figure(figures.Figure{Name: "a version with " + g.what + ", " + longestTrip, Role: figures.Settings, When: figures.Ordinary, Unit: "ms",
+			m.figure(figures.Figure{Name: "a version with " + g.what + ", " + longestTrip, Role: figures.Settings, State: figures.Ordinary, Unit: "ms",
 				Value: p.Value, Worst: slices.Max(p.Raw), Bound: g.bound, OK: ok})
 			m.want(ok, "a request beside a version with %s takes %.3g ms longer, want %g at most", g.what, p.Value, g.bound)
 		}
--- a/internal/lab/scale/slopes/latency.go
+++ b/internal/lab/scale/slopes/latency.go
@@ -120,17 +120,17 @@
 // latencies measures the server under callers: both rates side by side, each
 // number of callers in turn.
 func (m *measurement) latencies() error {
-	rates := []float64{m.target.PerServer(), m.target.Assumed.HotServerPerS}
+	rates := []float64{m.target.RequestsPerServer(), m.target.Assumed.HotServerPerS}
 	var slopes [2][5]figures.Slope
 	var all []served
 	for i, rate := range rates {
 		at := fmt.Sprintf("%.0f/s", rate)
 		slopes[i] = [5]figures.Slope{
-			{Name: "added p50/callers/" + at, Role: figures.Fronts, Unit: "ms", Of: "added to a request, half of them, at " + at},
-			{Name: "added p99/callers/" + at, Role: figures.Fronts, Unit: "ms", Of: "added to a request, 99 in 100, at " + at, Bound: m.target.Promise.AddedP99MS},
-			{Name: "core/callers/" + at, Role: figures.Fronts, Unit: "cores", Of: "processor time of a server at " + at, Bound: m.target.Assumed.ServerCores},
-			{Name: "memory/callers/" + at, Role: figures.Fronts, Unit: "KB", Of: "memory of a server at " + at, Bound: m.target.Assumed.ServerMemoryMB * 1024},
-			{Name: "connections/callers/" + at, Role: figures.Caller, Unit: "descriptors", Of: "connections open at a server at " + at},
+			{Name: "added p50/callers/" + at, Role: figures.FrontEnds, Unit: "ms", Description: "added to a request, half of them, at " + at},
+			{Name: "added p99/callers/" + at, Role: figures.FrontEnds, Unit: "ms", Description: "added to a request, 99 in 100, at " + at, Bound: m.target.Promise.AddedP99MS},
+			{Name: "core/callers/" + at, Role: figures.FrontEnds, Unit: "cores", Description: "processor time of a server at " + at, Bound: m.target.Assumed.ServerCores},
+			{Name: "memory/callers/" + at, Role: figures.FrontEnds, Unit: "KB", Description: "memory of a server at " + at, Bound: m.target.Assumed.ServerMemoryMB * 1024},
+			{Name: "connections/callers/" + at, Role: figures.Caller, Unit: "descriptors", Description: "connections open at a server at " + at},
 		}
 	}
 	for _, n := range m.callerCounts() {
@@ -168,7 +168,7 @@
 	for i := range slopes {
 		for j := range slopes[i] {
 			s := &slopes[i][j]
-			s.By, s.Target = "callers", float64(m.target.Fleet.Callers)
+			s.SizeName, s.Target = "callers", float64(m.target.Fleet.Callers)
 			if err := m.keep(*s); err != nil {
 				return err
 			}
@@ -184,13 +184,13 @@
 			name = "a hot server"
 		}
 		_, p99 := o.added()
-		m.figure(figures.Figure{Name: "added to a request, " + name, Role: figures.Fronts, When: when, Unit: "ms", Value: o.p50 - o.direct50, P99: p99, Worst: o.worst - o.direct50,
+		m.figure(figures.Figure{Name: "added to a request, " + name, Role: figures.FrontEnds, State: when, Unit: "ms", Value: o.p50 - o.direct50, P99: p99, Worst: o.worst - o.direct50,
 			Bound: m.target.Promise.AddedP99MS, OK: p99 < m.target.Promise.AddedP99MS})
-		m.figure(figures.Figure{Name: "requests lost or late, " + name, Role: figures.Fronts, When: when, Unit: "requests", Value: float64(o.lostAll), OK: o.lostAll == 0})
-		m.figure(figures.Figure{Name: "sent again by their callers, " + name, Role: figures.Caller, When: when, Unit: "requests", Value: float64(o.seen.again), OK: true})
-		m.figure(figures.Figure{Name: "resting connections ended by the server, " + name, Role: figures.Caller, When: when, Unit: "connections", Value: float64(o.seen.away + o.seen.ended), OK: true})
-		m.figure(figures.Figure{Name: "time for which the machine had no core for the server, by requests, " + name, Role: figures.Fronts, When: when, Unit: "us", Value: o.waitedUS, OK: true})
-		m.figure(figures.Figure{Name: "processor time of a request, " + name, Role: figures.Fronts, When: when, Unit: "us", Value: o.cpuUS, OK: true})
+		m.figure(figures.Figure{Name: "requests lost or late, " + name, Role: figures.FrontEnds, State: when, Unit: "requests", Value: float64(o.lostAll), OK: o.lostAll == 0})
+		m.figure(figures.Figure{Name: "sent again by their callers, " + name, Role: figures.Caller, State: when, Unit: "requests", Value: float64(o.seen.again), OK: true})
+		m.figure(figures.Figure{Name: "resting connections ended by the server, " + name, Role: figures.Caller, State: when, Unit: "connections", Value: float64(o.seen.away + o.seen.ended), OK: true})
+		m.figure(figures.Figure{Name: "time for which the machine had no core for the server, by requests, " + name, Role: figures.FrontEnds, State: when, Unit: "us", Value: o.waitedUS, OK: true})
+		m.figure(figures.Figure{Name: "processor time of a request, " + name, Role: figures.FrontEnds, State: when, Unit: "us", Value: o.cpuUS, OK: true})
 	}
 	return nil
 }
--- a/internal/lab/scale/slopes/memory.go
+++ b/internal/lab/scale/slopes/memory.go
@@ -67,7 +67,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		return m.keep(figures.Slope{Name: name, Role: role, Of: of, Unit: "KB", By: by, Points: points, Target: target})
+		return m.keep(figures.Slope{Name: name, Role: role, Description: of, Unit: "KB", SizeName: by, Points: points, Target: target})
 	}
 	if err := keep("heap/tenants", figures.Settings, "configuration and core, 4 routes", "tenants", float64(m.target.Fleet.Tenants), m.tenants(), func(size float64) (float64, error) {
 		return settled(func() (*configured, error) { return configure(site{teams: int(size), routes: 4, cores: 4}) })
@@ -80,13 +80,13 @@
 		return err
 	}
 	body := make([]byte, m.target.Assumed.BodyBytes)
-	if err := keep("heap/held", figures.Core, fmt.Sprintf("requests in the book, bodies of %d bytes", len(body)), "held requests", float64(m.target.Assumed.HeldMost),
+	if err := keep("heap/held", figures.Core, fmt.Sprintf("requests in the book, bodies of %d bytes", len(body)), "held requests", float64(m.target.Assumed.MaxQueued),
 		m.sizes(31, 62, 125, 250, 500, 1000), func(size float64) (float64, error) {
 			return m.book(int(size), kiteslip.Repeatable, body)
 		}); err != nil {
 		return err
 	}
-	keys := m.target.PerServer() * m.target.Assumed.KeyedPart * m.target.Assumed.KeyWindowS
+	keys := m.target.RequestsPerServer() * m.target.Assumed.KeyedFraction * m.target.Assumed.KeyWindowS
 	return keep("heap/keys", figures.Keys, fmt.Sprintf("results kept for keys, of %d bytes", len(body)), "kept keys", keys,
 		m.sizes(100, 300, 1000, 3000, 10000), func(size float64) (float64, error) {
 			return m.book(int(size), kiteslip.Keyed, body)
--- a/internal/lab/scale/slopes/slopes.go
+++ b/internal/lab/scale/slopes/slopes.go
@@ -91,7 +91,7 @@
 		knee = ", knee " + s.Knee
 	}
 	m.say("%-34s %.5g + %.5g a unit of %s, residual %.0f%%; at %.6g: %.5g %s, predicted %.5g (%.0f%% off%s)",
-		s.Name, s.Fixed, s.PerUnit, s.By, 100*s.Residual, last.Size, last.Value, s.Unit, s.Predicted, 100*s.Miss, knee)
+		s.Name, s.Fixed, s.PerUnit, s.SizeName, 100*s.Residual, last.Size, last.Value, s.Unit, s.Predicted, 100*s.Miss, knee)
 	if !m.short && s.Bound > 0 && s.Target > 0 {
 		v, _ := s.At(s.Target)
 		m.want(v <= s.Bound, "%s: %.4g %s at %.6g, want %.4g at most", s.Name, v, s.Unit, s.Target, s.Bound)
@@ -139,7 +139,7 @@
 	if m.short {
 		return 500 * time.Millisecond
 	}
-	return time.Duration(m.target.Assumed.RestS * float64(time.Second))
+	return time.Duration(m.target.Assumed.IdleTimeoutS * float64(time.Second))
 }
 
 // span is how long a server is looked at.
--- a/internal/lab/scale/slopes/slopes_test.go
+++ b/internal/lab/scale/slopes/slopes_test.go
@@ -157,7 +157,7 @@
 	for bound, want := range map[float64]int{50: 1, 5000: 0} {
 		m := &measurement{target: small(t), file: figures.New("test")}
 		m.Say = func(string) {}
-		s := figures.Slope{Name: "x", Role: figures.Core, By: "things", Target: 1000, Bound: bound}
+		s := figures.Slope{Name: "x", Role: figures.Core, SizeName: "things", Target: 1000, Bound: bound}
 		for _, size := range []float64{10, 100, 1000} {
 			s.Points = append(s.Points, figures.Point{Size: size, Value: size})
 		}
--- a/internal/lab/scale/slopes/start.go
+++ b/internal/lab/scale/slopes/start.go
@@ -55,11 +55,11 @@
 		if err != nil {
 			return err
 		}
-		if err = m.keep(figures.Slope{Name: "start/" + k.by, Role: figures.Settings, Of: "from the start of the process to its line \"serving\"", Unit: "ms",
-			By: k.by, Points: started, Target: float64(k.target), Bound: readyWithinMS}); err != nil {
+		if err = m.keep(figures.Slope{Name: "start/" + k.by, Role: figures.Settings, Description: "from the start of the process to its line \"serving\"", Unit: "ms",
+			SizeName: k.by, Points: started, Target: float64(k.target), Bound: readyWithinMS}); err != nil {
 			return err
 		}
-		if err = m.keep(figures.Slope{Name: "process/" + k.by, Role: figures.Settings, Of: "memory of the process once it serves, RSS", Unit: "KB", By: k.by,
+		if err = m.keep(figures.Slope{Name: "process/" + k.by, Role: figures.Settings, Description: "memory of the process once it serves, RSS", Unit: "KB", SizeName: k.by,
 			Points: picked(memory, slope.Median), Target: float64(k.target), Bound: m.target.Assumed.ServerMemoryMB * 1024}); err != nil {
 			return err
 		}
@@ -74,7 +74,7 @@
 			if len(r.points) < 3 {
 				continue
 			}
-			if err = m.keep(figures.Slope{Name: r.name + k.by, Role: figures.Settings, Of: r.of, Unit: "ms", By: k.by, Points: picked(r.points, slope.Best),
+			if err = m.keep(figures.Slope{Name: r.name + k.by, Role: figures.Settings, Description: r.of, Unit: "ms", SizeName: k.by, Points: picked(r.points, slope.Best),
 				Target: float64(k.target)}); err != nil {
 				return err
 			}
@@ -105,7 +105,7 @@
 		}
 		if changed == 1 {
 			m.say("start with the target's settings: %.0f ms at best, %.0f at worst", slices.Min(starts), slices.Max(starts))
-			m.figure(figures.Figure{Name: "start with the target's settings", Role: figures.Settings, When: figures.AllStart, Unit: "ms", Value: slope.Median(starts),
+			m.figure(figures.Figure{Name: "start with the target's settings", Role: figures.Settings, State: figures.AllStart, Unit: "ms", Value: slope.Median(starts),
 				Worst: slices.Max(starts), Bound: readyWithinMS, OK: slices.Max(starts) <= readyWithinMS})
 		}
 		if len(reloads) == 0 {
@@ -118,7 +118,7 @@
 		}
 		for _, g := range []figures.Figure{{Name: "SIGHUP with " + what + ", until in use", Value: slope.Median(reloads), Worst: slices.Max(reloads)},
 			{Name: "SIGHUP with " + what + ", " + longestTrip, Value: slope.Median(holds), Worst: slices.Max(holds)}} {
-			g.Role, g.When, g.Unit, g.OK = figures.Settings, figures.Ordinary, "ms", true
+			g.Role, g.State, g.Unit, g.OK = figures.Settings, figures.Ordinary, "ms", true
 			m.figure(g)
 		}
 	}
@@ -195,7 +195,7 @@
 	*points = append(*points, figures.Point{Size: size, Raw: []float64{v}})
 }
 
-func picked(points []figures.Point, pick slope.Pick) []figures.Point {
+func picked(points []figures.Point, pick slope.Summary) []figures.Point {
 	for i := range points {
 		points[i].Value = pick(points[i].Raw)
 	}
--- a/internal/lab/scale/slopes/traffic.go
+++ b/internal/lab/scale/slopes/traffic.go
@@ -42,10 +42,10 @@
 		return err
 	}
 	slopes := []figures.Slope{
-		{Name: "report bytes/routes", Role: figures.Reports, Of: "one report to the registry, with the headers of IP and UDP", Unit: "bytes"},
-		{Name: "reports/routes", Role: figures.Reports, Of: "reports to the registry, with the headers of IP and UDP", Unit: "bytes/s", Bound: m.target.Control.KBPerS * 1000},
-		{Name: "show-stat/routes", Role: figures.Operator, Of: "one answer to show-stat", Unit: "bytes"},
-		{Name: "show-stat time/routes", Role: figures.Operator, Of: "one answer to show-stat, to its end", Unit: "ms"},
+		{Name: "report bytes/routes", Role: figures.Reports, Description: "one report to the registry, with the headers of IP and UDP", Unit: "bytes"},
+		{Name: "reports/routes", Role: figures.Reports, Description: "reports to the registry, with the headers of IP and UDP", Unit: "bytes/s", Bound: m.target.Control.KBPerS * 1000},
+		{Name: "show-stat/routes", Role: figures.Operator, Description: "one answer to show-stat", Unit: "bytes"},
+		{Name: "show-stat time/routes", Role: figures.Operator, Description: "one answer to show-stat, to its end", Unit: "ms"},
 	}
 	for i, n := range sizes {
 		for j, v := range []float64{told[i].report, told[i].reports, told[i].stat, told[i].statMS} {
@@ -53,7 +53,7 @@
 		}
 	}
 	for _, s := range slopes {
-		s.By, s.Target = "routes", float64(m.target.Fleet.Routes)
+		s.SizeName, s.Target = "routes", float64(m.target.Fleet.Routes)
 		if err = m.keep(s); err != nil {
 			return err
 		}
--- a/internal/lab/scale/slopes/version.go
+++ b/internal/lab/scale/slopes/version.go
@@ -120,7 +120,7 @@
 				continue
 			}
 			ok := p.Value <= g.bound
-			m.figure(figures.Figure{Name: g.name, Role: figures.Settings, When: figures.Ordinary, Unit: "ms", Value: p.Value, Bound: g.bound, OK: ok})
+			m.figure(figures.Figure{Name: g.name, Role: figures.Settings, State: figures.Ordinary, Unit: "ms", Value: p.Value, Bound: g.bound, OK: ok})
 			m.want(ok, "%s: %.3g ms, want %g at most", g.name, p.Value, g.bound)
 		}
 	}
@@ -139,10 +139,10 @@
 		return err
 	}
 	for _, s := range []figures.Slope{
-		{Name: "version beside the loop/" + size, Of: "a delta is read, applied and laid over the configuration", Points: beside},
-		{Name: "version on the loop/" + size, Of: "the core takes it over (the names of what has changed come on top)", Points: picked(on, slope.Best)},
+		{Name: "version beside the loop/" + size, Description: "a delta is read, applied and laid over the configuration", Points: beside},
+		{Name: "version on the loop/" + size, Description: "the core takes it over (the names of what has changed come on top)", Points: picked(on, slope.Best)},
 	} {
-		s.Role, s.Unit, s.By, s.Target = figures.Settings, "ms", size, target
+		s.Role, s.Unit, s.SizeName, s.Target = figures.Settings, "ms", size, target
 		if err = m.keep(s); err != nil {
 			return err
 		}
--- a/internal/lab/scale/target/target.go
+++ b/internal/lab/scale/target/target.go
@@ -1,6 +1,6 @@
-// Package target reads the operators' target, docs/capacity/target-fleet.toml: the
-// sizes that the system is to carry, what it promises at them, and what is
-// assumed where nobody was told.
+// Package target reads the operators' capacity target,
+// docs/capacity/target-fleet.toml: the sizes that the system is to carry, what it
+// promises at these sizes, and the assumptions where no requirement was given.
 package target
 
 import (
@@ -11,35 +11,36 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Fleet is what there is.
+// Fleet holds the sizes of the fleet.
 type Fleet struct {
 	Servers         int     `toml:"servers"`
 	Callers         int     `toml:"callers"`
 	Services        int     `toml:"services"`
-	RequestsPerS    float64 `toml:"requests_per_s"` // at the peak
+	RequestsPerS    float64 `toml:"requests_per_s"` // of the whole fleet at the peak
 	Routes          int     `toml:"routes"`
 	Tenants         int     `toml:"tenants"`
 	Regions         int     `toml:"regions"`
 	Zones           int     `toml:"zones"`
 	ControlMachines int     `toml:"control_machines"`
-	Descriptors     int     `toml:"descriptors"` // of a server, for callers
+	Descriptors     int     `toml:"descriptors"` // file descriptors per server for callers
 }
 
-// Promise is what the fleet's users are told.
+// Promise holds the service levels that users are promised.
 type Promise struct {
 	AddedP99MS     float64 `toml:"added_p99_ms"`
 	ChangesPerDay  float64 `toml:"changes_per_day"`
 	InForceWithinS float64 `toml:"in_force_within_s"`
 }
 
-// Control is what one server may spend on control.
+// Control holds the most that one server may spend on following the
+// configuration of the fleet.
 type Control struct {
 	CorePercent float64 `toml:"core_percent"`
 	MemoryMB    float64 `toml:"memory_mb"`
 	KBPerS      float64 `toml:"kb_per_s"`
 }
 
-// Faults are what goes wrong as a matter of course.
+// Faults holds the rates of failures that occur in regular operation.
 type Faults struct {
 	MachinesPerDay float64 `toml:"machines_per_day"`
 	RestartsPerDay float64 `toml:"restarts_per_day"`
@@ -47,24 +48,24 @@
 	ZonesPerYear   float64 `toml:"zones_per_year"`
 }
 
-// Assumed is what nobody was told.
+// Assumed holds values that no requirement gives.
 type Assumed struct {
-	HotServerPerS  float64 `toml:"hot_server_per_s"`
-	OrdinaryPart   float64 `toml:"ordinary_part"`
-	Held           int     `toml:"held"`
-	HeldMost       int     `toml:"held_most"`
-	KeyedPart      float64 `toml:"keyed_part"`
-	KeyWindowS     float64 `toml:"key_window_s"`
-	BodyBytes      int     `toml:"body_bytes"`
-	RestS          float64 `toml:"rest_s"`
-	DoorEveryS     float64 `toml:"door_every_s"`
-	CutsPerYear    float64 `toml:"cuts_per_year"`
-	CutMinutes     float64 `toml:"cut_minutes"`
-	ServerCores    float64 `toml:"server_cores"`
-	ServerMemoryMB float64 `toml:"server_memory_mb"`
+	HotServerPerS       float64 `toml:"hot_server_per_s"`
+	OrdinaryFraction    float64 `toml:"ordinary_part"`
+	Queued              int     `toml:"held"`
+	MaxQueued           int     `toml:"held_most"`
+	KeyedFraction       float64 `toml:"keyed_part"`
+	KeyWindowS          float64 `toml:"key_window_s"`
+	BodyBytes           int     `toml:"body_bytes"`
+	IdleTimeoutS        float64 `toml:"rest_s"`
+	AdminQueryIntervalS float64 `toml:"door_every_s"`
+	PartitionsPerYear   float64 `toml:"cuts_per_year"`
+	PartitionMinutes    float64 `toml:"cut_minutes"`
+	ServerCores         float64 `toml:"server_cores"`
+	ServerMemoryMB      float64 `toml:"server_memory_mb"`
 }
 
-// Target is the whole file.
+// Target is the content of the file.
 type Target struct {
 	Fleet   Fleet   `toml:"fleet"`
 	Promise Promise `toml:"promise"`
@@ -73,7 +74,7 @@
 	Assumed Assumed `toml:"assumed"`
 }
 
-// Load reads the file; an error names all faulty keys.
+// Load reads the file at path. An error names all invalid keys.
 func Load(path string) (*Target, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return t, nil
 }
 
-// Parse is Load on a text.
+// Parse parses the text of the file. An error names all invalid keys.
 func Parse(text string) (*Target, error) {
 	t := &Target{}
 	meta, err := toml.Decode(text, t)
@@ -95,33 +96,33 @@
 	}
 	var errs []error
 	for _, key := range meta.Undecoded() {
-		errs = append(errs, fmt.Errorf("%s is not known", key))
+		errs = append(errs, fmt.Errorf("unknown key %s", key))
 	}
 	for _, k := range t.keys() {
-		if !(k.value > 0) || k.most > 0 && k.value > k.most {
-			errs = append(errs, fmt.Errorf("%s is %v, want above 0%s", k.name, k.value, k.bound()))
+		if !(k.value > 0) || k.max > 0 && k.value > k.max {
+			errs = append(errs, fmt.Errorf("%s is %v, want more than 0%s", k.name, k.value, k.maxText()))
 		}
 	}
 	if err = errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	if t.Fleet.Zones < t.Fleet.Regions {
-		return nil, fmt.Errorf("fleet.zones is %d, want one for each of %d regions at least", t.Fleet.Zones, t.Fleet.Regions)
+		return nil, fmt.Errorf("fleet.zones is %d, want at least one for each of %d regions", t.Fleet.Zones, t.Fleet.Regions)
 	}
-	if t.Assumed.HeldMost < t.Assumed.Held {
-		return nil, fmt.Errorf("assumed.held_most is %d, want assumed.held, %d, at least", t.Assumed.HeldMost, t.Assumed.Held)
+	if t.Assumed.MaxQueued < t.Assumed.Queued {
+		return nil, fmt.Errorf("assumed.held_most is %d, want at least assumed.held, %d", t.Assumed.MaxQueued, t.Assumed.Queued)
 	}
 	return t, nil
 }
 
 type key struct {
-	name        string
-	value, most float64 // most: 0 = no bound
+	name       string
+	value, max float64 // most 0 = no upper bound
 }
 
-func (k key) bound() string {
-	if k.most > 0 {
-		return fmt.Sprintf(", at most %v", k.most)
+func (k key) maxText() string {
+	if k.max > 0 {
+		return fmt.Sprintf(", at most %v", k.max)
 	}
 	return ""
 }
@@ -137,19 +138,21 @@
 		{"control.core_percent", c.CorePercent, 100}, {"control.memory_mb", c.MemoryMB, 0}, {"control.kb_per_s", c.KBPerS, 0},
 		{"faults.machines_per_day", g.MachinesPerDay, 0}, {"faults.restarts_per_day", g.RestartsPerDay, 0},
 		{"faults.racks_per_year", g.RacksPerYear, 0}, {"faults.zones_per_year", g.ZonesPerYear, 0},
-		{"assumed.cuts_per_year", a.CutsPerYear, 0}, {"assumed.cut_minutes", a.CutMinutes, 0},
-		{"assumed.hot_server_per_s", a.HotServerPerS, 0}, {"assumed.ordinary_part", a.OrdinaryPart, 1},
-		{"assumed.held", float64(a.Held), 0}, {"assumed.held_most", float64(a.HeldMost), 0},
-		{"assumed.keyed_part", a.KeyedPart, 1}, {"assumed.key_window_s", a.KeyWindowS, 3600}, {"assumed.body_bytes", float64(a.BodyBytes), 2048},
-		{"assumed.rest_s", a.RestS, 0}, {"assumed.door_every_s", a.DoorEveryS, 0}, {"assumed.server_cores", a.ServerCores, 0}, {"assumed.server_memory_mb", a.ServerMemoryMB, 0},
+		{"assumed.cuts_per_year", a.PartitionsPerYear, 0}, {"assumed.cut_minutes", a.PartitionMinutes, 0},
+		{"assumed.hot_server_per_s", a.HotServerPerS, 0}, {"assumed.ordinary_part", a.OrdinaryFraction, 1},
+		{"assumed.held", float64(a.Queued), 0}, {"assumed.held_most", float64(a.MaxQueued), 0},
+		{"assumed.keyed_part", a.KeyedFraction, 1}, {"assumed.key_window_s", a.KeyWindowS, 3600}, {"assumed.body_bytes", float64(a.BodyBytes), 2048},
+		{"assumed.rest_s", a.IdleTimeoutS, 0}, {"assumed.door_every_s", a.AdminQueryIntervalS, 0}, {"assumed.server_cores", a.ServerCores, 0}, {"assumed.server_memory_mb", a.ServerMemoryMB, 0},
 	}
 }
 
-// PerServer is a server's mean part of the peak, requests a second.
-func (t *Target) PerServer() float64 { return t.Fleet.RequestsPerS / float64(t.Fleet.Servers) }
+// RequestsPerServer returns the mean rate of one server at the peak, in requests
+// per second.
+func (t *Target) RequestsPerServer() float64 { return t.Fleet.RequestsPerS / float64(t.Fleet.Servers) }
 
-// ZoneLost is how much more each server carries with a zone gone.
-func (t *Target) ZoneLost() float64 {
+// ZoneLossFactor returns the factor by which each server's load grows while one
+// zone is lost.
+func (t *Target) ZoneLossFactor() float64 {
 	if t.Fleet.Zones < 2 {
 		return 1
 	}
