--- a/internal/lab/scale/fleetday/callers.go
+++ b/internal/lab/scale/fleetday/callers.go
@@ -25,7 +25,7 @@
 	perServer := r.form.Callers / (r.form.Real - r.form.Idle)
 	add := func(s *server, group int) {
 		if s.rate > 0 {
-			list = append(list, hollow.Target{Name: s.name, Address: s.listen, Group: group, Rate: s.rate, Callers: perServer, Draws: uint64(s.number)})
+			list = append(list, hollow.Target{Name: s.name, Address: s.listen, Group: group, Rate: s.rate, Callers: perServer, Seed: uint64(s.number)})
 		}
 	}
 	for _, s := range r.real {
@@ -63,7 +63,7 @@
 	}
 	for t := range targets {
 		c := list[t%processes]
-		c.spec.Own = append(c.spec.Own, t)
+		c.spec.LocalTargets = append(c.spec.LocalTargets, t)
 	}
 	return list, each(list, func(c *callersProcess) error {
 		name := "callers-" + strings.TrimPrefix(filepath.Base(c.spec.Records), "records-")
--- a/internal/lab/scale/fleetday/day.go
+++ b/internal/lab/scale/fleetday/day.go
@@ -108,7 +108,7 @@
 	d.watch("%d control machines and %d processes of hollow servers are up", len(r.machines), len(r.hollow))
 	// The first of each process takes the version whole, the others share it.
 	for _, h := range r.hollow {
-		if err = h.command(hollow.Cold, h.first, Begin); err != nil {
+		if err = h.command(hollow.ColdStart, h.first, Begin); err != nil {
 			return err
 		}
 	}
@@ -270,7 +270,7 @@
 	case Back, BackCold:
 		cold, what := e.Kind == BackCold, hollow.Start
 		if cold {
-			what = hollow.Cold
+			what = hollow.ColdStart
 		}
 		return d.servers(e.Servers, func(s *server) error { return s.start(phase, cold) },
 			func(h *hollowProcess, i int) error { return h.command(what, i, phase) })
--- a/internal/lab/scale/fleetday/report.go
+++ b/internal/lab/scale/fleetday/report.go
@@ -225,23 +225,23 @@
 		if rec.Opened {
 			opened++
 		}
-		late = append(late, rec.Waited)
+		late = append(late, rec.CallerDelayUS)
 		if rec.Code != hollow.Answered && told < toldMost {
 			told++
 			s.note("request %s: due at %.3f s, for %s, %d tries, %.3f s", rec.Code, time.UnixMicro(rec.Due).Sub(s.day.start).Seconds(),
-				targets[rec.Target].Name, rec.Tries, float64(rec.Took)/1e6)
+				targets[rec.Target].Name, rec.Tries, float64(rec.LatencyUS)/1e6)
 		}
 		due := time.UnixMicro(rec.Due)
 		if due.Before(from) || !due.Before(to) {
 			continue
 		}
 		t := targets[rec.Target]
-		pairs[kinds[int(rec.Target)]] = append(pairs[kinds[int(rec.Target)]], rec.Added)
+		pairs[kinds[int(rec.Target)]] = append(pairs[kinds[int(rec.Target)]], rec.AddedUS)
 		if due.Before(pressed) {
-			unpressed[kinds[int(rec.Target)]] = append(unpressed[kinds[int(rec.Target)]], rec.Added)
+			unpressed[kinds[int(rec.Target)]] = append(unpressed[kinds[int(rec.Target)]], rec.AddedUS)
 		}
-		if int(t.Draws) < r.form.paired() { // its twin gets the same requests
-			pairs["pair "+kinds[int(rec.Target)]] = append(pairs["pair "+kinds[int(rec.Target)]], rec.Added)
+		if int(t.Seed) < r.form.paired() { // its twin gets the same requests
+			pairs["pair "+kinds[int(rec.Target)]] = append(pairs["pair "+kinds[int(rec.Target)]], rec.AddedUS)
 		}
 	}
 	for _, list := range pairs {
@@ -254,12 +254,12 @@
 			float64(quantile(list, 0.5))/1000, float64(quantile(list, 0.99))/1000, len(list))
 	}
 	slices.Sort(late)
-	gone := counts[hollow.Lost] + counts[hollow.Late] + counts[hollow.Wrong]
+	gone := counts[hollow.Lost] + counts[hollow.Late] + counts[hollow.WrongResult]
 	s.note("requests: %d due, %d answered, %d refused, %d late, %d lost, %d wrong; %d tries, %d connections opened; the callers were late by %d us at the 99th percentile, %d us at most",
-		len(records), counts[hollow.Answered], counts[hollow.Refused], counts[hollow.Late], counts[hollow.Lost], counts[hollow.Wrong], tries, opened,
+		len(records), counts[hollow.Answered], counts[hollow.Refused], counts[hollow.Late], counts[hollow.Lost], counts[hollow.WrongResult], tries, opened,
 		quantile(late, 0.99), quantile(late, 1))
 	if gone > 0 {
-		s.short("%d requests are lost, %d late, %d answered with another's result", counts[hollow.Lost], counts[hollow.Late], counts[hollow.Wrong])
+		s.short("%d requests are lost, %d late, %d answered with another's result", counts[hollow.Lost], counts[hollow.Late], counts[hollow.WrongResult])
 	}
 	for _, rate := range []float64{r.form.ServerRate, r.form.HotRate} {
 		ms := func(kind string, q float64) float64 {
@@ -279,7 +279,7 @@
 		}
 	}
 	s.keys = append(s.keys, fmt.Sprintf("requests=%d refused=%d late=%d lost=%d wrong=%d late_callers_p99_us=%d",
-		len(records), counts[hollow.Refused], counts[hollow.Late], counts[hollow.Lost], counts[hollow.Wrong], quantile(late, 0.99)))
+		len(records), counts[hollow.Refused], counts[hollow.Late], counts[hollow.Lost], counts[hollow.WrongResult], quantile(late, 0.99)))
 }
 
 // saturated is the idle part of the machine under which a figure of time is
--- a/internal/lab/scale/hollow/callers.go
+++ b/internal/lab/scale/hollow/callers.go
@@ -14,84 +14,84 @@
 	"kiteslip/internal/frame"
 )
 
-// CallersSpec says what a process of callers is to be.
+// CallersSpec is the specification of a process of callers.
 type CallersSpec struct {
-	Seed     uint64   `json:"Seed"`
-	Start    int64    `json:"Start"`    // Unix microseconds: the first requests are due then
-	Length   int64    `json:"Length"`   // microseconds: nothing is due after that
-	Deadline int64    `json:"Deadline"` // of each request, microseconds
-	Slack    int64    `json:"Slack"`    // by the rules: an answer may be so much later
-	WorkUS   int      `json:"WorkUS"`   // of each request, at the engine
-	Teams    []string `json:"Teams"`
-	Classes  []string `json:"Classes"` // that are safe to repeat
-	Targets  []Target `json:"Targets"`
-	Own      []int    `json:"Own"`     // the targets whose callers are in this process
-	Records  string   `json:"Records"` // the file that the records go to
+	Seed         uint64   `json:"Seed"`
+	Start        int64    `json:"Start"`    // when the first requests are due, Unix microseconds
+	Length       int64    `json:"Length"`   // how long requests are due, microseconds
+	Deadline     int64    `json:"Deadline"` // of each request, microseconds
+	Slack        int64    `json:"Slack"`    // tolerance for late answers, microseconds
+	WorkUS       int      `json:"WorkUS"`   // work of each request at the engine, microseconds
+	Teams        []string `json:"Teams"`
+	Classes      []string `json:"Classes"` // all safe to repeat
+	Targets      []Target `json:"Targets"`
+	LocalTargets []int    `json:"Own"`     // indices of the targets whose callers run in this process
+	Records      string   `json:"Records"` // path of the file of records
 }
 
-// Target is a server, with the callers whose own it is.
+// Target is a server together with the callers that send to it first.
 type Target struct {
 	Name    string  `json:"Name"`
 	Address string  `json:"Address"`
-	Group   int     `json:"Group"` // those of one group stand in for each other
-	Rate    float64 `json:"Rate"`  // requests a second
+	Group   int     `json:"Group"` // retries go to any target of the same group
+	Rate    float64 `json:"Rate"`  // requests per second
 	Callers int     `json:"Callers"`
-	Draws   uint64  `json:"Draws"` // targets with one value get the same requests at the same times
+	Seed    uint64  `json:"Draws"` // random seed; targets with the same value get the same requests at the same times
 }
 
-// The callers' ways.
+// Timing of the callers.
 const (
-	restLeast = 1500 * time.Millisecond // a caller closes a connection that it has not used for so long
-	restMost  = 3500 * time.Millisecond
-	restEvery = 100 * time.Millisecond
-	againMin  = 10 * time.Millisecond // before another try
-	againMost = 200 * time.Millisecond
+	minIdleTimeout    = 1500 * time.Millisecond // a caller closes a connection after an idle time between these two
+	maxIdleTimeout    = 3500 * time.Millisecond
+	idleCheckInterval = 100 * time.Millisecond
+	minRetryDelay     = 10 * time.Millisecond // bounds of the delay before a retry
+	maxRetryDelay     = 200 * time.Millisecond
 
-	lateWithin = time.Second // after the last moment for an answer, a late one is still told from none
+	lateAnswerWait = time.Second // how long after its deadline an answer still counts as late and not as lost
 )
 
-// Callers are the callers of one process.
+// Callers holds the callers of one process.
 type Callers struct {
-	spec    CallersSpec
-	callers []*caller
-	groups  map[int][]int
-	names   atomic.Uint64
-	open    sync.WaitGroup
+	spec     CallersSpec
+	callers  []*caller
+	groups   map[int][]int
+	lastID   atomic.Uint64
+	requests sync.WaitGroup
 
-	mu   sync.Mutex
-	out  *bufio.Writer
-	err  error
-	says io.Writer
-	said int
+	mu           sync.Mutex
+	out          *bufio.Writer
+	err          error
+	messages     io.Writer
+	messageCount int
 }
 
-// saidMost bounds what a process tells of single requests.
-const saidMost = 10
+// maxMessages bounds the messages about single requests of one process.
+const maxMessages = 10
 
-// tell says what a caller saw.
-func (all *Callers) tell(format string, args ...any) {
+// logf prints a message about a request, up to maxMessages of them.
+func (all *Callers) logf(format string, args ...any) {
 	all.mu.Lock()
 	defer all.mu.Unlock()
-	if all.said++; all.said <= saidMost {
-		fmt.Fprintf(all.says, format+"\n", args...)
+	if all.messageCount++; all.messageCount <= maxMessages {
+		fmt.Fprintf(all.messages, format+"\n", args...)
 	}
 }
 
-// caller is one of them: it has one connection at most.
+// caller is one caller. It has at most one connection.
 type caller struct {
-	all  *Callers
-	home int
-	rest time.Duration
+	all         *Callers
+	target      int
+	idleTimeout time.Duration
 
 	mu   sync.Mutex
-	line *line
+	conn *callerConn
 }
 
-// RunCallers is the process: it plays what the file at path says, until its
-// time is over or in ends.
+// RunCallers runs a process of callers by the specification at path, until all
+// requests have ended. The process exits when in ends.
 func RunCallers(path string, in io.Reader, out io.Writer) error {
-	all := &Callers{groups: map[int][]int{}, says: out}
-	if err := read(path, &all.spec); err != nil {
+	all := &Callers{groups: map[int][]int{}, messages: out}
+	if err := readSpec(path, &all.spec); err != nil {
 		return err
 	}
 	file, err := os.Create(all.spec.Records)
@@ -101,11 +101,11 @@
 	defer file.Close()
 	all.out = bufio.NewWriterSize(file, 1<<20)
 	go func() {
-		io.Copy(io.Discard, in) //nolint:errcheck // its end is what counts
-		os.Exit(1)              // whoever started this is gone
+		io.Copy(io.Discard, in) //nolint:errcheck // only its end matters
+		os.Exit(1)              // the parent process is gone
 	}()
 	fmt.Fprintln(out, Ready)
-	all.play()
+	all.run()
 	if err = all.out.Flush(); err == nil {
 		err = all.err
 	}
@@ -115,39 +115,40 @@
 	return err
 }
 
-func (all *Callers) play() {
+func (all *Callers) run() {
 	for i := range all.spec.Targets {
 		g := all.spec.Targets[i].Group
 		all.groups[g] = append(all.groups[g], i)
 	}
 	var drivers sync.WaitGroup
-	for _, home := range all.spec.Own {
-		t := &all.spec.Targets[home]
-		rng := rand.New(rand.NewPCG(all.spec.Seed, t.Draws))
+	for _, target := range all.spec.LocalTargets {
+		t := &all.spec.Targets[target]
+		rng := rand.New(rand.NewPCG(all.spec.Seed, t.Seed))
 		var own []*caller
 		for range t.Callers {
-			own = append(own, &caller{all: all, home: home, rest: restLeast + time.Duration(rng.Int64N(int64(restMost-restLeast)))})
+			own = append(own, &caller{all: all, target: target, idleTimeout: minIdleTimeout + time.Duration(rng.Int64N(int64(maxIdleTimeout-minIdleTimeout)))})
 		}
 		all.callers = append(all.callers, own...)
-		drivers.Go(func() { all.drive(t, own, rng) })
+		drivers.Go(func() { all.sendRequests(t, own, rng) })
 	}
 	stop := make(chan struct{})
-	go all.janitor(stop)
+	go all.closeIdle(stop)
 	drivers.Wait()
-	all.open.Wait()
+	all.requests.Wait()
 	close(stop)
 	for _, c := range all.callers {
 		c.mu.Lock()
-		if c.line != nil {
-			c.line.rest(0)
+		if c.conn != nil {
+			c.conn.closeIfIdle(0)
 		}
 		c.mu.Unlock()
 	}
 }
 
-// janitor closes what has rested, as callers do that need no connection for now.
-func (all *Callers) janitor(stop <-chan struct{}) {
-	tick := time.NewTicker(restEvery)
+// closeIdle closes connections that have been idle for longer than their
+// caller's idle timeout.
+func (all *Callers) closeIdle(stop <-chan struct{}) {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -157,16 +158,17 @@
 		}
 		for _, c := range all.callers {
 			c.mu.Lock()
-			if c.line != nil && c.line.rest(c.rest) {
-				c.line = nil
+			if c.conn != nil && c.conn.closeIfIdle(c.idleTimeout) {
+				c.conn = nil
 			}
 			c.mu.Unlock()
 		}
 	}
 }
 
-// drive sends a target's requests at their times, whatever becomes of those before.
-func (all *Callers) drive(t *Target, own []*caller, rng *rand.Rand) {
+// sendRequests sends the requests of a target when they are due, regardless of
+// whether earlier ones have been answered.
+func (all *Callers) sendRequests(t *Target, own []*caller, rng *rand.Rand) {
 	start := time.UnixMicro(all.spec.Start)
 	for at := rng.ExpFloat64() / t.Rate; at*1e6 < float64(all.spec.Length); at += rng.ExpFloat64() / t.Rate {
 		c := own[rng.IntN(len(own))]
@@ -175,8 +177,8 @@
 		draw := rng.Uint64()
 		due := start.Add(time.Duration(at * float64(time.Second)))
 		time.Sleep(time.Until(due))
-		all.open.Go(func() {
-			r := c.ask(due, team, class, rand.New(rand.NewPCG(draw, 0)))
+		all.requests.Go(func() {
+			r := c.request(due, team, class, rand.New(rand.NewPCG(draw, 0)))
 			all.mu.Lock()
 			defer all.mu.Unlock()
 			if err := r.write(all.out); err != nil && all.err == nil {
@@ -186,43 +188,45 @@
 	}
 }
 
-// connect returns the caller's connection, to target if it has to open one.
-func (c *caller) connect(target int) (l *line, opened bool, err error) {
+// connect returns the caller's connection, or opens one to target.
+func (c *caller) connect(target int) (l *callerConn, opened bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.line != nil {
-		c.line.mu.Lock()
-		away := c.line.away
-		c.line.mu.Unlock()
-		if !away {
-			return c.line, false, nil
+	if c.conn != nil {
+		c.conn.mu.Lock()
+		closing := c.conn.closing
+		c.conn.mu.Unlock()
+		if !closing {
+			return c.conn, false, nil
 		}
-		c.line = nil
+		c.conn = nil
 	}
 	if l, err = dial(c.all.spec.Targets[target].Address, target); err == nil {
-		c.line = l
+		c.conn = l
 	}
 	return l, true, err
 }
 
-// leave has the caller open another connection next time, unless it has already.
-func (c *caller) leave(l *line) {
+// abandon makes the caller open another connection next time, and closes l once
+// its requests have ended.
+func (c *caller) abandon(l *callerConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.line == l {
-		c.line = nil
+	if c.conn == l {
+		c.conn = nil
 	}
-	l.rest(0)
+	l.closeIfIdle(0)
 }
 
-// ask sends one request until it is answered or its time is over.
-func (c *caller) ask(due time.Time, team, class string, rng *rand.Rand) *Record {
-	set := &c.all.spec
-	end := due.Add(time.Duration(set.Deadline+set.Slack) * time.Microsecond)
-	r := &Record{Due: due.UnixMicro(), Target: uint16(c.home), Waited: micros(time.Since(due))}
-	name := fmt.Sprintf("%016x", uint64(os.Getpid())<<40|c.all.names.Add(1))
-	body := []byte(strconv.Itoa(set.WorkUS) + " " + name)
-	target, refused := c.home, false
+// request sends one request, with retries, until it is answered or its deadline
+// has passed.
+func (c *caller) request(due time.Time, team, class string, rng *rand.Rand) *Record {
+	spec := &c.all.spec
+	end := due.Add(time.Duration(spec.Deadline+spec.Slack) * time.Microsecond)
+	r := &Record{Due: due.UnixMicro(), Target: uint16(c.target), CallerDelayUS: micros(time.Since(due))}
+	name := fmt.Sprintf("%016x", uint64(os.Getpid())<<40|c.all.lastID.Add(1))
+	body := []byte(strconv.Itoa(spec.WorkUS) + " " + name)
+	target, refused := c.target, false
 	for {
 		if r.Tries < 255 {
 			r.Tries++
@@ -231,59 +235,60 @@
 		if done, refused = c.try(r, target, due, end, team, class, body, rng); done {
 			return r
 		}
-		wait := time.Duration(rng.Int64N(int64(min(againMost, againMin*time.Duration(r.Tries)))))
+		wait := time.Duration(rng.Int64N(int64(min(maxRetryDelay, minRetryDelay*time.Duration(r.Tries)))))
 		if time.Until(end) <= wait {
 			break
 		}
 		time.Sleep(wait)
-		group := c.all.groups[set.Targets[c.home].Group]
+		group := c.all.groups[spec.Targets[c.target].Group]
 		target = group[rng.IntN(len(group))]
 	}
 	r.Code = Lost
 	if refused {
 		r.Code = Refused
 	}
-	r.Took = micros(time.Since(due))
-	r.Added = r.Took
+	r.LatencyUS = micros(time.Since(due))
+	r.AddedUS = r.LatencyUS
 	return r
 }
 
-// try makes one try; it says whether the request is over, and whether the server refused.
+// try makes one try. It reports whether the request has ended, and whether the
+// server refused it.
 func (c *caller) try(r *Record, target int, due, end time.Time, team, class string, body []byte, rng *rand.Rand) (done, refused bool) {
-	set := &c.all.spec
+	spec := &c.all.spec
 	l, opened, err := c.connect(target)
 	if err != nil {
 		return false, false
 	}
 	r.Opened = r.Opened || opened
 	now := time.Now()
-	left := due.Add(time.Duration(set.Deadline) * time.Microsecond).Sub(now)
+	left := due.Add(time.Duration(spec.Deadline) * time.Microsecond).Sub(now)
 	if left <= 0 {
 		return false, false
 	}
 	answers := make(chan reply, 1)
-	stream, err := l.ask([]frame.Field{{Name: "kind", Value: class}, {Name: "owner", Value: team},
+	stream, err := l.send([]frame.Field{{Name: "kind", Value: class}, {Name: "owner", Value: team},
 		{Name: "req", Value: fmt.Sprintf("%016x", rng.Uint64())}, {Name: "via", Value: "1"},
 		{Name: "ts", Value: strconv.FormatInt(now.UnixMilli(), 10)},
 		{Name: "timeout", Value: strconv.FormatInt(max(1, left.Milliseconds()), 10)},
-		{Name: "ms", Value: strconv.FormatFloat(float64(set.WorkUS)/1000, 'f', 1, 64)}, {Name: "need", Value: "16"}, {Name: "level", Value: "0.5"}}, body, answers)
+		{Name: "ms", Value: strconv.FormatFloat(float64(spec.WorkUS)/1000, 'f', 1, 64)}, {Name: "need", Value: "16"}, {Name: "level", Value: "0.5"}}, body, answers)
 	if err != nil {
-		c.leave(l)
+		c.abandon(l)
 		return false, false
 	}
-	timer := time.NewTimer(time.Until(end.Add(lateWithin)))
+	timer := time.NewTimer(time.Until(end.Add(lateAnswerWait)))
 	defer timer.Stop()
 	select {
 	case a := <-answers:
 		switch a.code {
 		case frame.Served:
-			own, ok := took(a.body, body)
-			span := a.at.Sub(due)
-			r.Took, r.Elsewhere = micros(span), l.target != c.home
-			r.Added = r.Took - int32(own)
+			engineUS, ok := parseResult(a.body, body)
+			latency := a.at.Sub(due)
+			r.LatencyUS, r.OtherServer = micros(latency), l.target != c.target
+			r.AddedUS = r.LatencyUS - int32(engineUS)
 			switch {
 			case !ok:
-				r.Code = Wrong
+				r.Code = WrongResult
 			case a.at.After(end):
 				r.Code = Late
 			default:
@@ -291,14 +296,14 @@
 			}
 			return true, false
 		case frame.Refused:
-			c.leave(l)
+			c.abandon(l)
 			return false, true
 		}
 		if a.code == frame.Failed {
-			c.all.tell("%s fails a request: %.200q", set.Targets[l.target].Name, a.body)
-			return false, false // the connection is sound
+			c.all.logf("%s failed a request: %.200q", spec.Targets[l.target].Name, a.body)
+			return false, false // the connection remains usable
 		}
-		c.leave(l)
+		c.abandon(l)
 		return false, false
 	case <-timer.C:
 		l.forget(stream)
--- a/internal/lab/scale/hollow/hollow.go
+++ b/internal/lab/scale/hollow/hollow.go
@@ -1,11 +1,12 @@
-// Package hollow is the two hollow members of a fleet day, as processes of the
-// laboratory's own binary: servers that run the real code of control (following,
-// applying, reporting) without callers, some hundred to a process, and callers
-// that are real connections speaking frames, thousands to a process.
+// Package hollow implements the two hollow members of a fleet day, which run as
+// processes of the laboratory's own binary: hollow servers, which run the real
+// control code (following, applying, reporting) without callers, hundreds to a
+// process, and hollow callers, which use real connections and frames, thousands
+// to a process.
 //
-// A process reads what it is to be from a file, says "ready" on its standard
-// output once it is that, takes commands on its standard input, a line each, and
-// ends when that input does: it never outlives who started it.
+// A process reads its specification from a file, prints "ready" on standard
+// output once it is up, takes one command per line on standard input, and exits
+// when standard input ends, so that it never outlives the process that started it.
 package hollow
 
 import (
@@ -14,16 +15,16 @@
 	"os"
 )
 
-// The names of the hidden sub-commands.
+// The names of the hidden subcommands.
 const (
 	CommandServers = "hollow-servers"
 	CommandCallers = "hollow-callers"
 )
 
-// Ready is the line that a process says once it is up.
+// Ready is the line that a process prints once it is up.
 const Ready = "ready"
 
-func read(path string, into any) error {
+func readSpec(path string, into any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("hollow: %w", err)
--- a/internal/lab/scale/hollow/record.go
+++ b/internal/lab/scale/hollow/record.go
@@ -9,19 +9,19 @@
 	"os"
 )
 
-// Code says what became of a request.
+// Code is the outcome of a request.
 type Code uint8
 
-// The codes.
+// The outcomes of a request.
 const (
-	Answered Code = iota + 1
-	Refused       // by the last of its tries
-	Late          // answered after its deadline and the slack of the rules
-	Lost          // no answer by then
-	Wrong         // answered with what belongs to something else
+	Answered    Code = iota + 1
+	Refused          // by the last try
+	Late             // answered after its deadline plus slack
+	Lost             // not answered by then
+	WrongResult      // answered with the result of another request
 )
 
-// String names a code.
+// String returns the outcome in words.
 func (c Code) String() string {
 	names := [...]string{"without an end", "answered", "refused", "late", "lost", "wrong"}
 	if int(c) < len(names) {
@@ -30,20 +30,20 @@
 	return fmt.Sprint("code ", uint8(c))
 }
 
-// Record is one request, from the moment it was due to its end.
+// Record describes one request, from the time it was due to its end.
 type Record struct {
-	Due       int64 // Unix microseconds
-	Took      int32 // from Due to the answer, microseconds
-	Added     int32 // Took less the engine's own time; where it was not answered, Took
-	Waited    int32 // the caller's own lateness: from Due until it began to send
-	Target    uint16
-	Code      Code
-	Tries     uint8
-	Opened    bool // a connection had to be opened for it
-	Elsewhere bool // answered by another server than the one it was meant for
+	Due           int64 // when it was due, Unix microseconds
+	LatencyUS     int32 // from Due to the answer, microseconds
+	AddedUS       int32 // LatencyUS less the engine's own time; equal to LatencyUS without an answer
+	CallerDelayUS int32 // delay by the caller itself, from Due to the start of sending, microseconds
+	Target        uint16
+	Code          Code
+	Tries         uint8
+	Opened        bool // a connection was opened for it
+	OtherServer   bool // answered by another server than its target
 }
 
-// Write appends a record.
+// write writes the record in binary form.
 func (r *Record) write(w io.Writer) error { return binary.Write(w, binary.LittleEndian, r) }
 
 // ReadRecords reads a file of records.
--- a/internal/lab/scale/hollow/servers.go
+++ b/internal/lab/scale/hollow/servers.go
@@ -21,31 +21,32 @@
 	"kiteslip/internal/core"
 )
 
-// ServersSpec says what a process of hollow servers is to be.
+// ServersSpec is the specification of a process of hollow servers.
 type ServersSpec struct {
-	Operator string   `json:"Operator"` // the operator's file of each, as a real server's
-	WaitUS   int64    `json:"WaitUS"`   // how long a start waits for a publisher, microseconds
+	Operator string   `json:"Operator"` // content of the operator's file of every server
+	WaitUS   int64    `json:"WaitUS"`   // wait for the initial version at a start, microseconds
 	Seed     uint64   `json:"Seed"`
 	Servers  []Server `json:"Servers"`
 }
 
-// Server is a hollow server.
+// Server is the specification of one hollow server.
 type Server struct {
 	Name       string            `json:"Name"`
 	Region     string            `json:"Region"`
 	Publishers []follow.Endpoint `json:"Publishers"`
 }
 
-// The commands to a process of hollow servers, each with a server's name and the
-// number of its life but the last: its answer is a line "states" with a JSON list of States.
+// The commands to a process of hollow servers. Stop, Start and ColdStart are followed by
+// a server's name and the number of the life that begins or ends. The answer to
+// States is a line "states" followed by a JSON list of State.
 const (
-	Stop   = "stop"   // the server is gone at once
-	Start  = "start"  // it starts by the version that it had, or one of its process had
-	Cold   = "cold"   // it starts with nothing
-	States = "states" // of all
+	Stop      = "stop"   // the server stops at once
+	Start     = "start"  // it starts by the last version that it or another server of the process had
+	ColdStart = "cold"   // it starts without a version
+	States    = "states" // report the state of all servers
 )
 
-// State is how a hollow server stands.
+// State is the state of a hollow server's follower.
 type State struct {
 	Name      string `json:"Name"`
 	Number    uint64 `json:"Number"`
@@ -59,206 +60,205 @@
 	Fork      bool   `json:"Fork"`
 }
 
-// gcPercent is that of a real server.
+// gcPercent is the garbage collection target that a real server uses.
 const gcPercent = 50
 
-type servers struct {
-	spec ServersSpec
-	log  *zap.Logger
-	all  map[string]*server
+type serverProcess struct {
+	spec   ServersSpec
+	log    *zap.Logger
+	byName map[string]*server
 
 	mu     sync.Mutex
 	out    io.Writer
-	shared *document.Document // the newest that any of them has taken over
+	newest *document.Document // the newest version that any server has applied
 }
 
-// server is one hollow server over its lives.
+// server is one hollow server over its lives: each start begins a new life.
 type server struct {
-	in     *servers
-	spec   Server
-	number uint64 // among all, for the jitter's seed
+	process *serverProcess
+	spec    Server
+	index   uint64 // index among all servers, part of the follower's seed
 
-	mu       sync.Mutex
-	last     *document.Document // in force, or in the life before; guarded by in.mu
-	follower *follow.Follower
-	end      context.CancelFunc
-	ended    chan struct{}
+	mu          sync.Mutex
+	lastVersion *document.Document // in force now or in the previous life; guarded by process.mu
+	follower    *follow.Follower
+	cancel      context.CancelFunc
+	done        chan struct{}
 }
 
-// RunServers is the process: it is what the file at path says, until in ends.
-// It writes a line "force NAME LIFE NUMBER DIGEST AT" for each version that comes
-// into force at a server, AT in Unix microseconds.
+// RunServers runs a process of hollow servers by the specification at path, until
+// in ends. For each version that comes into force at a server it writes a line
+// "force NAME LIFE NUMBER DIGEST AT", with AT in Unix microseconds.
 func RunServers(path string, in io.Reader, out io.Writer) error {
 	debug.SetGCPercent(gcPercent)
-	// Lines are worded as a real server's, and go nowhere.
+	// Log lines are encoded as in a real server, to have their cost, and discarded.
 	log := zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(io.Discard), zap.InfoLevel))
-	s := &servers{all: map[string]*server{}, out: out, log: log}
-	if err := read(path, &s.spec); err != nil {
+	s := &serverProcess{byName: map[string]*server{}, out: out, log: log}
+	if err := readSpec(path, &s.spec); err != nil {
 		return err
 	}
 	for i := range s.spec.Servers {
-		one := &server{in: s, spec: s.spec.Servers[i], number: uint64(i) << 32}
-		s.all[one.spec.Name] = one
+		srv := &server{process: s, spec: s.spec.Servers[i], index: uint64(i) << 32}
+		s.byName[srv.spec.Name] = srv
 	}
-	s.say(Ready)
+	s.printf(Ready)
 	for scan := bufio.NewScanner(in); scan.Scan(); {
 		if err := s.command(strings.Fields(scan.Text())); err != nil {
 			return err
 		}
 	}
 	var all sync.WaitGroup
-	for _, one := range s.all {
-		all.Go(one.stop)
+	for _, srv := range s.byName {
+		all.Go(srv.stop)
 	}
 	all.Wait()
 	return nil
 }
 
-func (s *servers) say(format string, args ...any) {
+func (s *serverProcess) printf(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintf(s.out, format+"\n", args...)
 }
 
-func (s *servers) command(words []string) error {
+func (s *serverProcess) command(words []string) error {
 	if len(words) == 1 && words[0] == States {
 		var list []State
 		for _, spec := range s.spec.Servers {
-			list = append(list, s.all[spec.Name].state())
+			list = append(list, s.byName[spec.Name].state())
 		}
 		text, err := json.Marshal(list)
 		if err == nil {
-			s.say("%s %s", States, text)
+			s.printf("%s %s", States, text)
 		}
 		return err
 	}
-	if len(words) != 3 || s.all[words[1]] == nil {
-		return fmt.Errorf("hollow: no such command: %q", words)
+	if len(words) != 3 || s.byName[words[1]] == nil {
+		return fmt.Errorf("hollow: unknown command %q", words)
 	}
-	one := s.all[words[1]]
+	srv := s.byName[words[1]]
 	life, err := strconv.Atoi(words[2])
 	if err != nil {
-		return fmt.Errorf("hollow: no such command: %q", words)
+		return fmt.Errorf("hollow: unknown command %q", words)
 	}
 	switch words[0] {
 	case Stop:
-		go one.stop()
-	case Start, Cold:
-		go one.start(life, words[0] == Cold)
+		go srv.stop()
+	case Start, ColdStart:
+		go srv.start(life, words[0] == ColdStart)
 	default:
-		return fmt.Errorf("hollow: no such command: %q", words)
+		return fmt.Errorf("hollow: unknown command %q", words)
 	}
 	return nil
 }
 
-func (one *server) stop() {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.end != nil {
-		one.end()
-		<-one.ended
-		one.end, one.follower = nil, nil
+func (srv *server) stop() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.cancel != nil {
+		srv.cancel()
+		<-srv.done
+		srv.cancel, srv.follower = nil, nil
 	}
 }
 
-// start begins a life after the one before has ended.
-func (one *server) start(life int, cold bool) {
-	one.stop()
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	one.in.mu.Lock()
-	have := one.last
-	if have == nil {
-		have = one.in.shared
+// start ends the previous life and begins a new one.
+func (srv *server) start(life int, cold bool) {
+	srv.stop()
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.process.mu.Lock()
+	previous := srv.lastVersion
+	if previous == nil {
+		previous = srv.process.newest
 	}
-	one.in.mu.Unlock()
+	srv.process.mu.Unlock()
 	if cold {
-		have = nil
+		previous = nil
 	}
-	cfg, err := config.ParseOperator(one.in.spec.Operator, nil)
+	cfg, err := config.ParseOperator(srv.process.spec.Operator, nil)
 	if err == nil {
-		one.follower, err = follow.New(follow.Settings{Name: one.spec.Name, Region: one.spec.Region, Publishers: one.spec.Publishers,
-			InForce: have, InitialWait: time.Duration(one.in.spec.WaitUS) * time.Microsecond, Seed: one.in.spec.Seed + one.number + uint64(life), Log: one.in.log})
+		srv.follower, err = follow.New(follow.Settings{Name: srv.spec.Name, Region: srv.spec.Region, Publishers: srv.spec.Publishers,
+			InForce: previous, InitialWait: time.Duration(srv.process.spec.WaitUS) * time.Microsecond, Seed: srv.process.spec.Seed + srv.index + uint64(life), Log: srv.process.log})
 	}
 	if err != nil {
-		one.in.say("error %s %q", one.spec.Name, err)
+		srv.process.printf("error %s %q", srv.spec.Name, err)
 		return
 	}
-	ctx, end := context.WithCancel(context.Background())
-	one.end, one.ended = end, make(chan struct{})
+	ctx, cancel := context.WithCancel(context.Background())
+	srv.cancel, srv.done = cancel, make(chan struct{})
 	go func(f *follow.Follower, ended chan<- struct{}) {
 		defer close(ended)
-		if err := one.live(ctx, f, cfg, life); err != nil {
-			one.in.say("error %s %q", one.spec.Name, err)
+		if err := srv.run(ctx, f, cfg, life); err != nil {
+			srv.process.printf("error %s %q", srv.spec.Name, err)
 		}
-	}(one.follower, one.ended)
+	}(srv.follower, srv.done)
 }
 
-// live is what a real server does with versions, in the same order.
-func (one *server) live(ctx context.Context, f *follow.Follower, cfg *config.Config, life int) error {
+// run handles versions as a real server does, in the same order of steps.
+func (srv *server) run(ctx context.Context, f *follow.Follower, cfg *config.Config, life int) error {
 	doc, _ := f.InitialVersion(ctx)
 	if doc != nil {
-		with, err := cfg.WithDocument(doc)
+		merged, err := cfg.WithDocument(doc)
 		if err != nil {
 			return err
 		}
-		cfg = with
+		cfg = merged
 	}
-	places := config.NewUpdater(cfg)
-	c, err := core.New(core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Pools: cfg.PoolSettings()}, idle{})
+	updater := config.NewUpdater(cfg)
+	c, err := core.New(core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Pools: cfg.PoolSettings()}, noRuns{})
 	if err != nil {
 		return err
 	}
 	if doc != nil {
-		one.force(doc, life)
+		srv.reportInForce(doc, life)
 	}
 	f.Run(ctx, func(_ context.Context, doc *document.Document, delta *document.Delta) error {
-		places.SetTime(time.Now().UnixMicro())
-		ch, err := places.PrepareVersion(doc, delta)
+		updater.SetTime(time.Now().UnixMicro())
+		ch, err := updater.PrepareVersion(doc, delta)
 		if err == nil {
 			err = c.Reconfigure(ch.Config.Policy, ch.Config.RetiredClasses, ch.Pools)
 		}
 		if err != nil {
 			return err
 		}
-		places.SetTime(time.Now().UnixMicro())
-		places.Commit(ch)
-		one.force(doc, life)
+		updater.SetTime(time.Now().UnixMicro())
+		updater.Commit(ch)
+		srv.reportInForce(doc, life)
 		return nil
 	})
 	return nil
 }
 
-func (one *server) force(doc *document.Document, life int) {
-	defer one.keep(doc)
-	one.in.say("force %s %d %d %s %d", one.spec.Name, life, doc.Header().Number, doc.Digest(), time.Now().UnixMicro())
+func (srv *server) reportInForce(doc *document.Document, life int) {
+	defer srv.store(doc)
+	srv.process.printf("force %s %d %d %s %d", srv.spec.Name, life, doc.Header().Number, doc.Digest(), time.Now().UnixMicro())
 }
 
-// keep keeps the version in memory, in place of a folder. Guards the machine that
-// all share: hundreds of servers that read whole versions off a disk at once are
-// the work of hundreds of machines; and versions that are made of one share what
-// they do not change.
-func (one *server) keep(doc *document.Document) {
-	one.in.mu.Lock()
-	defer one.in.mu.Unlock()
-	one.last = doc
-	if one.in.shared == nil || one.in.shared.Header().Number < doc.Header().Number {
-		one.in.shared = doc
+// store keeps the version in memory instead of in a folder. Hundreds of servers
+// that read whole versions from one disk at once would do the work of hundreds of
+// machines, and versions derived from one another share their unchanged parts.
+func (srv *server) store(doc *document.Document) {
+	srv.process.mu.Lock()
+	defer srv.process.mu.Unlock()
+	srv.lastVersion = doc
+	if srv.process.newest == nil || srv.process.newest.Header().Number < doc.Header().Number {
+		srv.process.newest = doc
 	}
 }
 
-func (one *server) state() State {
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	if one.follower == nil {
-		return State{Name: one.spec.Name}
+func (srv *server) state() State {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.follower == nil {
+		return State{Name: srv.spec.Name}
 	}
-	s := one.follower.State()
-	return State{Name: one.spec.Name, Number: s.Number, Digest: s.Digest.String(), Sent: s.SentBytes, Received: s.ReceivedBytes,
+	s := srv.follower.State()
+	return State{Name: srv.spec.Name, Number: s.Number, Digest: s.Digest.String(), Sent: s.SentBytes, Received: s.ReceivedBytes,
 		Applied: s.Applied, Snapshots: s.Snapshots, Switches: s.Switches, Refused: s.RefusalReason, Fork: s.Fork}
 }
 
-// idle is a runner that is never given a run: a hollow server has no callers.
-type idle struct{}
+// noRuns is a runner that never gets a run: a hollow server has no callers.
+type noRuns struct{}
 
-func (idle) Run(*core.Request) {}
+func (noRuns) Run(*core.Request) {}
