--- a/internal/lab/scale/slopes/callers.go
+++ b/internal/lab/scale/slopes/callers.go
@@ -13,63 +13,63 @@
 	"kiteslip/internal/lab/probe"
 )
 
-// callers are many callers of one server: requests come at an even pace on the
-// whole, each from a caller drawn at random, which opens a connection if it has
-// none, and lets go of it once it has rested for rest.
+// callers simulates many callers of one server. Requests are sent at an even
+// overall rate, each by a random caller, which opens a connection if it has none
+// and closes it after the idle timeout.
 type callers struct {
 	address       string
 	teams, routes int
-	rest          time.Duration
+	idleTimeout   time.Duration
 	deadline      time.Duration
 	rng           *rand.Rand
 	list          []*caller
-	all           sync.WaitGroup
+	requests      sync.WaitGroup
 
-	mu   sync.Mutex
-	seen seen
+	mu     sync.Mutex
+	counts counts
 }
 
-// seen is what the callers saw of their server.
-type seen struct {
+// counts is what the callers observed.
+type counts struct {
 	sent, served, refused, failed int
-	lost                          int // had no answer at all
-	late                          int // answered past the deadline
-	again                         int // sent a second time: the connection ended in the moment of sending
-	away                          int // connections that the server asked to be closed while they rested
-	ended                         int // ... and that it closed by itself
+	lost                          int // had no answer
+	late                          int // answered after the deadline
+	retries                       int // retries, after the connection ended without an answer
+	goAways                       int // connections on which the server sent a go-away frame
+	closedByServer                int // connections that the server closed
 	opened                        int
-	times                         []float64 // ms from the wish to the answer
+	times                         []float64 // from the time the request was due to its answer, ms
 }
 
-// caller is one of them. At most one request of it is open at once.
+// caller is one caller. It has at most one open request.
 type caller struct {
-	busy bool // under the lock of callers
+	busy bool // guarded by callers.mu
 	mu   sync.Mutex
-	conn *link
+	conn *callerConn
 }
 
-// link is one connection, read by a goroutine of its own.
-type link struct {
+// callerConn is one connection, read by its own goroutine.
+type callerConn struct {
 	net.Conn
-	answers chan byte // the code of an answer; closed at the end of the connection
-	mu      sync.Mutex
-	over    bool
-	open    bool   // a request is open on it
-	uses    int    // requests answered on it
-	stream  uint32 // of the last request: a number is never used again on a connection
-	left    bool   // closed by us
+	answers        chan byte // the code of an answer; closed at the end of the connection
+	mu             sync.Mutex
+	closing        bool
+	outstanding    bool   // a request is outstanding
+	answered       int    // number of requests answered
+	lastStream     uint32 // of the last request; numbers are not reused on a connection
+	closedByCaller bool   // closed by the caller
 }
 
-func newCallers(address string, n int, s site, rest time.Duration, seed uint64) *callers {
-	c := &callers{address: address, teams: s.teams, routes: s.routes, rest: rest, deadline: 4200 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, uint64(n)))}
+func newCallers(address string, n int, s site, idleTimeout time.Duration, seed uint64) *callers {
+	c := &callers{address: address, teams: s.teams, routes: s.routes, idleTimeout: idleTimeout, deadline: 4200 * time.Millisecond, rng: rand.New(rand.NewPCG(seed, uint64(n)))}
 	for range n {
 		c.list = append(c.list, &caller{})
 	}
 	return c
 }
 
-// ask sends rate requests a second for so long, and returns when the last was sent.
-func (c *callers) ask(rate float64, span time.Duration) {
+// run sends rate requests per second for span, and returns when the last one was sent.
+func (c *callers) run(rate float64, span time.Duration) {
 	began := time.Now()
 	for i := 0; ; i++ {
 		at := time.Duration(float64(i) / rate * float64(time.Second))
@@ -77,91 +77,92 @@
 			return
 		}
 		time.Sleep(time.Until(began.Add(at)))
-		if who := c.draw(); who != nil {
-			c.send(who)
-		} // else all have one open: they wait for the server, which shows in the times
+		if from := c.idleCaller(); from != nil {
+			c.send(from)
+		} // else all callers are busy: they wait for the server, which shows in the latencies
 	}
 }
 
-// each has every caller ask once, at an even pace of rate a second.
-func (c *callers) each(rate float64) {
+// eachOnce makes every caller send one request, at an even rate per second, and
+// waits for the answers.
+func (c *callers) eachOnce(rate float64) {
 	began := time.Now()
-	for i, who := range c.list {
+	for i, from := range c.list {
 		time.Sleep(time.Until(began.Add(time.Duration(float64(i) / rate * float64(time.Second)))))
 		c.mu.Lock()
-		busy := who.busy
-		who.busy = true
+		busy := from.busy
+		from.busy = true
 		c.mu.Unlock()
 		if !busy {
-			c.send(who)
+			c.send(from)
 		}
 	}
-	c.all.Wait()
+	c.requests.Wait()
 }
 
-// send has a caller ask once, beside us.
-func (c *callers) send(who *caller) {
+// send makes a caller send one request, in its own goroutine.
+func (c *callers) send(from *caller) {
 	class, team := className(c.rng.IntN(c.routes)), teamName(c.rng.IntN(c.teams))
-	c.all.Go(func() { c.request(who, class, team) })
+	c.requests.Go(func() { c.request(from, class, team) })
 }
 
-func (c *callers) draw() *caller {
+func (c *callers) idleCaller() *caller {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for range 16 {
-		if who := c.list[c.rng.IntN(len(c.list))]; !who.busy {
-			who.busy = true
-			return who
+		if from := c.list[c.rng.IntN(len(c.list))]; !from.busy {
+			from.busy = true
+			return from
 		}
 	}
 	return nil
 }
 
-// reset forgets what was seen so far.
+// reset waits for outstanding requests and clears the counts.
 func (c *callers) reset() {
-	c.all.Wait()
+	c.requests.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen = seen{}
+	c.counts = counts{}
 }
 
-// take waits for what is open, and returns what was seen.
-func (c *callers) take() seen {
-	c.all.Wait()
+// result waits for outstanding requests and returns the counts, with sorted times.
+func (c *callers) result() counts {
+	c.requests.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	slices.Sort(c.seen.times)
-	return c.seen
+	slices.Sort(c.counts.times)
+	return c.counts
 }
 
-func (c *callers) note(f func(s *seen)) {
+func (c *callers) update(f func(s *counts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f(&c.seen)
+	f(&c.counts)
 }
 
-// close ends all connections.
+// close closes all connections.
 func (c *callers) close() {
-	c.all.Wait()
-	for _, who := range c.list {
-		who.mu.Lock()
-		if who.conn != nil {
-			who.conn.leave()
+	c.requests.Wait()
+	for _, from := range c.list {
+		from.mu.Lock()
+		if from.conn != nil {
+			from.conn.leave()
 		}
-		who.mu.Unlock()
+		from.mu.Unlock()
 	}
 }
 
-func (c *callers) request(who *caller, class, team string) {
+func (c *callers) request(from *caller, class, team string) {
 	began := time.Now()
 	code, tries := byte(0), 0
 	for ; code == 0 && tries < 3 && time.Since(began) < c.deadline; tries++ {
-		code = c.try(who, class, team, began)
+		code = c.try(from, class, team, began)
 	}
 	took := time.Since(began)
-	c.note(func(s *seen) {
+	c.update(func(s *counts) {
 		s.sent++
-		s.again += tries - 1
+		s.retries += tries - 1
 		switch code {
 		case frame.Served:
 			s.served++
@@ -176,25 +177,25 @@
 		if code != 0 && took > c.deadline {
 			s.late++
 		}
-		who.busy = false
+		from.busy = false
 	})
 }
 
-// try sends one request and returns the code of its answer, or 0.
-func (c *callers) try(who *caller, class, team string, began time.Time) byte {
-	l, err := c.link(who)
+// try sends one request and returns the code of its answer, or 0 without one.
+func (c *callers) try(from *caller, class, team string, began time.Time) byte {
+	l, err := c.connect(from)
 	if err != nil {
 		return 0
 	}
-	name := fmt.Sprintf("%016x", c.name())
+	name := fmt.Sprintf("%016x", c.nextID())
 	fields := probe.Fields(class, name, began, c.deadline)
 	for i := range fields {
 		if fields[i].Name == "owner" {
 			fields[i].Value = team
 		}
 	}
-	l.stream++
-	if _, err = l.Write(frame.AppendRequest(nil, l.stream, fields, []byte("b"))); err != nil {
+	l.lastStream++
+	if _, err = l.Write(frame.AppendRequest(nil, l.lastStream, fields, []byte("b"))); err != nil {
 		l.leave()
 		return 0
 	}
@@ -211,42 +212,42 @@
 	}
 }
 
-// settle lets the connection rest, and go once it has rested.
-func (c *callers) settle(l *link) {
+// settle marks the request as answered and schedules the idle timeout.
+func (c *callers) settle(l *callerConn) {
 	l.mu.Lock()
-	l.open, l.uses = false, l.uses+1
-	uses, over := l.uses, l.over
+	l.outstanding, l.answered = false, l.answered+1
+	answered, closing := l.answered, l.closing
 	l.mu.Unlock()
-	if over {
+	if closing {
 		l.leave()
 		return
 	}
-	time.AfterFunc(c.rest, func() { l.leaveAfter(uses) })
+	time.AfterFunc(c.idleTimeout, func() { l.closeIfIdle(answered) })
 }
 
-// link is the caller's connection: the one that it has, or a new one.
-func (c *callers) link(who *caller) (*link, error) {
-	who.mu.Lock()
-	defer who.mu.Unlock()
-	if who.conn != nil && who.conn.begin() {
-		return who.conn, nil
+// connect returns the caller's connection, or opens one.
+func (c *callers) connect(from *caller) (*callerConn, error) {
+	from.mu.Lock()
+	defer from.mu.Unlock()
+	if from.conn != nil && from.conn.begin() {
+		return from.conn, nil
 	}
 	conn, err := net.Dial("tcp", c.address)
 	if err != nil {
 		return nil, err
 	}
-	l := &link{Conn: conn, answers: make(chan byte, 1), open: true}
-	who.conn = l
-	c.note(func(s *seen) { s.opened++ })
+	l := &callerConn{Conn: conn, answers: make(chan byte, 1), outstanding: true}
+	from.conn = l
+	c.update(func(s *counts) { s.opened++ })
 	go c.read(l)
 	return l, nil
 }
 
-// read takes in what the server says, to the end of the connection.
-func (c *callers) read(l *link) {
+// read handles the frames from the server until the connection ends.
+func (c *callers) read(l *callerConn) {
 	defer close(l.answers)
 	buf := make([]byte, 0, 512)
-	away := false
+	goAway := false
 	for {
 		if len(buf) == cap(buf) {
 			buf = slices.Grow(buf, cap(buf))
@@ -254,12 +255,12 @@
 		n, err := l.Read(buf[len(buf):cap(buf)])
 		if err != nil {
 			l.mu.Lock()
-			byServer := !l.left
-			l.over = true
+			byServer := !l.closedByCaller
+			l.closing = true
 			l.mu.Unlock()
 			l.Close()
 			if byServer {
-				c.note(func(s *seen) { s.ended++ })
+				c.update(func(s *counts) { s.closedByServer++ })
 			}
 			return
 		}
@@ -276,69 +277,71 @@
 			switch {
 			case f.Type == frame.Answer && len(f.Payload) > 0:
 				l.answers <- f.Payload[0]
-			case f.Type == frame.GoAway && !away:
-				away = true
+			case f.Type == frame.GoAway && !goAway:
+				goAway = true
 				l.mu.Lock()
-				l.over = true // no new request on it
-				open := l.open
+				l.closing = true // no new request is sent
+				outstanding := l.outstanding
 				l.mu.Unlock()
-				if !open {
+				if !outstanding {
 					l.leave()
 				}
-				c.note(func(s *seen) { s.away++ })
+				c.update(func(s *counts) { s.goAways++ })
 			}
 			buf = buf[:copy(buf, buf[n:])]
 		}
 	}
 }
 
-// begin says whether a request may be sent on it, which is open from then on.
-func (l *link) begin() bool {
+// begin reports whether a request may be sent, and marks one as outstanding.
+func (l *callerConn) begin() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.closing {
 		return false
 	}
-	l.open = true
+	l.outstanding = true
 	return true
 }
 
-// leaveAfter closes the connection if it has not been used since.
-func (l *link) leaveAfter(uses int) {
+// closeIfIdle closes the connection if no request was sent on it since it had
+// answered so many.
+func (l *callerConn) closeIfIdle(answered int) {
 	l.mu.Lock()
-	rested := !l.open && !l.over && l.uses == uses
-	if rested {
-		l.over, l.left = true, true
+	idle := !l.outstanding && !l.closing && l.answered == answered
+	if idle {
+		l.closing, l.closedByCaller = true, true
 	}
 	l.mu.Unlock()
-	if rested {
+	if idle {
 		l.Close()
 	}
 }
 
-// leave closes the connection.
-func (l *link) leave() {
+// leave closes the connection from the caller's side.
+func (l *callerConn) leave() {
 	l.mu.Lock()
-	l.over, l.left = true, true
+	l.closing, l.closedByCaller = true, true
 	l.mu.Unlock()
 	l.Close()
 }
 
-var names struct {
+var lastID struct {
 	sync.Mutex
 	n uint64
 }
 
-func (c *callers) name() uint64 {
-	names.Lock()
-	defer names.Unlock()
-	names.n++
-	return names.n
+func (c *callers) nextID() uint64 {
+	lastID.Lock()
+	defer lastID.Unlock()
+	lastID.n++
+	return lastID.n
 }
 
-// direct asks an engine stand-in by its own protocol, without a server between:
-// what an exchange costs on this machine, in the same run. Times are ms.
-func direct(address string, rate float64, span time.Duration) ([]float64, error) {
+// directExchanges sends runs to an engine stand-in by its own protocol, without a server in
+// between: the cost of an exchange on this machine at the same time. Times are in
+// ms, sorted.
+func directExchanges(address string, rate float64, span time.Duration) ([]float64, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("slopes: %w", err)
@@ -365,7 +368,7 @@
 		}
 		conn.SetReadDeadline(sent.Add(5 * time.Second)) //nolint:errcheck // a TCP connection takes it
 		if _, err = conn.Read(buf); err != nil {
-			return nil, fmt.Errorf("slopes: the stand-in does not answer: %w", err)
+			return nil, fmt.Errorf("slopes: the engine stand-in does not answer: %w", err)
 		}
 		times = append(times, float64(time.Since(sent).Microseconds())/1000)
 	}
@@ -373,8 +376,8 @@
 	return times, nil
 }
 
-// part is the quantile of sorted times.
-func part(sorted []float64, q float64) float64 {
+// quantile returns the quantile q of sorted times, or 0 without any.
+func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
--- a/internal/lab/scale/slopes/callers_test.go
+++ b/internal/lab/scale/slopes/callers_test.go
@@ -9,8 +9,9 @@
 	"kiteslip/internal/frame"
 )
 
-// fake is a server that does with its nth connection, from 0, what act says.
-func fake(t *testing.T, act func(n int, c net.Conn, stream uint32)) string {
+// fakeServer starts a server that calls act for each frame on its nth connection,
+// counted from 0, and returns its address.
+func fakeServer(t *testing.T, act func(n int, c net.Conn, stream uint32)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,93 +49,93 @@
 	return l.Addr().String()
 }
 
-func serves(c net.Conn, stream uint32) {
-	c.Write(frame.AppendAnswer(nil, frame.Answer, stream, frame.Served, nil, 0)) //nolint:errcheck // its end shows
+func answerServed(c net.Conn, stream uint32) {
+	c.Write(frame.AppendAnswer(nil, frame.Answer, stream, frame.Served, nil, 0)) //nolint:errcheck // an error shows when the connection is read
 }
 
-func TestARequestOnAConnectionThatEndsIsSentAgain(t *testing.T) {
-	address := fake(t, func(n int, c net.Conn, stream uint32) {
+func TestRequestOnEndedConnectionIsRetried(t *testing.T) {
+	address := fakeServer(t, func(n int, c net.Conn, stream uint32) {
 		if n == 0 {
 			c.Close()
 			return
 		}
-		serves(c, stream)
+		answerServed(c, stream)
 	})
 	c := newCallers(address, 1, site{teams: 1, routes: 1}, time.Hour, 1)
 	defer c.close()
-	c.each(1000)
-	c.each(1000)
-	if got := c.take(); got.sent != 2 || got.served != 2 || got.again != 1 || got.lost != 0 || got.opened != 2 || got.ended != 1 {
-		t.Errorf("%+v, want 2 served, one of them sent again on a second connection", got)
+	c.eachOnce(1000)
+	c.eachOnce(1000)
+	if got := c.result(); got.sent != 2 || got.served != 2 || got.retries != 1 || got.lost != 0 || got.opened != 2 || got.closedByServer != 1 {
+		t.Errorf("%+v, want 2 served, one after a retry on a second connection", got)
 	}
 }
 
-func TestWhatHasNoAnswerIsLostAndWhatComesLateIsLate(t *testing.T) {
-	address := fake(t, func(n int, c net.Conn, stream uint32) {
+func TestLostAndLateRequestsAreCounted(t *testing.T) {
+	address := fakeServer(t, func(n int, c net.Conn, stream uint32) {
 		switch n {
-		case 0: // says nothing
+		case 0: // never answers
 		case 1:
 			time.Sleep(2 * time.Second)
-			serves(c, stream)
+			answerServed(c, stream)
 		default:
-			serves(c, stream)
+			answerServed(c, stream)
 		}
 	})
 	c := newCallers(address, 3, site{teams: 1, routes: 1}, time.Hour, 1)
 	defer c.close()
 	c.deadline = time.Second
-	for _, who := range c.list { // one after the other
-		c.send(who)
-		c.all.Wait()
+	for _, from := range c.list { // one at a time
+		c.send(from)
+		c.requests.Wait()
 	}
-	if got := c.take(); got.sent != 3 || got.lost != 1 || got.late != 1 || got.served != 2 {
+	if got := c.result(); got.sent != 3 || got.lost != 1 || got.late != 1 || got.served != 2 {
 		t.Errorf("%+v, want one lost, one late", got)
 	}
 }
 
-func TestACallerLetsGoOfAConnectionThatHasRestedOrIsAskedToBeClosed(t *testing.T) {
+func TestCallerClosesConnectionWhenIdleOrAfterGoAway(t *testing.T) {
 	var mu sync.Mutex
 	opened := 0
-	address := fake(t, func(n int, c net.Conn, stream uint32) {
+	address := fakeServer(t, func(n int, c net.Conn, stream uint32) {
 		mu.Lock()
 		opened = max(opened, n+1)
 		mu.Unlock()
-		serves(c, stream)
+		answerServed(c, stream)
 		if n == 1 {
-			c.Write(frame.AppendHeader(nil, frame.GoAway, 0, 0)) //nolint:errcheck // its end shows
+			c.Write(frame.AppendHeader(nil, frame.GoAway, 0, 0)) //nolint:errcheck // an error shows when the connection is read
 		}
 	})
 	c := newCallers(address, 1, site{teams: 1, routes: 1}, time.Hour, 1)
 	defer c.close()
 	until := func(what string, f func() bool) {
 		t.Helper()
-		for over := time.Now().Add(20 * time.Second); !f(); time.Sleep(time.Millisecond) {
-			if time.Now().After(over) {
-				t.Fatalf("not seen in 20 s: %s", what)
+		for deadline := time.Now().Add(20 * time.Second); !f(); time.Sleep(time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("not within 20 s: %s", what)
 			}
 		}
 	}
-	c.each(1000) // on the first connection
-	c.rest = 20 * time.Millisecond
-	c.each(1000) // again
-	c.rest = time.Hour
+	c.eachOnce(1000) // on the first connection
+	c.idleTimeout = 20 * time.Millisecond
+	c.eachOnce(1000) // again
+	c.idleTimeout = time.Hour
 	first := c.list[0].conn
-	until("a connection that has rested is let go of", func() bool {
+	until("the idle connection is closed", func() bool {
 		first.mu.Lock()
 		defer first.mu.Unlock()
-		return first.over && first.left
+		return first.closing && first.closedByCaller
 	})
-	c.each(1000) // on a second, which is asked to be closed
-	until("the server asks", func() bool {
+	c.eachOnce(1000) // on a second, on which the server sends a go-away frame
+	until("the go-away frame is received", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.seen.away == 1
+		return c.counts.goAways == 1
 	})
-	c.each(1000) // on a third
-	got := c.take()
+	c.eachOnce(1000) // on a third
+	got := c.result()
 	mu.Lock()
 	defer mu.Unlock()
-	if opened != 3 || got.opened != 3 || got.served != 4 || got.again != 0 || got.lost != 0 {
-		t.Errorf("%d connections, %+v, want 3 and nothing sent again", opened, got)
+	if opened != 3 || got.opened != 3 || got.served != 4 || got.retries != 0 || got.lost != 0 {
+		t.Errorf("%d connections, %+v, want 3 and no retries", opened, got)
 	}
 }
--- a/internal/lab/scale/slopes/decision.go
+++ b/internal/lab/scale/slopes/decision.go
@@ -13,106 +13,106 @@
 	"kiteslip/internal/lab/scale/slope"
 )
 
-// decider is one Worker with so many requests held, which decides on requests
-// of tenants and classes drawn at random: each arrives, one ends, and the timer
-// that fell due is told, a batch for each of the three.
+// decider drives one kiteslip.Worker with a constant number of queued requests. For
+// each request of a random tenant and class it runs three steps of one event each:
+// a request arrives, a run ends, and the timer fires.
 type decider struct {
-	w       *kiteslip.Worker
-	set     kiteslip.Settings
-	rng     *rand.Rand
-	acts    []kiteslip.Action
-	event   [1]kiteslip.Event
-	now     int64
-	id      kiteslip.RequestID
-	running []kiteslip.RequestID
-	held    map[kiteslip.RequestID]bool
-	token   uint64
-	lost    int // turned away or given up: it must stay 0
+	worker     *kiteslip.Worker
+	settings   kiteslip.Settings
+	rng        *rand.Rand
+	actions    []kiteslip.Action
+	event      [1]kiteslip.Event
+	now        int64
+	lastID     kiteslip.RequestID
+	running    []kiteslip.RequestID
+	queued     map[kiteslip.RequestID]bool
+	timerToken uint64
+	lost       int // requests refused, failed or halted; must stay 0
 }
 
 const (
-	epoch        = int64(1_700_000_000_000_000)
-	runTime      = 4_000 // microseconds of work
-	requestEvery = 4_500 // between two requests, by the module's clock
+	epochUS           = int64(1_700_000_000_000_000)
+	runUS             = 4_000 // work of each request, microseconds
+	requestIntervalUS = 4_500 // between two requests by the policy's clock, microseconds
 )
 
-// newDecider fills a worker until so many requests are held.
-func newDecider(s site, held int, seed uint64) (*decider, error) {
-	return decide(s.settings(), held, seed)
+// newDecider returns a decider with the given number of queued requests.
+func newDecider(s site, queued int, seed uint64) (*decider, error) {
+	return newDeciderWith(s.settings(), queued, seed)
 }
 
-func decide(set kiteslip.Settings, held int, seed uint64) (*decider, error) {
-	w, err := kiteslip.New(set, seed)
+func newDeciderWith(settings kiteslip.Settings, queued int, seed uint64) (*decider, error) {
+	w, err := kiteslip.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	d := &decider{w: w, set: set, rng: rand.New(rand.NewPCG(seed, 32)), now: epoch, held: map[kiteslip.RequestID]bool{}}
+	d := &decider{worker: w, settings: settings, rng: rand.New(rand.NewPCG(seed, 32)), now: epochUS, queued: map[kiteslip.RequestID]bool{}}
 	d.step(kiteslip.Event{Kind: kiteslip.Timer})
-	// Until it has learned what the work is, the module takes little.
+	// The policy admits little until it has learned the mean work.
 	for range 300 {
 		d.request()
 	}
-	for i := 0; len(d.held) < held; i++ {
-		if i > 4*held+100 {
-			return nil, fmt.Errorf("slopes: %d requests are held, want %d", len(d.held), held)
+	for i := 0; len(d.queued) < queued; i++ {
+		if i > 4*queued+100 {
+			return nil, fmt.Errorf("slopes: %d requests are queued, want %d", len(d.queued), queued)
 		}
 		d.arrive()
 	}
 	for range 30 {
 		d.request()
 	}
-	if len(d.held) < held*9/10 || d.lost > 0 {
-		return nil, fmt.Errorf("slopes: %d requests are held and %d turned away, want %d and none", len(d.held), d.lost, held)
+	if len(d.queued) < queued*9/10 || d.lost > 0 {
+		return nil, fmt.Errorf("slopes: %d requests are queued and %d refused or failed, want %d and none", len(d.queued), d.lost, queued)
 	}
 	return d, nil
 }
 
-// step is one batch of one event, and carries out what comes of it.
+// step runs one step of one event and carries out its actions.
 func (d *decider) step(e kiteslip.Event) {
 	d.event[0] = e
-	d.acts = d.w.Step(d.now, d.event[:], d.acts[:0])
-	for i := range d.acts {
-		switch a := &d.acts[i]; a.Kind {
+	d.actions = d.worker.Step(d.now, d.event[:], d.actions[:0])
+	for i := range d.actions {
+		switch a := &d.actions[i]; a.Kind {
 		case kiteslip.Run:
-			delete(d.held, a.ID)
+			delete(d.queued, a.ID)
 			d.running = append(d.running, a.ID)
 		case kiteslip.SetTimer:
-			d.token = a.Token
+			d.timerToken = a.Token
 		case kiteslip.Refuse, kiteslip.Fail, kiteslip.Halt:
-			delete(d.held, a.ID)
+			delete(d.queued, a.ID)
 			d.lost++
 		}
 	}
 }
 
 func (d *decider) arrive() {
-	d.id++
+	d.lastID++
 	d.now += 500
-	d.held[d.id] = true
-	d.step(kiteslip.Event{Kind: kiteslip.Arrive, ID: d.id, Class: d.rng.IntN(len(d.set.Classes)), Tenant: d.rng.IntN(max(1, len(d.set.Tenants))),
-		Caller: d.rng.IntN(4200), SizeKB: 16, Key: uint64(d.id)})
+	d.queued[d.lastID] = true
+	d.step(kiteslip.Event{Kind: kiteslip.Arrive, ID: d.lastID, Class: d.rng.IntN(len(d.settings.Classes)), Tenant: d.rng.IntN(max(1, len(d.settings.Tenants))),
+		Caller: d.rng.IntN(4200), SizeKB: 16, Key: uint64(d.lastID)})
 }
 
-// request is one request's three batches.
+// request runs the three steps of one request.
 func (d *decider) request() {
 	d.arrive()
 	d.now += 2_000
 	if len(d.running) > 0 {
 		id := d.running[0]
 		d.running = append(d.running[:0], d.running[1:]...)
-		d.step(kiteslip.Event{Kind: kiteslip.Done, Outcome: kiteslip.OK, ID: id, Elapsed: runTime})
+		d.step(kiteslip.Event{Kind: kiteslip.Done, Outcome: kiteslip.OK, ID: id, Elapsed: runUS})
 	}
 	d.now += 2_000
-	d.step(kiteslip.Event{Kind: kiteslip.Timer, Token: d.token, Gauges: kiteslip.Gauges{Valid: true, Busy: 1, Runnable: float32(len(d.running))}})
+	d.step(kiteslip.Event{Kind: kiteslip.Timer, Token: d.timerToken, Gauges: kiteslip.Gauges{Valid: true, Busy: 1, Runnable: float32(len(d.running))}})
 }
 
-// cost is the mean processor time of one request, microseconds, over such a
-// span of it. The time is this thread's own: what else the machine does counts
-// only by what it leaves in the caches.
+// cost returns the mean processor time of one request in microseconds, measured
+// for at least span. It counts the time of this thread only, so that other load on
+// the machine has an effect only through the caches.
 func (d *decider) cost(span time.Duration) (us float64, err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	held, lost := len(d.held), d.lost
+	queued, lost := len(d.queued), d.lost
 	began, n, took := threadTime(), 0, time.Duration(0)
 	for took < span || n < 20 {
 		for range 10 {
@@ -121,22 +121,22 @@
 		n += 10
 		took = threadTime() - began
 	}
-	if d.lost > lost || len(d.held) < held*9/10 || len(d.held) > held+max(10, held/5) {
-		return 0, fmt.Errorf("slopes: %d requests are held, want %d, and %d were turned away", len(d.held), held, d.lost-lost)
+	if d.lost > lost || len(d.queued) < queued*9/10 || len(d.queued) > queued+max(10, queued/5) {
+		return 0, fmt.Errorf("slopes: %d requests are queued, want %d, and %d were refused or failed", len(d.queued), queued, d.lost-lost)
 	}
 	return float64(took.Nanoseconds()) / 1000 / float64(n), nil
 }
 
-// threadTime is the processor time of this thread.
+// threadTime returns the processor time of this thread.
 func threadTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
-		return time.Duration(time.Now().UnixNano()) // a system without it: the time that passes
+		return time.Duration(time.Now().UnixNano()) // not supported: elapsed time instead
 	}
 	return time.Duration(t.Nano())
 }
 
-// deciders are made once for each size, and measured in turn.
+// deciders holds one decider per size, created at its first measurement.
 type deciders struct {
 	made map[float64]*decider
 	make func(size float64) (*decider, error)
@@ -156,13 +156,13 @@
 }
 
 const (
-	decisionCores = 4
-	decisionSeed  = 7
-	decisionSpan  = 15 * time.Millisecond
-	worstRatio    = 1.25 // a decision at the target over one with three tenants and four classes
+	decisionCores    = 4
+	decisionSeed     = 7
+	decisionSpan     = 15 * time.Millisecond
+	maxDecisionRatio = 1.25 // most that a decision at the target may cost relative to one with 3 tenants and 4 classes
 )
 
-// decisions measures what one request's decisions cost.
+// decisions measures the processor time of the decisions on one request.
 func (m *measurement) decisions() error {
 	span, rounds := decisionSpan, m.rounds(7)
 	if m.short {
@@ -177,23 +177,23 @@
 		}
 		return m.keep(figures.Slope{Name: name, Role: figures.Core, Description: of, Unit: "us", SizeName: by, Points: points, Target: target})
 	}
-	for _, held := range []int{0, m.target.Assumed.Queued, m.target.Assumed.MaxQueued} {
-		err := slopeOf(fmt.Sprintf("decision/tenants/held=%d", held), fmt.Sprintf("one request's decisions with %d held, routes as many as tenants let", held),
+	for _, queued := range []int{0, m.target.Assumed.Queued, m.target.Assumed.MaxQueued} {
+		err := slopeOf(fmt.Sprintf("decision/tenants/held=%d", queued), fmt.Sprintf("one request's decisions with %d held, routes as many as tenants let", queued),
 			"tenants", float64(tenants), m.tenants(), func(size float64) (*decider, error) {
-				// 3 tenants with 4 classes and 21,000 with 2,800 are the ends; between them the classes grow alike.
+				// Classes grow linearly with tenants, from 4 with 3 tenants to 2,800 with 21,000.
 				classes := 4 + int(float64(routes-4)*(size-3)/float64(max(tenants-3, 1)))
-				return newDecider(site{teams: int(size), routes: classes, cores: decisionCores}, held, decisionSeed)
+				return newDecider(site{teams: int(size), routes: classes, cores: decisionCores}, queued, decisionSeed)
 			})
 		if err != nil {
 			return err
 		}
 		s := &m.file.Slopes[len(m.file.Slopes)-1]
 		ratio := s.Points[len(s.Points)-1].Value / s.Points[0].Value
-		m.say("%s: %.3g times that of 3 tenants", s.Name, ratio)
-		m.figure(figures.Figure{Name: fmt.Sprintf("decision over that of 3 tenants and 4 routes, %d held", held), Role: figures.Core, State: figures.Peak, Unit: "times",
-			Value: ratio, Bound: worstRatio, OK: ratio <= worstRatio})
+		m.logf("%s: %.3g times the cost with 3 tenants", s.Name, ratio)
+		m.figure(figures.Figure{Name: fmt.Sprintf("decision over that of 3 tenants and 4 routes, %d held", queued), Role: figures.Core, State: figures.Peak, Unit: "times",
+			Value: ratio, Bound: maxDecisionRatio, OK: ratio <= maxDecisionRatio})
 		if !m.short {
-			m.want(ratio <= worstRatio, "a decision with %d held costs %.2f times that of 3 tenants, want %.2f at most", held, ratio, worstRatio)
+			m.check(ratio <= maxDecisionRatio, "a decision with %d queued costs %.2f times that with 3 tenants, want at most %.2f", queued, ratio, maxDecisionRatio)
 		}
 	}
 	if err := slopeOf("decision/routes", "one request's decisions with 50 held and 3 tenants", "routes", float64(routes), m.routes(), func(size float64) (*decider, error) {
@@ -213,12 +213,12 @@
 	}
 	keys := m.target.RequestsPerServer() * m.target.Assumed.KeyedFraction * m.target.Assumed.KeyWindowS
 	return slopeOf("decision/keys", "one keyed request's decisions with so many keys kept", "kept keys", keys, m.sizes(30, 100, 300, 1000, 3000, 10000), func(size float64) (*decider, error) {
-		set := site{teams: 3, routes: 4, cores: decisionCores}.settings()
-		for i := range set.Classes {
-			set.Classes[i].Effect = kiteslip.Keyed
-			set.Classes[i].Window = int64(size) * requestEvery // so many are kept once as many have come and gone
+		settings := site{teams: 3, routes: 4, cores: decisionCores}.settings()
+		for i := range settings.Classes {
+			settings.Classes[i].Effect = kiteslip.Keyed
+			settings.Classes[i].Window = int64(size) * requestIntervalUS // size keys are kept once size requests have ended
 		}
-		d, err := decide(set, 0, decisionSeed)
+		d, err := newDeciderWith(settings, 0, decisionSeed)
 		for i := 0; err == nil && i < int(size); i++ {
 			d.request()
 		}
--- a/internal/lab/scale/slopes/delta.go
+++ b/internal/lab/scale/slopes/delta.go
@@ -10,7 +10,7 @@
 	"kiteslip/internal/lab/scale/slope"
 )
 
-// content is what a version of the fleet's document holds at such sizes.
+// content returns the document content for the sizes of s.
 func content(s site) document.Content {
 	var c document.Content
 	for i := range s.teams {
@@ -27,24 +27,24 @@
 	return c
 }
 
-// versionOf is the first version with that content.
+// versionOf returns the first version with the content.
 func versionOf(c document.Content) (*document.Document, error) {
 	from := document.Empty()
-	return stepped(from, from.Diff(&c))
+	return applyChanges(from, from.Diff(&c))
 }
 
-func stepped(from *document.Document, changes []document.Change) (*document.Document, error) {
-	d, err := from.Draft(changes, by)
+func applyChanges(from *document.Document, changes []document.Change) (*document.Document, error) {
+	d, err := from.Draft(changes, changeMeta)
 	if err != nil {
 		return nil, err
 	}
 	return from.Apply(d)
 }
 
-var by = document.Meta{Author: "operator", Reason: "a change as measured", Time: epoch}
+var changeMeta = document.Meta{Author: "operator", Reason: "a change as measured", Time: epochUS}
 
-// deltas measures the bytes and the times of versions: a delta by its changes,
-// a snapshot by tenants.
+// deltas measures the sizes of versions and the time to read them: deltas by number
+// of changes, snapshots by number of tenants.
 func (m *measurement) deltas() error {
 	full := site{teams: m.target.Fleet.Tenants, routes: m.target.Fleet.Routes}
 	if m.short {
@@ -56,18 +56,18 @@
 	}
 	sizes := m.sizes(1, 10, 100, 300, 1000, 5000)
 	bytes, err := slope.Measure(sizes, 1, slope.Median, func(n float64) (float64, error) {
-		b, err := changed(base, int(n))
+		b, err := encodeChanges(base, int(n))
 		return float64(len(b)), err
 	})
 	if err != nil {
 		return err
 	}
 	apply, err := slope.Measure(sizes, m.rounds(5), slope.Best, func(n float64) (float64, error) {
-		b, err := changed(base, int(n))
+		b, err := encodeChanges(base, int(n))
 		if err != nil {
 			return 0, err
 		}
-		return timed(func() error {
+		return threadTimeOf(func() error {
 			d, err := document.DecodeDelta(b)
 			if err == nil {
 				_, err = base.Apply(d)
@@ -91,12 +91,12 @@
 		return err
 	}
 	opened, err := slope.Measure(m.tenants(), m.rounds(3), slope.Best, func(n float64) (float64, error) {
-		return timed(func() error { _, err := document.DecodeSnapshot(snapshots[n]); return err })
+		return threadTimeOf(func() error { _, err := document.DecodeSnapshot(snapshots[n]); return err })
 	})
 	if err != nil {
 		return err
 	}
-	whole := float64(len(full.text()))
+	whole := float64(len(full.operatorFile()))
 	m.figure(figures.Figure{Name: "operator's file at the target, whole", Role: figures.Operator, State: figures.Ordinary, Unit: "bytes", Value: whole, OK: true})
 	for _, s := range []figures.Slope{
 		{Name: "delta bytes/changes", Description: "a delta that changes so many tenants", Unit: "bytes", SizeName: "changes", Points: bytes, Target: 5000},
@@ -112,22 +112,22 @@
 	return nil
 }
 
-// changed is the bytes of a delta that gives n tenants another quota, spread over all.
-func changed(base *document.Document, n int) ([]byte, error) {
-	changes := another(base, n)
+// encodeChanges encodes a delta that changes the quota of n tenants, spread evenly over all.
+func encodeChanges(base *document.Document, n int) ([]byte, error) {
+	changes := quotaChanges(base, n)
 	if len(changes) < n {
-		return nil, fmt.Errorf("slopes: %d changes of %d tenants", n, len(changes))
+		return nil, fmt.Errorf("slopes: %d changes requested of %d tenants", n, len(changes))
 	}
-	d, err := base.Draft(changes, by)
+	d, err := base.Draft(changes, changeMeta)
 	if err != nil {
 		return nil, err
 	}
 	return d.Encode()
 }
 
-// timed is the processor time of f on this thread, ms.
-func timed(f func() error) (float64, error) {
-	runtime.GC() // what was made for it is no part of it
+// threadTimeOf returns the processor time of f on this thread, ms.
+func threadTimeOf(f func() error) (float64, error) {
+	runtime.GC() // garbage of the preparation must not be collected within f
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	began := threadTime()
--- a/internal/lab/scale/slopes/follow.go
+++ b/internal/lab/scale/slopes/follow.go
@@ -16,13 +16,13 @@
 	"kiteslip/internal/standin/box"
 )
 
-// follows measures what a request at a real server sees while a version of the
-// fleet's document is taken over: the server follows a control machine in this
-// process, and a caller asks without a pause. All that is done beside the loop
-// is in it, since a server of one core has one processor for both.
+// follows measures what a request at a real server sees while the server applies a
+// version: the server follows a publisher in this process while a caller sends
+// requests without a pause. Work outside the loop is included, because a server
+// limited to one core has one processor for both.
 func (m *measurement) follows() error {
 	full := site{teams: m.target.Fleet.Tenants, routes: m.target.Fleet.Routes}
-	changes := m.sizes(1, 10, 100, 300, 1000, many)
+	changes := m.sizes(1, 10, 100, 300, 1000, manyTenants)
 	if m.short {
 		full = site{teams: 500, routes: 40}
 	}
@@ -31,7 +31,7 @@
 		return err
 	}
 	defer engine.Close()
-	return inFolder(func(dir string) (err error) {
+	return inTempDir(func(dir string) (err error) {
 		address, err := freeAddress()
 		if err != nil {
 			return err
@@ -41,17 +41,17 @@
 			return err
 		}
 		defer p.Close()
-		of := content(full)
-		if _, err = p.PublishContent(&of, by, document.Digest{}); err != nil {
+		first := content(full)
+		if _, err = p.PublishContent(&first, changeMeta, document.Digest{}); err != nil {
 			return err
 		}
 		ctx, end := context.WithCancel(context.Background())
 		var served sync.WaitGroup
 		defer served.Wait()
 		defer end()
-		served.Go(func() { p.Serve(ctx) }) //nolint:errcheck // a server that does not hear from it says so
+		served.Go(func() { p.Serve(ctx) }) //nolint:errcheck // a server that hears nothing from it reports that
 		s := site{teams: 3, routes: 4, cores: 4, sockets: 256, engine: engine.Address, control: address}
-		if err = s.place(); err != nil {
+		if err = s.assignAddresses(); err != nil {
 			return err
 		}
 		server, err := start(m.Program, dir, s)
@@ -59,19 +59,19 @@
 			return err
 		}
 		defer server.kill()
-		startMS := float64(server.took.Microseconds()) / 1000
-		ask, err := ping(s.listen)
+		startMS := float64(server.startDuration.Microseconds()) / 1000
+		ping, err := startPinger(s.listen)
 		if err != nil {
 			return err
 		}
-		defer ask.stop() //nolint:errcheck // its fault is told by more
+		defer ping.stop() //nolint:errcheck // its error is returned by waitTrips
 		var inForce []figures.Point
 		trip, err := slope.Measure(changes, m.rounds(5), slope.Best, func(n float64) (float64, error) {
-			if err := ask.more(30); err != nil {
+			if err := ping.waitTrips(30); err != nil {
 				return 0, err
 			}
 			from := time.Now()
-			h, err := p.Publish(another(p.Document(), int(n)), by, document.Digest{})
+			h, err := p.Publish(quotaChanges(p.Document(), int(n)), changeMeta, document.Digest{})
 			if err != nil {
 				return 0, err
 			}
@@ -79,26 +79,26 @@
 			if err != nil {
 				return 0, err
 			}
-			add(&inForce, n, float64(at.Sub(from).Microseconds())/1000)
-			if err = ask.more(2); err != nil {
+			addValue(&inForce, n, float64(at.Sub(from).Microseconds())/1000)
+			if err = ping.waitTrips(2); err != nil {
 				return 0, err
 			}
-			return ask.worst(from, at)
+			return ping.longestDelay(from, at)
 		})
 		if err != nil {
 			return err
 		}
-		return m.followed(startMS, trip, inForce)
+		return m.storeFollow(startMS, trip, inForce)
 	})
 }
 
-// followed keeps the slopes and the figures at the target.
-func (m *measurement) followed(startMS float64, trip, inForce []figures.Point) error {
+// storeFollow stores the slopes, and the figures at the target.
+func (m *measurement) storeFollow(startMS float64, trip, inForce []figures.Point) error {
 	for _, s := range []figures.Slope{
 		{Name: "version request/changes", Description: "the longest round trip at a real server while it takes a version over, less the usual one", Points: trip},
-		{Name: "version in force/changes", Description: "from the publisher's word to a real server's, in force", Points: picked(inForce, slope.Median)},
+		{Name: "version in force/changes", Description: "from the publisher's word to a real server's, in force", Points: summarized(inForce, slope.Median)},
 	} {
-		s.Role, s.Unit, s.SizeName, s.Target = figures.Settings, "ms", "changes", many
+		s.Role, s.Unit, s.SizeName, s.Target = figures.Settings, "ms", "changes", manyTenants
 		if err := m.keep(s); err != nil {
 			return err
 		}
@@ -106,30 +106,30 @@
 	if m.short {
 		return nil
 	}
-	m.say("a server that follows is ready with the target's version after %.0f ms", startMS)
+	m.logf("a following server is ready with the target's version after %.0f ms", startMS)
 	m.figure(figures.Figure{Name: "start by a version with the target's settings", Role: figures.Settings, State: figures.AllStart, Unit: "ms", Value: startMS,
 		Bound: readyWithinMS, OK: startMS <= readyWithinMS})
-	m.want(startMS <= readyWithinMS, "a start by the target's version takes %.0f ms, want %d at most", startMS, readyWithinMS)
+	m.check(startMS <= readyWithinMS, "a start by the target's version takes %.0f ms, want at most %d", startMS, readyWithinMS)
 	for _, g := range []struct {
 		what  string
 		size  float64
 		bound float64
-	}{{"one changed tenant", 1, holdOne}, {"5,000 changed tenants", many, holdMany}} {
+	}{{"one changed tenant", 1, maxLoopMSOne}, {"5,000 changed tenants", manyTenants, maxLoopMSMany}} {
 		for _, p := range trip {
 			if p.Size != g.size {
 				continue
 			}
 			ok := p.Value <= g.bound
-			m.figure(figures.Figure{Name: "a version with " + g.what + ", " + longestTrip, Role: figures.Settings, State: figures.Ordinary, Unit: "ms",
+			m.figure(figures.Figure{Name: "a version with " + g.what + ", " + longestTripText, Role: figures.Settings, State: figures.Ordinary, Unit: "ms",
 				Value: p.Value, Worst: slices.Max(p.Raw), Bound: g.bound, OK: ok})
-			m.want(ok, "a request beside a version with %s takes %.3g ms longer, want %g at most", g.what, p.Value, g.bound)
+			m.check(ok, "a request during a version with %s takes %.3g ms longer, want at most %g", g.what, p.Value, g.bound)
 		}
 	}
 	return nil
 }
 
-// another is n changes that give tenants, spread over all, yet another budget.
-func another(doc *document.Document, n int) []document.Change {
+// quotaChanges returns n changes of tenants' quotas, spread evenly over all tenants.
+func quotaChanges(doc *document.Document, n int) []document.Change {
 	teams := doc.Content().Teams
 	n = min(n, len(teams))
 	changes := make([]document.Change, n)
--- a/internal/lab/scale/slopes/latency.go
+++ b/internal/lab/scale/slopes/latency.go
@@ -10,27 +10,27 @@
 	"kiteslip/internal/standin/box"
 )
 
-// served is what one server showed under so many callers at one rate.
-type served struct {
-	rate                float64
-	callers             int
-	seen                seen
-	p50, p99, worst     float64 // ms, end to end
-	direct50, direct99  float64 // ms, the same exchange without the server
-	cpuUS               float64 // processor time of the server for a request
-	waitedUS            float64 // for which it was ready and the machine had no core for it, for a request: a disturbance
-	core                float64 // the processor time as part of a core
-	rssKB               float64
-	descriptors         int
-	connections         int     // descriptors beyond those of a server without callers
-	rssIdle             float64 // before the first caller
-	sentInWarm, lostAll int
+// serverResult is the result for one server with a number of callers at one rate.
+type serverResult struct {
+	rate                   float64
+	callers                int
+	counts                 counts
+	p50, p99, worst        float64 // latency, ms
+	direct50, direct99     float64 // latency of the same exchange without the server, ms
+	cpuUS                  float64 // processor time of the server per request, us
+	waitedUS               float64 // time per request in which it was runnable without a core: a disturbance, us
+	cores                  float64 // mean number of cores used
+	rssKB                  float64
+	descriptors            int
+	connections            int     // descriptors in addition to those without callers
+	rssIdle                float64 // before the first caller
+	warmUpSent, lostOrLate int
 }
 
-// serve has a server of the site with so many callers at a rate: first the
-// connections that would rest by then are opened at a quicker pace, then it is
-// looked at for span.
-func serve(program string, s site, n int, rate float64, rest, span time.Duration, seed uint64) (out served, err error) {
+// measureServer runs a server of the site with n callers at a rate. It first opens, at a
+// higher rate, the connections that would be idle by then, and then measures for
+// span.
+func measureServer(program string, s site, n int, rate float64, idleTimeout, span time.Duration, seed uint64) (out serverResult, err error) {
 	out.rate, out.callers = rate, n
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
@@ -43,15 +43,15 @@
 	}
 	defer other.Close()
 	s.engine = engine.Address
-	if err = s.place(); err != nil {
+	if err = s.assignAddresses(); err != nil {
 		return out, err
 	}
-	err = inFolder(func(dir string) error {
+	err = inTempDir(func(dir string) error {
 		p, err := start(program, dir, s)
 		if err != nil {
 			return err
 		}
-		defer p.kill() // its callers have left: it need not drain
+		defer p.kill() // its callers have disconnected: nothing to drain
 		idle, err := p.descriptors()
 		if err != nil {
 			return err
@@ -59,29 +59,29 @@
 		if out.rssIdle, err = p.rssKB(); err != nil {
 			return err
 		}
-		c := newCallers(s.listen, n, s, rest, seed)
+		c := newCallers(s.listen, n, s, idleTimeout, seed)
 		defer c.close()
-		const quick = 4
-		c.ask(rate*quick, rest/quick)
-		warm := c.take()
+		const warmUpFactor = 4
+		c.run(rate*warmUpFactor, idleTimeout/warmUpFactor)
+		warm := c.result()
 		c.reset()
-		c.ask(rate, span/8) // what was waiting is gone
-		late := c.take()
+		c.run(rate, span/8) // answers the backlog of the warm-up
+		late := c.result()
 		c.reset()
-		out.sentInWarm, out.lostAll = warm.sent+late.sent, warm.lost+warm.late+late.lost+late.late
-		before, err := p.used()
+		out.warmUpSent, out.lostOrLate = warm.sent+late.sent, warm.lost+warm.late+late.lost+late.late
+		before, err := p.schedTimes()
 		if err != nil {
 			return err
 		}
 		began := time.Now()
-		var exchange []float64
-		var failed error
-		var beside sync.WaitGroup
-		beside.Go(func() { exchange, failed = direct(other.Address, rate, span) })
-		c.ask(rate, span)
-		out.seen = c.take()
+		var directTimes []float64
+		var directErr error
+		var wg sync.WaitGroup
+		wg.Go(func() { directTimes, directErr = directExchanges(other.Address, rate, span) })
+		c.run(rate, span)
+		out.counts = c.result()
 		took := time.Since(began)
-		after, err := p.used()
+		after, err := p.schedTimes()
 		if err != nil {
 			return err
 		}
@@ -91,38 +91,39 @@
 		if out.descriptors, err = p.descriptors(); err != nil {
 			return err
 		}
-		beside.Wait()
-		if failed != nil {
-			return failed
+		wg.Wait()
+		if directErr != nil {
+			return directErr
 		}
 		out.connections = out.descriptors - idle
-		out.lostAll += out.seen.lost + out.seen.late
-		if out.seen.served == 0 {
-			return fmt.Errorf("slopes: none of %d requests of %d callers is served: %d refused, %d failed, %d lost", out.seen.sent, n, out.seen.refused, out.seen.failed, out.seen.lost)
+		out.lostOrLate += out.counts.lost + out.counts.late
+		if out.counts.served == 0 {
+			return fmt.Errorf("slopes: none of %d requests of %d callers was served: %d refused, %d failed, %d lost", out.counts.sent, n, out.counts.refused, out.counts.failed, out.counts.lost)
 		}
 		ran := after.ran - before.ran
-		out.core = float64(ran) / float64(took)
-		out.cpuUS = float64(ran.Microseconds()) / float64(out.seen.sent)
-		out.waitedUS = float64((after.waited - before.waited).Microseconds()) / float64(out.seen.sent)
-		out.p50, out.p99, out.worst = part(out.seen.times, 0.5), part(out.seen.times, 0.99), part(out.seen.times, 1)
-		out.direct50, out.direct99 = part(exchange, 0.5), part(exchange, 0.99)
+		out.cores = float64(ran) / float64(took)
+		out.cpuUS = float64(ran.Microseconds()) / float64(out.counts.sent)
+		out.waitedUS = float64((after.waited - before.waited).Microseconds()) / float64(out.counts.sent)
+		out.p50, out.p99, out.worst = quantile(out.counts.times, 0.5), quantile(out.counts.times, 0.99), quantile(out.counts.times, 1)
+		out.direct50, out.direct99 = quantile(directTimes, 0.5), quantile(directTimes, 0.99)
 		return nil
 	})
 	return out, err
 }
 
-// added is what the server adds to a request, ms. From the slowest hundredth the
-// usual direct exchange is taken, not its slowest: no disturbance is excused.
-func (o *served) added() (p50, p99 float64) {
+// added returns the latency that the server adds to a request, ms. The median of
+// the direct exchange is subtracted from the p99 too, not its own p99, so that no
+// disturbance is discounted.
+func (o *serverResult) added() (p50, p99 float64) {
 	return max(0, o.p50-o.direct50), max(0, o.p99-o.direct50)
 }
 
-// latencies measures the server under callers: both rates side by side, each
-// number of callers in turn.
+// latencies measures the server under callers: for each number of callers, both
+// rates at the same time.
 func (m *measurement) latencies() error {
 	rates := []float64{m.target.RequestsPerServer(), m.target.Assumed.HotServerPerS}
 	var slopes [2][5]figures.Slope
-	var all []served
+	var all []serverResult
 	for i, rate := range rates {
 		at := fmt.Sprintf("%.0f/s", rate)
 		slopes[i] = [5]figures.Slope{
@@ -134,34 +135,34 @@
 		}
 	}
 	for _, n := range m.callerCounts() {
-		outs := make([]served, len(rates))
+		outs := make([]serverResult, len(rates))
 		errs := make([]error, len(rates))
-		var both sync.WaitGroup
+		var wg sync.WaitGroup
 		for i, rate := range rates {
-			both.Go(func() {
+			wg.Go(func() {
 				s := site{teams: m.target.Fleet.Tenants, routes: m.target.Fleet.Routes, cores: 4, sockets: m.target.Fleet.Descriptors}
 				if m.short {
 					s.teams, s.routes = 30, 8
 				}
-				outs[i], errs[i] = serve(m.Program, s, n, rate, m.rest(), m.span(), uint64(32+n))
+				outs[i], errs[i] = measureServer(m.Program, s, n, rate, m.idleTimeout(), m.measureTime(), uint64(32+n))
 			})
 		}
-		both.Wait()
+		wg.Wait()
 		if err := errors.Join(errs...); err != nil {
 			return err
 		}
 		for i := range outs {
 			o := &outs[i]
 			p50, p99 := o.added()
-			for j, v := range []float64{p50, p99, o.core, o.rssKB, float64(o.connections)} {
+			for j, v := range []float64{p50, p99, o.cores, o.rssKB, float64(o.connections)} {
 				slopes[i][j].Points = append(slopes[i][j].Points, figures.Point{Size: float64(n), Value: v, Raw: []float64{v}})
 			}
-			m.say("%4d callers at %3.0f/s: added p50 %.2f ms, p99 %.2f ms, worst %.2f ms (direct %.2f, %.2f); %.0f us of processor time a request, and %.0f us without a core; %d descriptors, %.0f KB; "+
-				"%d sent, %d served, %d refused, %d failed, %d lost, %d late, %d sent again; %d opened, %d asked to close, %d closed by the server",
+			m.logf("%4d callers at %3.0f/s: added p50 %.2f ms, p99 %.2f ms, worst %.2f ms (direct %.2f, %.2f); per request %.0f us of processor time and %.0f us runnable without a core; %d descriptors, %.0f KB; "+
+				"%d sent, %d served, %d refused, %d failed, %d lost, %d late, %d retries; %d connections opened, %d with a go-away, %d closed by the server",
 				n, o.rate, p50, p99, o.worst, o.direct50, o.direct99, o.cpuUS, o.waitedUS, o.descriptors, o.rssKB,
-				o.seen.sent, o.seen.served, o.seen.refused, o.seen.failed, o.seen.lost, o.seen.late, o.seen.again, o.seen.opened, o.seen.away, o.seen.ended)
-			m.want(o.lostAll == 0, "%d requests of %d callers at %.0f/s are lost or late", o.lostAll, n, o.rate)
-			m.want(o.descriptors <= m.target.Fleet.Descriptors+spareDescriptors, "%d descriptors are open, want %d at most", o.descriptors, m.target.Fleet.Descriptors)
+				o.counts.sent, o.counts.served, o.counts.refused, o.counts.failed, o.counts.lost, o.counts.late, o.counts.retries, o.counts.opened, o.counts.goAways, o.counts.closedByServer)
+			m.check(o.lostOrLate == 0, "%d requests of %d callers at %.0f/s are lost or late", o.lostOrLate, n, o.rate)
+			m.check(o.descriptors <= m.target.Fleet.Descriptors+spareDescriptors, "%d descriptors are open, want at most %d", o.descriptors, m.target.Fleet.Descriptors)
 		}
 		all = append(all, outs...)
 	}
@@ -186,15 +187,16 @@
 		_, p99 := o.added()
 		m.figure(figures.Figure{Name: "added to a request, " + name, Role: figures.FrontEnds, State: when, Unit: "ms", Value: o.p50 - o.direct50, P99: p99, Worst: o.worst - o.direct50,
 			Bound: m.target.Promise.AddedP99MS, OK: p99 < m.target.Promise.AddedP99MS})
-		m.figure(figures.Figure{Name: "requests lost or late, " + name, Role: figures.FrontEnds, State: when, Unit: "requests", Value: float64(o.lostAll), OK: o.lostAll == 0})
-		m.figure(figures.Figure{Name: "sent again by their callers, " + name, Role: figures.Caller, State: when, Unit: "requests", Value: float64(o.seen.again), OK: true})
-		m.figure(figures.Figure{Name: "resting connections ended by the server, " + name, Role: figures.Caller, State: when, Unit: "connections", Value: float64(o.seen.away + o.seen.ended), OK: true})
+		m.figure(figures.Figure{Name: "requests lost or late, " + name, Role: figures.FrontEnds, State: when, Unit: "requests", Value: float64(o.lostOrLate), OK: o.lostOrLate == 0})
+		m.figure(figures.Figure{Name: "sent again by their callers, " + name, Role: figures.Caller, State: when, Unit: "requests", Value: float64(o.counts.retries), OK: true})
+		m.figure(figures.Figure{Name: "resting connections ended by the server, " + name, Role: figures.Caller, State: when, Unit: "connections", Value: float64(o.counts.goAways + o.counts.closedByServer), OK: true})
 		m.figure(figures.Figure{Name: "time for which the machine had no core for the server, by requests, " + name, Role: figures.FrontEnds, State: when, Unit: "us", Value: o.waitedUS, OK: true})
 		m.figure(figures.Figure{Name: "processor time of a request, " + name, Role: figures.FrontEnds, State: when, Unit: "us", Value: o.cpuUS, OK: true})
 	}
 	return nil
 }
 
-// spareDescriptors are those that a server has besides its callers': its log, its
-// listeners, the loop's own, the engine's link and the operators' door.
+// spareDescriptors is the number of descriptors allowed beyond the target's for
+// what does not belong to callers: the log, the listeners, the event loop, the
+// engine connection and the admin endpoint.
 const spareDescriptors = 0
--- a/internal/lab/scale/slopes/process.go
+++ b/internal/lab/scale/slopes/process.go
@@ -16,39 +16,39 @@
 	"time"
 )
 
-// patience bounds every wait for a process: far longer than anything takes.
-const patience = 60 * time.Second
+// processTimeout bounds every wait for a process; far longer than any step takes.
+const processTimeout = 60 * time.Second
 
-// process is one server of the real program. It is awaited by the lines of its
-// log, and ended by its id.
+// process is one server of the real program. Its progress is read from its log, and
+// it is ended by its process ID.
 type process struct {
-	cmd     *exec.Cmd
-	file    string // the operator's file
-	took    time.Duration
-	lines   chan logLine
-	ended   chan struct{}
-	mu      sync.Mutex
-	lastErr string
+	cmd           *exec.Cmd
+	file          string // the operator's file
+	startDuration time.Duration
+	lines         chan logLine
+	done          chan struct{}
+	mu            sync.Mutex
+	lastErr       string
 }
 
 type logLine struct {
 	at      time.Time
 	Msg     string `json:"msg"`
 	Error   string `json:"error"`
-	Version uint64 `json:"version"` // of the fleet's document
+	Version uint64 `json:"version"` // of the fleet configuration
 }
 
-// start starts the program with an operator's file in dir and waits for its
-// line "serving".
+// start starts the program with an operator's file in dir and waits for its log line
+// "serving".
 func start(program, dir string, s site) (*process, error) {
-	p := &process{file: filepath.Join(dir, "operator.toml"), lines: make(chan logLine, 256), ended: make(chan struct{})}
+	p := &process{file: filepath.Join(dir, "operator.toml"), lines: make(chan logLine, 256), done: make(chan struct{})}
 	if err := p.write(s); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.Command(program, "serve", "--operator", p.file)
 	p.cmd.Env = append(slices.DeleteFunc(os.Environ(), func(e string) bool { return strings.HasPrefix(e, "EDGE_") || strings.HasPrefix(e, "KITESLIP_") }),
 		"TMPDIR="+dir)
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // ctrl-C is for who measures, who then ends it
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // Ctrl-C goes to the measuring process, which then ends this one
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, fmt.Errorf("slopes: %w", err)
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("slopes: %w", err)
 	}
 	go func() {
-		defer close(p.ended)
+		defer close(p.done)
 		defer close(p.lines)
 		for s := bufio.NewScanner(out); s.Scan(); {
 			l := logLine{at: time.Now()}
@@ -72,39 +72,39 @@
 			}
 			select {
 			case p.lines <- l:
-			default: // nobody waits for it
+			default: // no one is waiting for it
 			}
 		}
-		p.cmd.Wait() //nolint:errcheck // how it ended shows in its log
+		p.cmd.Wait() //nolint:errcheck // its log shows how it ended
 	}()
 	at, err := p.await("serving")
 	if err != nil {
 		p.stop()
 		return nil, err
 	}
-	p.took = at.Sub(began)
+	p.startDuration = at.Sub(began)
 	return p, nil
 }
 
 func (p *process) write(s site) error {
-	part := p.file + ".part"
-	if err := os.WriteFile(part, []byte(s.text()), 0o600); err != nil {
+	temp := p.file + ".part"
+	if err := os.WriteFile(temp, []byte(s.operatorFile()), 0o600); err != nil {
 		return fmt.Errorf("slopes: %w", err)
 	}
-	if err := os.Rename(part, p.file); err != nil {
+	if err := os.Rename(temp, p.file); err != nil {
 		return fmt.Errorf("slopes: %w", err)
 	}
 	return nil
 }
 
-var errRefused = errors.New("the program does not use the new configuration")
+var errRefused = errors.New("the program rejected the new configuration")
 
-// await waits for a line of the log, and returns when it came.
+// await waits for a log line with the message, and returns when it was read.
 func (p *process) await(msg string) (time.Time, error) { return p.awaitVersion(msg, 0) }
 
-// awaitVersion waits for a line about a version, or a later one.
+// awaitVersion waits for a log line with the message about the version or a later one.
 func (p *process) awaitVersion(msg string, number uint64) (time.Time, error) {
-	over := time.After(patience)
+	timeout := time.After(processTimeout)
 	for {
 		select {
 		case l, open := <-p.lines:
@@ -118,30 +118,30 @@
 			case l.Msg == "the new configuration is not used":
 				return l.at, fmt.Errorf("slopes: %w: %.200s", errRefused, l.Error)
 			}
-		case <-over:
-			return time.Time{}, fmt.Errorf("slopes: no line %q within %v", msg, patience)
+		case <-timeout:
+			return time.Time{}, fmt.Errorf("slopes: no log line %q within %v", msg, processTimeout)
 		}
 	}
 }
 
-// stop ends the process and waits for its end.
+// stop requests a graceful shutdown, kills the process if it takes too long, and waits for its end.
 func (p *process) stop() {
 	p.cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
 	select {
-	case <-p.ended:
+	case <-p.done:
 	case <-time.After(4 * time.Second):
 		p.cmd.Process.Kill() //nolint:errcheck // it may have ended
-		<-p.ended
+		<-p.done
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.cmd.Process.Kill() //nolint:errcheck // it may have ended
-	<-p.ended
+	<-p.done
 }
 
-// rssKB is the memory that the process has in use now.
+// rssKB returns the resident memory of the process.
 func (p *process) rssKB() (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -154,24 +154,24 @@
 			return kb, err
 		}
 	}
-	return 0, errors.New("slopes: the system does not tell the memory of a process")
+	return 0, errors.New("slopes: no VmRSS in the status of the process")
 }
 
-// descriptors is how many the process has open.
+// descriptors returns the number of open descriptors of the process.
 func (p *process) descriptors() (int, error) {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(list), err
 }
 
-// used is what the system's scheduler counts for a process since its start: the
-// time that it ran, and the time that it was ready to and had no core.
-type used struct{ ran, waited time.Duration }
+// schedTimes holds the scheduler's counters for a process since its start: the time that
+// it ran, and the time that it was runnable but had no core.
+type schedTimes struct{ ran, waited time.Duration }
 
-func (p *process) used() (u used, err error) {
+func (p *process) schedTimes() (u schedTimes, err error) {
 	pid := p.cmd.Process.Pid
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(tasks) == 0 {
-		return u, fmt.Errorf("slopes: the system does not tell the time of process %d", pid)
+		return u, fmt.Errorf("slopes: no schedstat for process %d", pid)
 	}
 	for _, task := range tasks {
 		text, err := os.ReadFile(task)
@@ -187,7 +187,7 @@
 	return u, nil
 }
 
-// freeAddress is a loopback address that nothing listens on.
+// freeAddress returns a loopback address that nothing listens on.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -197,17 +197,17 @@
 	return l.Addr().String(), nil
 }
 
-// place fills in free addresses of a site.
-func (s *site) place() error {
+// assignAddresses sets the listen addresses of the site to free ones.
+func (s *site) assignAddresses() error {
 	var err error
 	if s.listen, err = freeAddress(); err == nil {
-		s.ops, err = freeAddress()
+		s.admin, err = freeAddress()
 	}
 	return err
 }
 
-// inFolder runs f in a folder of its own.
-func inFolder(f func(dir string) error) error {
+// inTempDir runs f with a temporary directory.
+func inTempDir(f func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "kitelab")
 	if err != nil {
 		return fmt.Errorf("slopes: %w", err)
--- a/internal/lab/scale/slopes/site.go
+++ b/internal/lab/scale/slopes/site.go
@@ -8,27 +8,27 @@
 	"kiteslip"
 )
 
-// site is what an operator's file is made of: so many teams and routes, and the
-// machine that it describes where it describes one.
+// site describes an operator's file: the numbers of teams and routes, and the
+// machine section.
 type site struct {
 	teams, routes int
-	changed       int    // teams after the first whose budget is another one
-	listen, ops   string // "" = no such front
+	changedTeams  int    // number of teams, after the first, whose quota is changed
+	listen, admin string // "" = no such listener
 	engine        string
 	cores         int
 	sockets       int
-	control       string // the control machine that it follows; "" = none
+	control       string // address of the publisher that it follows; "" = none
 }
 
-// serviceRoutes is how many contracts a service has: 2,800 routes of 150 services.
+// serviceRoutes is the number of contracts per service: 2,800 routes over 150 services.
 const serviceRoutes = 19
 
-// text is the operator's file.
-func (s site) text() string {
+// operatorFile returns the operator's file.
+func (s site) operatorFile() string {
 	var b strings.Builder
 	b.Grow(200 * (s.teams + s.routes))
 	fmt.Fprintf(&b, "[machine]\nname = \"scale\"\nlisten = %q\nops = %q\nengine = %q\ncores = %d\nwork_mb = 4096\nstop_ms = 1500\n"+
-		"[machine.limits]\ncores = 1.0\nmemory_mb = 256\nsockets = %d\n", s.listen, s.ops, s.engine, s.cores, s.sockets)
+		"[machine.limits]\ncores = 1.0\nmemory_mb = 256\nsockets = %d\n", s.listen, s.admin, s.engine, s.cores, s.sockets)
 	if s.control != "" {
 		fmt.Fprintf(&b, "[control]\nregion = \"north\"\nwait_ms = 20000\n[[control.publisher]]\naddress = %q\nregion = \"north\"\n", s.control)
 	}
@@ -44,8 +44,9 @@
 	return b.String()
 }
 
-// teamName starts with red, as whom probe.Fields sends. The others are made of
-// syllables drawn at random: a row of numbers would be compressed to nothing.
+// teamName returns a team's name. The first is red, the team that probe.Fields sends
+// for. The others are random syllables, because sequential numbers would compress
+// to almost nothing.
 func teamName(i int) string {
 	if i == 0 {
 		return "red"
@@ -58,7 +59,8 @@
 	return string(name)
 }
 
-// teamQuota is unlike from team to team; the first one's is never short.
+// teamQuota returns a team's quota, which differs between teams; that of the first
+// is never exhausted.
 func teamQuota(i int) float64 {
 	if i == 0 {
 		return 1e6
@@ -66,9 +68,9 @@
 	return 0.5 + float64(i*i%997)/10
 }
 
-// quota is the team's, as changed.
+// quota returns a team's quota with the change, if it is among the changed teams.
 func (s site) quota(i int) float64 {
-	if i > 0 && i <= s.changed {
+	if i > 0 && i <= s.changedTeams {
 		return teamQuota(i) + 0.25
 	}
 	return teamQuota(i)
@@ -76,10 +78,10 @@
 
 func className(i int) string { return fmt.Sprintf("route-%04d", i) }
 
-// settings are the module's for such a site, as the operator's file makes them,
-// with deadlines so long that nothing is turned away or given up: until a class
-// has finished, the module expects an eighth of its aim as its work, and with
-// thousands of classes most have not.
+// settings returns the policy's settings for the site, as the operator's file would
+// give them, except for target times and timeouts so long that nothing is refused or
+// failed: until a request of a class has finished, the policy expects an eighth of
+// its target time as its work, and with thousands of classes most have none.
 func (s site) settings() kiteslip.Settings {
 	m := kiteslip.Settings{Cores: max(1, s.cores), MemoryKB: 1e9, RunFactor: 4, KeyKB: 8, MaxRetryAfter: 1_000_000, OverShareWorth: 0.05,
 		Goal: kiteslip.Goal{Whole: 0.5, WorstClass: 0.2, WorstTenant: 0.1, WorstWindow: 0.2},
@@ -88,9 +90,9 @@
 		m.Tenants = append(m.Tenants, kiteslip.Tenant{Quota: teamQuota(i)})
 	}
 	for i := range s.routes {
-		m.Classes = append(m.Classes, kiteslip.Class{Effect: kiteslip.Repeatable, TargetTime: hour / 30, Timeout: hour, LateWorth: 1, Worth: float64(1 + i%3)})
+		m.Classes = append(m.Classes, kiteslip.Class{Effect: kiteslip.Repeatable, TargetTime: hourUS / 30, Timeout: hourUS, LateWorth: 1, Worth: float64(1 + i%3)})
 	}
 	return m
 }
 
-const hour = 3_600_000_000 // microseconds
+const hourUS = 3_600_000_000 // microseconds
--- a/internal/lab/scale/slopes/slopes.go
+++ b/internal/lab/scale/slopes/slopes.go
@@ -1,13 +1,13 @@
-// Package slopes measures how the figures of one server grow with the sizes of
-// the fleet: tenants, routes, callers, held requests, kept keys, changes. Each
-// slope is taken at five sizes or more and fitted, and its largest size is left
-// out and predicted, see internal/lab/scale/slope.
+// Package slopes measures how the resource use and latency of one server grow with
+// the sizes of the fleet: tenants, routes, callers, queued requests, kept keys and
+// changes. Each slope is measured at five sizes or more and fitted without its
+// largest size, which the fit then predicts; see internal/lab/scale/slope.
 //
-// What can be asked of a package (the module, the core, the document) is asked
-// in this process; start, reload and latency are those of whole programs on
-// loopback, each with an engine stand-in that echoes at once. All is ended by
-// id. A short form measures three small sizes within seconds: its counts can be
-// judged, its times are no figures.
+// Packages (the policy, the core, the document) are measured in this process;
+// start, reload and latency are measured on whole programs on loopback, each with
+// an engine stand-in that echoes at once. Processes are ended by their IDs. The
+// short form measures three small sizes within seconds: its counts are valid, its
+// times are not.
 package slopes
 
 import (
@@ -21,16 +21,16 @@
 	"kiteslip/internal/lab/scale/target"
 )
 
-// Options say what to measure.
+// Options selects what is measured.
 type Options struct {
-	Program string // the real program
+	Program string // path of the kiteslip program
 	Target  *target.Target
-	Short   bool     // small sizes, one round
-	Only    []string // parts to measure: see Parts; none = all
+	Short   bool     // three small sizes, one round
+	Only    []string // the parts to measure, of Parts; none = all
 	Say     func(line string)
 }
 
-// Parts are what can be measured alone, in their order.
+// Parts lists the parts that can be measured separately, in order.
 var Parts = []string{"decision", "memory", "start", "traffic", "delta", "version", "follow", "connections", "latency"}
 
 // measurement is one run.
@@ -39,10 +39,11 @@
 	short  bool
 	target *target.Target
 	file   *figures.File
-	fell   []string // what falls short
+	unmet  []string // the bounds of the target that are not met
 }
 
-// Run measures and returns the file, and what falls short of the target.
+// Run measures the parts and returns the file, and the bounds of the target that are
+// not met.
 func Run(o Options, command string) (*figures.File, []string, error) {
 	if o.Say == nil {
 		o.Say = func(string) {}
@@ -57,29 +58,29 @@
 	for _, name := range only {
 		f, known := parts[name]
 		if !known {
-			return nil, nil, fmt.Errorf("slopes: part %q is not known, want one of %q", name, Parts)
+			return nil, nil, fmt.Errorf("slopes: unknown part %q, want one of %q", name, Parts)
 		}
 		began := time.Now()
 		if err := f(); err != nil {
-			// The other parts are measured all the same: one that fails must not hide them.
+			// The other parts are still measured, so that a failing part does not hide them.
 			errs = append(errs, fmt.Errorf("%s: %w", name, err))
 		}
-		m.say("(%s took %.1f s)", name, time.Since(began).Seconds())
+		m.logf("(%s took %.1f s)", name, time.Since(began).Seconds())
 		runtime.GC()
 	}
-	return m.file, m.fell, errors.Join(errs...)
+	return m.file, m.unmet, errors.Join(errs...)
 }
 
-func (m *measurement) say(format string, args ...any) { m.Say(fmt.Sprintf(format, args...)) }
+func (m *measurement) logf(format string, args ...any) { m.Say(fmt.Sprintf(format, args...)) }
 
-func (m *measurement) want(ok bool, format string, args ...any) {
+func (m *measurement) check(ok bool, format string, args ...any) {
 	if !ok {
-		m.fell = append(m.fell, fmt.Sprintf(format, args...))
+		m.unmet = append(m.unmet, fmt.Sprintf(format, args...))
 	}
 }
 
-// keep fits a slope and adds it to the file. Where it has a bound, the figure at
-// the target must not pass it.
+// keep fits a slope and adds it to the file. If it has a bound, the value at the
+// target must not exceed it.
 func (m *measurement) keep(s figures.Slope) error {
 	if err := slope.Fit(&s); err != nil {
 		return err
@@ -90,22 +91,22 @@
 	if s.Knee != "" {
 		knee = ", knee " + s.Knee
 	}
-	m.say("%-34s %.5g + %.5g a unit of %s, residual %.0f%%; at %.6g: %.5g %s, predicted %.5g (%.0f%% off%s)",
+	m.logf("%-34s %.5g + %.5g per unit of %s, residual %.0f%%; at %.6g: %.5g %s, predicted %.5g (%.0f%% off%s)",
 		s.Name, s.Fixed, s.PerUnit, s.SizeName, 100*s.Residual, last.Size, last.Value, s.Unit, s.Predicted, 100*s.Miss, knee)
 	if !m.short && s.Bound > 0 && s.Target > 0 {
 		v, _ := s.At(s.Target)
-		m.want(v <= s.Bound, "%s: %.4g %s at %.6g, want %.4g at most", s.Name, v, s.Unit, s.Target, s.Bound)
+		m.check(v <= s.Bound, "%s: %.4g %s at %.6g, want at most %.4g", s.Name, v, s.Unit, s.Target, s.Bound)
 	}
 	return nil
 }
 
-// figure adds a figure, as this run gave it.
+// figure adds a figure to the file, marked with this run.
 func (m *measurement) figure(g figures.Figure) {
 	g.Run, g.Trial = m.file.Command, m.short
 	m.file.Figures = append(m.file.Figures, g)
 }
 
-// sizes is the list for a whole measurement, or the first three for a short one.
+// sizes returns all sizes, or the first three for the short form.
 func (m *measurement) sizes(all ...float64) []float64 {
 	if m.short {
 		return all[:3]
@@ -135,15 +136,15 @@
 	return []int{10, 100, 1000, 2000, m.target.Fleet.Callers}
 }
 
-func (m *measurement) rest() time.Duration {
+func (m *measurement) idleTimeout() time.Duration {
 	if m.short {
 		return 500 * time.Millisecond
 	}
 	return time.Duration(m.target.Assumed.IdleTimeoutS * float64(time.Second))
 }
 
-// span is how long a server is looked at.
-func (m *measurement) span() time.Duration {
+// measureTime returns how long a server is measured.
+func (m *measurement) measureTime() time.Duration {
 	if m.short {
 		return time.Second
 	}
--- a/internal/lab/scale/slopes/start.go
+++ b/internal/lab/scale/slopes/start.go
@@ -14,11 +14,11 @@
 	"kiteslip/internal/standin/box"
 )
 
-// readyWithinMS is how soon a start with the target's settings has to be ready.
+// readyWithinMS bounds the start of a server with the target's settings.
 const readyWithinMS = 2000
 
-// starts measures the real program's start and what a change of its file does
-// to it, by tenants and by routes.
+// starts measures the start of the real program and the effect of a change of its
+// file, by tenants and by routes.
 func (m *measurement) starts() error {
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
@@ -39,16 +39,16 @@
 		var memory, reload, hold []figures.Point
 		refused := ""
 		started, err := slope.Measure(k.sizes, m.rounds(2), slope.Best, func(size float64) (ms float64, err error) {
-			o, err := m.once(engine.Address, k.site(size), 1)
+			o, err := m.startAndReload(engine.Address, k.site(size), 1)
 			if err != nil {
 				return 0, err
 			}
-			add(&memory, size, o.rssKB)
+			addValue(&memory, size, o.rssKB)
 			if o.refused != nil {
 				refused = fmt.Sprintf("of %.0f %s: %v", size, k.by, o.refused)
 			} else {
-				add(&reload, size, o.reloadMS)
-				add(&hold, size, o.holdMS)
+				addValue(&reload, size, o.reloadMS)
+				addValue(&hold, size, o.delayMS)
 			}
 			return o.startMS, nil
 		})
@@ -60,12 +60,12 @@
 			return err
 		}
 		if err = m.keep(figures.Slope{Name: "process/" + k.by, Role: figures.Settings, Description: "memory of the process once it serves, RSS", Unit: "KB", SizeName: k.by,
-			Points: picked(memory, slope.Median), Target: float64(k.target), Bound: m.target.Assumed.ServerMemoryMB * 1024}); err != nil {
+			Points: summarized(memory, slope.Median), Target: float64(k.target), Bound: m.target.Assumed.ServerMemoryMB * 1024}); err != nil {
 			return err
 		}
 		if refused != "" {
-			m.say("a change at SIGHUP is refused, %s", refused)
-			m.want(false, "a change at SIGHUP is refused, %s", refused)
+			m.logf("a change at SIGHUP was refused, %s", refused)
+			m.check(false, "a change at SIGHUP was refused, %s", refused)
 		}
 		for _, r := range []struct {
 			name, of string
@@ -74,7 +74,7 @@
 			if len(r.points) < 3 {
 				continue
 			}
-			if err = m.keep(figures.Slope{Name: r.name + k.by, Role: figures.Settings, Description: r.of, Unit: "ms", SizeName: k.by, Points: picked(r.points, slope.Best),
+			if err = m.keep(figures.Slope{Name: r.name + k.by, Role: figures.Settings, Description: r.of, Unit: "ms", SizeName: k.by, Points: summarized(r.points, slope.Best),
 				Target: float64(k.target)}); err != nil {
 				return err
 			}
@@ -86,38 +86,38 @@
 	return m.startAtTarget(engine.Address)
 }
 
-const longestTrip = "longest round trip meanwhile, less the usual one"
+const longestTripText = "longest round trip meanwhile, less the usual one"
 
-// startAtTarget measures the start and the changes with the target's settings.
+// startAtTarget measures start and changes with the target's settings.
 func (m *measurement) startAtTarget(engine string) error {
 	s := site{teams: m.target.Fleet.Tenants, routes: m.target.Fleet.Routes}
-	for _, changed := range []int{1, many} {
+	for _, changed := range []int{1, manyTenants} {
 		var starts, reloads, holds []float64
 		for range m.rounds(2) {
-			o, err := m.once(engine, s, changed)
+			o, err := m.startAndReload(engine, s, changed)
 			if err != nil {
 				return err
 			}
 			starts = append(starts, o.startMS)
 			if o.refused == nil {
-				reloads, holds = append(reloads, o.reloadMS), append(holds, o.holdMS)
+				reloads, holds = append(reloads, o.reloadMS), append(holds, o.delayMS)
 			}
 		}
 		if changed == 1 {
-			m.say("start with the target's settings: %.0f ms at best, %.0f at worst", slices.Min(starts), slices.Max(starts))
+			m.logf("start with the target's settings: %.0f ms at best, %.0f at worst", slices.Min(starts), slices.Max(starts))
 			m.figure(figures.Figure{Name: "start with the target's settings", Role: figures.Settings, State: figures.AllStart, Unit: "ms", Value: slope.Median(starts),
 				Worst: slices.Max(starts), Bound: readyWithinMS, OK: slices.Max(starts) <= readyWithinMS})
 		}
 		if len(reloads) == 0 {
-			continue // the refusal is told already
+			continue // the refusal has been reported
 		}
-		m.say("a file with %d changed teams: in use after %.0f ms, a round trip meanwhile takes %.1f ms longer at most", changed, slope.Best(reloads), slope.Best(holds))
+		m.logf("a file with %d changed teams: in use after %.0f ms, a round trip meanwhile takes at most %.1f ms longer", changed, slope.Best(reloads), slope.Best(holds))
 		what := "one changed tenant"
 		if changed > 1 {
 			what = "5,000 changed tenants"
 		}
 		for _, g := range []figures.Figure{{Name: "SIGHUP with " + what + ", until in use", Value: slope.Median(reloads), Worst: slices.Max(reloads)},
-			{Name: "SIGHUP with " + what + ", " + longestTrip, Value: slope.Median(holds), Worst: slices.Max(holds)}} {
+			{Name: "SIGHUP with " + what + ", " + longestTripText, Value: slope.Median(holds), Worst: slices.Max(holds)}} {
 			g.Role, g.State, g.Unit, g.OK = figures.Settings, figures.Ordinary, "ms", true
 			m.figure(g)
 		}
@@ -125,42 +125,42 @@
 	return nil
 }
 
-// life is what one process showed.
-type life struct {
-	startMS, rssKB, reloadMS, holdMS float64
-	refused                          error // the change is refused
+// startResult is the result of one process.
+type startResult struct {
+	startMS, rssKB, reloadMS, delayMS float64
+	refused                           error // why the program refused the change, or nil
 }
 
-// once starts a process, and hands it a file in which so many teams are changed
-// while a caller asks without a pause.
-func (m *measurement) once(engine string, s site, changed int) (o life, err error) {
+// startAndReload starts a process and gives it a file with changed teams while a caller sends
+// requests without a pause.
+func (m *measurement) startAndReload(engine string, s site, changed int) (o startResult, err error) {
 	s.engine, s.cores, s.sockets = engine, 4, 256
-	if err = s.place(); err != nil {
+	if err = s.assignAddresses(); err != nil {
 		return o, err
 	}
-	err = inFolder(func(dir string) error {
+	err = inTempDir(func(dir string) error {
 		p, err := start(m.Program, dir, s)
 		if err != nil {
 			return err
 		}
-		defer p.kill() // nothing is open: it need not drain
-		o.startMS = float64(p.took.Microseconds()) / 1000
+		defer p.kill() // no open requests: nothing to drain
+		o.startMS = float64(p.startDuration.Microseconds()) / 1000
 		if o.rssKB, err = p.rssKB(); err != nil {
 			return err
 		}
-		ask, err := ping(s.listen)
+		ping, err := startPinger(s.listen)
 		if err != nil {
 			return err
 		}
-		defer ask.stop()
-		if err = ask.more(30); err != nil {
+		defer ping.stop()
+		if err = ping.waitTrips(30); err != nil {
 			return err
 		}
-		s.changed = min(changed, s.teams-1)
+		s.changedTeams = min(changed, s.teams-1)
 		if err = p.write(s); err != nil {
 			return err
 		}
-		hup := time.Now()
+		signalled := time.Now()
 		if err = p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			return fmt.Errorf("slopes: %w", err)
 		}
@@ -172,20 +172,20 @@
 		if err != nil {
 			return err
 		}
-		if err = ask.more(2); err != nil { // the round trip under way ends
+		if err = ping.waitTrips(2); err != nil { // the round trip in progress ends
 			return err
 		}
-		if err = ask.stop(); err != nil {
+		if err = ping.stop(); err != nil {
 			return err
 		}
-		o.reloadMS = float64(at.Sub(hup).Microseconds()) / 1000
-		o.holdMS, err = ask.worst(hup, at)
+		o.reloadMS = float64(at.Sub(signalled).Microseconds()) / 1000
+		o.delayMS, err = ping.longestDelay(signalled, at)
 		return err
 	})
 	return o, err
 }
 
-func add(points *[]figures.Point, size, v float64) {
+func addValue(points *[]figures.Point, size, v float64) {
 	for i := range *points {
 		if p := &(*points)[i]; p.Size == size {
 			p.Raw = append(p.Raw, v)
@@ -195,22 +195,22 @@
 	*points = append(*points, figures.Point{Size: size, Raw: []float64{v}})
 }
 
-func picked(points []figures.Point, pick slope.Summary) []figures.Point {
+func summarized(points []figures.Point, summary slope.Summary) []figures.Point {
 	for i := range points {
-		points[i].Value = pick(points[i].Raw)
+		points[i].Value = summary(points[i].Raw)
 	}
 	return points
 }
 
-// pinger is a caller that asks without a pause.
+// pinger is a caller that sends requests without a pause.
 type pinger struct {
-	caller *probe.Caller
-	quit   chan struct{}
-	ended  chan struct{}
-	over   bool
-	mu     sync.Mutex
-	trips  []trip
-	err    error
+	caller   *probe.Caller
+	stopping chan struct{}
+	done     chan struct{}
+	stopped  bool
+	mu       sync.Mutex
+	trips    []trip
+	err      error
 }
 
 type trip struct {
@@ -218,18 +218,18 @@
 	took time.Duration
 }
 
-func ping(address string) (*pinger, error) {
+func startPinger(address string) (*pinger, error) {
 	c, err := probe.Dial(address)
 	if err != nil {
 		return nil, fmt.Errorf("slopes: %w", err)
 	}
-	p := &pinger{caller: c, quit: make(chan struct{}), ended: make(chan struct{})}
+	p := &pinger{caller: c, stopping: make(chan struct{}), done: make(chan struct{})}
 	go func() {
-		defer close(p.ended)
+		defer close(p.done)
 		defer c.Close()
 		for {
 			select {
-			case <-p.quit:
+			case <-p.stopping:
 				return
 			default:
 			}
@@ -251,49 +251,49 @@
 	return p, nil
 }
 
-// more waits until n more round trips are over.
-func (p *pinger) more(n int) error {
+// waitTrips waits until n more round trips have ended.
+func (p *pinger) waitTrips(n int) error {
 	trips := func() (int, error) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return len(p.trips), p.err
 	}
 	first, err := trips()
-	for over := time.Now().Add(patience); err == nil; {
+	for deadline := time.Now().Add(processTimeout); err == nil; {
 		var now int
 		if now, err = trips(); now >= first+n {
 			break
 		}
-		if time.Now().After(over) {
-			return errors.New("slopes: a caller beside the reload gets no answers")
+		if time.Now().After(deadline) {
+			return errors.New("slopes: the caller gets no answers during the change")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	if err != nil {
-		return fmt.Errorf("slopes: a caller beside the reload: %w", err)
+		return fmt.Errorf("slopes: the caller during the change: %w", err)
 	}
 	return nil
 }
 
-// stop ends it; it may be called again.
+// stop ends the pinger and returns its error. It may be called again.
 func (p *pinger) stop() error {
-	if !p.over {
-		p.over = true
-		close(p.quit)
+	if !p.stopped {
+		p.stopped = true
+		close(p.stopping)
 	}
-	<-p.ended
+	<-p.done
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.err != nil {
-		return fmt.Errorf("slopes: a caller beside the reload: %w", p.err)
+		return fmt.Errorf("slopes: the caller during the change: %w", p.err)
 	}
 	return nil
 }
 
-// worst is the longest round trip that overlaps a span, or the first after it
-// where the span is shorter than the caller's pause, less the median of those
-// before it, ms.
-func (p *pinger) worst(from, to time.Time) (float64, error) {
+// longestDelay returns the longest round trip that overlaps the span, or the first one after
+// it if none does because of the caller's pause, less the median of the round trips
+// before the span, ms.
+func (p *pinger) longestDelay(from, to time.Time) (float64, error) {
 	var usual []float64
 	longest := time.Duration(0)
 	p.mu.Lock()
@@ -307,7 +307,7 @@
 		}
 	}
 	if len(usual) == 0 || longest == 0 {
-		return 0, errors.New("slopes: no round trip beside the reload")
+		return 0, errors.New("slopes: no round trip before or during the change")
 	}
 	return max(0, float64(longest.Microseconds())/1000-slope.Median(usual)), nil
 }
--- a/internal/lab/scale/slopes/traffic.go
+++ b/internal/lab/scale/slopes/traffic.go
@@ -15,11 +15,11 @@
 	"kiteslip/internal/standin/box"
 )
 
-// headers are those of IP and UDP, bytes.
-const headers = 28
+// headerBytes is the size of the IP and UDP headers.
+const headerBytes = 28
 
-// traffic measures what a server tells of itself, by classes: its reports to the
-// registry, bytes a second, and one answer at the operators' door.
+// traffic measures what a server reports about itself, by number of classes: its
+// reports to the registry in bytes per second, and one answer of the admin endpoint.
 func (m *measurement) traffic() error {
 	engine, err := box.Serve(box.Spec{Cores: 64})
 	if err != nil {
@@ -31,11 +31,11 @@
 		span = time.Second
 	}
 	sizes := m.routes()
-	told := make([]telling, len(sizes))
+	results := make([]reported, len(sizes))
 	errs := make([]error, len(sizes))
 	var all sync.WaitGroup
 	for i, n := range sizes {
-		all.Go(func() { told[i], errs[i] = m.telling(engine.Address, int(n), span) })
+		all.Go(func() { results[i], errs[i] = m.report(engine.Address, int(n), span) })
 	}
 	all.Wait()
 	if err = errors.Join(errs...); err != nil {
@@ -48,7 +48,7 @@
 		{Name: "show-stat time/routes", Role: figures.Operator, Description: "one answer to show-stat, to its end", Unit: "ms"},
 	}
 	for i, n := range sizes {
-		for j, v := range []float64{told[i].report, told[i].reports, told[i].stat, told[i].statMS} {
+		for j, v := range []float64{results[i].report, results[i].reports, results[i].stat, results[i].statMS} {
 			slopes[j].Points = append(slopes[j].Points, figures.Point{Size: n, Value: v, Raw: []float64{v}})
 		}
 	}
@@ -61,11 +61,11 @@
 	return nil
 }
 
-// telling is what one server told.
-type telling struct{ report, reports, stat, statMS float64 }
+// reported is what one server reported.
+type reported struct{ report, reports, stat, statMS float64 }
 
-// telling has a server of n classes report to a registry that counts.
-func (m *measurement) telling(engine string, n int, span time.Duration) (t telling, err error) {
+// report runs a server with n classes that reports to a counting registry.
+func (m *measurement) report(engine string, n int, span time.Duration) (t reported, err error) {
 	registry, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return t, fmt.Errorf("slopes: %w", err)
@@ -74,7 +74,7 @@
 	var mu sync.Mutex
 	var bytes, reports float64
 	var first, last time.Time
-	heard := func() (n, report, rate float64) {
+	received := func() (n, report, rate float64) {
 		mu.Lock()
 		defer mu.Unlock()
 		if reports < 2 {
@@ -93,29 +93,29 @@
 			if last = time.Now(); reports == 0 {
 				first = last
 			}
-			bytes, reports = bytes+float64(n)+headers, reports+1
+			bytes, reports = bytes+float64(n)+headerBytes, reports+1
 			mu.Unlock()
 		}
 	}()
 	var s site
-	if err = s.place(); err != nil {
+	if err = s.assignAddresses(); err != nil {
 		return t, err
 	}
 	text, err := platformFile(s, engine, registry.LocalAddr().String(), n)
 	if err != nil {
 		return t, err
 	}
-	err = inFolder(func(dir string) error {
+	err = inTempDir(func(dir string) error {
 		p, err := live.Start(m.Program, dir, s.listen, text, "")
 		if err != nil {
 			return err
 		}
 		defer p.Kill()
 		time.Sleep(span)
-		n, report, rate := heard()
-		for over := time.Now().Add(patience); n < 2; n, report, rate = heard() {
-			if time.Now().After(over) {
-				return errors.New("slopes: the registry hears nothing")
+		n, report, rate := received()
+		for deadline := time.Now().Add(processTimeout); n < 2; n, report, rate = received() {
+			if time.Now().After(deadline) {
+				return errors.New("slopes: the registry received no reports")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -123,7 +123,7 @@
 		t.statMS = -1
 		for range 3 {
 			at := time.Now()
-			if t.stat, err = stat(s.ops); err != nil {
+			if t.stat, err = statBytes(s.admin); err != nil {
 				return err
 			}
 			if took := float64(time.Since(at).Microseconds()) / 1000; t.statMS < 0 || took < t.statMS {
@@ -135,7 +135,7 @@
 	return t, err
 }
 
-// platformFile is a platform's file with n classes and a registry.
+// platformFile returns a platform file with n classes and a registry.
 func platformFile(s site, engine, registry string, n int) ([]byte, error) {
 	classes := make([]map[string]any, n)
 	for i := range classes {
@@ -149,12 +149,12 @@
 	if err = json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
-	file["registry"], file["ops"] = registry, s.ops
+	file["registry"], file["ops"] = registry, s.admin
 	return json.Marshal(file)
 }
 
-// stat is the size of one answer to show-stat.
-func stat(address string) (float64, error) {
+// statBytes returns the size of one answer to show-stat.
+func statBytes(address string) (float64, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return 0, fmt.Errorf("slopes: %w", err)
