--- a/internal/lab/scale/fleetday/callers.go
+++ b/internal/lab/scale/fleetday/callers.go
@@ -17,9 +17,9 @@
 	done chan struct{}
 }
 
-// targets lists the real servers that have callers: those with control stand in
-// for each other within their region, twins for each other. Twin and server get
-// the same requests at the same times.
+// targets returns the real servers that have callers. Retries go to servers within
+// the region for servers with control, and to other twins for twins. A twin and its
+// server get the same requests at the same times.
 func (r *rig) targets() []hollow.Target {
 	var list []hollow.Target
 	perServer := r.form.Callers / (r.form.Real - r.form.Idle)
@@ -31,7 +31,7 @@
 	for _, s := range r.real {
 		group := s.region
 		if r.form.Short {
-			group = 0 // its few servers would leave a region without any
+			group = 0 // with so few servers a region might have none
 		}
 		add(s, group)
 	}
@@ -41,8 +41,9 @@
 	return list
 }
 
-// call starts the callers' processes; their requests are due from start on for so long.
-func (r *rig) call(targets []hollow.Target, start time.Time, length time.Duration) ([]*callersProcess, error) {
+// startCallers starts the callers' processes. Their requests are due from start on,
+// for length.
+func (r *rig) startCallers(targets []hollow.Target, start time.Time, length time.Duration) ([]*callersProcess, error) {
 	spec := hollow.CallersSpec{Seed: r.form.Seed, Start: start.UnixMicro(), Length: length.Microseconds(), Deadline: r.form.Deadline.Microseconds(),
 		Slack: slack.Microseconds(), WorkUS: workUS, Targets: targets}
 	for i := range r.content.Teams {
@@ -55,7 +56,7 @@
 			}
 		}
 	}
-	processes := max(1, (r.form.Callers+r.form.CallersPer-1)/r.form.CallersPer)
+	processes := max(1, (r.form.Callers+r.form.CallersPerProcess-1)/r.form.CallersPerProcess)
 	list := make([]*callersProcess, processes)
 	for i := range list {
 		list[i] = &callersProcess{spec: spec, done: make(chan struct{})}
@@ -67,42 +68,42 @@
 	}
 	return list, each(list, func(c *callersProcess) error {
 		name := "callers-" + strings.TrimPrefix(filepath.Base(c.spec.Records), "records-")
-		file, err := r.write(name, &c.spec)
+		file, err := r.writeSpec(name, &c.spec)
 		if err != nil {
 			return err
 		}
-		c.p, err = launch(name, r.own(hollow.CommandCallers, file), hollow.Ready, true, func(line string, _ time.Time) {
+		c.p, err = launch(name, r.subcommand(hollow.CommandCallers, file), hollow.Ready, true, func(line string, _ time.Time) {
 			switch line {
 			case "done":
 				close(c.done)
 			case hollow.Ready:
 			default:
-				r.complain("%s: %s", name, line)
+				r.errorf("%s: %s", name, line)
 			}
 		})
 		if err != nil {
 			return err
 		}
-		r.sampler.watched(name, c.p.cmd.Process.Pid)
-		return c.p.up()
+		r.sampler.watchProcess(name, c.p.cmd.Process.Pid)
+		return c.p.waitReady()
 	})
 }
 
-// gather waits for the callers' end and reads their records.
-func gather(list []*callersProcess, within time.Duration) ([]hollow.Record, error) {
+// collect waits for the callers to end and reads their records.
+func collect(list []*callersProcess, within time.Duration) ([]hollow.Record, error) {
 	var all []hollow.Record
 	late := time.After(within)
 	for _, c := range list {
 		select {
 		case <-c.done:
-		case <-c.p.over:
+		case <-c.p.done:
 			select {
 			case <-c.done:
 			default:
-				return nil, fmt.Errorf("%s ends before its time: %w", c.p.name, orEnded(c.p.err))
+				return nil, fmt.Errorf("%s ended early: %w", c.p.name, orExited(c.p.err))
 			}
 		case <-late:
-			return nil, errors.New("the callers do not end in time")
+			return nil, errors.New("the callers did not end in time")
 		}
 		records, err := hollow.ReadRecords(c.spec.Records)
 		if err != nil {
--- a/internal/lab/scale/fleetday/content.go
+++ b/internal/lab/scale/fleetday/content.go
@@ -11,15 +11,15 @@
 	"kiteslip/internal/control/document"
 )
 
-// Sizes are those of what the fleet serves by.
+// Sizes holds the sizes of the fleet configuration.
 type Sizes struct {
 	Tenants, Services, Routes int
-	Rate                      float64 // requests a second of the whole fleet at the peak: what the tenants' budgets add up to
+	Rate                      float64 // of the whole fleet at the peak, in requests per second: the sum of the tenants' quotas
 }
 
-// Content makes what a fleet of these sizes serves by: tenants of very unlike
-// shares (the log-normal's, sigma 1.5), services of nearly as many routes each,
-// the first half of all routes safe to repeat. One seed gives one content.
+// Content generates a fleet configuration of these sizes: tenants with very
+// different shares (log-normal, sigma 1.5) and services of nearly equal numbers of
+// routes, the first half of all routes safe to repeat. Equal seeds give equal content.
 func Content(s Sizes, deadline time.Duration, seed uint64) document.Content {
 	deadlineMS := float64(deadline.Milliseconds())
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -53,7 +53,7 @@
 
 func roundTo(x, parts float64) float64 { return math.Round(x*parts) / parts }
 
-// Operator words a content as the operator's file has it.
+// Operator returns the content in the form of the operator's file.
 func Operator(c *document.Content) string {
 	var b strings.Builder
 	number := func(x float64) string {
@@ -78,8 +78,8 @@
 	return b.String()
 }
 
-// Drafter draws the changes of a day: most set one tenant's budget, some a
-// route's worth, a few add a tenant, or drop one that was added.
+// Drafter generates the changes of a day: most set one tenant's quota, some change a
+// route's worth, a few add a tenant or remove one that was added.
 type Drafter struct {
 	content document.Content
 	rng     *rand.Rand
@@ -87,12 +87,12 @@
 	count   int
 }
 
-// NewDrafter returns one whose changes follow content, in their order.
+// NewDrafter returns a Drafter whose successive changes apply to c.
 func NewDrafter(c document.Content, seed uint64) *Drafter {
 	return &Drafter{content: c, rng: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// Next draws the next change; it touches so many tenants.
+// Next returns the next change, which affects the given number of tenants.
 func (d *Drafter) Next(tenants int) []document.Change {
 	d.count++
 	if tenants == 1 {
--- a/internal/lab/scale/fleetday/day.go
+++ b/internal/lab/scale/fleetday/day.go
@@ -1,15 +1,15 @@
-// Package fleetday plays one day of the target fleet, compressed, on one machine:
-// control machines and some tens of servers are whole programs, all other
-// servers are hollow (see the package hollow), callers are real connections.
-// Regions reach each other through fault proxies. Versions are published at ten
-// times the day's pace while servers restart, racks, zones and control machines
-// die and a region is cut off, by a plan that is a list.
+// Package fleetday plays a compressed day of the target fleet on one machine.
+// Control machines and some tens of servers are whole programs, all other servers
+// are hollow (see package hollow), and callers use real connections. Regions reach
+// each other through fault proxies. Versions are published at ten times the day's
+// rate while servers restart, racks, zones and control machines fail and a region
+// is cut off, according to a plan, which is a list of events.
 //
-// What is judged: when each version came into force on each server, in order and
-// with the accepted digest; what control costs the real servers, against twins
-// that serve the same content from their file and get the same requests in the
-// same run; what it costs the control machine; whether hollow servers are like
-// real ones; and what became of each request.
+// The report covers: when each version came into force on each server, in order and
+// with the accepted digest; what control costs the real servers, compared with twins
+// that serve the same content from their file and get the same requests in the same
+// run; what it costs the control machines; whether hollow servers behave like real
+// ones; and the outcome of each request.
 package fleetday
 
 import (
@@ -24,17 +24,17 @@
 	"kiteslip/internal/lab/scale/hollow"
 )
 
-// Options say what is played, and with which programs.
+// Options selects what is played, and with which programs.
 type Options struct {
 	Form           *Form
-	Program        string   // bin/kiteslip
-	Self           []string // the laboratory's own binary, and what it is given before a hidden sub-command
-	WithoutControl bool     // the real servers alone, by their files
+	Program        string   // path of the kiteslip program
+	Self           []string // the laboratory's own binary, and its arguments before a hidden subcommand
+	WithoutControl bool     // only the real servers, configured by their files
 	Watch          io.Writer
 }
 
-// Play plays a day and judges it. It ends early when ctx does; all processes are
-// ended in any case.
+// Play plays a day and evaluates it. It ends early when ctx is done. All processes
+// are ended in any case.
 func Play(ctx context.Context, o Options) (*Report, error) {
 	r, err := newRig(o.Form, o.Program, o.Self)
 	if err != nil {
@@ -44,38 +44,38 @@
 		return nil, err
 	}
 	defer r.close()
-	d := &day{rig: r, o: o, plan: o.Form.Plan(), drafter: NewDrafter(Content(o.Form.Sizes, o.Form.Deadline, o.Form.Seed), o.Form.Seed)}
+	d := &day{rig: r, options: o, plan: o.Form.Plan(), drafter: NewDrafter(Content(o.Form.Sizes, o.Form.Deadline, o.Form.Seed), o.Form.Seed)}
 	if o.WithoutControl {
 		for _, s := range r.real {
 			s.control = false
 		}
 	}
-	if err := d.raise(ctx); err != nil {
+	if err := d.startAll(ctx); err != nil {
 		return nil, err
 	}
 	return d.play(ctx)
 }
 
-// day is one day under way.
+// day is a day in progress.
 type day struct {
-	rig      *rig
-	o        Options
-	plan     Plan
-	drafter  *Drafter
-	start    time.Time
-	readings []reading
-	pending  chan error // what events beside the plan's own goroutine come to
-	running  int
+	rig             *rig
+	options         Options
+	plan            Plan
+	drafter         *Drafter
+	start           time.Time
+	readings        []reading
+	pending         chan error // results of the background tasks of events
+	backgroundTasks int
 }
 
-func (d *day) watch(format string, args ...any) {
-	if d.o.Watch != nil {
-		fmt.Fprintf(d.o.Watch, format+"\n", args...)
+func (d *day) progressf(format string, args ...any) {
+	if d.options.Watch != nil {
+		fmt.Fprintf(d.options.Watch, format+"\n", args...)
 	}
 }
 
-// raise starts everything and waits until all serve by the first version.
-func (d *day) raise(ctx context.Context) error {
+// startAll starts everything and waits until all servers serve by the first version.
+func (d *day) startAll(ctx context.Context) error {
 	r := d.rig
 	for i, s := range r.real {
 		if err := s.prepare(1, i); err != nil {
@@ -87,8 +87,8 @@
 			return err
 		}
 	}
-	if d.o.WithoutControl {
-		return each(append(append([]*server(nil), r.real...), r.twins...), func(s *server) error { return s.start(Begin, false) })
+	if d.options.WithoutControl {
+		return each(append(append([]*server(nil), r.real...), r.twins...), func(s *server) error { return s.start(FirstStart, false) })
 	}
 	if err := r.machines[0].start(); err != nil {
 		return err
@@ -105,44 +105,44 @@
 	if err = each(r.hollow, (*hollowProcess).start); err != nil {
 		return err
 	}
-	d.watch("%d control machines and %d processes of hollow servers are up", len(r.machines), len(r.hollow))
-	// The first of each process takes the version whole, the others share it.
+	d.progressf("%d control machines and %d processes of hollow servers are up", len(r.machines), len(r.hollow))
+	// The first server of each process receives a snapshot, which the others share.
 	for _, h := range r.hollow {
-		if err = h.command(hollow.ColdStart, h.first, Begin); err != nil {
+		if err = h.command(hollow.ColdStart, h.first, FirstStart); err != nil {
 			return err
 		}
 	}
-	if err = d.wait(ctx, len(r.hollow)); err != nil {
+	if err = d.waitForServers(ctx, len(r.hollow)); err != nil {
 		return err
 	}
 	for _, h := range r.hollow {
 		for _, i := range h.byName {
 			if i != h.first {
-				if err = h.command(hollow.Start, i, Begin); err != nil {
+				if err = h.command(hollow.Start, i, FirstStart); err != nil {
 					return err
 				}
 			}
 		}
 	}
-	if err = each(append(append([]*server(nil), r.real...), r.twins...), func(s *server) error { return s.start(Begin, false) }); err != nil {
+	if err = each(append(append([]*server(nil), r.real...), r.twins...), func(s *server) error { return s.start(FirstStart, false) }); err != nil {
 		return err
 	}
-	if err = d.wait(ctx, r.form.Servers); err != nil {
+	if err = d.waitForServers(ctx, r.form.Servers); err != nil {
 		return err
 	}
-	d.watch("%d servers serve by version %d", r.form.Servers, h.Number)
+	d.progressf("%d servers are on version %d", r.form.Servers, h.Number)
 	return nil
 }
 
-// wait waits until so many servers are on the first version.
-func (d *day) wait(ctx context.Context, servers int) error {
+// waitForServers waits until the given number of servers are on the first version.
+func (d *day) waitForServers(ctx context.Context, servers int) error {
 	for began := time.Now(); ; {
 		on, live := d.rig.history.current(1)
 		if on == servers {
 			return nil
 		}
-		if time.Since(began) > readyWithin {
-			return fmt.Errorf("%d of %d servers that live are on the first version within %v: %q", on, live, readyWithin, d.rig.said)
+		if time.Since(began) > readyTimeout {
+			return fmt.Errorf("%d of %d live servers are on the first version after %v: %q", on, live, readyTimeout, d.rig.errors)
 		}
 		if err := sleep(ctx, time.Now().Add(10*time.Millisecond)); err != nil {
 			return err
@@ -150,32 +150,32 @@
 	}
 }
 
-// accept notes what the publisher has accepted.
+// accept records a version that the publisher accepted.
 func (d *day) accept(h document.Header) {
 	d.rig.history.accepted(Accepted{Number: h.Number, Digest: h.Digest().String(), At: time.UnixMicro(h.Time)})
 }
 
-// pendingMost bounds what ends beside the plan without being waited for meanwhile.
-const pendingMost = 1 << 14
+// maxPending bounds the results of background tasks before they are read.
+const maxPending = 1 << 14
 
-var errInterrupted = errors.New("the day was ended early")
+var errInterrupted = errors.New("the day was interrupted")
 
-// play runs the plan, and judges what came of it.
+// play runs the plan and evaluates the result.
 func (d *day) play(ctx context.Context) (*Report, error) {
 	r := d.rig
-	d.pending = make(chan error, pendingMost)
+	d.pending = make(chan error, maxPending)
 	d.start = time.Now().Add(time.Second)
 	targets := r.targets()
-	length := d.plan.Length + r.form.Settle
-	callers, err := r.call(targets, d.start, length)
+	length := d.plan.Length + r.form.SettleTime
+	callers, err := r.startCallers(targets, d.start, length)
 	defer closeCallers(callers)
 	if err != nil {
 		return nil, err
 	}
-	d.watch("%d callers of %d servers; the day takes %v", r.form.Callers, len(targets), length.Round(time.Second))
-	reading, stop := context.WithCancel(ctx)
+	d.progressf("%d callers of %d servers; the day takes %v", r.form.Callers, len(targets), length.Round(time.Second))
+	readCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	d.beside(func() error { return d.read(reading) })
+	d.background(func() error { return d.readTraffic(readCtx) })
 	for _, e := range d.plan.Events {
 		if err := sleep(ctx, d.start.Add(e.At)); err != nil {
 			return nil, err
@@ -192,7 +192,7 @@
 		return nil, err
 	}
 	stop()
-	for ; d.running > 0; d.running-- {
+	for ; d.backgroundTasks > 0; d.backgroundTasks-- {
 		select {
 		case err := <-d.pending:
 			if err != nil {
@@ -200,11 +200,11 @@
 			}
 		case <-ctx.Done():
 			return nil, errInterrupted
-		case <-time.After(readyWithin):
-			return nil, errors.New("what the plan has begun does not end")
+		case <-time.After(readyTimeout):
+			return nil, errors.New("background tasks of the plan did not end")
 		}
 	}
-	records, err := gather(callers, r.form.Deadline+slack+10*time.Second)
+	records, err := collect(callers, r.form.Deadline+slack+10*time.Second)
 	if err != nil {
 		return nil, err
 	}
@@ -220,20 +220,20 @@
 	}
 }
 
-// beside runs what takes its time beside the plan.
-func (d *day) beside(f func() error) {
-	d.running++
+// background runs f in the background; play waits for its result.
+func (d *day) background(f func() error) {
+	d.backgroundTasks++
 	go func() { d.pending <- f() }()
 }
 
-// event carries one event out.
+// event executes one event.
 func (d *day) event(ctx context.Context, e Event) error {
 	r := d.rig
-	if d.o.WithoutControl && (e.Kind == Publish || e.Kind == KillControl || e.Kind == BackControl || e.Kind == Cut || e.Kind == Heal) {
+	if d.options.WithoutControl && (e.Kind == Publish || e.Kind == KillControl || e.Kind == StartControl || e.Kind == CutRegion || e.Kind == HealRegion) {
 		return nil
 	}
 	if e.Kind == Phase {
-		d.watch("%s", e)
+		d.progressf("%s", e)
 		r.history.phase(e.Name, time.Now())
 		return nil
 	}
@@ -258,7 +258,7 @@
 			if err := h.command(hollow.Stop, i, ""); err != nil {
 				return err
 			}
-			d.beside(func() error { // as long as a real one takes that owes little
+			d.background(func() error { // about as long as a real server with few outstanding requests takes to shut down
 				time.Sleep(time.Duration(r.form.StopMS) * time.Millisecond * 2 / 3)
 				return h.command(hollow.Start, i, cause)
 			})
@@ -267,8 +267,8 @@
 	case Kill:
 		return d.servers(e.Servers, func(s *server) error { s.kill(); return nil },
 			func(h *hollowProcess, i int) error { return h.command(hollow.Stop, i, "") })
-	case Back, BackCold:
-		cold, what := e.Kind == BackCold, hollow.Start
+	case StartAgain, StartCold:
+		cold, what := e.Kind == StartCold, hollow.Start
 		if cold {
 			what = hollow.ColdStart
 		}
@@ -278,30 +278,30 @@
 		for _, m := range e.Machines {
 			r.machines[m].kill()
 		}
-	case BackControl:
+	case StartControl:
 		for _, m := range e.Machines {
-			d.beside(r.machines[m].start)
+			d.background(r.machines[m].start)
 		}
-	case Cut:
+	case CutRegion:
 		r.history.cut(e.Region, time.Now())
 		return r.cut(e.Region, true)
-	case Heal:
+	case HealRegion:
 		r.history.heal(e.Region, time.Now())
 		return r.cut(e.Region, false)
 	}
 	return nil
 }
 
-// servers does something with servers of the fleet: with real ones beside the plan.
+// servers calls real or other for each of the listed servers; real in the background.
 func (d *day) servers(list []int, real func(*server) error, other func(*hollowProcess, int) error) error {
 	for _, i := range list {
 		if i < len(d.rig.real) {
 			s := d.rig.real[i]
-			d.beside(func() error { return real(s) })
+			d.background(func() error { return real(s) })
 			continue
 		}
 		for _, h := range d.rig.hollow {
-			if d.o.WithoutControl {
+			if d.options.WithoutControl {
 				break
 			}
 			if name := fmt.Sprintf("hollow-%03d", i); has(h, name) {
--- a/internal/lab/scale/fleetday/day_test.go
+++ b/internal/lab/scale/fleetday/day_test.go
@@ -12,11 +12,11 @@
 	"kiteslip/internal/lab/scale/hollow"
 )
 
-// asProcess is set for a process of the day: this binary started again.
-const asProcess = "KITESLIP_FLEETDAY_PROCESS"
+// processEnv is set in the environment of the day's processes, which run this test binary.
+const processEnv = "KITESLIP_FLEETDAY_PROCESS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProcess) == "" {
+	if os.Getenv(processEnv) == "" {
 		os.Exit(m.Run())
 	}
 	n := len(os.Args)
@@ -30,8 +30,8 @@
 	}
 }
 
-// build builds the program.
-func build(t *testing.T) string {
+// buildProgram builds the kiteslip program and returns its path.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "kiteslip")
 	if out, err := exec.Command("go", "build", "-o", program, "kiteslip/cmd/kiteslip").CombinedOutput(); err != nil {
@@ -46,10 +46,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(asProcess, "1")
-	o.Program, o.Self = build(t), []string{self}
-	ctx, end := context.WithTimeout(context.Background(), 2*time.Minute)
-	defer end()
+	t.Setenv(processEnv, "1")
+	o.Program, o.Self = buildProgram(t), []string{self}
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
+	defer cancel()
 	report, err := Play(ctx, o)
 	if err != nil {
 		t.Fatal(err)
@@ -63,21 +63,21 @@
 	return report
 }
 
-// Real servers by their own files: what the day does without control loses no request.
+// Without control, the real servers run by their own files and no request is lost.
 func TestShortDayWithoutControl(t *testing.T) {
 	r := play(t, Options{Form: Short(), WithoutControl: true})
-	if !strings.Contains(r.Last, " late=0 lost=0 wrong=0 ") {
-		t.Error(r.Last)
+	if !strings.Contains(r.Summary, " late=0 lost=0 wrong=0 ") {
+		t.Error(r.Summary)
 	}
 }
 
-// The short day with all faults: every version in force in order and in time on
-// every server that lives, no request lost.
+// The short day with all faults: every version comes into force in order and in time
+// on every live server, and no request is lost.
 func TestShortDay(t *testing.T) {
 	r := play(t, Options{Form: Short()})
 	for _, want := range []string{" disorder=0 missing=0 ", " late=0 lost=0 wrong=0 "} {
-		if !strings.Contains(r.Last, want) {
-			t.Errorf("%q is not in %s", want, r.Last)
+		if !strings.Contains(r.Summary, want) {
+			t.Errorf("%q is not in %s", want, r.Summary)
 		}
 	}
 }
--- a/internal/lab/scale/fleetday/process.go
+++ b/internal/lab/scale/fleetday/process.go
@@ -14,29 +14,29 @@
 	"time"
 )
 
-// readyWithin bounds the wait for a process to be up.
-const readyWithin = 60 * time.Second
+// readyTimeout bounds the wait for a process to be up.
+const readyTimeout = 60 * time.Second
 
 // process is one life of a program.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
-	in    io.WriteCloser // nil = none
+	in    io.WriteCloser // nil without commands
 	began time.Time
-	ready chan struct{} // closed when the line that says so has come
-	over  chan struct{} // closed when it is gone
-	err   error         // once it is
-	tail  []string      // the last lines, once it is
+	ready chan struct{} // closed when the ready line was read
+	done  chan struct{} // closed when the process has ended
+	err   error         // valid once done is closed
+	tail  []string      // the last lines of its log, valid once done is closed
 }
 
-// linesKept is how much of a log is shown where a process fails.
-const linesKept = 12
+// keptLines is the number of log lines that are shown when a process fails.
+const keptLines = 12
 
 var starts = make(chan func())
 
-// starter starts processes from one thread that stays: the system ends them
-// when that thread ends, and so never before this process does.
-var starter = sync.OnceFunc(func() {
+// startThread starts the thread that starts all processes. The system kills a process
+// when the thread that started it ends, so this thread lasts as long as this process.
+var startThread = sync.OnceFunc(func() {
 	go func() {
 		runtime.LockOSThread()
 		for f := range starts {
@@ -45,11 +45,11 @@
 	}()
 })
 
-// launch starts a process. Each line of its log goes to onLine with the time at
-// which it was read; the first that has ready in it says that it is up.
+// launch starts a process. Each line of its log is passed to onLine with the time at
+// which it was read; the first that contains ready shows that the process is up.
 func launch(name string, cmd *exec.Cmd, ready string, commands bool, onLine func(line string, at time.Time)) (*process, error) {
-	p := &process{name: name, cmd: cmd, ready: make(chan struct{}), over: make(chan struct{})}
-	// Ctrl-C is for who plays, who then ends them; and if that one is killed, the system does.
+	p := &process{name: name, cmd: cmd, ready: make(chan struct{}), done: make(chan struct{})}
+	// Ctrl-C goes to this process only, which then ends the others; if this one is killed, the system ends them.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	var out io.ReadCloser
 	var err error
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	starter()
+	startThread()
 	p.began = time.Now()
 	started := make(chan error)
 	starts <- func() { started <- cmd.Start() }
@@ -79,63 +79,64 @@
 				up = true
 				close(p.ready)
 			}
-			if p.tail = append(p.tail, line); len(p.tail) > linesKept {
+			if p.tail = append(p.tail, line); len(p.tail) > keptLines {
 				p.tail = p.tail[1:]
 			}
 			onLine(line, at)
 		}
 		p.err = cmd.Wait()
-		close(p.over)
+		close(p.done)
 	}()
 	return p, nil
 }
 
-// lineMost bounds one line of a log: that with the states of a process of hollow servers is the longest.
-const lineMost = 1 << 20
+// maxLineBytes bounds a line of a log. The longest holds the states of a process of hollow servers.
+const maxLineBytes = 1 << 20
 
 func newLines(r io.Reader) *bufio.Scanner {
 	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, lineMost)
+	scan.Buffer(nil, maxLineBytes)
 	return scan
 }
 
-// up waits until the process says that it is up.
-func (p *process) up() error {
+// waitReady waits until the process is up.
+func (p *process) waitReady() error {
 	select {
 	case <-p.ready:
 		return nil
-	case <-p.over:
+	case <-p.done:
 		select {
-		case <-p.ready: // it was, and is gone again
+		case <-p.ready: // it was up before it ended
 			return nil
 		default:
 		}
-		return fmt.Errorf("%s ends before it is up: %w; its log ends with:\n%s", p.name, orEnded(p.err), strings.Join(p.tail, "\n"))
-	case <-time.After(readyWithin):
-		return fmt.Errorf("%s is not up within %v", p.name, readyWithin)
+		return fmt.Errorf("%s ended before it was up: %w; its log ends with:\n%s", p.name, orExited(p.err), strings.Join(p.tail, "\n"))
+	case <-time.After(readyTimeout):
+		return fmt.Errorf("%s is not up within %v", p.name, readyTimeout)
 	}
 }
 
-var errEnded = errors.New("it ended without an error")
+var errExited = errors.New("exited without an error")
 
-func orEnded(err error) error {
+func orExited(err error) error {
 	if err == nil {
-		return errEnded
+		return errExited
 	}
 	return err
 }
 
-// kill ends the process at once, and returns when it is gone.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.cmd.Process.Kill() //nolint:errcheck // it may have ended
-	<-p.over
+	<-p.done
 }
 
-// leave gives the notice to leave, and kills what is not gone within that time.
-func (p *process) leave(within time.Duration) (clean bool) {
+// shutdown sends the shutdown notice, and kills the process if it does not end within
+// the given time.
+func (p *process) shutdown(within time.Duration) (clean bool) {
 	p.cmd.Process.Signal(syscall.SIGTERM) //nolint:errcheck // it may have ended
 	select {
-	case <-p.over:
+	case <-p.done:
 		return p.err == nil
 	case <-time.After(within):
 		p.kill()
@@ -143,7 +144,7 @@
 	}
 }
 
-func (p *process) say(words ...any) error {
+func (p *process) send(words ...any) error {
 	_, err := fmt.Fprintln(p.in, words...)
 	return err
 }
--- a/internal/lab/scale/fleetday/read.go
+++ b/internal/lab/scale/fleetday/read.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Traffic is what a server's control has sent and received since its start, and
-// the versions that it has taken over.
+// Traffic holds the bytes that a server's control has sent and received since its
+// start, and counts of the versions that it has applied.
 type Traffic struct {
 	Bytes     int64
 	Applied   int
@@ -20,15 +20,15 @@
 	Switches  int
 }
 
-// reading is the traffic of all servers that told it at one time.
+// reading is the traffic of all servers that reported it at one time.
 type reading struct {
 	at      time.Time
 	traffic map[int]Traffic // by server
 }
 
-// read asks all servers for their traffic now and then, until ctx ends. Twins
-// are asked the same at the same times: what a question costs, it costs both.
-func (d *day) read(ctx context.Context) error {
+// readTraffic reads the traffic of all servers at intervals until ctx is done. Twins
+// are queried at the same times, so that a query has the same cost for both.
+func (d *day) readTraffic(ctx context.Context) error {
 	tick := time.NewTicker(d.rig.form.ReadEvery)
 	defer tick.Stop()
 	for {
@@ -47,7 +47,7 @@
 	var all sync.WaitGroup
 	for _, s := range append(append([]*server(nil), d.rig.real...), d.rig.twins...) {
 		all.Go(func() {
-			t, err := askVersion(s.ops)
+			t, err := queryVersion(s.admin)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil && s.control {
@@ -55,12 +55,12 @@
 			}
 		})
 	}
-	if !d.o.WithoutControl {
+	if !d.options.WithoutControl {
 		for _, h := range d.rig.hollow {
 			all.Go(func() {
-				list, err := h.ask()
+				list, err := h.queryStates()
 				if err != nil {
-					d.rig.complain("%v", err)
+					d.rig.errorf("%v", err)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -76,18 +76,18 @@
 	return r
 }
 
-// askWithin bounds a question at the operators' door.
-const askWithin = 2 * time.Second
+// queryTimeout bounds a query of the admin endpoint.
+const queryTimeout = 2 * time.Second
 
-// askVersion asks a real server's door how its control stands.
-func askVersion(address string) (Traffic, error) {
+// queryVersion queries the state of control at a real server's admin endpoint.
+func queryVersion(address string) (Traffic, error) {
 	var t Traffic
-	conn, err := net.DialTimeout("tcp", address, askWithin)
+	conn, err := net.DialTimeout("tcp", address, queryTimeout)
 	if err != nil {
 		return t, err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(askWithin)) //nolint:errcheck // a TCP connection takes it
+	conn.SetDeadline(time.Now().Add(queryTimeout)) //nolint:errcheck // a TCP connection takes it
 	if _, err = fmt.Fprintln(conn, "show-version"); err != nil {
 		return t, err
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	if !found {
-		return t, fmt.Errorf("%s does not tell its traffic", address)
+		return t, fmt.Errorf("%s did not report its traffic", address)
 	}
 	return t, nil
 }
--- a/internal/lab/scale/fleetday/report.go
+++ b/internal/lab/scale/fleetday/report.go
@@ -11,24 +11,24 @@
 	"kiteslip/internal/lab/scale/hollow"
 )
 
-// Report is what a day came to.
+// Report is the result of a day.
 type Report struct {
 	Figures []figures.Figure
-	Notes   []string // what was seen beside the figures
-	Short   []string // what falls short, with what was measured
-	Last    string   // the closing line
+	Notes   []string // observations in addition to the figures
+	Short   []string // unmet bounds, with the measured values
+	Summary string   // the closing line
 }
 
-// scribe gathers a report.
-type scribe struct {
+// reporter builds a report.
+type reporter struct {
 	Report
 	day  *day
 	keys []string
 }
 
-// figure notes a figure: bound 0 = none. What counts against the bound is the
-// worst, where there is one.
-func (s *scribe) figure(key string, f figures.Figure) {
+// figure adds a figure, with Bound 0 for none. The worst value is compared with the
+// bound if there is one.
+func (s *reporter) figure(key string, f figures.Figure) {
 	seen := f.Value
 	if f.Worst != 0 {
 		seen = f.Worst
@@ -37,7 +37,7 @@
 	f.Trial = s.day.rig.form.Short
 	f.OK = f.Bound == 0 || seen <= f.Bound
 	if !f.OK {
-		s.short("%s (%s): %.6g %s, want %.6g at most", f.Name, f.State, seen, f.Unit, f.Bound)
+		s.unmet("%s (%s): %.6g %s, want at most %.6g", f.Name, f.State, seen, f.Unit, f.Bound)
 	}
 	s.Figures = append(s.Figures, f)
 	if key != "" {
@@ -45,15 +45,15 @@
 	}
 }
 
-func (s *scribe) short(format string, args ...any) {
+func (s *reporter) unmet(format string, args ...any) {
 	s.Short = append(s.Short, fmt.Sprintf(format, args...))
 }
 
-func (s *scribe) note(format string, args ...any) {
+func (s *reporter) note(format string, args ...any) {
 	s.Notes = append(s.Notes, fmt.Sprintf(format, args...))
 }
 
-// Write words the report, the closing line last.
+// Write writes the report as text, the closing line last.
 func (r *Report) Write(w io.Writer) {
 	for _, n := range r.Notes {
 		fmt.Fprintln(w, n)
@@ -71,36 +71,36 @@
 	for _, s := range r.Short {
 		fmt.Fprintln(w, "short:", s)
 	}
-	fmt.Fprintln(w, r.Last)
+	fmt.Fprintln(w, r.Summary)
 }
 
-// report judges the day.
+// report evaluates the day.
 func (d *day) report(targets []hollow.Target, records []hollow.Record) *Report {
 	d.rig.sampler.end()
-	s := &scribe{day: d}
-	if !d.o.WithoutControl {
+	s := &reporter{day: d}
+	if !d.options.WithoutControl {
 		s.versions()
 	}
 	s.requests(targets, records)
-	if !d.o.WithoutControl {
+	if !d.options.WithoutControl {
 		s.cost()
 		s.likeness()
 		s.machines()
 	}
 	s.headroom()
-	for _, line := range d.rig.said {
-		s.note("said: %s", line)
+	for _, line := range d.rig.errors {
+		s.note("error: %s", line)
 	}
-	if d.rig.rarely > 0 {
-		s.note("said: %d more", d.rig.rarely)
+	if d.rig.droppedErrors > 0 {
+		s.note("errors: %d more", d.rig.droppedErrors)
 	}
-	s.Last = fmt.Sprintf("fleetday: servers=%d real=%d hollow=%d control=%d callers=%d tenants=%d routes=%d %s short=%d",
+	s.Summary = fmt.Sprintf("fleetday: servers=%d real=%d hollow=%d control=%d callers=%d tenants=%d routes=%d %s short=%d",
 		d.rig.form.Servers, d.rig.form.Real, d.rig.form.Servers-d.rig.form.Real, d.rig.form.Machines, d.rig.form.Callers,
 		d.rig.form.Tenants, d.rig.form.Routes, strings.Join(s.keys, " "), len(s.Short))
 	return &s.Report
 }
 
-// quantile reads a sorted list; of an empty one it is 0.
+// quantile returns the quantile q of a sorted list, or 0 of an empty one.
 func quantile[T any](sorted []T, q float64) (x T) {
 	if len(sorted) > 0 {
 		x = sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
@@ -116,24 +116,24 @@
 	return sum / float64(max(1, len(list)))
 }
 
-// whens says to which state of the fleet a circumstance belongs.
-var whens = map[string]string{Zone: figures.ZoneLost, "start after " + Zone: figures.ZoneLost, Apart: figures.RegionsApart,
-	Healed + ", versions made meanwhile": figures.RegionsApart, Healed: figures.RegionsApart, Together: figures.AllStart, "start after " + Together: figures.AllStart}
+// states maps circumstances to states of the fleet.
+var states = map[string]string{Zone: figures.ZoneLost, "start after " + Zone: figures.ZoneLost, RegionCutOff: figures.RegionsApart,
+	RegionHealed + ", versions made meanwhile": figures.RegionsApart, RegionHealed: figures.RegionsApart, AllRestart: figures.AllStart, "start after " + AllRestart: figures.AllStart}
 
-func when(circumstance string) string {
-	if w := whens[circumstance]; w != "" {
+func stateOf(circumstance string) string {
+	if w := states[circumstance]; w != "" {
 		return w
 	}
 	return figures.Ordinary
 }
 
-// versions judges when each version came into force.
-func (s *scribe) versions() {
+// versions evaluates when each version came into force.
+func (s *reporter) versions() {
 	r := s.day.rig
 	v := r.history.judge(r.form.regionOfMachine(0))
 	worstCalm, worstFault := 0.0, 0.0
-	for _, name := range sortedKeys(v.Took) {
-		list := v.Took[name]
+	for _, name := range sortedKeys(v.InForceTimes) {
+		list := v.InForceTimes[name]
 		bound, worst := r.form.Bounds.FaultInForce, quantile(list, 1).Seconds()
 		if name == Calm || name == Burst || name == Large {
 			bound = r.form.Bounds.CalmInForce
@@ -141,25 +141,25 @@
 		} else {
 			worstFault = max(worstFault, worst)
 		}
-		s.figure("", figures.Figure{Name: "in force: " + name, Role: figures.Settings, State: when(name), Unit: "s", Value: quantile(list, 0.5).Seconds(),
+		s.figure("", figures.Figure{Name: "in force: " + name, Role: figures.Settings, State: stateOf(name), Unit: "s", Value: quantile(list, 0.5).Seconds(),
 			P99: quantile(list, 0.99).Seconds(), Worst: worst, Bound: bound.Seconds()})
-		s.note("in force, %s: %d versions on servers", name, len(list))
+		s.note("in force, %s: %d pairs of version and server", name, len(list))
 	}
 	for _, name := range sortedKeys(v.Starts) {
 		list := v.Starts[name]
-		s.figure("", figures.Figure{Name: "first version after a start: " + name, Role: figures.Settings, State: when(name), Unit: "s",
+		s.figure("", figures.Figure{Name: "first version after a start: " + name, Role: figures.Settings, State: stateOf(name), Unit: "s",
 			Value: quantile(list, 0.5).Seconds(), P99: quantile(list, 0.99).Seconds(), Worst: quantile(list, 1).Seconds(), Bound: r.form.Bounds.FaultInForce.Seconds()})
 	}
 	for i, line := range append(slices.Clone(v.Disorder), v.Missing...) {
-		if i < saidMost {
+		if i < maxErrors {
 			s.note("versions: %s", line)
 		}
 	}
 	if n := len(v.Disorder); n > 0 {
-		s.short("%d times a version is out of order or has another digest, first: %s", n, v.Disorder[0])
+		s.unmet("versions out of order or with another digest: %d, first: %s", n, v.Disorder[0])
 	}
 	if n := len(v.Missing); n > 0 {
-		s.short("%d times a version is not in force on a server that lives, first: %s", n, v.Missing[0])
+		s.unmet("versions not in force on a live server: %d, first: %s", n, v.Missing[0])
 	}
 	s.keys = append(s.keys, fmt.Sprintf("versions=%d calm_s=%.3f fault_s=%.3f disorder=%d missing=%d",
 		len(r.history.Versions), worstCalm, worstFault, len(v.Disorder), len(v.Missing)))
@@ -174,8 +174,8 @@
 	return list
 }
 
-// before is the stretch of the day before its first fault.
-func (s *scribe) before() (from, to time.Time) {
+// beforeFaults returns the part of the day before its first fault.
+func (s *reporter) beforeFaults() (from, to time.Time) {
 	phases := s.day.rig.history.Phases
 	from = phases[0].From
 	for _, p := range phases {
@@ -186,7 +186,7 @@
 	return from, to
 }
 
-func (s *scribe) phase(name string) (from, to time.Time) {
+func (s *reporter) phase(name string) (from, to time.Time) {
 	for _, p := range s.day.rig.history.Phases {
 		if p.Name == name {
 			return p.From, p.To
@@ -195,25 +195,25 @@
 	return from, to
 }
 
-// added is what was added to requests before the first fault, sorted, microseconds.
-type added map[string][]int32
+// latencies holds the latency added to requests by kind of target, microseconds.
+type latencies map[string][]int32
 
-// toldMost bounds the requests that are told of one by one.
-const toldMost = 20
+// maxListed bounds the requests that are listed individually.
+const maxListed = 20
 
-// requests judges what became of the requests.
-func (s *scribe) requests(targets []hollow.Target, records []hollow.Record) {
+// requests evaluates the outcomes of the requests.
+func (s *reporter) requests(targets []hollow.Target, records []hollow.Record) {
 	r := s.day.rig
-	from, to := s.before()
+	from, to := s.beforeFaults()
 	counts := map[hollow.Code]int{}
-	tries, opened, told := 0, 0, 0
-	pairs, unpressed := added{}, added{}
-	_, pressed := s.phase(Burst) // what comes next is 470 servers' work on this machine's cores at once
-	var late []int32
-	kinds := map[int]string{} // by target: rate and side
+	tries, opened, listed := 0, 0, 0
+	pairs, undisturbed := latencies{}, latencies{}
+	_, burstEnd := s.phase(Burst) // after that the large change makes 470 servers work at once on this machine's cores
+	var delays []int32
+	kinds := map[int]string{} // by target: rate, and with or without control
 	for i, t := range targets {
 		side := "with"
-		if t.Group == r.form.Regions || s.day.o.WithoutControl {
+		if t.Group == r.form.Regions || s.day.options.WithoutControl {
 			side = "without"
 		}
 		kinds[i] = fmt.Sprintf("%g/s %s", t.Rate, side)
@@ -225,9 +225,9 @@
 		if rec.Opened {
 			opened++
 		}
-		late = append(late, rec.CallerDelayUS)
-		if rec.Code != hollow.Answered && told < toldMost {
-			told++
+		delays = append(delays, rec.CallerDelayUS)
+		if rec.Code != hollow.Answered && listed < maxListed {
+			listed++
 			s.note("request %s: due at %.3f s, for %s, %d tries, %.3f s", rec.Code, time.UnixMicro(rec.Due).Sub(s.day.start).Seconds(),
 				targets[rec.Target].Name, rec.Tries, float64(rec.LatencyUS)/1e6)
 		}
@@ -237,8 +237,8 @@
 		}
 		t := targets[rec.Target]
 		pairs[kinds[int(rec.Target)]] = append(pairs[kinds[int(rec.Target)]], rec.AddedUS)
-		if due.Before(pressed) {
-			unpressed[kinds[int(rec.Target)]] = append(unpressed[kinds[int(rec.Target)]], rec.AddedUS)
+		if due.Before(burstEnd) {
+			undisturbed[kinds[int(rec.Target)]] = append(undisturbed[kinds[int(rec.Target)]], rec.AddedUS)
 		}
 		if int(t.Seed) < r.form.paired() { // its twin gets the same requests
 			pairs["pair "+kinds[int(rec.Target)]] = append(pairs["pair "+kinds[int(rec.Target)]], rec.AddedUS)
@@ -247,19 +247,19 @@
 	for _, list := range pairs {
 		slices.Sort(list)
 	}
-	for _, kind := range sortedKeys(unpressed) {
-		list := unpressed[kind]
+	for _, kind := range sortedKeys(undisturbed) {
+		list := undisturbed[kind]
 		slices.Sort(list)
 		s.note("added at %s control before the large change: p50 %.2f ms, p99 %.2f ms, of %d requests", kind,
 			float64(quantile(list, 0.5))/1000, float64(quantile(list, 0.99))/1000, len(list))
 	}
-	slices.Sort(late)
-	gone := counts[hollow.Lost] + counts[hollow.Late] + counts[hollow.WrongResult]
-	s.note("requests: %d due, %d answered, %d refused, %d late, %d lost, %d wrong; %d tries, %d connections opened; the callers were late by %d us at the 99th percentile, %d us at most",
+	slices.Sort(delays)
+	unanswered := counts[hollow.Lost] + counts[hollow.Late] + counts[hollow.WrongResult]
+	s.note("requests: %d due, %d answered, %d refused, %d late, %d lost, %d wrong; %d tries, %d connections opened; delay by the callers %d us at the 99th percentile, at most %d us",
 		len(records), counts[hollow.Answered], counts[hollow.Refused], counts[hollow.Late], counts[hollow.Lost], counts[hollow.WrongResult], tries, opened,
-		quantile(late, 0.99), quantile(late, 1))
-	if gone > 0 {
-		s.short("%d requests are lost, %d late, %d answered with another's result", counts[hollow.Lost], counts[hollow.Late], counts[hollow.WrongResult])
+		quantile(delays, 0.99), quantile(delays, 1))
+	if unanswered > 0 {
+		s.unmet("requests: %d lost, %d late, %d answered with another's result", counts[hollow.Lost], counts[hollow.Late], counts[hollow.WrongResult])
 	}
 	for _, rate := range []float64{r.form.ServerRate, r.form.HotRate} {
 		ms := func(kind string, q float64) float64 {
@@ -275,20 +275,20 @@
 		}
 		if len(pairs[fmt.Sprintf("pair %g/s with", rate)]) > 0 && len(pairs[fmt.Sprintf("pair %g/s without", rate)]) > 0 {
 			s.figure(fmt.Sprintf("added_by_control_%g_ms", rate), figures.Figure{Name: fmt.Sprintf("p99 added by control at %g/s, the same requests", rate),
-				Role: figures.Settings, State: figures.Peak, Unit: "ms", Value: ms("pair %g/s with", 0.99) - ms("pair %g/s without", 0.99), Bound: float64(r.form.Bounds.AddedBy) / 1e6})
+				Role: figures.Settings, State: figures.Peak, Unit: "ms", Value: ms("pair %g/s with", 0.99) - ms("pair %g/s without", 0.99), Bound: float64(r.form.Bounds.AddedByControl) / 1e6})
 		}
 	}
 	s.keys = append(s.keys, fmt.Sprintf("requests=%d refused=%d late=%d lost=%d wrong=%d late_callers_p99_us=%d",
-		len(records), counts[hollow.Refused], counts[hollow.Late], counts[hollow.Lost], counts[hollow.WrongResult], quantile(late, 0.99)))
+		len(records), counts[hollow.Refused], counts[hollow.Late], counts[hollow.Lost], counts[hollow.WrongResult], quantile(delays, 0.99)))
 }
 
-// saturated is the idle part of the machine under which a figure of time is
-// the machine's, not the program's.
-const saturated = 0.05
+// minIdle is the idle fraction of the machine below which times reflect the machine's
+// saturation instead of the program.
+const minIdle = 0.05
 
-// headroom says what the machine had left in each phase.
-func (s *scribe) headroom() {
-	least := 1.0
+// headroom reports the idle capacity of the machine in each phase.
+func (s *reporter) headroom() {
+	lowest := 1.0
 	for _, p := range s.day.rig.history.Phases {
 		var idle []float64
 		for _, h := range s.day.rig.sampler.idle {
@@ -300,12 +300,12 @@
 			continue
 		}
 		low := slices.Min(idle)
-		least = min(least, low)
-		s.note("headroom: %s: the machine is idle to %.0f%%, %.0f%% in the worst second", p.Name, 100*mean(idle), 100*low)
-		if mean(idle) < saturated {
-			s.note("saturated: this machine can't bear the whole in the phase %q: its figures of time are those of a machine without headroom", p.Name)
+		lowest = min(lowest, low)
+		s.note("headroom: %s: the machine is %.0f%% idle, %.0f%% in the worst second", p.Name, 100*mean(idle), 100*low)
+		if mean(idle) < minIdle {
+			s.note("saturated: no idle capacity in the phase %q: its times reflect a saturated machine", p.Name)
 		}
 	}
-	s.note("memory of all processes together: %.0f MB at most", s.day.rig.sampler.memory)
-	s.keys = append(s.keys, fmt.Sprintf("idle_least=%.2f memory_mb=%.0f", least, s.day.rig.sampler.memory))
+	s.note("memory of all processes together: at most %.0f MB", s.day.rig.sampler.maxMemoryMB)
+	s.keys = append(s.keys, fmt.Sprintf("idle_least=%.2f memory_mb=%.0f", lowest, s.day.rig.sampler.maxMemoryMB))
 }
--- a/internal/lab/scale/fleetday/rig.go
+++ b/internal/lab/scale/fleetday/rig.go
@@ -15,43 +15,43 @@
 	"kiteslip/internal/standin/box"
 )
 
-// rig is the fleet of a day: all that was started, and what is known of it.
+// rig is the fleet of a day: all that was started, and what was recorded about it.
 type rig struct {
 	form    *Form
-	program string   // bin/kiteslip
-	self    []string // the laboratory's own binary, and what it is given before a hidden sub-command
+	program string   // path of the kiteslip program
+	self    []string // the laboratory's own binary, and its arguments before a hidden subcommand
 	dir     string
 	content document.Content
 
 	machines []*machine
-	links    [][]*faultnet.Link // by region of who connects and control machine; nil within a region
-	real     []*server          // with control, numbered as the fleet's
-	twins    []*server          // without
+	links    [][]*faultnet.Link // by region of the connecting side and control machine; nil within a region
+	real     []*server          // with control, indexed by their numbers in the fleet
+	twins    []*server          // without control
 	hollow   []*hollowProcess
 	history  *History
 	sampler  *sampler
 
-	mu     sync.Mutex
-	said   []string // what went wrong on the way
-	rarely int      // ... and how much more of it was not kept
+	mu            sync.Mutex
+	errors        []string // errors during the day
+	droppedErrors int      // number of errors that were not kept
 }
 
-// saidMost bounds what is kept of what went wrong.
-const saidMost = 40
+// maxErrors bounds the errors that are kept.
+const maxErrors = 40
 
-func (r *rig) complain(format string, args ...any) {
+func (r *rig) errorf(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.said) < saidMost {
-		r.said = append(r.said, fmt.Sprintf(format, args...))
+	if len(r.errors) < maxErrors {
+		r.errors = append(r.errors, fmt.Sprintf(format, args...))
 	} else {
-		r.rarely++
+		r.droppedErrors++
 	}
 }
 
-// address is a port of an address of the loopback range that nothing else takes
-// while the process that listens there is away.
-func address(kind, number int) (string, error) {
+// freeAddress returns a port at a loopback address of its own, so that no other
+// process takes it while the one that listens there is down.
+func freeAddress(kind, number int) (string, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 80+kind, number/250, 1+number%250))
 	if err != nil {
 		return "", err
@@ -60,7 +60,7 @@
 	return l.Addr().String(), nil
 }
 
-// newRig prepares a fleet; nothing is started yet.
+// newRig prepares a fleet without starting any process.
 func newRig(form *Form, program string, self []string) (*rig, error) {
 	r := &rig{form: form, program: program, self: self, content: Content(form.Sizes, form.Deadline, form.Seed)}
 	regions := make([]int, form.Servers)
@@ -68,7 +68,7 @@
 		regions[i] = form.regionOf(i)
 	}
 	r.history = newHistory(regions)
-	r.history.Settled = form.Settled
+	r.history.CatchUpTime = form.CatchUpTime
 	var err error
 	if r.dir, err = os.MkdirTemp("", "fleetday"); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 
 func (r *rig) prepare() error {
 	for m := range r.form.Machines {
-		at, err := address(0, m)
+		at, err := freeAddress(0, m)
 		if err != nil {
 			return err
 		}
@@ -119,19 +119,19 @@
 	return r.hollowProcesses()
 }
 
-// region is a region's name.
-func region(n int) string { return fmt.Sprintf("region-%d", n) }
+// regionName returns a region's name.
+func regionName(n int) string { return fmt.Sprintf("region-%d", n) }
 
-// publishers is how a server of a region reaches the control machines.
+// publishers returns the endpoints by which a server of a region reaches the control machines.
 func (r *rig) publishers(from int) []follow.Endpoint {
 	var list []follow.Endpoint
 	for m := range r.machines {
-		list = append(list, follow.Endpoint{Address: r.reach(from, m), Region: region(r.form.regionOfMachine(m))})
+		list = append(list, follow.Endpoint{Address: r.reach(from, m), Region: regionName(r.form.regionOfMachine(m))})
 	}
 	return list
 }
 
-// reach is the address at which a region reaches a control machine.
+// reach returns the address at which a region reaches a control machine.
 func (r *rig) reach(from, m int) string {
 	if link := r.links[from][m]; link != nil {
 		return link.Address
@@ -158,7 +158,7 @@
 	return errors.Join(errs...)
 }
 
-// each runs f for all of a list at once, and joins the errors.
+// each calls f for all elements concurrently and joins the errors.
 func each[T any](list []T, f func(T) error) error {
 	errs := make([]error, len(list))
 	var all sync.WaitGroup
@@ -169,7 +169,7 @@
 	return errors.Join(errs...)
 }
 
-// close ends all that was started, by its id.
+// close ends everything that was started, processes by their IDs.
 func (r *rig) close() {
 	r.sampler.end()
 	var all sync.WaitGroup
@@ -190,31 +190,31 @@
 			}
 		}
 	}
-	os.RemoveAll(r.dir) //nolint:errcheck // a folder of the system's for passing files
+	os.RemoveAll(r.dir) //nolint:errcheck // a directory for temporary files
 }
 
-// newEngine starts an engine stand-in that says what each run took.
+// newEngine starts an engine stand-in that reports the time of each run.
 func newEngine() (*box.Engine, error) {
-	e, err := box.Serve(box.Spec{Cores: engine})
+	e, err := box.Serve(box.Spec{Cores: engineCores})
 	if err == nil {
 		e.TellTook()
 	}
 	return e, err
 }
 
-// hollowProcesses divides the hollow servers over their processes.
+// hollowProcesses distributes the hollow servers over processes.
 func (r *rig) hollowProcesses() error {
-	var now *hollowProcess
+	var current *hollowProcess
 	for i := r.form.Real; i < r.form.Servers; i++ {
-		if now == nil || len(now.spec.Servers) == r.form.HollowPer {
-			now = &hollowProcess{rig: r, name: fmt.Sprint("hollow-", len(r.hollow)), byName: map[string]int{}, first: i}
-			now.spec = hollow.ServersSpec{Operator: r.hollowOperator(), WaitUS: waitUS,
+		if current == nil || len(current.spec.Servers) == r.form.HollowPerProcess {
+			current = &hollowProcess{rig: r, name: fmt.Sprint("hollow-", len(r.hollow)), byName: map[string]int{}, first: i}
+			current.spec = hollow.ServersSpec{Operator: r.hollowOperator(), WaitUS: waitUS,
 				Seed: r.form.Seed + uint64(len(r.hollow))<<48}
-			r.hollow = append(r.hollow, now)
+			r.hollow = append(r.hollow, current)
 		}
 		name := fmt.Sprintf("hollow-%03d", i)
-		now.byName[name] = i
-		now.spec.Servers = append(now.spec.Servers, hollow.Server{Name: name, Region: region(r.form.regionOf(i)), Publishers: r.publishers(r.form.regionOf(i))})
+		current.byName[name] = i
+		current.spec.Servers = append(current.spec.Servers, hollow.Server{Name: name, Region: regionName(r.form.regionOf(i)), Publishers: r.publishers(r.form.regionOf(i))})
 	}
 	return nil
 }
--- a/internal/lab/scale/fleetday/sample.go
+++ b/internal/lab/scale/fleetday/sample.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is what a process has used, as the system counts it.
+// Usage is the resource use of a process as the system reports it.
 type Usage struct {
 	At    time.Time
 	PID   int
@@ -20,11 +20,12 @@
 	RSSMB float64
 }
 
-// usage reads what a process has used: its processor time by its clock, since
-// /proc tells it in steps of 10 ms, which is what control takes in a minute.
+// usage returns the resource use of a process. Processor time is read from the
+// process's clock, because /proc reports it in steps of 10 ms, about as much as
+// control uses in a minute.
 func usage(pid int) (Usage, error) {
 	u := Usage{At: time.Now(), PID: pid}
-	const ofProcess = 2 // the clock that the scheduler keeps, of all threads
+	const ofProcess = 2 // the scheduler's clock for all threads of the process
 	var t unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<3|ofProcess), &t); err != nil {
 		return u, fmt.Errorf("processor time of process %d: %w", pid, err)
@@ -36,7 +37,7 @@
 	}
 	words := strings.Fields(string(text))
 	if len(words) < 2 {
-		return u, fmt.Errorf("/proc/%d/statm is not understood: %q", pid, text)
+		return u, fmt.Errorf("/proc/%d/statm has an unexpected format: %q", pid, text)
 	}
 	pages, err := strconv.ParseInt(words[1], 10, 64)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return u, nil
 }
 
-// machineTime reads the processor time of the whole machine, in its unit.
+// machineTime returns the processor time of the whole machine, idle and in all, in clock ticks.
 func machineTime() (idle, all int64, err error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -55,7 +56,7 @@
 	line, _, _ := strings.Cut(string(text), "\n")
 	words := strings.Fields(line)
 	if len(words) < 9 || words[0] != "cpu" {
-		return 0, 0, fmt.Errorf("/proc/stat is not understood: %q", line)
+		return 0, 0, fmt.Errorf("/proc/stat has an unexpected format: %q", line)
 	}
 	for i, word := range words[1:9] {
 		n, err := strconv.ParseInt(word, 10, 64)
@@ -63,47 +64,47 @@
 			return 0, 0, fmt.Errorf("/proc/stat: %w", err)
 		}
 		all += n
-		if i == 3 || i == 4 { // idle, and idle that waits for a disk
+		if i == 3 || i == 4 { // idle and iowait
 			idle += n
 		}
 	}
 	return idle, all, nil
 }
 
-// Headroom is the idle part of the machine over a time that ends at At.
+// Headroom is the idle fraction of the machine over one sampling interval that ends at At.
 type Headroom struct {
 	At   time.Time
 	Idle float64
 }
 
-// sampler reads what all processes use, now and then.
+// sampler samples the resource use of all processes at intervals.
 type sampler struct {
-	every  time.Duration
-	mu     sync.Mutex
-	watch  map[string]int // by name: the process now
-	used   map[string][]Usage
-	idle   []Headroom
-	memory float64 // the most that all of them had together, MB
-	once   sync.Once
-	stop   chan struct{}
-	over   chan struct{}
+	interval    time.Duration
+	mu          sync.Mutex
+	pids        map[string]int // by name: the current process ID
+	used        map[string][]Usage
+	idle        []Headroom
+	maxMemoryMB float64 // greatest sum over all processes, MB
+	once        sync.Once
+	stop        chan struct{}
+	done        chan struct{}
 }
 
 func newSampler(every time.Duration) *sampler {
-	s := &sampler{every: every, watch: map[string]int{}, used: map[string][]Usage{}, stop: make(chan struct{}), over: make(chan struct{})}
+	s := &sampler{interval: every, pids: map[string]int{}, used: map[string][]Usage{}, stop: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-func (s *sampler) watched(name string, pid int) {
+func (s *sampler) watchProcess(name string, pid int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watch[name] = pid
+	s.pids[name] = pid
 }
 
 func (s *sampler) run() {
-	defer close(s.over)
-	tick := time.NewTicker(s.every)
+	defer close(s.done)
+	tick := time.NewTicker(s.interval)
 	defer tick.Stop()
 	wasIdle, wasAll, _ := machineTime()
 	for {
@@ -118,44 +119,44 @@
 		}
 		s.mu.Lock()
 		sum := 0.0
-		for name, pid := range s.watch {
-			if u, err := usage(pid); err == nil { // one that is gone has none
+		for name, pid := range s.pids {
+			if u, err := usage(pid); err == nil { // a process that has ended has none
 				s.used[name] = append(s.used[name], u)
 				sum += u.RSSMB
 			}
 		}
-		s.memory = max(s.memory, sum)
+		s.maxMemoryMB = max(s.maxMemoryMB, sum)
 		s.mu.Unlock()
 	}
 }
 
-// end stops the reading; what was read is to be used after that alone.
+// end stops sampling. The samples may be read only after it returns.
 func (s *sampler) end() {
 	s.once.Do(func() { close(s.stop) })
 
-	<-s.over
+	<-s.done
 }
 
-// Rate is what a process used over a time, one life of it alone.
+// Rate is the resource use of a process over an interval within one of its lives.
 type Rate struct {
 	Cores float64
 	RSSMB float64 // at the end
-	Whole bool    // one life covers the time
+	Whole bool    // one life covers the interval
 }
 
-// over reads a process's use between two moments. It is whole where one life
-// covers them but for two samples.
+// rate returns a process's use between two times. It is whole if one life covers the
+// interval except for two samples.
 func (s *sampler) rate(name string, from, to time.Time) Rate {
 	list := s.used[name]
 	i, _ := slices.BinarySearchFunc(list, from, func(u Usage, t time.Time) int { return u.At.Compare(t) })
 	j, _ := slices.BinarySearchFunc(list, to, func(u Usage, t time.Time) int { return u.At.Compare(t) })
 	if j == len(list) || list[j].At.After(to) {
-		j-- // what comes later may be another life
+		j-- // a later sample may belong to the next life
 	}
 	if i >= j || list[i].PID != list[j].PID {
 		return Rate{}
 	}
 	a, b := list[i], list[j]
 	return Rate{Cores: float64(b.CPU-a.CPU) / float64(b.At.Sub(a.At)), RSSMB: b.RSSMB,
-		Whole: a.At.Sub(from) < 3*s.every && to.Sub(b.At) < 3*s.every}
+		Whole: a.At.Sub(from) < 3*s.interval && to.Sub(b.At) < 3*s.interval}
 }
--- a/internal/lab/scale/fleetday/schedule_test.go
+++ b/internal/lab/scale/fleetday/schedule_test.go
@@ -9,19 +9,19 @@
 	"kiteslip/internal/config"
 )
 
-// Both forms have all faults, each taken back, at the same times for one seed.
+// Both forms have all faults, each of them repaired, and one seed gives one plan.
 func TestPlanHasAllFaults(t *testing.T) {
 	for name, form := range map[string]func() *Form{"full": Full, "short": Short} {
 		plan := form().Plan()
 		if !reflect.DeepEqual(plan, form().Plan()) {
-			t.Errorf("%s: one seed gives two plans", name)
+			t.Errorf("%s: one seed gives two different plans", name)
 		}
 		f := form()
 		down, machines, cut, changed, restarts := map[int]bool{}, map[int]bool{}, false, 0, map[int]int{}
 		var phases []string
 		for i, e := range plan.Events {
 			if i > 0 && e.At < plan.Events[i-1].At || e.At > plan.Length {
-				t.Errorf("%s: %s is out of its time", name, e)
+				t.Errorf("%s: %s is out of order or after the end", name, e)
 			}
 			switch e.Kind {
 			case Phase:
@@ -33,49 +33,49 @@
 				if len(e.Servers) == 1 && e.Servers[0] < f.paired() {
 					t.Errorf("%s: %s, which is compared with its twin", name, e)
 				}
-			case Kill, Back, BackCold:
+			case Kill, StartAgain, StartCold:
 				for _, s := range e.Servers {
 					if down[s] == (e.Kind == Kill) {
-						t.Errorf("%s: %s: server %d is so already", name, e, s)
+						t.Errorf("%s: %s: server %d is already in this state", name, e, s)
 					}
 					down[s] = e.Kind == Kill
 				}
-			case KillControl, BackControl:
+			case KillControl, StartControl:
 				for _, m := range e.Machines {
 					if m == 0 || machines[m] == (e.Kind == KillControl) {
-						t.Errorf("%s: %s: machine %d originates, or is so already", name, e, m)
+						t.Errorf("%s: %s: machine %d is the originator or already in this state", name, e, m)
 					}
 					machines[m] = e.Kind == KillControl
 				}
-			case Cut, Heal:
-				cut = e.Kind == Cut
+			case CutRegion, HealRegion:
+				cut = e.Kind == CutRegion
 			}
 		}
-		for s, gone := range down {
-			if gone {
-				t.Errorf("%s: server %d does not come back", name, s)
+		for s, isDown := range down {
+			if isDown {
+				t.Errorf("%s: server %d is not started again", name, s)
 			}
 		}
-		for m, gone := range machines {
-			if gone {
-				t.Errorf("%s: control machine %d does not come back", name, m)
+		for m, isDown := range machines {
+			if isDown {
+				t.Errorf("%s: control machine %d is not started again", name, m)
 			}
 		}
-		if want := []string{Calm, Burst, Large, Rack, Zone, Killed, Apart, Healed, Together, OneMachine, Afterwards}; !slices.Equal(phases, want) {
+		if want := []string{Calm, Burst, Large, Rack, Zone, ControlKilled, RegionCutOff, RegionHealed, AllRestart, OneMachine, Afterwards}; !slices.Equal(phases, want) {
 			t.Errorf("%s: phases %q, want %q", name, phases, want)
 		}
 		if cut || restarts[f.Servers] != 1 || restarts[1] < 1 {
 			t.Errorf("%s: cut off at the end %v, restarts %v", name, cut, restarts)
 		}
 		if name == "full" && (changed < 70 || restarts[1] < 14) {
-			t.Errorf("%d changes, %d restarts: less than ten times the day's pace", changed, restarts[1])
+			t.Errorf("%d changes, %d restarts: less than ten times the day's rate", changed, restarts[1])
 		}
 	}
 }
 
-// The file that is published and the one of a server without control say the
-// same, and a drawn change changes something each time.
-func TestContentIsAFileThatIsTaken(t *testing.T) {
+// The published file and the file of a server without control are equal, and each
+// generated change modifies something.
+func TestContentIsValidOperatorFile(t *testing.T) {
 	f := Short()
 	content := Content(f.Sizes, f.Deadline, 7)
 	text := machineText("a", "127.0.0.1:1", "", "127.0.0.1:2", 3000) + Operator(&content)
@@ -92,7 +92,7 @@
 		}
 	}
 	if again := Content(f.Sizes, f.Deadline, 7); !reflect.DeepEqual(content, again) {
-		t.Error("one seed gives two contents")
+		t.Error("one seed gives two different contents")
 	}
 	d := NewDrafter(Content(f.Sizes, f.Deadline, 7), 7)
 	quotas := map[string]float64{}
@@ -106,13 +106,13 @@
 			case c.Drop:
 				kinds["drop"]++
 				if _, there := quotas[c.Team.Name]; !there {
-					t.Errorf("%s is dropped and is not there", c.Team.Name)
+					t.Errorf("%s is removed but does not exist", c.Team.Name)
 				}
 				delete(quotas, c.Team.Name)
 			case c.Team != nil:
 				kinds["team"]++
 				if quotas[c.Team.Name] == c.Team.Quota || c.Team.Quota <= 0 {
-					t.Errorf("%s stays at %v", c.Team.Name, c.Team.Quota)
+					t.Errorf("%s keeps its quota %v", c.Team.Name, c.Team.Quota)
 				}
 				quotas[c.Team.Name] = c.Team.Quota
 			default:
@@ -124,15 +124,15 @@
 		t.Errorf("kinds of changes: %v", kinds)
 	}
 	if n := len(d.Next(150)); n != 150 {
-		t.Errorf("a change of 150 tenants touches %d", n)
+		t.Errorf("a change of 150 tenants affects %d", n)
 	}
 	if !strings.Contains(Operator(&content), "[[service.contract]]") {
 		t.Error("no contracts in the file")
 	}
 }
 
-// A fleet's regions, zones and racks lie within each other, and real servers are in all regions.
-func TestFormIsAFleet(t *testing.T) {
+// Zones lie within regions and racks within zones, and every region has real servers.
+func TestFormIsConsistent(t *testing.T) {
 	f := Full()
 	seen := map[int]int{}
 	for i := range f.Real {
