--- a/internal/lab/scale/capacity/capacity.go
+++ b/internal/lab/scale/capacity/capacity.go
@@ -1,7 +1,7 @@
-// Package capacity renders the tables of docs/CAPACITY.md from the operators'
-// target and the files that the measurements wrote. A table stands between two
-// comments, <!-- table NAME --> and <!-- end -->; the text around them is left
-// as it is. A figure that no run gave is "not measured", never a guess.
+// Package capacity renders the tables of docs/CAPACITY.md from the operators' target
+// and the files of measurements. A table is enclosed by two comments,
+// <!-- table NAME --> and <!-- end -->; the text around the tables is unchanged. A
+// value that no run measured is shown as "not measured".
 package capacity
 
 import (
@@ -16,13 +16,13 @@
 	"kiteslip/internal/lab/scale/target"
 )
 
-// Inputs are what the page is rendered from.
+// Inputs holds what the page is rendered from.
 type Inputs struct {
 	Target *target.Target
-	Files  []*figures.File // of the slopes, of the fleet day; one that is absent is left out
+	Files  []*figures.File // of the slopes and of the fleet day, as far as they exist
 }
 
-// Load reads the target and those of the files that are there.
+// Load reads the target and those of the files that exist.
 func Load(targetPath string, paths ...string) (*Inputs, error) {
 	in := &Inputs{}
 	var err error
@@ -43,47 +43,47 @@
 }
 
 const (
-	opens  = "<!-- table "
-	opened = " -->"
-	closes = "<!-- end -->"
+	tableStart = "<!-- table "
+	markerEnd  = " -->"
+	tableEnd   = "<!-- end -->"
 )
 
-// Render returns the page with each of its tables anew. All tables must stand
-// on it, each once.
+// Render returns the page with all its tables replaced. Every table must be on the page
+// exactly once.
 func Render(page string, in *Inputs) (string, error) {
 	tables := in.tables()
 	var out strings.Builder
 	seen := map[string]bool{}
 	rest := page
 	for {
-		before, after, found := strings.Cut(rest, opens)
+		before, after, found := strings.Cut(rest, tableStart)
 		out.WriteString(before)
 		if !found {
 			break
 		}
-		name, after, found := strings.Cut(after, opened)
+		name, after, found := strings.Cut(after, markerEnd)
 		if !found || strings.ContainsAny(name, "\n") {
-			return "", fmt.Errorf("capacity: the marker of a table is not closed: %.40q", after)
+			return "", fmt.Errorf("capacity: unterminated table marker: %.40q", after)
 		}
 		render, known := tables[name]
 		if !known {
-			return "", fmt.Errorf("capacity: table %q is not known", name)
+			return "", fmt.Errorf("capacity: unknown table %q", name)
 		}
 		if seen[name] {
-			return "", fmt.Errorf("capacity: table %q stands on the page twice", name)
+			return "", fmt.Errorf("capacity: table %q is on the page twice", name)
 		}
 		seen[name] = true
-		old, after, found := strings.Cut(after, closes)
-		if !found || strings.Contains(old, opens) {
-			return "", fmt.Errorf("capacity: table %q has no %s", name, closes)
+		old, after, found := strings.Cut(after, tableEnd)
+		if !found || strings.Contains(old, tableStart) {
+			return "", fmt.Errorf("capacity: table %q has no %s", name, tableEnd)
 		}
-		out.WriteString(opens + name + opened + "\n" + render() + closes)
+		out.WriteString(tableStart + name + markerEnd + "\n" + render() + tableEnd)
 		rest = after
 	}
 	var errs []error
 	for name := range tables {
 		if !seen[name] {
-			errs = append(errs, fmt.Errorf("capacity: table %q does not stand on the page", name))
+			errs = append(errs, fmt.Errorf("capacity: table %q is not on the page", name))
 		}
 	}
 	return out.String(), errors.Join(errs...)
@@ -97,7 +97,7 @@
 	return t
 }
 
-// slope returns the slope of that name and the file that it is in.
+// slope returns the slope with the given name and its file, or nil.
 func (in *Inputs) slope(name string) (*figures.Slope, *figures.File) {
 	for _, f := range in.Files {
 		if s := f.Slope(name); s != nil {
@@ -107,8 +107,8 @@
 	return nil, nil
 }
 
-// at is a slope's figure at a size; nothing where it was not measured.
-func (in *Inputs) at(name string, size float64) (v float64, ok bool) {
+// valueAt returns a slope's value at a size, and whether the slope was measured.
+func (in *Inputs) valueAt(name string, size float64) (v float64, ok bool) {
 	s, _ := in.slope(name)
 	if s == nil {
 		return 0, false
@@ -117,7 +117,8 @@
 	return v, true
 }
 
-// figure is a figure by role, name and state; nil = not measured.
+// figure returns the figure with the given role, name and state, or nil if it was not
+// measured.
 func (in *Inputs) figure(role, name, when string) *figures.Figure {
 	for _, f := range in.Files {
 		for i := range f.Figures {
@@ -131,7 +132,7 @@
 
 const notMeasured = "not measured"
 
-// number is v to three digits, without an exponent.
+// number formats v with three digits and no exponent.
 func number(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v) || math.IsInf(v, 0):
@@ -151,7 +152,7 @@
 
 func trim(s string) string { return strings.TrimSuffix(strings.TrimRight(s, "0"), ".") }
 
-// grouped writes a whole number with commas between its thousands.
+// grouped formats a whole number with commas between its thousands.
 func grouped(v float64) string {
 	s := fmt.Sprintf("%.0f", v)
 	sign := ""
@@ -164,7 +165,7 @@
 	return sign + s
 }
 
-// table is rows under a head, in the form of the page.
+// table builds a table of the page: a header and rows.
 type table struct{ b strings.Builder }
 
 func newTable(head ...string) *table {
@@ -256,7 +257,7 @@
 	return t.b.String()
 }
 
-// roleTable has the rows that come of slopes, then the figures as measured.
+// roleTable renders the rows derived from slopes, then the figures as measured.
 func (in *Inputs) roleTable(role string) string {
 	t := newTable(slices.Concat([]string{"what"}, figures.States, []string{"unit", "allowed", "margin", "breaks at", "from", "carried by"})...)
 	for _, r := range rows() {
@@ -276,7 +277,7 @@
 	return t.b.String()
 }
 
-// figureRow is one figure over the states in which it was measured.
+// figureRow adds a row for one figure over the states in which it was measured.
 func (in *Inputs) figureRow(t *table, f *figures.File, of *figures.Figure) {
 	cells := []string{of.Name}
 	margin := ""
@@ -309,7 +310,7 @@
 			default:
 				v = max(v, g.Worst)
 			}
-			margin = marginOf(v, g.Bound, g.LowerBound)
+			margin = marginText(v, g.Bound, g.LowerBound)
 		}
 		cells = append(cells, s)
 	}
@@ -323,8 +324,8 @@
 	t.row(append(cells, of.Unit, allowed, margin, "", "`"+f.Command+"`", "")...)
 }
 
-// marginOf words how far v is from what is allowed.
-func marginOf(v, bound float64, least bool) string {
+// marginText describes how far v is from its bound.
+func marginText(v, bound float64, least bool) string {
 	factor := bound / v
 	if least {
 		factor = v / bound
--- a/internal/lab/scale/figures/figures.go
+++ b/internal/lab/scale/figures/figures.go
@@ -22,7 +22,7 @@
 
 // The states of the fleet in which a figure holds.
 const (
-	Ordinary     = "ordinary"      // the mean load of a day
+	Ordinary     = "ordinary"      // the ordinary load
 	Peak         = "peak"          // the highest load of a day
 	ZoneLost     = "zone lost"     // one zone has failed, the others carry its load
 	RegionsApart = "regions apart" // the regions are cut off from each other
