--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -246,6 +246,54 @@
 	}
 }
 
+// A successor with a key store has received KeysTransferred and opens the store; only
+// then does it call AcquireKeys and SetPeer. A claim that the predecessor sends in that
+// time reaches a core that neither owns the keys nor knows a peer, and the answer to
+// it must not end the process. Nothing may start by that claim before the keys are owned.
+func TestClaimBeforeKeysAreAcquired(t *testing.T) {
+	p := newPair(t)
+	predecessor, successor := p.sides[0], p.sides[1]
+	inDoubtUntil := predecessor.core.ReleaseKeys(pairPeer{p, 0}) // KeysTransferred follows, and the successor opens its store
+	early := predecessor.submit(1, "early", 0, 1_000_000)
+	predecessor.advance(5_000)
+	if len(p.inTransit[0]) != 1 {
+		t.Fatalf("%d messages of the predecessor, want its claim", len(p.inTransit[0]))
+	}
+	func() {
+		defer func() {
+			if err := recover(); err != nil {
+				t.Errorf("a claim before the keys are acquired panics: %v", err)
+			}
+		}()
+		p.deliver(0)
+	}()
+	for range 9 {
+		p.deliver(1)
+	}
+	p.advance(5_000)
+	if predecessor.ran[early] || successor.core.OwnsKeys() {
+		t.Error("a claim is granted before the keys are acquired")
+	}
+	successor.core.AcquireKeys(inDoubtUntil) // the store is open
+	successor.core.SetPeer(pairPeer{p, 1})
+	later := predecessor.submit(1, "later", 0, 1_000_000)
+	predecessor.advance(5_000)
+	for range 9 {
+		p.deliver(0)
+	}
+	for range 9 {
+		p.deliver(1)
+	}
+	p.advance(5_000)
+	if !predecessor.ran[later] {
+		t.Error("a claim after the keys are acquired is not granted")
+	}
+	p.advance(2_000_000)
+	if got := predecessor.answers[early]; len(got) != 1 {
+		t.Errorf("the early request has the answers %+v, want one", got)
+	}
+}
+
 // A key sent with different bodies to the two processes serves neither with the
 // result of the other.
 func TestBodiesOfOneKeyAcrossProcesses(t *testing.T) {
