--- a/cmd/kitelab/calls.go
+++ b/cmd/kitelab/calls.go
@@ -37,8 +37,8 @@
 	fmt.Println(o)
 	v.require(o.Late == 0 && o.Unanswered == 0, "%d answers late, %d absent", o.Late, o.Unanswered)
 	v.require(o.Wrong == 0, "%d results that no run made", o.Wrong)
-	v.require(o.SecondRuns == 0 && o.SecondEffect == 0, "%d keyed runs and %d calls with an effect made twice", o.SecondRuns, o.SecondEffect)
-	v.require(o.Unended == 0, "%d calls without one end", o.Unended)
+	v.require(o.RepeatedRuns == 0 && o.RepeatedEffects == 0, "%d keyed runs and %d calls with an effect made twice", o.RepeatedRuns, o.RepeatedEffects)
+	v.require(o.UnfinishedCalls == 0, "%d calls without one end", o.UnfinishedCalls)
 	v.require(float64(o.Served) >= minServedShare*float64(o.Runs), "%d of %d runs served, want %v", o.Served, o.Runs, minServedShare)
 	if rig, err = calls.Open(c.Program, nil); err != nil {
 		return err
@@ -62,6 +62,6 @@
 	v.require(cost <= maxCallCPU, "a call costs %v of the processor, want %v", cost, maxCallCPU)
 	return v.finish(fmt.Sprintf("calls: runs=%d calls=%d given_up=%d served=%d refused=%d failed=%d cuts=%d downs=%d late=%d absent=%d wrong=%d "+
 		"second_runs=%d second_effects=%d unended=%d cost_us=%d added_p50_us=%d added_p99_us=%d", o.Runs, o.Calls, o.GivenUp, o.Served, o.Refused, o.Failed,
-		o.Cuts, o.Downs, o.Late, o.Unanswered, o.Wrong, o.SecondRuns, o.SecondEffect, o.Unended, cost.Microseconds(),
+		o.LinkCuts, o.LedgerOutages, o.Late, o.Unanswered, o.Wrong, o.RepeatedRuns, o.RepeatedEffects, o.UnfinishedCalls, cost.Microseconds(),
 		(one.Median - none.Median).Microseconds(), added.Microseconds()))
 }
--- a/cmd/kitelab/pools.go
+++ b/cmd/kitelab/pools.go
@@ -29,7 +29,7 @@
 // Run plays the measurement.
 func (c *poolsCmd) Run() error {
 	scenarios := lab.PoolScenarios()
-	list := make([]lab.Compared, 2*len(scenarios))
+	list := make([]lab.Comparison, 2*len(scenarios))
 	errs := make([]error, len(list))
 	var wg sync.WaitGroup
 	for i := range list {
@@ -39,35 +39,35 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "day\tgauges\tlandmark off\ton (worst)\tworth off\ton (mean)\tratio (worst)\tdone\tothers keep\t")
 	var v shortfalls
-	worst := map[string]*lab.Compared{}
+	worst := map[string]*lab.Comparison{}
 	for i := range list {
 		if errs[i] != nil {
 			return errs[i]
 		}
 		r := &list[i]
-		fmt.Fprintf(w, "%s\t%v\t%.3f\t%.3f\t%.4f\t%.4f\t%.4f\t%.3f\t%.3f\t\n", r.Name, r.Gauges, r.CheapOff, r.CheapOn,
-			r.WorthOff, r.WorthOn, r.Worth, r.Done, r.Kept)
+		fmt.Fprintf(w, "%s\t%v\t%.3f\t%.3f\t%.4f\t%.4f\t%.4f\t%.3f\t%.3f\t\n", r.Name, r.Gauges, r.CheapestOnTimeWithout, r.CheapestOnTimeWith,
+			r.WorthWithout, r.WorthWith, r.WorthRatio, r.ServedWorkRatio, r.ShareKept)
 		v.require(r.Overdue == 0, "%s: %d answers after their due time", r.Name, r.Overdue)
 		if o := worst[r.Name]; o == nil {
 			copied := *r
 			worst[r.Name] = &copied
 		} else {
-			o.CheapOff, o.CheapOn = min(o.CheapOff, r.CheapOff), min(o.CheapOn, r.CheapOn)
-			o.Worth, o.Done, o.Kept = min(o.Worth, r.Worth), min(o.Done, r.Done), min(o.Kept, r.Kept)
+			o.CheapestOnTimeWithout, o.CheapestOnTimeWith = min(o.CheapestOnTimeWithout, r.CheapestOnTimeWithout), min(o.CheapestOnTimeWith, r.CheapestOnTimeWith)
+			o.WorthRatio, o.ServedWorkRatio, o.ShareKept = min(o.WorthRatio, r.WorthRatio), min(o.ServedWorkRatio, r.ServedWorkRatio), min(o.ShareKept, r.ShareKept)
 		}
 	}
 	w.Flush()
 	for name, least := range map[string]float64{"full": minCheapFull, "halved": minCheapHalved, "slow-flood": minCheapSlow} {
 		r := worst[name]
-		v.require(r.CheapOn >= least, "%s: landmark-search in time %.3f, want %.2f", name, r.CheapOn, least)
-		v.require(r.Worth >= minWorthRatio, "%s: worth %.3f of that without pools, want %.2f", name, r.Worth, minWorthRatio)
+		v.require(r.CheapestOnTimeWith >= least, "%s: landmark-search in time %.3f, want %.2f", name, r.CheapestOnTimeWith, least)
+		v.require(r.WorthRatio >= minWorthRatio, "%s: worth %.3f of that without pools, want %.2f", name, r.WorthRatio, minWorthRatio)
 	}
-	v.require(worst["calm"].Worth >= 1, "calm: worth %.4f of that without pools, want 1", worst["calm"].Worth)
-	flood := worst["cheap-flood"].Kept
+	v.require(worst["calm"].WorthRatio >= 1, "calm: worth %.4f of that without pools, want 1", worst["calm"].WorthRatio)
+	flood := worst["cheap-flood"].ShareKept
 	v.require(flood >= minKeptShare, "cheap-flood: others keep %.3f of what their share carries, want %.2f", flood, minKeptShare)
 	lent := 2.0
 	for _, name := range lab.ClassNames {
-		lent = min(lent, worst["alone-"+name].Done)
+		lent = min(lent, worst["alone-"+name].ServedWorkRatio)
 	}
 	v.require(lent >= minLentShare, "one class alone gets %.3f done of what it does without pools, want %.2f", lent, minLentShare)
 	cost := 0.0
@@ -81,6 +81,6 @@
 		cost = max(cost, ratio)
 	}
 	return v.finish(fmt.Sprintf("pools: full=%.3f halved=%.3f slow_flood=%.3f worth=%.3f calm=%.4f flood_kept=%.3f lent=%.3f cost=%.3f",
-		worst["full"].CheapOn, worst["halved"].CheapOn, worst["slow-flood"].CheapOn,
-		min(worst["full"].Worth, worst["halved"].Worth, worst["slow-flood"].Worth), worst["calm"].Worth, flood, lent, cost))
+		worst["full"].CheapestOnTimeWith, worst["halved"].CheapestOnTimeWith, worst["slow-flood"].CheapestOnTimeWith,
+		min(worst["full"].WorthRatio, worst["halved"].WorthRatio, worst["slow-flood"].WorthRatio), worst["calm"].WorthRatio, flood, lent, cost))
 }
--- a/cmd/kiteslip/calls_test.go
+++ b/cmd/kiteslip/calls_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(m.engine.Close)
-	m.engine.Watch()
+	m.engine.CountStarts()
 	if m.link, err = faultnet.New(shared.Address); err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 // sendAll sends n requests without a deadline, half of them keyed, on one connection.
 func (m *member) sendAll(t *testing.T, mark string, from, n int) *standin.Caller {
 	t.Helper()
-	c := standin.Dial(t, m.Clients)
+	c := standin.Dial(t, m.CallerAddress)
 	for i := range n {
 		class, key := "look", ""
 		if i%2 == 0 {
@@ -101,16 +101,16 @@
 // runs; and all three serve afterwards.
 func TestFleetOverOneLedgerWhilePartsFail(t *testing.T) {
 	hold := make(chan struct{})
-	shared, err := ledger.Serve(func(c ledger.Call) ledger.Act {
+	shared, err := ledger.Serve(func(c ledger.Call) ledger.Response {
 		if strings.Contains(c.Body, "struck") {
 			<-hold
 		}
-		return ledger.Act{}
+		return ledger.Response{}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(shared.Down)
+	t.Cleanup(shared.Stop)
 	var fleet []*member
 	for n := range 3 {
 		fleet = append(fleet, newMember(t, n, shared))
@@ -121,8 +121,8 @@
 	for n, m := range fleet {
 		callers = append(callers, m.sendAll(t, fmt.Sprintf("struck%d", n), 1000*n+1, each))
 	}
-	testfleet.Eventually(t, "all calls are in flight", func() bool { seen, _ := shared.Seen(); return seen == 3*each })
-	fleet[2].link.Silence(faultnet.Back)
+	testfleet.Eventually(t, "all calls are in flight", func() bool { seen, _ := shared.Received(); return seen == 3*each })
+	fleet[2].link.Silence(faultnet.FromTarget)
 	fleet[1].Signal(syscall.SIGSTOP)
 	fleet[0].Kill()
 	close(hold)
@@ -139,18 +139,18 @@
 			break
 		}
 	}
-	fleet[0].Again()
-	if err := fleet[2].link.Heal(); err != nil {
+	fleet[0].Restart()
+	if err := fleet[2].link.Restore(); err != nil {
 		t.Fatal(err)
 	}
 	for n, m := range fleet {
 		for i := range each {
-			m.engine.Over(fmt.Sprintf("%016x", 1000*n+1+i)) // the platform's engine notices the end of a run by itself
+			m.engine.RequestDone(fmt.Sprintf("%016x", 1000*n+1+i)) // the platform's engine notices the end of a run by itself
 		}
 		if codes := countAnswers(t, m.sendAll(t, fmt.Sprintf("after%d", n), 10_000*(n+1), each), each, time.Time{}); codes[frame.Served] != each {
 			t.Errorf("server %d afterwards: %v", n, codes)
 		}
-		for body, runs := range m.engine.Log().Begun {
+		for body, runs := range m.engine.Log().Started {
 			if runs > 1 {
 				t.Errorf("server %d began %q %d times", n, body, runs)
 			}
@@ -171,34 +171,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(old.Down)
+	t.Cleanup(old.Stop)
 	next, err := ledger.Serve(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(next.Down)
+	t.Cleanup(next.Stop)
 	m := newMember(t, 0, old)
-	m.link.EndAfter(250) // the call has some 200 bytes, its reply as many
+	m.link.CloseAfter(250) // the call has some 200 bytes, its reply as many
 	if codes := countAnswers(t, m.sendAll(t, "cut", 1, 1), 1, time.Time{}); codes[frame.Failed] != 1 {
 		t.Errorf("a truncated reply: %v", codes)
 	}
-	if err := m.link.Heal(); err != nil {
+	if err := m.link.Restore(); err != nil {
 		t.Fatal(err)
 	}
-	m.engine.Over(fmt.Sprintf("%016x", 1))
+	m.engine.RequestDone(fmt.Sprintf("%016x", 1))
 	config := map[string]any{"engine": m.engine.Address, "ledger": next.Address, "stop_ms": 1500, "settings": json.RawMessage(ledgerSettings)}
 	m.Reload(config)
 	testfleet.Eventually(t, "the new file is applied", func() bool {
-		return strings.Contains(standin.Ask(t, m.Ops, "show-stat"), "app.config_applied:1|c")
+		return strings.Contains(standin.AdminCommand(t, m.AdminAddress, "show-stat"), "app.config_applied:1|c")
 	})
 	if codes := countAnswers(t, m.sendAll(t, "moved", 100, 8), 8, time.Time{}); codes[frame.Served] != 8 {
 		t.Errorf("at the new address: %v", codes)
 	}
-	if seen, _ := next.Seen(); seen != 8 {
+	if seen, _ := next.Received(); seen != 8 {
 		t.Errorf("the new ledger saw %d calls, want 8", seen)
 	}
 	if n := old.Effects()["call 0 of 1000*1 cut 0"]; n != 1 {
 		t.Errorf("the call whose reply was truncated had its effect %d times", n)
 	}
-	m.Leave()
+	m.Stop()
 }
--- a/cmd/kiteslip/connection_limits_test.go
+++ b/cmd/kiteslip/connection_limits_test.go
@@ -42,9 +42,9 @@
 	}
 	t.Cleanup(link.Close)
 	p := testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: "n0", Config: map[string]any{
-		"engine": link.Address, "registry": testfleet.Address(t), "stop_ms": 3000, "settings": json.RawMessage(roomySettings),
+		"engine": link.Address, "registry": testfleet.FreeAddress(t), "stop_ms": 3000, "settings": json.RawMessage(roomySettings),
 		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": sockets}}})
-	p.Grant(uint64(sockets))
+	p.LimitDescriptors(uint64(sockets))
 	return p, engine, link
 }
 
@@ -52,7 +52,7 @@
 // answered within the descriptor limit.
 func TestBurstWithinDescriptors(t *testing.T) {
 	p, _, _ := startServer(t, 256)
-	warm := standin.Dial(t, p.Clients)
+	warm := standin.Dial(t, p.CallerAddress)
 	warm.Send(1, standin.Fields("look", "red", "", 1, 5*time.Second), "1")
 	if got, _ := warm.Next(); got.Code != frame.Served {
 		t.Fatalf("%+v", got)
@@ -61,7 +61,7 @@
 	p.Signal(syscall.SIGSTOP)
 	var all []*standin.Caller
 	for i := range callers {
-		c := standin.Dial(t, p.Clients)
+		c := standin.Dial(t, p.CallerAddress)
 		c.Send(1, standin.Fields("look", "red", "", uint64(i+2), 5*time.Second), "1")
 		all = append(all, c)
 	}
@@ -75,7 +75,7 @@
 	if lost > 0 {
 		t.Errorf("%d of %d requests got no answer", lost, callers)
 	}
-	p.Leave()
+	p.Stop()
 }
 
 // Idle clients take every connection slot and take it again when they are evicted, while
@@ -98,7 +98,7 @@
 							return
 						default:
 						}
-						c, err := net.Dial("tcp", p.Clients)
+						c, err := net.Dial("tcp", p.CallerAddress)
 						if err != nil {
 							return
 						}
@@ -126,7 +126,7 @@
 			ask := func(what string) {
 				for range 2 {
 					name++
-					c := standin.Dial(t, p.Clients)
+					c := standin.Dial(t, p.CallerAddress)
 					c.Send(1, standin.Fields("look", "red", "", name, 5*time.Second), "1000")
 					for {
 						got, ok := c.Next()
@@ -142,15 +142,15 @@
 				}
 			}
 			ask("with idle clients")
-			if got := standin.Ask(t, p.Ops, "ready"); got != "done ready\n" {
+			if got := standin.AdminCommand(t, p.AdminAddress, "ready"); got != "done ready\n" {
 				t.Errorf("the admin endpoint replies %q", got)
 			}
-			link.Break()
+			link.Disconnect()
 			ask("after a break of the engine's link")
 			if maxDescriptors > sockets {
 				t.Errorf("%d descriptors of %d", maxDescriptors, sockets)
 			}
-			if got := standin.Ask(t, p.Ops, "show-stat"); !strings.Contains(got, "app.") {
+			if got := standin.AdminCommand(t, p.AdminAddress, "show-stat"); !strings.Contains(got, "app.") {
 				t.Errorf("the admin endpoint replies %q", got)
 			}
 		})
--- a/cmd/kiteslip/control_faults_test.go
+++ b/cmd/kiteslip/control_faults_test.go
@@ -19,8 +19,8 @@
 	l.publish(teamChange("teal", 50), serviceChange("sum"))
 	link := newLink(t, origin.Address)
 	p := startFollower(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: link.Address, Region: "north"}))
-	load := startTraffic(t, p.Clients, "sum", "teal")
-	stop := l.watch(p.Ops)
+	load := startTraffic(t, p.CallerAddress, "sum", "teal")
+	stop := l.watch(p.AdminAddress)
 	team := 0
 	large := func(teams int) {
 		var changes []document.Change
@@ -31,49 +31,51 @@
 		l.publish(changes...)
 	}
 	for _, after := range []int{1, 300, 4_000, 8_000} {
-		before := versionNumber(t, p.Ops)
-		carried := link.Carried(faultnet.Back)
-		link.EndAfter(after)
+		before := versionNumber(t, p.AdminAddress)
+		carried := link.Forwarded(faultnet.FromTarget)
+		link.CloseAfter(after)
 		large(1000)
-		testfleet.Eventually(t, "the stream ends", func() bool { return showVersion(t, p.Ops)["publisher"] == "-" })
-		if n := versionNumber(t, p.Ops); n != before {
+		testfleet.Eventually(t, "the stream ends", func() bool { return showVersion(t, p.AdminAddress)["publisher"] == "-" })
+		if n := versionNumber(t, p.AdminAddress); n != before {
 			t.Errorf("version %d of a stream that ended after %d bytes", n, after)
 		}
-		if got := link.Carried(faultnet.Back) - carried; got > after {
+		if got := link.Forwarded(faultnet.FromTarget) - carried; got > after {
 			t.Errorf("%d bytes were carried, more than %d: the delta was not truncated", got, after)
 		}
-		if err := link.Heal(); err != nil {
+		if err := link.Restore(); err != nil {
 			t.Fatal(err)
 		}
-		awaitVersion(t, fmt.Sprintf("cut after %d bytes", after), p.Ops, l.last, healTimeout)
+		awaitVersion(t, fmt.Sprintf("cut after %d bytes", after), p.AdminAddress, l.last, healTimeout)
 	}
 	// The same with a snapshot, for a server that the log does not reach back to.
-	link.EndAfter(0)
-	link.Break()
+	link.CloseAfter(0)
+	link.Disconnect()
 	for range 18 {
 		large(200)
 	}
-	before, carried := versionNumber(t, p.Ops), link.Carried(faultnet.Back)+link.Carried(faultnet.There)
+	before, carried := versionNumber(t, p.AdminAddress), link.Forwarded(faultnet.FromTarget)+link.Forwarded(faultnet.ToTarget)
 	const after = 5_000
-	link.EndAfter(after)
-	testfleet.Eventually(t, "the snapshot is truncated", func() bool { return link.Carried(faultnet.Back)+link.Carried(faultnet.There) >= carried+after })
-	if n := versionNumber(t, p.Ops); n != before {
+	link.CloseAfter(after)
+	testfleet.Eventually(t, "the snapshot is truncated", func() bool {
+		return link.Forwarded(faultnet.FromTarget)+link.Forwarded(faultnet.ToTarget) >= carried+after
+	})
+	if n := versionNumber(t, p.AdminAddress); n != before {
 		t.Errorf("version %d of a stream that ended within the snapshot", n)
 	}
-	if err := link.Heal(); err != nil {
+	if err := link.Restore(); err != nil {
 		t.Fatal(err)
 	}
-	awaitVersion(t, "whole", p.Ops, l.last, healTimeout)
+	awaitVersion(t, "whole", p.AdminAddress, l.last, healTimeout)
 	if before >= l.last {
 		t.Errorf("version %d was received through the cut", before)
 	}
-	if m := showVersion(t, p.Ops); m["snapshots"] != "2" || m["digest"] != l.digests[l.last] {
+	if m := showVersion(t, p.AdminAddress); m["snapshots"] != "2" || m["digest"] != l.digests[l.last] {
 		t.Errorf("%v", m)
 	}
 	load.awaitServed(20)
 	load.stop()
 	stop()
-	p.Leave()
+	p.Stop()
 }
 
 // Two originators have each made a version with the same number: the server keeps its
@@ -86,13 +88,13 @@
 	last := l.publishMore(2)
 	folder := filepath.Join(t.TempDir(), "versions")
 	p := startFollower(t, controlText("north", folder, 20_000, testfleet.ControlTarget{Address: first.Address, Region: "north"}))
-	load := startTraffic(t, p.Clients, "sum", "teal")
+	load := startTraffic(t, p.CallerAddress, "sum", "teal")
 	first.Kill()
 	second := testfleet.StartControl(t, testfleet.ControlSpec{Path: first.Spec.Path, Env: first.Spec.Env, Name: "c9", Region: "north", Listen: first.Address})
 	other := newVersionPublisher(t, second)
 	other.publish(teamChange("teal", 51), serviceChange("sum"))
 	other.publishMore(2)
-	testfleet.Eventually(t, "the fork is seen", func() bool { return showVersion(t, p.Ops)["fork"] == "true" })
+	testfleet.Eventually(t, "the fork is seen", func() bool { return showVersion(t, p.AdminAddress)["fork"] == "true" })
 	other.publishMore(2)
 	testfleet.Eventually(t, "the control machine lists the fork", func() bool {
 		lines, err := other.client.Followers(t.Context(), true)
@@ -100,13 +102,13 @@
 	})
 	load.awaitServed(50)
 	load.stop()
-	if m := showVersion(t, p.Ops); m["version"] != fmt.Sprint(last) || m["digest"] != l.digests[last] || m["digest"] == other.digests[last] {
+	if m := showVersion(t, p.AdminAddress); m["version"] != fmt.Sprint(last) || m["digest"] != l.digests[last] || m["digest"] == other.digests[last] {
 		t.Errorf("%v", m)
 	}
 	if !second.Logged("fork") {
 		t.Error("the control machine does not log the fork")
 	}
-	p.Leave()
+	p.Stop()
 	if m := initialState(t, folder, first.Address); !strings.HasPrefix(m["digest"], other.digests[other.last]) {
 		t.Errorf("after a start with an empty folder: %v", m)
 	}
@@ -116,6 +118,6 @@
 func initialState(t *testing.T, folder, address string) map[string]string {
 	t.Helper()
 	p := startFollower(t, controlText("north", filepath.Join(folder, "empty"), 20_000, testfleet.ControlTarget{Address: address, Region: "north"}))
-	defer p.Leave()
-	return showVersion(t, p.Ops)
+	defer p.Stop()
+	return showVersion(t, p.AdminAddress)
 }
--- a/cmd/kiteslip/control_follow_test.go
+++ b/cmd/kiteslip/control_follow_test.go
@@ -33,33 +33,33 @@
 			l.publish(teamChange("teal", 50), serviceChange("sum"))
 			link := newLink(t, origin.Address)
 			p := startFollower(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: link.Address, Region: "north"}))
-			if m := showVersion(t, p.Ops); m["version"] != "1" || m["origin"] != "publisher" || m["digest"] != l.digests[1] {
+			if m := showVersion(t, p.AdminAddress); m["version"] != "1" || m["origin"] != "publisher" || m["digest"] != l.digests[1] {
 				t.Fatalf("%v", m)
 			}
-			before := showVersion(t, p.Ops)
-			load := startTraffic(t, p.Clients, "sum", "teal")
-			stop := l.watch(p.Ops)
-			link.Cut()
+			before := showVersion(t, p.AdminAddress)
+			load := startTraffic(t, p.CallerAddress, "sum", "teal")
+			stop := l.watch(p.AdminAddress)
+			link.Refuse()
 			last := l.publishMore(c.versions)
 			load.awaitServed(20)
-			if n := versionNumber(t, p.Ops); n != 1 {
+			if n := versionNumber(t, p.AdminAddress); n != 1 {
 				t.Errorf("version %d was received through the cut", n)
 			}
-			if err := link.Heal(); err != nil {
+			if err := link.Restore(); err != nil {
 				t.Fatal(err)
 			}
-			awaitVersion(t, name, p.Ops, last, healTimeout)
+			awaitVersion(t, name, p.AdminAddress, last, healTimeout)
 			load.awaitServed(20)
 			load.stop()
 			stop()
-			m := showVersion(t, p.Ops)
+			m := showVersion(t, p.AdminAddress)
 			if want := strconv.Itoa(c.snapshots); m["snapshots"] != addTo(t, before["snapshots"], c.snapshots) || m["refused"] != "-" || m["fork"] != "false" {
 				t.Errorf("%v, want %s more snapshots than %v", m, want, before)
 			}
 			if c.snapshots == 0 && m["applied"] != strconv.Itoa(c.versions) {
 				t.Errorf("%v", m)
 			}
-			p.Leave()
+			p.Stop()
 		})
 	}
 }
@@ -79,10 +79,10 @@
 func TestFollowRegionCutOff(t *testing.T) {
 	for name, cut := range map[string]func(*faultnet.Link){
 		"silence": func(l *faultnet.Link) { // as a network that drops everything
-			l.Silence(faultnet.There)
-			l.Silence(faultnet.Back)
+			l.Silence(faultnet.ToTarget)
+			l.Silence(faultnet.FromTarget)
 		},
-		"refusal": (*faultnet.Link).Cut,
+		"refusal": (*faultnet.Link).Refuse,
 	} {
 		t.Run(name, func(t *testing.T) { testRegionCutOff(t, cut) })
 	}
@@ -98,32 +98,32 @@
 	relay := startControl(t, "c2", "south", 0, testfleet.ControlTarget{Address: relayLink.Address, Region: "north"})
 	p := startFollower(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
 		testfleet.ControlTarget{Address: serverLink.Address, Region: "north"}))
-	if m := showVersion(t, p.Ops); m["publisher"] != relay.Address || m["version"] != "1" {
+	if m := showVersion(t, p.AdminAddress); m["publisher"] != relay.Address || m["version"] != "1" {
 		t.Fatalf("%v", m)
 	}
-	load := startTraffic(t, p.Clients, "sum", "teal")
-	stop := l.watch(p.Ops)
+	load := startTraffic(t, p.CallerAddress, "sum", "teal")
+	stop := l.watch(p.AdminAddress)
 	cut(relayLink)
 	cut(serverLink)
 	last := l.publishMore(20)
 	testfleet.Eventually(t, "age_ms grows", func() bool {
-		age, _ := strconv.Atoi(showVersion(t, p.Ops)["age_ms"])
+		age, _ := strconv.Atoi(showVersion(t, p.AdminAddress)["age_ms"])
 		return age > 3_000
 	})
 	load.awaitServed(20)
-	if n := versionNumber(t, p.Ops); n != 1 {
+	if n := versionNumber(t, p.AdminAddress); n != 1 {
 		t.Errorf("version %d was received through the cut", n)
 	}
 	for _, link := range []*faultnet.Link{relayLink, serverLink} {
-		if err := link.Heal(); err != nil {
+		if err := link.Restore(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	awaitVersion(t, "the links have healed", p.Ops, last, healTimeout)
+	awaitVersion(t, "the links have healed", p.AdminAddress, last, healTimeout)
 	load.awaitServed(20)
 	load.stop()
 	stop()
-	p.Leave()
+	p.Stop()
 }
 
 // A follower switches from a publisher that has lost the originator to one that has not,
@@ -136,21 +136,21 @@
 	relay := startControl(t, "c2", "south", 0, testfleet.ControlTarget{Address: up.Address, Region: "north"})
 	p := startFollower(t, controlText("south", "", 20_000, testfleet.ControlTarget{Address: relay.Address, Region: "south"},
 		testfleet.ControlTarget{Address: origin.Address, Region: "north"}))
-	load := startTraffic(t, p.Clients, "sum", "teal")
-	stop := l.watch(p.Ops)
-	if m := showVersion(t, p.Ops); m["publisher"] != relay.Address {
+	load := startTraffic(t, p.CallerAddress, "sum", "teal")
+	stop := l.watch(p.AdminAddress)
+	if m := showVersion(t, p.AdminAddress); m["publisher"] != relay.Address {
 		t.Fatalf("%v", m)
 	}
-	up.Silence(faultnet.There)
-	up.Silence(faultnet.Back)
+	up.Silence(faultnet.ToTarget)
+	up.Silence(faultnet.FromTarget)
 	last := l.publishMore(3)
-	awaitVersion(t, "the publisher has lost the originator", p.Ops, last, healTimeout)
-	if m := showVersion(t, p.Ops); m["publisher"] != origin.Address || m["snapshots"] != "1" {
+	awaitVersion(t, "the publisher has lost the originator", p.AdminAddress, last, healTimeout)
+	if m := showVersion(t, p.AdminAddress); m["publisher"] != origin.Address || m["snapshots"] != "1" {
 		t.Errorf("%v", m)
 	}
 	load.stop()
 	stop()
-	p.Leave()
+	p.Stop()
 }
 
 // A follower switches from a publisher whose process hangs to another one, so that
@@ -168,9 +168,9 @@
 		targets = append(targets, testfleet.ControlTarget{Address: r.Address, Region: "north"})
 	}
 	p := startFollower(t, controlText("north", "", 20_000, targets...))
-	load := startTraffic(t, p.Clients, "sum", "teal")
-	stop := l.watch(p.Ops)
-	was := showVersion(t, p.Ops)["publisher"]
+	load := startTraffic(t, p.CallerAddress, "sum", "teal")
+	stop := l.watch(p.AdminAddress)
+	was := showVersion(t, p.AdminAddress)["publisher"]
 	silent := relays[was]
 	if silent == nil {
 		t.Fatalf("the server follows %q, want one of the relays", was)
@@ -179,14 +179,14 @@
 		t.Fatal(err)
 	}
 	last := l.publishMore(3)
-	awaitVersion(t, "a publisher is silent", p.Ops, last, healTimeout)
-	if m := showVersion(t, p.Ops); m["publisher"] == was || m["snapshots"] != "1" {
+	awaitVersion(t, "a publisher is silent", p.AdminAddress, last, healTimeout)
+	if m := showVersion(t, p.AdminAddress); m["publisher"] == was || m["snapshots"] != "1" {
 		t.Errorf("%v", m)
 	}
 	syscall.Kill(silent.PID(), syscall.SIGCONT) //nolint:errcheck // it is ended next
 	load.stop()
 	stop()
-	p.Leave()
+	p.Stop()
 }
 
 // Without any publisher a server goes on serving with its version. One that starts uses
@@ -200,28 +200,28 @@
 	withoutFolder := startFollower(t, controlText("north", "", 1_000, to))
 	last := l.publishMore(5)
 	for _, p := range []*testfleet.Program{withFolder, withoutFolder} {
-		awaitVersion(t, "before", p.Ops, last, healTimeout)
+		awaitVersion(t, "before", p.AdminAddress, last, healTimeout)
 	}
-	load := startTraffic(t, withFolder.Clients, "sum", "teal")
+	load := startTraffic(t, withFolder.CallerAddress, "sum", "teal")
 	origin.Kill()
-	testfleet.Eventually(t, "the publisher is lost", func() bool { return showVersion(t, withFolder.Ops)["publisher"] == "-" })
+	testfleet.Eventually(t, "the publisher is lost", func() bool { return showVersion(t, withFolder.AdminAddress)["publisher"] == "-" })
 	load.awaitServed(50)
 	load.stop()
-	if m := showVersion(t, withFolder.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "publisher" {
+	if m := showVersion(t, withFolder.AdminAddress); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "publisher" {
 		t.Errorf("%v", m)
 	}
 	withFolder.Kill() // the stored version survives a crash of the process
-	withoutFolder.Leave()
-	withFolder.Again()
-	withoutFolder.Again()
-	if m := showVersion(t, withFolder.Ops); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "folder" || m["publisher"] != "-" {
+	withoutFolder.Stop()
+	withFolder.Restart()
+	withoutFolder.Restart()
+	if m := showVersion(t, withFolder.AdminAddress); m["version"] != "6" || m["digest"] != l.digests[6] || m["origin"] != "folder" || m["publisher"] != "-" {
 		t.Errorf("%v", m)
 	}
-	if m := showVersion(t, withoutFolder.Ops); m["version"] != "0" || m["origin"] != "none" {
+	if m := showVersion(t, withoutFolder.AdminAddress); m["version"] != "0" || m["origin"] != "none" {
 		t.Errorf("%v", m)
 	}
 	code := func(p *testfleet.Program, class, tenant string) byte {
-		c := standin.Dial(t, p.Clients)
+		c := standin.Dial(t, p.CallerAddress)
 		defer c.Conn.Close()
 		c.Send(1, standin.Fields(class, tenant, "", 1, 4*time.Second), "1000")
 		got, _ := c.Next()
@@ -237,16 +237,16 @@
 		t.Error("a class that the file does not have is served")
 	}
 	// The publisher is back: both servers apply its version.
-	if err := origin.Again(); err != nil {
+	if err := origin.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	last = l.publishMore(1)
 	for _, p := range []*testfleet.Program{withFolder, withoutFolder} {
-		awaitVersion(t, "the publisher is back", p.Ops, last, healTimeout)
+		awaitVersion(t, "the publisher is back", p.AdminAddress, last, healTimeout)
 		if got := code(p, "sum", "teal"); got != frame.Served {
 			t.Errorf("code %d", got)
 		}
-		p.Leave()
+		p.Stop()
 	}
 }
 
@@ -256,17 +256,17 @@
 	l := newVersionPublisher(t, origin)
 	l.publish(teamChange("teal", 50), teamChange("lime", 50), serviceChange("sum"))
 	p := startFollower(t, controlText("north", "", 20_000, testfleet.ControlTarget{Address: origin.Address, Region: "north"}))
-	c := standin.Dial(t, p.Clients)
+	c := standin.Dial(t, p.CallerAddress)
 	const open = 8
 	for i := range uint32(open) {
 		c.Send(i+1, standin.Fields("sum", "teal", "", uint64(i+1), 4*time.Second), "1000000")
 	}
 	testfleet.Eventually(t, "the requests run", func() bool {
-		return strings.Contains(adminCommand(t, p.Ops, "show-stat"), fmt.Sprintf("app.active:%d|g", open))
+		return strings.Contains(adminCommand(t, p.AdminAddress, "show-stat"), fmt.Sprintf("app.active:%d|g", open))
 	})
 	last := l.publish(document.Change{Drop: true, Team: &document.Team{Name: "teal"}})
-	awaitVersion(t, "the team is dropped", p.Ops, last, healTimeout)
-	late := standin.Dial(t, p.Clients)
+	awaitVersion(t, "the team is dropped", p.AdminAddress, last, healTimeout)
+	late := standin.Dial(t, p.CallerAddress)
 	late.Send(1, standin.Fields("sum", "teal", "", 100, 4*time.Second), "1000")
 	if got, _ := late.Next(); got.Type != frame.Answer || got.Code == frame.Served {
 		t.Errorf("after the team was dropped: %+v", got)
@@ -280,7 +280,7 @@
 			t.Errorf("an open request: %+v", got)
 		}
 	}
-	p.Leave()
+	p.Stop()
 }
 
 // Versions arrive during SIGHUP and SIGTERM: no request is lost, the file's machine
@@ -297,28 +297,28 @@
 	p := testfleet.Start(t, testfleet.Spec{Path: os.Args[0], Env: []string{serverEnv + "=1"}, Name: "n0",
 		Operator: controlText("north", t.TempDir(), 20_000, testfleet.ControlTarget{Address: origin.Address, Region: "north"}),
 		Config:   followerConfig(engine.Address)})
-	load := startTraffic(t, p.Clients, "sum", "teal")
-	watch := l.watch(p.Ops)
+	load := startTraffic(t, p.CallerAddress, "sum", "teal")
+	watch := l.watch(p.AdminAddress)
 	stop := l.publishContinuously()
 	for i := range 10 {
 		next := followerConfig(engine.Address)
 		next["stop_ms"] = 2000 + 10*i
 		p.Reload(next)
 		testfleet.Eventually(t, "the file is applied", func() bool {
-			return strings.Contains(adminCommand(t, p.Ops, "show-stat"), fmt.Sprintf("app.config_applied:%d|c", i+1))
+			return strings.Contains(adminCommand(t, p.AdminAddress, "show-stat"), fmt.Sprintf("app.config_applied:%d|c", i+1))
 		})
 	}
-	at := versionNumber(t, p.Ops)
-	testfleet.Eventually(t, "versions are applied", func() bool { return versionNumber(t, p.Ops) > at+5 })
+	at := versionNumber(t, p.AdminAddress)
+	testfleet.Eventually(t, "versions are applied", func() bool { return versionNumber(t, p.AdminAddress) > at+5 })
 	load.awaitServed(20)
-	if m := showVersion(t, p.Ops); m["refused"] != "-" || m["origin"] != "publisher" {
+	if m := showVersion(t, p.AdminAddress); m["refused"] != "-" || m["origin"] != "publisher" {
 		t.Errorf("%v", m)
 	}
 	watch()
 	p.Signal(syscall.SIGTERM)
 	testfleet.Eventually(t, "the server is listed as leaving", func() bool { return isLeaving(t, l, "n0") })
 	load.stop()
-	p.Leave()
+	p.Stop()
 	if last := stop(); last < 10 {
 		t.Errorf("%d versions", last)
 	}
@@ -422,11 +422,11 @@
 // Without [control] no version is followed, and show-version says so.
 func TestFollowOff(t *testing.T) {
 	p := startFollower(t, "")
-	if got := adminCommand(t, p.Ops, "show-version"); !strings.HasPrefix(got, "error no [control]") {
+	if got := adminCommand(t, p.AdminAddress, "show-version"); !strings.HasPrefix(got, "error no [control]") {
 		t.Errorf("%q", got)
 	}
-	if got := adminCommand(t, p.Ops, "show-stat"); strings.Contains(got, "control.") {
+	if got := adminCommand(t, p.AdminAddress, "show-stat"); strings.Contains(got, "control.") {
 		t.Errorf("%s", got)
 	}
-	p.Leave()
+	p.Stop()
 }
--- a/cmd/kiteslip/control_publish_test.go
+++ b/cmd/kiteslip/control_publish_test.go
@@ -136,7 +136,7 @@
 		a.Kill()
 		close(dead)
 		writer.Wait()
-		if err := a.Again(); err != nil {
+		if err := a.Restart(); err != nil {
 			t.Fatal(err)
 		}
 		v, err := client.Version(requestContext(t))
@@ -192,18 +192,18 @@
 		for i := range 2000 {
 			changes = append(changes, teamChanges(fmt.Sprintf("%016x", rng.Uint64()), float64(i+1))...)
 		}
-		link.EndAfter(1 + rng.IntN(40_000)) // the version is larger
-		carried := link.Carried(faultnet.Back)
+		link.CloseAfter(1 + rng.IntN(40_000)) // the version is larger
+		carried := link.Forwarded(faultnet.FromTarget)
 		h, err := client.PublishChanges(requestContext(t), changes, testMeta, document.Digest{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		accepted[h.Number] = h.Digest()
-		testfleet.Eventually(t, "a part of the delta has arrived", func() bool { return link.Carried(faultnet.Back) > carried })
+		testfleet.Eventually(t, "a part of the delta has arrived", func() bool { return link.Forwarded(faultnet.FromTarget) > carried })
 		if n, _ := f.current(); n > h.Number {
 			t.Errorf("version %d is applied, the newest is %d", n, h.Number)
 		}
-		if err := link.Heal(); err != nil {
+		if err := link.Restore(); err != nil {
 			t.Fatal(err)
 		}
 		testfleet.Eventually(t, "the version is applied", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
@@ -220,7 +220,7 @@
 	f := startTestFollower(t, "s1", follow.Endpoint{Address: b.Address, Region: "south"})
 	client := &publish.Client{Address: a.Address}
 	for round := range 5 {
-		link.Silence(faultnet.Back) // followers receive nothing
+		link.Silence(faultnet.FromTarget) // followers receive nothing
 		h, err := client.PublishChanges(requestContext(t), teamChanges("a", float64(round+1)), testMeta, document.Digest{})
 		if err != nil {
 			t.Fatal(err)
@@ -229,11 +229,11 @@
 		if n, _ := f.current(); n >= h.Number {
 			t.Errorf("the follower has version %d already", n)
 		}
-		link.Break()
-		if err := link.Heal(); err != nil {
+		link.Disconnect()
+		if err := link.Restore(); err != nil {
 			t.Fatal(err)
 		}
-		if err := a.Again(); err != nil {
+		if err := a.Restart(); err != nil {
 			t.Fatal(err)
 		}
 		testfleet.Eventually(t, "the accepted version is applied", func() bool { n, d := f.current(); return n == h.Number && d == h.Digest() })
@@ -255,7 +255,7 @@
 	// The originator loses its folder, starts empty at its address, and publishes.
 	a.Kill()
 	a.Folder = filepath.Join(t.TempDir(), "empty")
-	if err := a.Again(); err != nil {
+	if err := a.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	for n := range 3 {
@@ -337,11 +337,11 @@
 	})
 	want("the status", text.String(), err, "c0 in north at "+a.Address+": originates", "c1 in south at "+b.Address+": follows "+a.Address,
 		"by ana: more for red", "version 2 ")
-	b.Leave()
+	b.Stop()
 	text.Reset()
 	err = (&controlStatus{At: []string{a.Address, b.Address}}).run(&text)
 	want("a machine that does not answer", text.String(), err, b.Address+" does not answer", "left ")
-	a.Leave()
+	a.Stop()
 }
 
 // A control machine does not start with an invalid file, and the error names all keys.
--- a/cmd/kiteslip/keys_test.go
+++ b/cmd/kiteslip/keys_test.go
@@ -62,9 +62,9 @@
 	engine := standin.NewEngine(t, func(body string) standin.Work {
 		switch body {
 		case "long":
-			return standin.Work{For: 600 * time.Millisecond, Result: "did long"}
+			return standin.Work{Duration: 600 * time.Millisecond, Result: "did long"}
 		case "never":
-			return standin.Work{For: time.Hour}
+			return standin.Work{Duration: time.Hour}
 		}
 		return standin.Work{Result: "did " + body}
 	})
@@ -87,7 +87,7 @@
 	}
 	p.kill()
 	p = startWithKeyStore(t, dir, engine.Address)
-	if got := standin.Ask(t, p.ops, "show-stat"); !strings.Contains(got, "app.keys.restored:3|g") || !strings.Contains(got, "app.keys.unknown:2|g") {
+	if got := standin.AdminCommand(t, p.ops, "show-stat"); !strings.Contains(got, "app.keys.restored:3|g") || !strings.Contains(got, "app.keys.unknown:2|g") {
 		t.Errorf("show-stat replies %s", got)
 	}
 	c = standin.Dial(t, p.clients)
@@ -202,7 +202,7 @@
 	third := startProcess(t, clients, dir)
 	next.kill()
 	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		if strings.Contains(standin.Ask(t, third.ops, "show-stat"), "app.keys.restored:") {
+		if strings.Contains(standin.AdminCommand(t, third.ops, "show-stat"), "app.keys.restored:") {
 			break
 		}
 		if time.Since(began) > 5*time.Second {
--- a/cmd/kiteslip/upgrade_test.go
+++ b/cmd/kiteslip/upgrade_test.go
@@ -80,7 +80,7 @@
 	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		if c, err := net.Dial("tcp", p.ops); err == nil {
 			c.Close()
-			if standin.Ask(p.t, p.ops, "ready") == "done ready\n" {
+			if standin.AdminCommand(p.t, p.ops, "ready") == "done ready\n" {
 				return
 			}
 		}
@@ -132,7 +132,7 @@
 		t.Errorf("the first process ends with %v", err)
 	}
 	expect(second, "note", "key", "once", 2, frame.Served)
-	if stat := standin.Ask(t, second.ops, "show-stat"); !strings.Contains(stat, "app.ok.note:1|c\n") {
+	if stat := standin.AdminCommand(t, second.ops, "show-stat"); !strings.Contains(stat, "app.ok.note:1|c\n") {
 		t.Errorf("the second process served the key again:\n%s", stat)
 	}
 
--- a/internal/control/publish/load_test.go
+++ b/internal/control/publish/load_test.go
@@ -51,7 +51,7 @@
 	for i := range stuck {
 		connectFollower(t, link.Address, protocol.Hello{Name: fmt.Sprint("stuck", i), Number: 1, Digest: doc.Digest()}).nextHeartbeat()
 	}
-	link.Silence(faultnet.Back)
+	link.Silence(faultnet.FromTarget)
 	before, sent, whileStuck := uint64(0), 0, 0
 	var longest time.Duration
 	for n := uint64(2); n < 2+versions; n++ {
--- a/internal/control/publish/relay_test.go
+++ b/internal/control/publish/relay_test.go
@@ -115,15 +115,15 @@
 	set1.Listen, set2.Listen = b1, b2
 	b, c := serve(t, set1), serve(t, set2)
 	eventually(t, "both have version 2", func() bool { return b.reached(2)() && c.reached(2)() })
-	links[0].Cut()
-	links[1].Cut()
+	links[0].Refuse()
+	links[1].Refuse()
 	a.versionsUpTo(t, 5)
 	const silence = 2 * protocol.OriginatorTimeout
 	eventually(t, "both report that the originator is silent", func() bool { return b.originatorSilence() > silence && c.originatorSilence() > silence })
 	if b.Document().Header().Number != 2 || c.Document().Header().Number != 2 {
 		t.Error("a relay has a version that nobody published")
 	}
-	if err := links[1].Heal(); err != nil {
+	if err := links[1].Restore(); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "both have version 5", func() bool { return b.reached(5)() && c.reached(5)() })
--- a/internal/control/publish/serve_test.go
+++ b/internal/control/publish/serve_test.go
@@ -266,8 +266,8 @@
 	t.Cleanup(link.Close)
 	p := connectFollower(t, link.Address, protocol.Hello{Name: "dead"})
 	p.applyUpTo(document.Empty(), 1)
-	link.Silence(faultnet.There)
-	link.Silence(faultnet.Back)
+	link.Silence(faultnet.ToTarget)
+	link.Silence(faultnet.FromTarget)
 	eventually(t, "it is listed as disconnected", func() bool {
 		followers, err := m.Followers(testContext(t), false)
 		return err == nil && len(followers) == 1 && !followers[0].Connected
--- a/internal/faultnet/faultnet.go
+++ b/internal/faultnet/faultnet.go
@@ -3,8 +3,8 @@
 // and connections that close in the middle of a message.
 //
 // A Link forwards bytes unchanged at first. A fault applies to open and to new
-// connections until it is replaced or Heal removes it. Silenced bytes are held
-// back, and are lost only if their connection ends before Heal forwards them.
+// connections until it is replaced or Restore removes it. Silenced bytes are held
+// back, and are lost only if their connection ends before Restore forwards them.
 package faultnet
 
 import (
@@ -19,8 +19,8 @@
 
 // The directions, as seen from the side that opens the connection.
 const (
-	There Direction = iota // from the connecting side to the target
-	Back                   // from the target to the connecting side
+	ToTarget   Direction = iota // from the connecting side to the target
+	FromTarget                  // from the target to the connecting side
 	directions
 )
 
@@ -86,8 +86,8 @@
 	}
 	l.conns[near], l.conns[far] = struct{}{}, struct{}{}
 	l.mu.Unlock()
-	go l.copyBytes(near, far, There)
-	l.copyBytes(far, near, Back)
+	go l.copyBytes(near, far, ToTarget)
+	l.copyBytes(far, near, FromTarget)
 }
 
 // copyBytes forwards bytes in one direction until either end closes.
@@ -142,12 +142,12 @@
 // Delay delays each chunk by d.
 func (l *Link) Delay(d time.Duration) { l.update(func() { l.delay = d }) }
 
-// EndAfter closes a connection once n more bytes have been forwarded, which may
+// CloseAfter closes a connection once n more bytes have been forwarded, which may
 // be in the middle of a message.
-func (l *Link) EndAfter(n int) { l.update(func() { l.bytesLeft = n }) }
+func (l *Link) CloseAfter(n int) { l.update(func() { l.bytesLeft = n }) }
 
-// Heal removes all faults, and listens again after Cut.
-func (l *Link) Heal() error {
+// Restore removes all faults, and listens again after Refuse.
+func (l *Link) Restore() error {
 	l.update(func() { l.silent, l.delay, l.bytesLeft = [directions]bool{}, 0, -1 })
 	l.mu.Lock()
 	refusing, address := l.listener == nil, l.Address
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// Break closes all open connections; new ones are accepted.
-func (l *Link) Break() {
+// Disconnect closes all open connections; new ones are accepted.
+func (l *Link) Disconnect() {
 	l.update(func() {
 		for c := range l.conns {
 			c.Close()
@@ -167,25 +167,25 @@
 	})
 }
 
-// Cut refuses new connections and closes those that are open.
-func (l *Link) Cut() {
+// Refuse refuses new connections and closes those that are open.
+func (l *Link) Refuse() {
 	l.update(func() {
 		if l.listener != nil {
 			l.listener.Close()
 			l.listener = nil
 		}
 	})
-	l.Break()
+	l.Disconnect()
 }
 
 // Close ends the link permanently.
 func (l *Link) Close() {
 	l.update(func() { l.closed = true })
-	l.Cut()
+	l.Refuse()
 }
 
-// Carried returns the number of bytes forwarded in one direction.
-func (l *Link) Carried(direction Direction) int {
+// Forwarded returns the number of bytes forwarded in one direction.
+func (l *Link) Forwarded(direction Direction) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.forwarded[direction]
--- a/internal/lab/calls/calls.go
+++ b/internal/lab/calls/calls.go
@@ -34,7 +34,7 @@
 )
 
 // Open starts a server with an engine and with a ledger that answers as script says.
-func Open(program string, script func(ledger.Call) ledger.Act) (*Lab, error) {
+func Open(program string, script func(ledger.Call) ledger.Response) (*Lab, error) {
 	l := &Lab{}
 	var err error
 	fail := func(err error) (*Lab, error) { l.Close(); return nil, err }
@@ -44,7 +44,7 @@
 	if l.engine, err = box.Serve(box.Spec{Cores: 64}); err != nil {
 		return fail(err)
 	}
-	l.engine.Watch()
+	l.engine.CountStarts()
 	if l.ledger, err = ledger.Serve(script); err != nil {
 		return fail(err)
 	}
@@ -75,7 +75,7 @@
 		l.program.Kill()
 	}
 	if l.ledger != nil {
-		l.ledger.Down()
+		l.ledger.Stop()
 	}
 	if l.engine != nil {
 		l.engine.Close()
--- a/internal/lab/calls/faults.go
+++ b/internal/lab/calls/faults.go
@@ -16,50 +16,50 @@
 
 // Faulty is a script of the ledger in which one call in four has a fault, of each
 // kind that the protocol has. It depends on the body and the number of the try only.
-func Faulty(c ledger.Call) ledger.Act {
+func Faulty(c ledger.Call) ledger.Response {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, c.Body, c.Try)
 	switch hash.Sum64() % 40 {
 	case 0:
-		return ledger.Act{Status: http.StatusServiceUnavailable, Untouched: true}
+		return ledger.Response{Status: http.StatusServiceUnavailable, Untouched: true}
 	case 1:
-		return ledger.Act{Status: http.StatusServiceUnavailable, Ran: true}
+		return ledger.Response{Status: http.StatusServiceUnavailable, TakesEffect: true}
 	case 2:
-		return ledger.Act{Status: http.StatusInternalServerError, Ran: true}
+		return ledger.Response{Status: http.StatusInternalServerError, TakesEffect: true}
 	case 3:
-		return ledger.Act{Status: http.StatusGatewayTimeout, Ran: true}
+		return ledger.Response{Status: http.StatusGatewayTimeout, TakesEffect: true}
 	case 4:
-		return ledger.Act{Status: http.StatusConflict, Untouched: true}
+		return ledger.Response{Status: http.StatusConflict, Untouched: true}
 	case 5:
-		return ledger.Act{Break: true, Ran: true}
+		return ledger.Response{CloseEarly: true, TakesEffect: true}
 	case 6:
-		return ledger.Act{Garble: true, Ran: true}
+		return ledger.Response{Malformed: true, TakesEffect: true}
 	case 7:
-		return ledger.Act{Size: 100 << 10}
+		return ledger.Response{ReplyBytes: 100 << 10}
 	case 8:
-		return ledger.Act{After: 200 * time.Millisecond}
+		return ledger.Response{Delay: 200 * time.Millisecond}
 	case 9:
-		return ledger.Act{After: 10 * time.Second, Ran: hash.Sum64()%80 == 9}
+		return ledger.Response{Delay: 10 * time.Second, TakesEffect: hash.Sum64()%80 == 9}
 	}
-	return ledger.Act{}
+	return ledger.Response{}
 }
 
 // Outcome is the result of Faults.
 type Outcome struct {
-	Runs                     int
-	Served, Refused, Failed  int
-	Calls, GivenUp           int
-	Late, Wrong              int // answers after the class timeout; results that do not belong to their request
-	Unanswered               int // requests without an answer
-	SecondRuns, SecondEffect int // keyed runs that were started, and calls of them that took effect, more than once
-	Unended                  int // 0 if no run is active and every call has ended exactly once
-	Cuts, Downs              int // of the engine's link; of the ledger
+	Runs                          int
+	Served, Refused, Failed       int
+	Calls, GivenUp                int
+	Late, Wrong                   int // answers after the class timeout; results that do not belong to their request
+	Unanswered                    int // requests without an answer
+	RepeatedRuns, RepeatedEffects int // keyed runs that were started, and calls of them that took effect, more than once
+	UnfinishedCalls               int // 0 if no run is active and every call has ended exactly once
+	LinkCuts, LedgerOutages       int // of the engine's link; of the ledger
 }
 
 func (o *Outcome) String() string {
 	return fmt.Sprintf("%d runs, %d cuts of the engine's link, %d outages of the ledger: %d served, %d refused, %d failed; %d calls, %d given up; "+
-		"%d answers late, %d wrong, %d missing; %d second runs, %d second effects, %d calls not ended exactly once", o.Runs, o.Cuts, o.Downs, o.Served, o.Refused,
-		o.Failed, o.Calls, o.GivenUp, o.Late, o.Wrong, o.Unanswered, o.SecondRuns, o.SecondEffect, o.Unended)
+		"%d answers late, %d wrong, %d missing; %d second runs, %d second effects, %d calls not ended exactly once", o.Runs, o.LinkCuts, o.LedgerOutages, o.Served, o.Refused,
+		o.Failed, o.Calls, o.GivenUp, o.Late, o.Wrong, o.Unanswered, o.RepeatedRuns, o.RepeatedEffects, o.UnfinishedCalls)
 }
 
 // faultConnections is how many connections send at once, one request each.
@@ -115,7 +115,7 @@
 	}
 	r, err := c.Next()
 	answered := time.Now()
-	l.engine.Over(tryID) // the platform's engine notices this by itself
+	l.engine.RequestDone(tryID) // the platform's engine notices this by itself
 	mu.Lock()
 	defer mu.Unlock()
 	if err != nil {
@@ -149,38 +149,38 @@
 		case <-time.After(time.Duration(200+rng.IntN(200)) * time.Millisecond):
 		}
 		if n%3 == 2 {
-			l.ledger.Down()
+			l.ledger.Stop()
 			time.Sleep(time.Duration(50+rng.IntN(150)) * time.Millisecond)
-			if l.ledger.Up() != nil {
+			if l.ledger.Start() != nil {
 				return // the server knows no other address: all further calls fail, and show in the outcome
 			}
-			o.Downs++
+			o.LedgerOutages++
 			continue
 		}
-		l.engine.Cut()
-		o.Cuts++
+		l.engine.Disconnect()
+		o.LinkCuts++
 	}
 }
 
 // collect waits until no run is active, and adds the counts of the engine and the
 // ledger to the outcome.
 func (l *Lab) collect(o *Outcome) error {
-	for began := time.Now(); l.engine.Open() > 0; time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); l.engine.ActiveRuns() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 5*time.Second {
 			break
 		}
 	}
 	log := l.engine.Log()
-	o.Unended = l.engine.Open() + log.RequestedCalls - log.Fed - log.SkippedCalls - log.EndedAtCall
-	o.Calls, o.GivenUp = l.ledger.Seen()
-	for body, n := range log.Begun {
+	o.UnfinishedCalls = l.engine.ActiveRuns() + log.RequestedCalls - log.CallResults - log.SkippedCalls - log.EndedAtCall
+	o.Calls, o.GivenUp = l.ledger.Received()
+	for body, n := range log.Started {
 		if n > 1 && isKeyed(body) {
-			o.SecondRuns++
+			o.RepeatedRuns++
 		}
 	}
 	for body, n := range l.ledger.Effects() {
 		if _, run, _ := strings.Cut(body, " of "); n > 1 && isKeyed(run) {
-			o.SecondEffect++
+			o.RepeatedEffects++
 		}
 	}
 	return nil
--- a/internal/lab/fleet/callers.go
+++ b/internal/lab/fleet/callers.go
@@ -283,7 +283,7 @@
 	if m.remote != nil {
 		m.remote.SetSpeed(factor)
 	} else if !m.down {
-		m.box.Scale(m.sim.now, factor)
+		m.box.SetSpeed(m.sim.now, factor)
 		m.sim.schedule.set(m.number, m.nextEvent())
 	}
 }
@@ -298,7 +298,7 @@
 		m.remote.Pause(duration)
 		return
 	}
-	m.box.Scale(m.sim.now, 0)
+	m.box.SetSpeed(m.sim.now, 0)
 	m.pausedUntil = m.sim.now + duration
 	incarnation := m.incarnation
 	m.sim.scheduleAt(m.pausedUntil, func() {
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -105,7 +105,7 @@
 	m.lastRunID++
 	run.id, run.atCall, run.halted = m.lastRunID, false, false
 	m.runsByID[run.id] = r
-	m.box.Begin(m.sim.now, run.id, work)
+	m.box.Start(m.sim.now, run.id, work)
 }
 
 // phaseDone is called when the part of a run that was on the cores is done: the run
@@ -206,7 +206,7 @@
 	if run == nil || run.atCall || run.halted {
 		return
 	}
-	left, ok := m.box.Take(m.sim.now, run.id)
+	left, ok := m.box.Remove(m.sim.now, run.id)
 	if !ok {
 		return // it has ended, and its end is about to be processed
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -156,7 +156,7 @@
 type machine struct {
 	sim            *simulation
 	number         int
-	box            *box.Box
+	box            *box.Machine
 	core           *core.Core
 	incarnation    int
 	down           bool
@@ -378,7 +378,7 @@
 		m.submit(a)
 	}
 	m.core.Step(now)
-	if m.box.Fallen() {
+	if m.box.Crashed() {
 		m.sim.Collapses++
 		m.crash()
 		m.sim.scheduleAt(now+collapseDowntimeUS, func() { m.restart(&Failure{SpeedFactor: collapseSpeedFactor, WarmupTime: collapseWarmupUS}) })
@@ -456,7 +456,7 @@
 	if m.remote != nil {
 		m.remote.Kill()
 	} else {
-		m.box.Die(m.sim.now)
+		m.box.DropRuns(m.sim.now)
 	}
 	m.sim.schedule.set(m.number, math.MaxInt64)
 	for _, t := range lost {
@@ -481,6 +481,6 @@
 	if err := m.start(true); err != nil {
 		panic(err) // the same settings were valid at the first start
 	}
-	m.box.Cold(m.sim.now, f.SpeedFactor, f.WarmupTime)
+	m.box.StartWarmup(m.sim.now, f.SpeedFactor, f.WarmupTime)
 	m.sim.schedule.set(m.number, m.sim.now)
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -185,7 +185,7 @@
 	t.Parallel()
 	collapses := func(maxRunsPerCore float64) float64 {
 		return meanOverSeeds(t, "month-end", func(d *Day) {
-			d.Box.Falls, d.Policy.MaxRunsPerCore, d.Load = 2, maxRunsPerCore, 1.2
+			d.Box.MaxRunsPerCore, d.Policy.MaxRunsPerCore, d.Load = 2, maxRunsPerCore, 1.2
 		}, func(o *Outcome) float64 { return float64(o.Collapses) })
 	}
 	if unknown, known := collapses(0), collapses(2); unknown == 0 || known > 0 {
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -190,7 +190,7 @@
 		return v
 	}
 	day := Day{Boxes: s.Fleet.Boxes, SpeedSpread: s.Fleet.Spread, Load: s.Load, SubjectSkew: s.SubjectSkew, Subjects: max(1, s.Subjects), TopSubjectFactor: s.TopSubjectFactor,
-		Box:    box.Spec{Cores: s.Fleet.Cores, Speed: orDefault(s.Fleet.Speed, 1), Knee: s.Fleet.Knee, Loss: s.Fleet.Loss, Falls: s.Fleet.Falls},
+		Box:    box.Spec{Cores: s.Fleet.Cores, Speed: orDefault(s.Fleet.Speed, 1), Knee: s.Fleet.Knee, Loss: s.Fleet.Loss, MaxRunsPerCore: s.Fleet.Falls},
 		Length: secondsToUS(s.Seconds), Warmup: secondsToUS(s.WarmupS), NetworkDelay: msToUS(orDefault(s.DelayMS, 1))}
 	switch s.Fleet.Backend {
 	case "", "engine":
--- a/internal/lab/fleet/score.go
+++ b/internal/lab/fleet/score.go
@@ -210,7 +210,7 @@
 	}
 	want(d.Boxes > 0 && d.Boxes <= maxBoxes, "boxes", d.Boxes, "1 to 10,000")
 	want(d.Box.Cores > 0, "cores", d.Box.Cores, "above 0")
-	want(d.Box.Falls >= 0 && d.Box.Falls < 1e6, "falls", d.Box.Falls, "0 or more")
+	want(d.Box.MaxRunsPerCore >= 0 && d.Box.MaxRunsPerCore < 1e6, "falls", d.Box.MaxRunsPerCore, "0 or more")
 	want(d.Box.Speed > 0 && d.Box.Speed < 1e6, "speed", d.Box.Speed, "above 0")
 	want(d.SpeedSpread >= 0 && d.SpeedSpread < 1, "spread", d.SpeedSpread, "0 to below 1")
 	want(d.Load > 0 && d.Load <= 100, "load", d.Load, "above 0 and at most 100")
--- a/internal/lab/keys/keys.go
+++ b/internal/lab/keys/keys.go
@@ -31,17 +31,17 @@
 
 // Settings of the server.
 const (
-	RecoverMB = 192               // memory limit of the server
+	MemoryMB  = 192               // memory limit of the server
 	KeyWindow = 300 * time.Second // window of the keyed class
 )
 
 // Options has the program to measure and the extent of each measurement.
 type Options struct {
-	Program string // path of the server's binary
-	Kills   int    // number of kills
-	Each    int    // repeats per kill; half as many keys are used, each repeated twice
-	Losses  int    // number of simulated power losses
-	Live    int    // number of keys that Recovery loads
+	Program        string // path of the server's binary
+	Kills          int    // number of kills
+	RepeatsPerKill int    // repeats per kill; half as many keys are used, each repeated twice
+	PowerLosses    int    // number of simulated power losses
+	LiveKeys       int    // number of keys that Recovery loads
 }
 
 // Lab is the environment of the server under measurement: a temporary folder, an
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	if l.listen, err = live.FreeAddress(); err == nil {
-		l.settings, err = probe.PlatformFile(l.listen, l.engine.Address, 1000, map[string]any{"cores": 1, "memory_mb": RecoverMB, "sockets": 1024}, 256, 1,
+		l.settings, err = probe.PlatformFile(l.listen, l.engine.Address, 1000, map[string]any{"cores": 1, "memory_mb": MemoryMB, "sockets": 1024}, 256, 1,
 			map[string]any{"name": "look", "effect": "repeatable", "on_time_us": 2_000_000, "hard_limit_us": 4_000_000, "worth": 1},
 			map[string]any{"name": "note", "effect": "by_key", "on_time_us": 2_000_000, "hard_limit_us": 4_000_000, "worth": 4,
 				"window_us": KeyWindow.Microseconds()})
@@ -100,9 +100,9 @@
 // KillOutcome counts the repeated requests of Kills by result.
 type KillOutcome struct {
 	Repeats, ServedRepeats, UnknownOutcomes, FirstRuns, RefusedRepeats int
-	Second                                                             int // keys that ran more than once
-	Changed                                                            int // repeats that got another result than that of the run
-	Lost                                                               int // keys served before the kill and not after it
+	RepeatedRuns                                                       int // keys that ran more than once
+	ChangedResults                                                     int // repeats that got another result than that of the run
+	LostResults                                                        int // keys served before the kill and not after it
 }
 
 // UnknownShare returns the share of repeats answered with an unknown outcome.
@@ -112,7 +112,7 @@
 
 func (k *KillOutcome) String() string {
 	return fmt.Sprintf("kills: %d repeats: %d got the earlier result, %d ran for the first time, %.1f%% unknown outcome, %d refused; %d second runs, %d with another result, %d lost",
-		k.Repeats, k.ServedRepeats-k.FirstRuns, k.FirstRuns, 100*k.UnknownShare(), k.RefusedRepeats, k.Second, k.Changed, k.Lost)
+		k.Repeats, k.ServedRepeats-k.FirstRuns, k.FirstRuns, 100*k.UnknownShare(), k.RefusedRepeats, k.RepeatedRuns, k.ChangedResults, k.LostResults)
 }
 
 // Kills kills the server at random times, and repeats after each restart the
@@ -122,12 +122,12 @@
 	k := &KillOutcome{}
 	var mu sync.Mutex
 	runs := map[string]int{}
-	l.engine.OnBegin(func(body string) {
+	l.engine.OnStart(func(body string) {
 		mu.Lock()
 		defer mu.Unlock()
 		runs[body]++
 	})
-	defer l.engine.OnBegin(nil)
+	defer l.engine.OnStart(nil)
 	p, err := l.start("process", "kills")
 	if err != nil {
 		return nil, err
@@ -135,13 +135,13 @@
 	defer func() { p.Kill() }()
 	for n := range l.Options.Kills {
 		answered := map[string]bool{}
-		keys := make([]string, l.Each)
+		keys := make([]string, l.RepeatsPerKill)
 		bodies := map[string]string{}
 		for i := range keys {
 			keys[i] = fmt.Sprintf("k%d.%d", n, i)
 			bodies[keys[i]] = fmt.Sprintf("%d %s", 1+rng.IntN(15_000), keys[i])
 		}
-		first, err := l.sendKeyed(keys[:l.Each/2], bodies, time.Duration(rng.IntN(30))*time.Millisecond)
+		first, err := l.sendKeyed(keys[:l.RepeatsPerKill/2], bodies, time.Duration(rng.IntN(30))*time.Millisecond)
 		if err != nil {
 			return nil, err
 		}
@@ -159,15 +159,15 @@
 		}
 		mu.Unlock()
 		// Each key twice: one of the two is also a duplicate within the new process.
-		again, err := l.sendKeyed(append(slices.Clone(keys[:l.Each/2]), keys[:l.Each/2]...), bodies, 5*time.Second)
+		again, err := l.sendKeyed(append(slices.Clone(keys[:l.RepeatsPerKill/2]), keys[:l.RepeatsPerKill/2]...), bodies, 5*time.Second)
 		if err != nil {
 			return nil, err
 		}
-		k.Repeats += l.Each / 2 * 2
+		k.Repeats += l.RepeatsPerKill / 2 * 2
 		for key, r := range again {
 			switch {
 			case r.Code == frame.Served && r.Body != bodies[key]:
-				k.Changed++
+				k.ChangedResults++
 			case r.Code == frame.Served:
 				k.ServedRepeats += 2
 			case r.Code == frame.Failed:
@@ -176,7 +176,7 @@
 				k.RefusedRepeats += 2
 			}
 			if answered[key] && r.Code != frame.Served {
-				k.Lost++
+				k.LostResults++
 			}
 			mu.Lock()
 			if before[key] == 0 && runs[bodies[key]] == 1 {
@@ -189,7 +189,7 @@
 	defer mu.Unlock()
 	for _, n := range runs {
 		if n > 1 {
-			k.Second++
+			k.RepeatedRuns++
 		}
 	}
 	return k, nil
@@ -251,16 +251,16 @@
 	return copied, nil
 }
 
-// Losses simulates power losses on all cores, and returns how many of them lost or
+// PowerLosses simulates power losses on all cores, and returns how many of them lost or
 // damaged records, and the first error.
-func (l *Lab) Losses() (int, error) {
+func (l *Lab) PowerLosses() (int, error) {
 	var failures atomic.Int64
 	var first atomic.Pointer[error]
 	var lastSeed atomic.Int64
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
-			for seed := lastSeed.Add(1); seed <= int64(l.Options.Losses); seed = lastSeed.Add(1) {
+			for seed := lastSeed.Add(1); seed <= int64(l.Options.PowerLosses); seed = lastSeed.Add(1) {
 				if err := keystore.SimulatePowerLoss(uint64(seed)); err != nil {
 					failures.Add(1)
 					first.CompareAndSwap(nil, &err)
@@ -284,9 +284,9 @@
 		return 0, 0, err
 	}
 	result := make([]byte, 120)
-	for i := 0; i < l.Live; i += 1000 {
+	for i := 0; i < l.LiveKeys; i += 1000 {
 		var ops []keystore.Op
-		for j := i; j < min(i+1000, l.Live); j++ {
+		for j := i; j < min(i+1000, l.LiveKeys); j++ {
 			ops = append(ops, keystore.Op{Record: keystore.Record{Class: "note", Key: fmt.Sprint("live ", j), TryID: fmt.Sprintf("%016x", j), Arrived: now.Wall,
 				WindowEnd: now.Wall + KeyWindow.Microseconds(), BodyHash: uint64(j), Finished: true, Outcome: 1, Result: result}})
 		}
@@ -321,9 +321,9 @@
 	return took, peakKB, nil
 }
 
-// Groups returns the commits per second of single keys, and the keys per second that
+// CommitRates returns the commits per second of single keys, and the keys per second that
 // the worker commits in groups.
-func Groups(folder string) (single, grouped float64, err error) {
+func CommitRates(folder string) (single, grouped float64, err error) {
 	s, err := keystore.Open(keystore.Options{Folder: folder, Now: storage.ReadClocks()})
 	if err != nil {
 		return 0, 0, err
@@ -366,8 +366,8 @@
 	return single, grouped, nil
 }
 
-// Times has quantiles of the time from sending to the answer.
-type Times struct{ Median, P99 time.Duration }
+// Latencies has quantiles of the time from sending to the answer.
+type Latencies struct{ Median, P99 time.Duration }
 
 // runLoad sends requests of a class for a given time, one after the other on each
 // connection, and returns the histogram of their times in microseconds.
@@ -417,26 +417,26 @@
 }
 
 // Latency measures keyed requests whose work takes no time, on 16 connections.
-func (l *Lab) Latency(durability string) (Times, error) {
+func (l *Lab) Latency(durability string) (Latencies, error) {
 	p, err := l.start(durability, "latency-"+durability)
 	if err != nil {
-		return Times{}, err
+		return Latencies{}, err
 	}
 	defer p.Kill()
 	if _, err = l.runLoad("note", "warm", "0", 16, 300*time.Millisecond); err != nil {
-		return Times{}, err
+		return Latencies{}, err
 	}
 	h, err := l.runLoad("note", "k", "0", 16, 1200*time.Millisecond)
 	if err != nil {
-		return Times{}, err
+		return Latencies{}, err
 	}
 	percentile := func(p float64) time.Duration { return time.Duration(h.ValueAtQuantile(p)) * time.Microsecond }
-	return Times{percentile(50), percentile(99)}, nil
+	return Latencies{percentile(50), percentile(99)}, nil
 }
 
-// Others returns the time of unkeyed requests beside keyed ones with a key store,
+// UnkeyedSlowdown returns the time of unkeyed requests beside keyed ones with a key store,
 // over that without: the ratio of the medians of three rounds.
-func (l *Lab) Others() (float64, error) {
+func (l *Lab) UnkeyedSlowdown() (float64, error) {
 	var means [2][]float64 // without and with a key store, by round
 	for round := range 3 {
 		for i, durability := range []string{"", "power"} {
@@ -464,9 +464,9 @@
 	return means[1][1] / means[0][1], nil
 }
 
-// Hour simulates an hour of new keys, and returns the disk space and the memory at
+// GrowthOverHour simulates an hour of new keys, and returns the disk space and the memory at
 // its end relative to those after ten minutes.
-func Hour() (disk, heap float64, err error) {
+func GrowthOverHour() (disk, heap float64, err error) {
 	files := vfs.NewMem()
 	clockAt := func(second int64) keystore.ClockReading {
 		return keystore.ClockReading{Wall: 1e15 + second*1e6, Uptime: 1e9 + second*1e6, BootID: 1}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
 // Package lab simulates traffic against a core with its policy and a model of the
-// machine (box.Box), in simulated time: the same seed gives the same result. It is
+// machine (box.Machine), in simulated time: the same seed gives the same result. It is
 // for measurements and tests; the server does not import it.
 //
 // Instants and durations are microseconds.
@@ -121,7 +121,7 @@
 // Simulation is the state of a running simulation.
 type Simulation struct {
 	Core         *core.Core
-	Box          *box.Box
+	Box          *box.Machine
 	spec         *Spec
 	rng          *rand.Rand
 	now          int64
@@ -259,7 +259,7 @@
 	w.lastID++
 	w.Runs++
 	w.running[w.lastID] = r
-	w.Box.Begin(w.now, w.lastID, box.Work(r.Body))
+	w.Box.Start(w.now, w.lastID, box.Work(r.Body))
 }
 
 func (w *Simulation) completeRuns() {
--- a/internal/lab/live/live.go
+++ b/internal/lab/live/live.go
@@ -228,23 +228,23 @@
 			fmt.Fprintln(os.Stderr, "kitelab: box", b.number, "was not restarted:", err)
 			return
 		}
-		b.changeBox(func(x *box.Box, now int64) { x.Cold(now, factor, warmup) })
+		b.changeBox(func(x *box.Machine, now int64) { x.StartWarmup(now, factor, warmup) })
 	}()
 }
 
 // changeBox calls f with the emulated box and the current time, unless it is down.
-func (b *remote) changeBox(f func(*box.Box, int64)) {
+func (b *remote) changeBox(f func(*box.Machine, int64)) {
 	b.mu.Lock()
 	engine := b.engine
 	b.mu.Unlock()
 	if engine != nil {
-		engine.Change(f)
+		engine.WithMachine(f)
 	}
 }
 
 // SetSpeed sets the speed of the box to a share of its usual speed.
 func (b *remote) SetSpeed(factor float64) {
-	b.changeBox(func(x *box.Box, now int64) { x.Scale(now, factor) })
+	b.changeBox(func(x *box.Machine, now int64) { x.SetSpeed(now, factor) })
 }
 
 // Pause stops the process and the cores for a time in microseconds.
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -46,12 +46,12 @@
 
 // SetSpeed returns a change that multiplies the speed of the cores by factor.
 func SetSpeed(factor float64) func(*Simulation) {
-	return func(w *Simulation) { w.Box.Scale(w.now, factor) }
+	return func(w *Simulation) { w.Box.SetSpeed(w.now, factor) }
 }
 
 // StartWarmup returns a change that starts a warm-up of the cores.
 func StartWarmup(from float64, within int64) func(*Simulation) {
-	return func(w *Simulation) { w.Box.Cold(w.now, from, within) }
+	return func(w *Simulation) { w.Box.StartWarmup(w.now, from, within) }
 }
 
 // Reconfigure returns a change that applies other pools, as a reload does.
@@ -63,21 +63,21 @@
 	}
 }
 
-// Compared is the result of a scenario with and without pools, over several seeds.
-type Compared struct {
-	Name              string
-	Gauges            bool
-	CheapOff, CheapOn float64 // worst share of landmark-search served within its target time
-	Worth             float64 // worst ratio of the worth shares, on over off
-	WorthOff, WorthOn float64 // mean worth shares
-	Done              float64 // worst ratio of the work served, on over off
-	Kept              float64 // worst of the other pools: work served on time over the smaller of the pool's capacity and the work requested
-	Overdue           int     // answers after their deadline
+// Comparison is the result of a scenario with and without pools, over several seeds.
+type Comparison struct {
+	Name                                      string
+	Gauges                                    bool
+	CheapestOnTimeWithout, CheapestOnTimeWith float64 // worst share of landmark-search served within its target time
+	WorthRatio                                float64 // worst ratio of the worth shares, on over off
+	WorthWithout, WorthWith                   float64 // mean worth shares
+	ServedWorkRatio                           float64 // worst ratio of the work served, on over off
+	ShareKept                                 float64 // worst of the other pools: work served on time over the smaller of the pool's capacity and the work requested
+	Overdue                                   int     // answers after their deadline
 }
 
 // Compare simulates a scenario with and without pools for each of several seeds.
-func Compare(s Scenario, gauges bool, seeds int) (Compared, error) {
-	c := Compared{Name: s.Name, Gauges: gauges, CheapOff: 1, CheapOn: 1, Worth: math.Inf(1), Done: math.Inf(1), Kept: math.Inf(1)}
+func Compare(s Scenario, gauges bool, seeds int) (Comparison, error) {
+	c := Comparison{Name: s.Name, Gauges: gauges, CheapestOnTimeWithout: 1, CheapestOnTimeWith: 1, WorthRatio: math.Inf(1), ServedWorkRatio: math.Inf(1), ShareKept: math.Inf(1)}
 	for seed := 1; seed <= seeds; seed++ {
 		var results [2]*Result
 		var spec Spec
@@ -98,13 +98,13 @@
 			results[on] = r
 		}
 		off, on := results[0], results[1]
-		c.CheapOff = min(c.CheapOff, off.Classes[LandmarkSearch].OnTimeShare())
-		c.CheapOn = min(c.CheapOn, on.Classes[LandmarkSearch].OnTimeShare())
+		c.CheapestOnTimeWithout = min(c.CheapestOnTimeWithout, off.Classes[LandmarkSearch].OnTimeShare())
+		c.CheapestOnTimeWith = min(c.CheapestOnTimeWith, on.Classes[LandmarkSearch].OnTimeShare())
 		worthOff, worthOn := off.WorthShare(spec.Policy.Classes), on.WorthShare(spec.Policy.Classes)
-		c.WorthOff += worthOff / float64(seeds)
-		c.WorthOn += worthOn / float64(seeds)
-		c.Worth = min(c.Worth, worthOn/worthOff)
-		c.Done = min(c.Done, on.answeredWork()/off.answeredWork())
+		c.WorthWithout += worthOff / float64(seeds)
+		c.WorthWith += worthOn / float64(seeds)
+		c.WorthRatio = min(c.WorthRatio, worthOn/worthOff)
+		c.ServedWorkRatio = min(c.ServedWorkRatio, on.answeredWork()/off.answeredWork())
 		for i := range spec.Pools.Pools {
 			p := &spec.Pools.Pools[i]
 			if p.Classes[0] == LandmarkSearch {
@@ -117,7 +117,7 @@
 			}
 			capacity := p.Share * brokerCores * float64(spec.Length-spec.CountFrom)
 			if requested > 0 {
-				c.Kept = min(c.Kept, served/min(requested, capacity))
+				c.ShareKept = min(c.ShareKept, served/min(requested, capacity))
 			}
 		}
 	}
--- a/internal/lab/pools_test.go
+++ b/internal/lab/pools_test.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.CheapOn < c.least || r.CheapOff > c.off || r.Worth < 0.98 || r.Overdue > 0 {
+			if r.CheapestOnTimeWith < c.least || r.CheapestOnTimeWithout > c.off || r.WorthRatio < 0.98 || r.Overdue > 0 {
 				t.Errorf("%s, gauges %v: %+v", c.name, gauges, r)
 			}
 		}
@@ -46,13 +46,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.CheapOn < 0.95 || r.CheapOff > 0.97 || r.Worth < 0.98 {
+	if r.CheapestOnTimeWith < 0.95 || r.CheapestOnTimeWithout > 0.97 || r.WorthRatio < 0.98 {
 		t.Errorf("slow flood: %+v", r)
 	}
 	if r, err = Compare(findScenario(t, "cheap-flood"), false, 2); err != nil {
 		t.Fatal(err)
 	}
-	if r.Kept < 0.9 {
+	if r.ShareKept < 0.9 {
 		t.Errorf("cheap flood: %+v", r)
 	}
 }
--- a/internal/lab/scale/fleetday/rig.go
+++ b/internal/lab/scale/fleetday/rig.go
@@ -148,10 +148,10 @@
 				continue
 			}
 			if silent {
-				link.Silence(faultnet.There)
-				link.Silence(faultnet.Back)
+				link.Silence(faultnet.ToTarget)
+				link.Silence(faultnet.FromTarget)
 			} else {
-				errs = append(errs, link.Heal())
+				errs = append(errs, link.Restore())
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 func newEngine() (*box.Engine, error) {
 	e, err := box.Serve(box.Spec{Cores: engineCores})
 	if err == nil {
-		e.TellTook()
+		e.ReportDurations()
 	}
 	return e, err
 }
--- a/internal/lab/shutdown/caller.go
+++ b/internal/lab/shutdown/caller.go
@@ -116,7 +116,7 @@
 		l.fleet.update(func(o *Outcome) {
 			switch {
 			case !isPending && l.answered[fr.Stream]:
-				o.Twice++
+				o.AnsweredTwice++
 			case !isPending:
 				o.Wrong++
 			case late:
@@ -147,7 +147,7 @@
 	lost := 0
 	for _, r := range l.pending {
 		if now.Sub(r.sent) <= raceWindow {
-			l.fleet.update(func(o *Outcome) { o.Crossed++ })
+			l.fleet.update(func(o *Outcome) { o.Raced++ })
 		} else {
 			lost++
 		}
--- a/internal/lab/shutdown/shutdown.go
+++ b/internal/lab/shutdown/shutdown.go
@@ -49,22 +49,22 @@
 
 // Outcome counts what was observed.
 type Outcome struct {
-	Processes, Restarts       int
-	Requests, Served, Refused int
-	Failed, Crossed           int // Crossed: unanswered requests sent at most 50 ms before the end of their connection
-	Lost, Twice, Late, Wrong  int
-	Reset                     int // connections that were reset with final answers outstanding
-	SecondRuns                int
-	Ready                     []time.Duration // sorted times from the start of a process to its first passed health check
-	InHand                    int             // maximum number of calls in progress at the ledger
-	Sent                      int             // maximum number of calls within any callShareWindow
-	Budget, SentBudget        float64         // limits of InHand and Sent by the settings
-	Unclean                   int             // processes that did not end by themselves with exit status 0
+	Processes, Restarts              int
+	Requests, Served, Refused        int
+	Failed, Raced                    int // Raced: unanswered requests sent at most 50 ms before the end of their connection
+	Lost, AnsweredTwice, Late, Wrong int
+	Reset                            int // connections that were reset with final answers outstanding
+	RepeatedRuns                     int
+	Ready                            []time.Duration // sorted times from the start of a process to its first passed health check
+	MaxCalls                         int             // maximum number of calls in progress at the ledger
+	MaxCallsInWindow                 int             // maximum number of calls within any callShareWindow
+	CallLimit, WindowLimit           float64         // limits of MaxCalls and MaxCallsInWindow by the settings
+	UncleanExits                     int             // processes that did not end by themselves with exit status 0
 }
 
-// Bound returns a limit on a count whose mean is at most n: chance may exceed n by
+// UpperBound returns a limit on a count whose mean is at most n: chance may exceed n by
 // two standard deviations, and by 2 more.
-func Bound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+func UpperBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
 // ReadyWithin returns the share of starts that were ready within d.
 func (o *Outcome) ReadyWithin(d time.Duration) float64 {
@@ -107,13 +107,13 @@
 	retired []*box.Engine
 }
 
-// Play starts the processes, restarts all of them once per wave while callers send
+// Measure starts the processes, restarts all of them once per wave while callers send
 // requests, and returns what was observed.
-func Play(program string, processes, waves int, seed uint64) (*Outcome, error) {
+func Measure(program string, processes, waves int, seed uint64) (*Outcome, error) {
 	f := &fleet{program: program, seed: seed}
 	f.outcome.Processes = processes
-	f.outcome.Budget = float64(processes) * callShare
-	f.outcome.SentBudget = f.outcome.Budget * float64(callShareWindow) / float64(callTime)
+	f.outcome.CallLimit = float64(processes) * callShare
+	f.outcome.WindowLimit = f.outcome.CallLimit * float64(callShareWindow) / float64(callTime)
 	var err error
 	if f.dir, err = os.MkdirTemp("", "kitelab"); err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 	if f.ledger, err = ledger.Serve(f.handleCall); err != nil {
 		return nil, err
 	}
-	defer f.ledger.Down()
+	defer f.ledger.Stop()
 	defer f.killAll()
 	for i := range processes {
 		s := &server{fleet: f, name: fmt.Sprint("n", i), dir: filepath.Join(f.dir, fmt.Sprint(i))}
@@ -173,9 +173,9 @@
 	slices.Sort(f.outcome.Ready)
 	for _, s := range f.servers {
 		for _, e := range append(s.retired, s.engine) {
-			for body, n := range e.Log().Begun {
+			for body, n := range e.Log().Started {
 				if n > 1 && strings.Contains(body, classKeyed) { // other classes may be started again after the link was cut
-					f.outcome.SecondRuns += n - 1
+					f.outcome.RepeatedRuns += n - 1
 				}
 			}
 		}
@@ -185,26 +185,26 @@
 		for f.callTimes[first].Before(at.Add(-callShareWindow)) {
 			first++
 		}
-		f.outcome.Sent = max(f.outcome.Sent, i-first+1)
+		f.outcome.MaxCallsInWindow = max(f.outcome.MaxCallsInWindow, i-first+1)
 	}
 }
 
 // handleCall is the script of the ledger: cold after each wave of restarts, and for
 // refusalTime in each interval it rejects all calls.
-func (f *fleet) handleCall(ledger.Call) ledger.Act {
+func (f *fleet) handleCall(ledger.Call) ledger.Response {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	f.callTimes = append(f.callTimes, now)
 	if since := now.Sub(f.refuseFrom); since >= 0 && since < refusalTime {
-		return ledger.Act{Status: 503, Untouched: true}
+		return ledger.Response{Status: 503, Untouched: true}
 	}
 	slowdown := 1 + (coldCallFactor-1)*max(0, 1-float64(now.Sub(f.coldAt))/float64(warmupTime))
 	duration := time.Duration(float64(callTime) * slowdown)
 	f.callEnds = slices.DeleteFunc(f.callEnds, func(end time.Time) bool { return !end.After(now) })
 	f.callEnds = append(f.callEnds, now.Add(duration)) // a call that is given up counts until its end
-	f.outcome.InHand = max(f.outcome.InHand, len(f.callEnds))
-	return ledger.Act{After: duration}
+	f.outcome.MaxCalls = max(f.outcome.MaxCalls, len(f.callEnds))
+	return ledger.Response{Delay: duration}
 }
 
 // restartLedgerCold makes the ledger cold, and schedules the time in which it rejects
@@ -269,7 +269,7 @@
 		s.ended <- err
 	}
 	f.mu.Lock()
-	f.outcome.Unclean++
+	f.outcome.UncleanExits++
 	f.mu.Unlock()
 }
 
@@ -285,13 +285,13 @@
 		s.mu.Unlock()
 		switch rng.IntN(3) {
 		case 0:
-			link.Break()
+			link.Disconnect()
 		case 1:
-			link.EndAfter(rng.IntN(200))
-			time.AfterFunc(100*time.Millisecond, func() { link.Heal() }) //nolint:errcheck // fails only after Cut
+			link.CloseAfter(rng.IntN(200))
+			time.AfterFunc(100*time.Millisecond, func() { link.Restore() }) //nolint:errcheck // fails only after Refuse
 		case 2:
-			link.Silence(faultnet.Back)
-			time.AfterFunc(200*time.Millisecond, func() { link.Heal() }) //nolint:errcheck // fails only after Cut
+			link.Silence(faultnet.FromTarget)
+			time.AfterFunc(200*time.Millisecond, func() { link.Restore() }) //nolint:errcheck // fails only after Refuse
 		}
 		time.Sleep(40 * time.Millisecond)
 	}
@@ -322,8 +322,8 @@
 	if err != nil {
 		return err
 	}
-	engine.Watch()
-	engine.Cold(coldSpeed, warmupTime)
+	engine.CountStarts()
+	engine.StartWarmup(coldSpeed, warmupTime)
 	link, err := faultnet.New(engine.Address)
 	if err != nil {
 		engine.Close()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -21,13 +21,13 @@
 }
 
 // newFixture starts a stand-in ledger that acts by script, and a Client of it.
-func newFixture(t *testing.T, conns int, script func(standin.Call) standin.Act) *fixture {
+func newFixture(t *testing.T, conns int, script func(standin.Call) standin.Response) *fixture {
 	t.Helper()
 	server, err := standin.Serve(script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(server.Down)
+	t.Cleanup(server.Stop)
 	f := &fixture{t: t, server: server, results: make(chan Result, 1024)}
 	if f.Client, err = New(server.Address, conns, func(got Result) { f.results <- got }); err != nil {
 		t.Fatal(err)
@@ -54,29 +54,29 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
-		act     standin.Act
+		act     standin.Response
 		outcome kiteslip.Outcome
 		end     EndReason
 	}{
-		{"good", standin.Act{}, kiteslip.OK, OK},
-		{"turned away", standin.Act{Status: 503, Untouched: true}, kiteslip.Rejected, Rejected},
-		{"503 without the header", standin.Act{Status: 503}, kiteslip.Failed, Unconfirmed},
-		{"error", standin.Act{Status: 500}, kiteslip.Failed, ServerError},
-		{"error that claims nothing ran", standin.Act{Status: 500, Untouched: true}, kiteslip.Failed, ServerError},
-		{"out of time", standin.Act{Status: 504}, kiteslip.TimedOut, RemoteTimeout},
-		{"no run", standin.Act{Status: 409, Untouched: true}, kiteslip.NotStarted, NoSuchRun},
-		{"409 without the header", standin.Act{Status: 409}, kiteslip.Failed, Unconfirmed},
-		{"another status", standin.Act{Status: 302, Untouched: true}, kiteslip.Failed, UnexpectedStatus},
-		{"broken", standin.Act{Break: true}, kiteslip.Reset, ConnectionBroken},
-		{"no HTTP", standin.Act{Garble: true}, kiteslip.Reset, Malformed},
-		{"oversized", standin.Act{Size: maxReplyBytes + 1}, kiteslip.Reset, Oversized},
-		{"slow", standin.Act{After: time.Minute}, kiteslip.TimedOut, CallTimeout},
+		{"good", standin.Response{}, kiteslip.OK, OK},
+		{"turned away", standin.Response{Status: 503, Untouched: true}, kiteslip.Rejected, Rejected},
+		{"503 without the header", standin.Response{Status: 503}, kiteslip.Failed, Unconfirmed},
+		{"error", standin.Response{Status: 500}, kiteslip.Failed, ServerError},
+		{"error that claims nothing ran", standin.Response{Status: 500, Untouched: true}, kiteslip.Failed, ServerError},
+		{"out of time", standin.Response{Status: 504}, kiteslip.TimedOut, RemoteTimeout},
+		{"no run", standin.Response{Status: 409, Untouched: true}, kiteslip.NotStarted, NoSuchRun},
+		{"409 without the header", standin.Response{Status: 409}, kiteslip.Failed, Unconfirmed},
+		{"another status", standin.Response{Status: 302, Untouched: true}, kiteslip.Failed, UnexpectedStatus},
+		{"broken", standin.Response{CloseEarly: true}, kiteslip.Reset, ConnectionBroken},
+		{"no HTTP", standin.Response{Malformed: true}, kiteslip.Reset, Malformed},
+		{"oversized", standin.Response{ReplyBytes: maxReplyBytes + 1}, kiteslip.Reset, Oversized},
+		{"slow", standin.Response{Delay: time.Minute}, kiteslip.TimedOut, CallTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, 1, func(standin.Call) standin.Act { return c.act })
+			f := newFixture(t, 1, func(standin.Call) standin.Response { return c.act })
 			timeout := maxWait
-			if c.act.After > 0 {
+			if c.act.Delay > 0 {
 				timeout = 50 * time.Millisecond
 			}
 			f.Call(7, "9b1f03aa5c7e2d41", []byte("body\x00"), timeout.Microseconds())
@@ -97,11 +97,11 @@
 	f := newFixture(t, 2, nil)
 	for i, up := range []bool{true, false, true} { // the last one must not use a connection of the first
 		if i > 0 && up {
-			if err := f.server.Up(); err != nil {
+			if err := f.server.Start(); err != nil {
 				t.Fatal(err)
 			}
 		} else if !up {
-			f.server.Down()
+			f.server.Stop()
 		}
 		f.Call(uint64(i), "a", nil, maxWait.Microseconds())
 		got := f.nextResult()
@@ -119,7 +119,7 @@
 func TestCallsShareConnections(t *testing.T) {
 	t.Parallel()
 	started, release := make(chan struct{}, 101), make(chan struct{})
-	f := newFixture(t, 10, func(standin.Call) standin.Act { started <- struct{}{}; <-release; return standin.Act{} })
+	f := newFixture(t, 10, func(standin.Call) standin.Response { started <- struct{}{}; <-release; return standin.Response{} })
 	for i := range uint64(100) {
 		f.Call(i, "a", nil, maxWait.Microseconds())
 	}
@@ -142,7 +142,7 @@
 	if _, most := f.server.Connections(); most > 10 {
 		t.Errorf("%d connections, want at most 10", most)
 	}
-	if seen, _ := f.server.Seen(); seen != 100 {
+	if seen, _ := f.server.Received(); seen != 100 {
 		t.Errorf("the ledger saw %d calls, want 100", seen)
 	}
 }
@@ -151,12 +151,12 @@
 func TestAbandonedCall(t *testing.T) {
 	t.Parallel()
 	started := make(chan struct{}, 1)
-	f := newFixture(t, 1, func(c standin.Call) standin.Act {
+	f := newFixture(t, 1, func(c standin.Call) standin.Response {
 		if c.Ref == "long" {
 			started <- struct{}{}
-			return standin.Act{After: time.Minute}
+			return standin.Response{Delay: time.Minute}
 		}
-		return standin.Act{}
+		return standin.Response{}
 	})
 	f.Call(1, "long", nil, maxWait.Microseconds())
 	<-started
@@ -166,7 +166,7 @@
 		t.Errorf("%+v", got)
 	}
 	f.Close()
-	if _, abandoned := f.server.Seen(); abandoned != 1 || len(f.results) != 0 {
+	if _, abandoned := f.server.Received(); abandoned != 1 || len(f.results) != 0 {
 		t.Errorf("%d calls abandoned, %d further results", abandoned, len(f.results))
 	}
 	f.Call(3, "late", nil, maxWait.Microseconds())
@@ -180,12 +180,16 @@
 	t.Parallel()
 	started, release := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	f := newFixture(t, 2, func(standin.Call) standin.Act { once.Do(func() { close(started) }); <-release; return standin.Act{} })
+	f := newFixture(t, 2, func(standin.Call) standin.Response {
+		once.Do(func() { close(started) })
+		<-release
+		return standin.Response{}
+	})
 	next, err := standin.Serve(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(next.Down)
+	t.Cleanup(next.Stop)
 	f.Call(1, "a", []byte("old"), maxWait.Microseconds())
 	<-started
 	if err := f.SetAddress("localhost:1"); err == nil {
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -18,7 +18,7 @@
 // adminCall sends a command to the admin endpoint of r and returns the answer.
 func (r *testServer) adminCall(t testing.TB, command string) string {
 	t.Helper()
-	return standin.Ask(t, r.admin.Addr().String(), command)
+	return standin.AdminCommand(t, r.admin.Addr().String(), command)
 }
 
 // healthCheck sends a health check as the platform does and returns the code of the answer.
@@ -43,7 +43,7 @@
 	caller := standin.Dial(t, srv.framesAddr)
 	expect := func(t *rapid.T, command, want string) {
 		cut := rapid.IntRange(0, len(command)).Draw(t, "cut")
-		if got := standin.Ask(srv.test, srv.admin.Addr().String(), command[:cut], command[cut:]); got != want {
+		if got := standin.AdminCommand(srv.test, srv.admin.Addr().String(), command[:cut], command[cut:]); got != want {
 			t.Fatalf("%s with withdrawn=%v: got %q, want %q", command, withdrawn, got, want)
 		}
 	}
@@ -119,8 +119,8 @@
 	}
 	caller.Send(4, standin.Fields("note", "red", "key", 4, 3*time.Second), "quick")
 	caller.Next()
-	vars := standin.Vars("note", "red", "key", 3*time.Second)
-	if got := standin.Post(srv.uwsgiAddr, standin.Packet(t, vars, "quick")); got.Status != 200 { // a duplicate: answered without a run
+	vars := standin.UWSGIVars("note", "red", "key", 3*time.Second)
+	if got := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, vars, "quick")); got.Status != 200 { // a duplicate: answered without a run
 		t.Errorf("unexpected answer: %+v", got)
 	}
 	late := standin.Fields("find", "red", "", 5, 0)
--- a/internal/server/conn_close_test.go
+++ b/internal/server/conn_close_test.go
@@ -326,7 +326,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.Write(standin.Packet(t, standin.Vars("look", "red", "", 3*time.Second), "b")) //nolint:errcheck // seen below
+	conn.Write(standin.UWSGIRequest(t, standin.UWSGIVars("look", "red", "", 3*time.Second), "b")) //nolint:errcheck // seen below
 	srv.eventually(t, "request running", func() bool { return srv.link.Running() == 1 })
 	srv.onLoopWait(func() {
 		for h := range srv.conns {
--- a/internal/server/frame_conn_test.go
+++ b/internal/server/frame_conn_test.go
@@ -267,7 +267,7 @@
 		time.Sleep(10 * time.Millisecond)
 		if i%8 == 4 {
 			time.Sleep(20 * time.Millisecond) // until the engine has read what was written
-			engine.Cut()
+			engine.Disconnect()
 		}
 	}
 	for range tries {
--- a/internal/server/frontends_test.go
+++ b/internal/server/frontends_test.go
@@ -48,15 +48,15 @@
 	kind, _, _ := strings.Cut(body, " ")
 	switch kind {
 	case "slow":
-		return standin.Work{For: 150 * time.Millisecond, Result: "did " + body}
+		return standin.Work{Duration: 150 * time.Millisecond, Result: "did " + body}
 	case "long":
-		return standin.Work{For: 3300 * time.Millisecond, Result: "did " + body}
+		return standin.Work{Duration: 3300 * time.Millisecond, Result: "did " + body}
 	case "bad":
-		return standin.Work{For: 10 * time.Millisecond, End: "error"}
+		return standin.Work{Duration: 10 * time.Millisecond, Outcome: "error"}
 	case "break", "close":
-		return standin.Work{For: 10 * time.Millisecond, End: kind}
+		return standin.Work{Duration: 10 * time.Millisecond, Outcome: kind}
 	}
-	return standin.Work{For: 10 * time.Millisecond, Result: "did " + body}
+	return standin.Work{Duration: 10 * time.Millisecond, Result: "did " + body}
 }
 
 // try is one request of the traffic; at is the time since its start.
@@ -135,7 +135,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars(try.class, "red", try.key, try.timeout), try.body))
+			reply := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, standin.UWSGIVars(try.class, "red", try.key, try.timeout), try.body))
 			results[i] = result{outcome(reply), reply.Body, reply.At.Sub(began[i])}
 		}()
 	}
@@ -294,10 +294,10 @@
 	backend := standin.NewBackend(t, workByBody)
 	srv := start(t, "127.0.0.1:1", "", operatorTOML(backend.Address))
 	vars := func(class, key string, timeout time.Duration) []uwsgi.Var {
-		return standin.Vars(class, "red", key, timeout)
+		return standin.UWSGIVars(class, "red", key, timeout)
 	}
 	second := time.Second
-	packet := func(vars []uwsgi.Var, body string) []byte { return standin.Packet(t, vars, body) }
+	packet := func(vars []uwsgi.Var, body string) []byte { return standin.UWSGIRequest(t, vars, body) }
 	for _, tc := range []struct {
 		name   string
 		packet []byte
@@ -312,7 +312,7 @@
 		{"backend closes within the response", packet(vars("look", "", second), "break"), 502},
 		{"backend closes before the response", packet(vars("note", "k", second), "close"), 502},
 		{"unknown class", packet(vars("nil", "", second), "quick"), 400},
-		{"unknown tenant", packet(standin.Vars("look", "green", "", second), "quick"), 400},
+		{"unknown tenant", packet(standin.UWSGIVars("look", "green", "", second), "quick"), 400},
 		{"no class", packet(nil, "quick"), 400},
 		{"no key", packet(vars("note", "", second), "quick"), 400},
 		{"bad length", packet(append(vars("look", "", second), uwsgi.Var{Name: uwsgi.VarLength, Value: "-1"}), ""), 400},
@@ -323,7 +323,7 @@
 		{"far too large", packet(vars("look", "", second), strings.Repeat("x", 1<<20)), 413},
 		{"too slow", packet(vars("look", "", second), "quick")[:30], 408},
 	} {
-		reply := standin.Post(srv.uwsgiAddr, tc.packet)
+		reply := standin.UWSGIExchange(srv.uwsgiAddr, tc.packet)
 		if reply.Status != tc.status {
 			t.Errorf("%s: got status %d %q, want %d", tc.name, reply.Status, reply.Body, tc.status)
 		}
@@ -337,7 +337,7 @@
 func TestUnreachableBackendRefuses(t *testing.T) {
 	t.Parallel()
 	r := start(t, "127.0.0.1:1", "", operatorTOML("127.0.0.1:1"))
-	if reply := standin.Post(r.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k", time.Second), "x")); reply.Status != 503 {
+	if reply := standin.UWSGIExchange(r.uwsgiAddr, standin.UWSGIRequest(t, standin.UWSGIVars("note", "red", "k", time.Second), "x")); reply.Status != 503 {
 		t.Errorf("got %+v, want status 503", reply)
 	}
 }
@@ -367,7 +367,7 @@
 	t.Parallel()
 	engine := standin.NewEngine(t, workByBody)
 	srv := start(t, engine.Address, "", operatorTOML(""))
-	packet := standin.Packet(t, standin.Vars("look", "red", "", time.Second), "quick one")
+	packet := standin.UWSGIRequest(t, standin.UWSGIVars("look", "red", "", time.Second), "quick one")
 	for n := range len(packet) {
 		c := sendPartial(t, srv, packet, n)
 		if n%7 == 3 {
@@ -392,12 +392,12 @@
 	t.Parallel()
 	engine := standin.NewEngine(t, workByBody)
 	srv := start(t, engine.Address, "", operatorTOML(""))
-	packet := standin.Packet(t, standin.Vars("note", "red", "k", time.Second), "slow one")
+	packet := standin.UWSGIRequest(t, standin.UWSGIVars("note", "red", "k", time.Second), "slow one")
 	conn := sendPartial(t, srv, packet, len(packet))
 	srv.eventually(t, "request received", func() bool { return srv.core.Counts().Received == 1 })
 	conn.Close()
 	srv.eventually(t, "disconnect detected", func() bool { return srv.core.Counts().Disconnected == 1 })
-	if reply := standin.Post(srv.uwsgiAddr, packet); reply.Status != 200 || reply.Body != "did slow one" {
+	if reply := standin.UWSGIExchange(srv.uwsgiAddr, packet); reply.Status != 200 || reply.Body != "did slow one" {
 		t.Errorf("retry: unexpected answer %+v", reply)
 	}
 	srv.eventually(t, "all resources released", srv.allReleased)
@@ -414,7 +414,7 @@
 	caller := standin.Dial(t, srv.framesAddr)
 	for i := range 3 {
 		caller.Send(uint32(i+1), standin.Fields("note", "red", "k", uint64(i+1), 2*time.Second), "slow note")
-		reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k", 2*time.Second), "slow note"))
+		reply := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, standin.UWSGIVars("note", "red", "k", 2*time.Second), "slow note"))
 		if reply.Status != 200 || reply.Body != "did slow note" {
 			t.Errorf("uwsgi: unexpected answer %+v", reply)
 		}
@@ -457,7 +457,7 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars("find", "blue", "", time.Second), fmt.Sprint("quick ", i)))
+			reply := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, standin.UWSGIVars("find", "blue", "", time.Second), fmt.Sprint("quick ", i)))
 			mu.Lock()
 			defer mu.Unlock()
 			if reply.Status == 0 && strings.Contains(reply.Body, "refused") {
@@ -507,7 +507,7 @@
 	wholeRequests := 0
 	rapid.Check(t, func(t *rapid.T) {
 		body := fmt.Sprint("quick ", strings.Repeat("x", rapid.IntRange(0, 58).Draw(t, "size")))
-		unsent := standin.Packet(srv.test, standin.Vars("look", "red", "", 2*time.Second), body)
+		unsent := standin.UWSGIRequest(srv.test, standin.UWSGIVars("look", "red", "", 2*time.Second), body)
 		conn, err := net.Dial("tcp", srv.uwsgiAddr)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("caller %d: got %+v, want served", i, got)
 		}
 	}
-	reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars("look", "red", "", 3*time.Second), "w"))
+	reply := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, standin.UWSGIVars("look", "red", "", 3*time.Second), "w"))
 	if reply.Status != 200 {
 		t.Errorf("uwsgi: got %+v, want status 200", reply)
 	}
@@ -169,11 +169,11 @@
 			t.Errorf("try %d with body %s: unexpected answer %+v", i, body, got)
 		}
 	}
-	vars := standin.Vars("note", "red", "key", 3*time.Second)
-	if got := standin.Post(srv.uwsgiAddr, standin.Packet(t, vars, "other")); got.Status != 400 || !strings.Contains(got.Body, "another body") {
+	vars := standin.UWSGIVars("note", "red", "key", 3*time.Second)
+	if got := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, vars, "other")); got.Status != 400 || !strings.Contains(got.Body, "another body") {
 		t.Errorf("uwsgi, another body: got %+v, want status 400", got)
 	}
-	if got := standin.Post(srv.uwsgiAddr, standin.Packet(t, vars, "mine")); got.Status != 200 || got.Body != "did mine" {
+	if got := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, vars, "mine")); got.Status != 200 || got.Body != "did mine" {
 		t.Errorf("uwsgi, same body: got %+v, want status 200", got)
 	}
 	if runs := fmt.Sprint(engine.Runs()); runs != "map[mine:1]" {
--- a/internal/server/keys_test.go
+++ b/internal/server/keys_test.go
@@ -57,7 +57,7 @@
 	if got, _ := caller.Next(); got.Code != frame.Failed {
 		t.Errorf("key of the earlier process with another body: got %+v, want failed", got)
 	}
-	reply := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars("note", "red", "k2", 3*time.Second), "body 2"))
+	reply := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, standin.UWSGIVars("note", "red", "k2", 3*time.Second), "body 2"))
 	if reply.Status != 200 || reply.Body != "did body 2" {
 		t.Errorf("through the uwsgi front end: unexpected answer %+v", reply)
 	}
--- a/internal/server/ledger_test.go
+++ b/internal/server/ledger_test.go
@@ -28,7 +28,7 @@
 }
 
 // newLedgerServer starts a server with an engine and a ledger that answers by script.
-func newLedgerServer(t *testing.T, script func(ledger.Call) ledger.Act) *ledgerServer {
+func newLedgerServer(t *testing.T, script func(ledger.Call) ledger.Response) *ledgerServer {
 	t.Helper()
 	srv := &ledgerServer{}
 	var err error
@@ -36,12 +36,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(srv.engine.Close)
-	srv.engine.Watch()
-	srv.engine.KeepStopped(true)
+	srv.engine.CountStarts()
+	srv.engine.KeepHalted(true)
 	if srv.ledger, err = ledger.Serve(script); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(srv.ledger.Down)
+	t.Cleanup(srv.ledger.Stop)
 	cfg := srv.config(t, srv.ledger.Address)
 	srv.testServer = launch(t, cfg)
 	srv.eventually(t, "server serves requests", func() bool { return srv.serving && srv.link.Ready() })
@@ -79,25 +79,25 @@
 // had its effect is not repeated unless that is harmless, one that never ran is.
 func TestAnswersByLedgerOutcome(t *testing.T) {
 	t.Parallel()
-	srv := newLedgerServer(t, func(call ledger.Call) ledger.Act {
+	srv := newLedgerServer(t, func(call ledger.Call) ledger.Response {
 		first := call.Try == 1
 		switch {
 		case strings.Contains(call.Body, "untouched-once") && first:
-			return ledger.Act{Status: 503, Untouched: true}
+			return ledger.Response{Status: 503, Untouched: true}
 		case strings.Contains(call.Body, "no-run-once") && first:
-			return ledger.Act{Status: 409, Untouched: true}
+			return ledger.Response{Status: 409, Untouched: true}
 		case strings.Contains(call.Body, "doubtful"):
-			return ledger.Act{Status: 503, Ran: true}
+			return ledger.Response{Status: 503, TakesEffect: true}
 		case strings.Contains(call.Body, "errs"):
-			return ledger.Act{Status: 500, Ran: true}
+			return ledger.Response{Status: 500, TakesEffect: true}
 		case strings.Contains(call.Body, "breaks"):
-			return ledger.Act{Break: true, Ran: true}
+			return ledger.Response{CloseEarly: true, TakesEffect: true}
 		case strings.Contains(call.Body, "garbles"):
-			return ledger.Act{Garble: true, Ran: true}
+			return ledger.Response{Malformed: true, TakesEffect: true}
 		case strings.Contains(call.Body, "floods"):
-			return ledger.Act{Size: 100 << 10}
+			return ledger.Response{ReplyBytes: 100 << 10}
 		}
-		return ledger.Act{}
+		return ledger.Response{}
 	})
 	caller := standin.Dial(t, srv.framesAddr)
 	cases := []struct {
@@ -126,7 +126,7 @@
 		if got.Code == served && !strings.HasPrefix(got.Body, want.body+"|") {
 			t.Errorf("%q: got body %q", want.body, got.Body)
 		}
-		seen, _ := srv.ledger.Seen()
+		seen, _ := srv.ledger.Received()
 		if seen-before != want.calls {
 			t.Errorf("%s %q: got %d calls, want %d", want.class, want.body, seen-before, want.calls)
 		}
@@ -143,7 +143,7 @@
 	t.Parallel()
 	srv := newLedgerServer(t, nil)
 	caller := standin.Dial(t, srv.framesAddr)
-	srv.ledger.Down()
+	srv.ledger.Stop()
 	caller.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 a")
 	caller.Send(2, fieldsWithoutTimeout("look", "", 2), "1000*1 b")
 	for range 2 {
@@ -151,7 +151,7 @@
 			t.Errorf("while the ledger is down: unexpected answer %+v", got)
 		}
 	}
-	if err := srv.ledger.Up(); err != nil {
+	if err := srv.ledger.Start(); err != nil {
 		t.Fatal(err)
 	}
 	caller.Send(3, fieldsWithoutTimeout("note", "b", 3), "1000*1 c")
@@ -164,11 +164,11 @@
 // deadline, and requests that need no call are served meanwhile.
 func TestLedgerHangs(t *testing.T) {
 	t.Parallel()
-	srv := newLedgerServer(t, func(c ledger.Call) ledger.Act {
+	srv := newLedgerServer(t, func(c ledger.Call) ledger.Response {
 		if strings.Contains(c.Body, "hang") {
-			return ledger.Act{After: 10 * time.Second}
+			return ledger.Response{Delay: 10 * time.Second}
 		}
-		return ledger.Act{}
+		return ledger.Response{}
 	})
 	caller := standin.Dial(t, srv.framesAddr)
 	fields := standin.Fields("note", "red", "a", 1, 700*time.Millisecond)
@@ -181,7 +181,7 @@
 	if got, _ := caller.Next(); got.Stream != 1 || got.Code != failed || got.At.After(deadline) {
 		t.Errorf("request that waits for the ledger: got %+v, %v after its deadline", got, got.At.Sub(deadline))
 	}
-	srv.engine.Over("0000000000000001")
+	srv.engine.RequestDone("0000000000000001")
 	srv.eventually(t, "call cancelled after the end of its run", func() bool { return srv.core.CallsInFlight() == 0 })
 }
 
@@ -190,7 +190,7 @@
 func TestManyCallsFewConnections(t *testing.T) {
 	t.Parallel()
 	const runs = 100
-	srv := newLedgerServer(t, func(ledger.Call) ledger.Act { return ledger.Act{After: 5 * time.Millisecond} })
+	srv := newLedgerServer(t, func(ledger.Call) ledger.Response { return ledger.Response{Delay: 5 * time.Millisecond} })
 	var callers []*standin.Caller
 	for i := range runs {
 		if i%25 == 0 {
@@ -212,7 +212,7 @@
 	if _, peakConns := srv.ledger.Connections(); peakConns > srv.downstream.maxConns {
 		t.Errorf("%d connections to the ledger, want %d at most", peakConns, srv.downstream.maxConns)
 	}
-	if log := srv.engine.Log(); log.Fed != codes[served] || log.Stray != 0 {
+	if log := srv.engine.Log(); log.CallResults != codes[served] || log.Unexpected != 0 {
 		t.Errorf("engine log %+v, but %d requests served", log, codes[served])
 	}
 }
@@ -223,13 +223,13 @@
 func TestCallerDisconnectsDuringCall(t *testing.T) {
 	t.Parallel()
 	called := make(chan struct{}, 1)
-	srv := newLedgerServer(t, func(ledger.Call) ledger.Act { called <- struct{}{}; return ledger.Act{After: time.Minute} })
+	srv := newLedgerServer(t, func(ledger.Call) ledger.Response { called <- struct{}{}; return ledger.Response{Delay: time.Minute} })
 	c := standin.Dial(t, srv.framesAddr)
 	c.Send(1, fieldsWithoutTimeout("find", "", 1), "1000*1 a")
 	<-called
 	c.Conn.Close()
 	srv.eventually(t, "call cancelled", func() bool { return srv.core.CallsInFlight() == 0 })
-	srv.engine.Over("0000000000000001")
+	srv.engine.RequestDone("0000000000000001")
 	srv.eventually(t, "request released", func() bool { n, _ := srv.core.Tracked(); return n == 0 })
 }
 
@@ -238,17 +238,17 @@
 func TestLinkBreaksBetweenNeedAndFeed(t *testing.T) {
 	t.Parallel()
 	called, release := make(chan struct{}, 1), make(chan struct{})
-	srv := newLedgerServer(t, func(ledger.Call) ledger.Act { called <- struct{}{}; <-release; return ledger.Act{} })
+	srv := newLedgerServer(t, func(ledger.Call) ledger.Response { called <- struct{}{}; <-release; return ledger.Response{} })
 	caller := standin.Dial(t, srv.framesAddr)
 	caller.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 a")
 	<-called
-	srv.engine.Cut()
+	srv.engine.Disconnect()
 	srv.eventually(t, "engine link reconnected", func() bool { return srv.link.Ready() && srv.engineDialID.Load() > 1 })
 	close(release)
 	if got, _ := caller.Next(); got.Code != served || got.Body != "1000*1 a|posted call 0 of 1000*1 a" {
 		t.Errorf("unexpected answer: %+v", got)
 	}
-	if log := srv.engine.Log(); log.Begun["1000*1 a"] != 1 || log.Fed != 1 {
+	if log := srv.engine.Log(); log.Started["1000*1 a"] != 1 || log.CallResults != 1 {
 		t.Errorf("engine log: got %+v, want 1 run and 1 reply", log)
 	}
 }
@@ -258,7 +258,7 @@
 func TestRetryWhileRunAwaitsCall(t *testing.T) {
 	t.Parallel()
 	called, release := make(chan struct{}, 1), make(chan struct{})
-	srv := newLedgerServer(t, func(ledger.Call) ledger.Act { called <- struct{}{}; <-release; return ledger.Act{} })
+	srv := newLedgerServer(t, func(ledger.Call) ledger.Response { called <- struct{}{}; <-release; return ledger.Response{} })
 	caller := standin.Dial(t, srv.framesAddr)
 	caller.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 a")
 	<-called
@@ -270,7 +270,7 @@
 			t.Errorf("unexpected answer: %+v", got)
 		}
 	}
-	if effects := srv.ledger.Effects()["call 0 of 1000*1 a"]; effects != 1 || srv.engine.Log().Begun["1000*1 a"] != 1 {
+	if effects := srv.ledger.Effects()["call 0 of 1000*1 a"]; effects != 1 || srv.engine.Log().Started["1000*1 a"] != 1 {
 		t.Errorf("%d effects, want 1; engine log %+v", effects, srv.engine.Log())
 	}
 }
@@ -280,12 +280,12 @@
 func TestDrainWithPendingCalls(t *testing.T) {
 	t.Parallel()
 	called := make(chan struct{}, 2)
-	srv := newLedgerServer(t, func(c ledger.Call) ledger.Act {
+	srv := newLedgerServer(t, func(c ledger.Call) ledger.Response {
 		called <- struct{}{}
 		if strings.Contains(c.Body, "slow") {
-			return ledger.Act{After: time.Minute}
+			return ledger.Response{Delay: time.Minute}
 		}
-		return ledger.Act{After: 300 * time.Millisecond}
+		return ledger.Response{Delay: 300 * time.Millisecond}
 	})
 	caller := standin.Dial(t, srv.framesAddr)
 	caller.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 soon")
@@ -318,12 +318,16 @@
 	t.Parallel()
 	called, release := make(chan struct{}, 1), make(chan struct{})
 	var once sync.Once
-	srv := newLedgerServer(t, func(ledger.Call) ledger.Act { once.Do(func() { called <- struct{}{} }); <-release; return ledger.Act{} })
+	srv := newLedgerServer(t, func(ledger.Call) ledger.Response {
+		once.Do(func() { called <- struct{}{} })
+		<-release
+		return ledger.Response{}
+	})
 	newLedger, err := ledger.Serve(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(newLedger.Down)
+	t.Cleanup(newLedger.Stop)
 	caller := standin.Dial(t, srv.framesAddr)
 	caller.Send(1, fieldsWithoutTimeout("note", "a", 1), "1000*1 a")
 	<-called
@@ -339,7 +343,7 @@
 	if got, _ := caller.Next(); got.Stream != 1 || got.Code != served {
 		t.Errorf("unexpected answer: %+v", got)
 	}
-	if seen, _ := newLedger.Seen(); seen != 1 {
+	if seen, _ := newLedger.Received(); seen != 1 {
 		t.Errorf("the new ledger got %d calls, want 1", seen)
 	}
 }
@@ -351,13 +355,13 @@
 	srv := newLedgerServer(t, nil)
 	caller := standin.Dial(t, srv.framesAddr)
 	caller.Send(1, standin.Fields("look", "red", "", 1, 600*time.Millisecond), "5000000 long")
-	srv.eventually(t, "request running", func() bool { return srv.engine.Log().Begun["5000000 long"] == 1 })
+	srv.eventually(t, "request running", func() bool { return srv.engine.Log().Started["5000000 long"] == 1 })
 	if got, _ := caller.Next(); got.Code != failed {
 		t.Errorf("at the deadline: got %+v, want failed", got) // it ran, so it is not refused
 	}
-	srv.eventually(t, "run halted by the engine", func() bool { return srv.engine.Log().Halted == 1 })
-	srv.engine.Over("0000000000000001")
-	srv.eventually(t, "request released", func() bool { n, _ := srv.core.Tracked(); return n == 0 && srv.engine.Open() == 0 })
+	srv.eventually(t, "run halted by the engine", func() bool { return srv.engine.Log().HaltedRuns == 1 })
+	srv.engine.RequestDone("0000000000000001")
+	srv.eventually(t, "request released", func() bool { n, _ := srv.core.Tracked(); return n == 0 && srv.engine.ActiveRuns() == 0 })
 }
 
 // A connection may carry requests with a stated timeout and others without one.
@@ -378,7 +382,7 @@
 // deadline, and with readiness set the server is reported as draining.
 func TestEngineThatHangs(t *testing.T) {
 	t.Parallel()
-	engine := standin.NewEngine(t, func(body string) standin.Work { return standin.Work{For: time.Hour} })
+	engine := standin.NewEngine(t, func(body string) standin.Work { return standin.Work{Duration: time.Hour} })
 	registry, reports := standin.NewRegistry(t)
 	text := strings.NewReplacer(settingsJSON, ledgerSettingsJSON).Replace(platformJSON(engine.Address, registry))
 	cfg, err := config.Parse([]byte(text), func(string) string { return "" })
--- a/internal/server/pools_test.go
+++ b/internal/server/pools_test.go
@@ -31,7 +31,7 @@
 	release := make(chan struct{})
 	engine := standin.NewEngine(t, func(body string) standin.Work {
 		if strings.HasPrefix(body, "long") {
-			return standin.Work{For: time.Second, Result: "did " + body}
+			return standin.Work{Duration: time.Second, Result: "did " + body}
 		}
 		return standin.Work{Result: "did " + body}
 	})
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -38,7 +38,7 @@
 		}
 	})
 
-	engine.Move(t)
+	engine.ChangeAddress(t)
 	changed := *srv.cfg
 	changed.Engine, changed.Registry = engine.Address, newRegistry
 	srv.LoadConfig = func() (*config.Config, error) { return &changed, nil }
@@ -65,7 +65,7 @@
 	srv := start(t, "127.0.0.1:1", "", operatorTOML(oldBackend.Address))
 	post := func(body string) {
 		t.Helper()
-		if got := standin.Post(srv.uwsgiAddr, standin.Packet(t, standin.Vars("find", "red", "", time.Second), body)); got.Status != 200 {
+		if got := standin.UWSGIExchange(srv.uwsgiAddr, standin.UWSGIRequest(t, standin.UWSGIVars("find", "red", "", time.Second), body)); got.Status != 200 {
 			t.Errorf("%s: got %+v, want status 200", body, got)
 		}
 	}
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -161,8 +161,8 @@
 			t.Fatalf("caller during the upgrade: got %+v, want served", got)
 		}
 	}
-	vars := standin.Vars("note", "red", "asked", 3*time.Second)
-	if got := standin.Post(predecessor.uwsgiAddr, standin.Packet(t, vars, "asked")); got.Status != 200 {
+	vars := standin.UWSGIVars("note", "red", "asked", 3*time.Second)
+	if got := standin.UWSGIExchange(predecessor.uwsgiAddr, standin.UWSGIRequest(t, vars, "asked")); got.Status != 200 {
 		t.Errorf("uwsgi: got %+v, want status 200", got)
 	}
 	select {
--- a/internal/standin/box/box.go
+++ b/internal/standin/box/box.go
@@ -1,6 +1,6 @@
 // Package box models the machine that runs the work of requests: cores that are
 // shared by all runs, lose throughput when there are too many of them, start cold
-// and may change their speed. A Box has no clock of its own: its owner advances it,
+// and may change their speed. A Machine has no clock of its own: its owner advances it,
 // in simulated time or by the system clock (see Engine). The model is processor
 // sharing (Kleinrock 1967) with a loss of throughput for each excess run; it is not
 // derived from measurements of a real machine.
@@ -13,17 +13,17 @@
 	"math"
 )
 
-// Spec describes a Box.
+// Spec describes a Machine.
 type Spec struct {
-	Cores int
-	Speed float64 // relative speed of a core; 1 = a run takes its stated work when it has a core of its own
-	Knee  float64 // runs per core beyond which throughput is lost; 0 = never
-	Loss  float64 // throughput is divided by 1 + Loss × (runs per core - Knee) beyond the knee
-	Falls float64 // mean runs per core beyond which the machine crashes; 0 = never
+	Cores          int
+	Speed          float64 // relative speed of a core; 1 = a run takes its stated work when it has a core of its own
+	Knee           float64 // runs per core beyond which throughput is lost; 0 = never
+	Loss           float64 // throughput is divided by 1 + Loss × (runs per core - Knee) beyond the knee
+	MaxRunsPerCore float64 // mean runs per core beyond which the machine crashes; 0 = never
 }
 
 // meanRunsWindowUS is the time constant of the mean number of runs per core that
-// is compared with Spec.Falls.
+// is compared with Spec.MaxRunsPerCore.
 const meanRunsWindowUS = 1_500_000
 
 // Completion is a run that has ended.
@@ -33,11 +33,11 @@
 	At      int64
 }
 
-// Box is a model of one machine. Its times are on the clock of its owner.
-type Box struct {
+// Machine is a model of one machine. Its times are on the clock of its owner.
+type Machine struct {
 	spec        Spec
 	now         int64
-	speedFactor float64 // set by Scale
+	speedFactor float64 // set by SetSpeed
 	coldSpeed   float64 // share of the full speed at coldAt
 	coldAt      int64
 	warmAt      int64   // end of the warm-up; 0 = none
@@ -72,38 +72,41 @@
 // warmupStepUS is the interval at which the speed is adjusted during a warm-up.
 const warmupStepUS = 20_000
 
-// New returns a warm Box at time now.
-func New(spec Spec, now int64) *Box {
+// New returns a warm Machine at time now.
+func New(spec Spec, now int64) *Machine {
 	if spec.Speed <= 0 {
 		spec.Speed = 1
 	}
-	return &Box{spec: spec, now: now, speedFactor: 1}
+	return &Machine{spec: spec, now: now, speedFactor: 1}
 }
 
-// Scale multiplies Spec.Speed by factor from now on.
-func (b *Box) Scale(now int64, factor float64) { b.advanceTo(now); b.speedFactor = max(factor, 1e-3) }
+// SetSpeed multiplies Spec.Speed by factor from now on.
+func (b *Machine) SetSpeed(now int64, factor float64) {
+	b.advanceTo(now)
+	b.speedFactor = max(factor, 1e-3)
+}
 
-// Cold starts a warm-up: the speed rises linearly from a share of the full speed
+// StartWarmup starts a warm-up: the speed rises linearly from a share of the full speed
 // to all of it within the given time.
-func (b *Box) Cold(now int64, from float64, within int64) {
+func (b *Machine) StartWarmup(now int64, from float64, within int64) {
 	b.advanceTo(now)
 	b.coldSpeed, b.coldAt, b.warmAt = max(from, 1e-3), now, now+within
 }
 
 // Runs returns the number of runs on the cores.
-func (b *Box) Runs() int { return len(b.runs) }
+func (b *Machine) Runs() int { return len(b.runs) }
 
 // Cores returns the number of cores.
-func (b *Box) Cores() int { return b.spec.Cores }
+func (b *Machine) Cores() int { return b.spec.Cores }
 
-// Begin starts a run; work is the core time that it takes at speed 1.
-func (b *Box) Begin(now int64, id uint64, work float64) {
+// Start starts a run; work is the core time that it takes at speed 1.
+func (b *Machine) Start(now int64, id uint64, work float64) {
 	b.advanceTo(now)
 	heap.Push(&b.runs, run{id, now, b.virtualTime + max(work, 0)})
 }
 
 // rate returns the speed of virtual time: the work done for each run in a microsecond.
-func (b *Box) rate(at int64) float64 {
+func (b *Machine) rate(at int64) float64 {
 	n := len(b.runs)
 	if n == 0 {
 		return 0
@@ -122,7 +125,7 @@
 
 // Next returns when Advance is to be called next if nothing else happens: at the
 // end of the first run, or earlier during a warm-up. 0 means that nothing runs.
-func (b *Box) Next() int64 {
+func (b *Machine) Next() int64 {
 	switch {
 	case len(b.completions) > 0:
 		return b.now
@@ -134,7 +137,7 @@
 
 // nextCheck returns when the first run ends at the present speed, limited to one
 // step of a warm-up.
-func (b *Box) nextCheck() int64 {
+func (b *Machine) nextCheck() int64 {
 	remaining := b.runs[0].finish - b.virtualTime
 	at := b.now + int64(remaining/b.rate(b.now)) + 1
 	if b.now < b.warmAt {
@@ -144,7 +147,7 @@
 }
 
 // advanceTo advances the time and virtual time, and records the runs that end.
-func (b *Box) advanceTo(now int64) {
+func (b *Machine) advanceTo(now int64) {
 	for b.now < now {
 		if len(b.runs) == 0 {
 			b.updateMeanRuns(now - b.now)
@@ -163,37 +166,37 @@
 }
 
 // updateMeanRuns adds an interval with the present number of runs to the mean.
-func (b *Box) updateMeanRuns(span int64) {
-	if b.spec.Falls <= 0 {
+func (b *Machine) updateMeanRuns(span int64) {
+	if b.spec.MaxRunsPerCore <= 0 {
 		return
 	}
 	runs := float64(len(b.runs)) / float64(b.spec.Cores)
 	b.meanRuns += (runs - b.meanRuns) * -math.Expm1(-float64(span)/meanRunsWindowUS)
-	b.crashed = b.crashed || b.meanRuns > b.spec.Falls
+	b.crashed = b.crashed || b.meanRuns > b.spec.MaxRunsPerCore
 }
 
-// Fallen reports whether the mean number of runs per core has exceeded Spec.Falls.
+// Crashed reports whether the mean number of runs per core has exceeded Spec.MaxRunsPerCore.
 // The owner decides what a crashed machine does.
-func (b *Box) Fallen() bool { return b.crashed }
+func (b *Machine) Crashed() bool { return b.crashed }
 
-// Advance advances the Box to now and returns the runs that have ended since the
+// Advance advances the Machine to now and returns the runs that have ended since the
 // last call, in order. The slice is valid until the next call.
-func (b *Box) Advance(now int64) []Completion {
+func (b *Machine) Advance(now int64) []Completion {
 	b.advanceTo(now)
 	completions := b.completions
 	b.completions = nil
 	return completions
 }
 
-// Die discards all runs, as the death of the machine does.
-func (b *Box) Die(now int64) {
+// DropRuns discards all runs, as a failure of the machine does.
+func (b *Machine) DropRuns(now int64) {
 	b.advanceTo(now)
 	b.runs, b.completions = b.runs[:0], nil
 }
 
-// Take removes a run from the cores and returns its remaining work, or false if
+// Remove removes a run from the cores and returns its remaining work, or false if
 // there is no such run.
-func (b *Box) Take(now int64, id uint64) (remaining float64, ok bool) {
+func (b *Machine) Remove(now int64, id uint64) (remaining float64, ok bool) {
 	b.advanceTo(now)
 	for i := range b.runs {
 		if r := b.runs[i]; r.id == id {
--- a/internal/standin/box/box_test.go
+++ b/internal/standin/box/box_test.go
@@ -39,12 +39,12 @@
 		for id := range rapid.IntRange(1, 30).Draw(t, "runs") {
 			work := float64(rapid.IntRange(1, 100_000).Draw(t, "work"))
 			total += work
-			b.Begin(now, uint64(id), work)
+			b.Start(now, uint64(id), work)
 			started++
 			advanceTo(now + rapid.Int64Range(0, 50_000).Draw(t, "gap"))
 			if rapid.Bool().Draw(t, "change") {
 				speed = rapid.Float64Range(0.2, 2).Draw(t, "speed")
-				b.Scale(now, speed)
+				b.SetSpeed(now, speed)
 			}
 		}
 		advanceTo(now + 1e9)
@@ -57,7 +57,7 @@
 // Runs beyond the knee cost throughput, and a cold machine is slow until it is warm.
 func TestThroughputLossAndWarmup(t *testing.T) {
 	t.Parallel()
-	lastEnd := func(b *Box) (at int64) {
+	lastEnd := func(b *Machine) (at int64) {
 		for b.Next() != 0 {
 			for _, e := range b.Advance(b.Next()) {
 				at = e.At
@@ -67,14 +67,14 @@
 	}
 	b := New(Spec{Cores: 1, Knee: 2, Loss: 0.5}, 0)
 	for id := range uint64(4) {
-		b.Begin(0, id, 100_000)
+		b.Start(0, id, 100_000)
 	}
 	if at := lastEnd(b); at < 790_000 || at > 810_000 {
 		t.Errorf("four runs of 100 ms on one core, knee at two: ended after %d us, want 800,000", at)
 	}
 	b = New(Spec{Cores: 1}, 0)
-	b.Cold(0, 0.5, 1_000_000)
-	b.Begin(0, 1, 750_000)
+	b.StartWarmup(0, 0.5, 1_000_000)
+	b.Start(0, 1, 750_000)
 	if at := lastEnd(b); at < 980_000 || at > 1_020_000 {
 		t.Errorf("750 ms of work while the speed rises from half to full within 1 s: ended after %d us, want 1,000,000", at)
 	}
@@ -112,7 +112,7 @@
 	expect(r, "x")
 	expect(r, "STATS g 1.00 0")
 	expect(r, "TESTED t complete")
-	e.Change(func(b *Box, now int64) { b.Scale(now, 0.5) })
+	e.WithMachine(func(b *Machine, now int64) { b.SetSpeed(now, 0.5) })
 	expect(r, "DONE 2 a complete")
 	if took := time.Since(began); took < 60*time.Millisecond {
 		t.Errorf("40 ms of work at half the speed took %v", took)
@@ -124,7 +124,7 @@
 	expect(r, "DONE 2 a complete")
 }
 
-// After TellTook a result ends with the duration of its run.
+// After ReportDurations a result ends with the duration of its run.
 func TestEngineReportsRunDuration(t *testing.T) {
 	t.Parallel()
 	e, err := Serve(Spec{Cores: 1})
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	e.TellTook()
+	e.ReportDurations()
 	c, err := net.Dial("tcp", e.Address)
 	if err != nil {
 		t.Fatal(err)
@@ -202,17 +202,17 @@
 func TestCrashAfterSustainedOverload(t *testing.T) {
 	t.Parallel()
 	for runs, crashes := range map[uint64]bool{6: false, 12: true} {
-		b := New(Spec{Cores: 1, Falls: 8}, 0)
+		b := New(Spec{Cores: 1, MaxRunsPerCore: 8}, 0)
 		for id := range runs {
-			b.Begin(0, id, 1e9)
+			b.Start(0, id, 1e9)
 		}
 		b.Advance(500_000)
-		if b.Fallen() {
+		if b.Crashed() {
 			t.Errorf("%d runs: crashed within 0.5 s", runs)
 		}
 		b.Advance(10_000_000)
-		if b.Fallen() != crashes {
-			t.Errorf("%d runs per core: crashed %v", runs, b.Fallen())
+		if b.Crashed() != crashes {
+			t.Errorf("%d runs per core: crashed %v", runs, b.Crashed())
 		}
 	}
 }
--- a/internal/standin/box/calls.go
+++ b/internal/standin/box/calls.go
@@ -13,28 +13,28 @@
 
 // Log counts what an Engine has seen of its runs.
 type Log struct {
-	Begun          map[string]int // runs started, by body; counted after Watch only
-	Fed            int            // replies to downstream calls that a run accepted
+	Started        map[string]int // runs started, by body; counted after CountStarts only
+	CallResults    int            // replies to downstream calls that a run accepted
 	SkippedCalls   int
-	Halted         int
+	HaltedRuns     int
 	ResumedRuns    int
 	RequestedCalls int // downstream calls requested
 	EndedAtCall    int // runs that ended while they waited for a call
-	Stray          int // commands for an unknown run, and replies and skips for a call that no run waits for
+	Unexpected     int // commands for an unknown run, and replies and skips for a call that no run waits for
 }
 
-// KeepStopped sets whether a halted run keeps its work.
-func (e *Engine) KeepStopped(keep bool) {
+// KeepHalted sets whether a halted run keeps its work.
+func (e *Engine) KeepHalted(keep bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.keepHalted = keep
 }
 
-// Watch starts counting Log.Begun.
-func (e *Engine) Watch() {
+// CountStarts starts counting Log.Started.
+func (e *Engine) CountStarts() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.log.Begun = map[string]int{}
+	e.log.Started = map[string]int{}
 }
 
 // Log returns the counts so far.
@@ -42,24 +42,24 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	log := e.log
-	log.Begun = map[string]int{}
-	for body, n := range e.log.Begun {
-		log.Begun[body] = n
+	log.Started = map[string]int{}
+	for body, n := range e.log.Started {
+		log.Started[body] = n
 	}
 	return log
 }
 
-// Open returns the number of runs that have started and not ended.
-func (e *Engine) Open() int {
+// ActiveRuns returns the number of runs that have started and not ended.
+func (e *Engine) ActiveRuns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.byName)
 }
 
-// Over reports that a request has its final answer or that its caller has
+// RequestDone reports that a request has its final answer or that its caller has
 // disconnected: its run ends at its next downstream call. The platform's engine
 // notices this by itself.
-func (e *Engine) Over(tryID string) {
+func (e *Engine) RequestDone(tryID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.byName[tryID]
@@ -92,7 +92,7 @@
 	e.lastID++
 	r.id = e.lastID
 	e.onCores[r.id] = r
-	e.box.Begin(now, r.id, r.segmentWork)
+	e.box.Start(now, r.id, r.segmentWork)
 }
 
 // segmentDone ends a segment: the run comes to a downstream call, or to its end.
@@ -149,22 +149,22 @@
 	defer e.mu.Unlock()
 	r := e.byName[name]
 	if r == nil {
-		e.log.Stray++
+		e.log.Unexpected++
 		e.send(fmt.Appendf(nil, "NO %s %s\r\n", kind, name))
 		return nil
 	}
 	switch kind {
 	case "FEED":
 		if r.awaitedNotice == 0 {
-			e.log.Stray++
+			e.log.Unexpected++
 			return nil
 		}
-		e.log.Fed++
+		e.log.CallResults++
 		r.result = append(append(r.result, '|'), reply...)
 		e.startSegment(r)
 	case "SKIP":
 		if len(words) != 3 || strconv.Itoa(r.awaitedNotice) != string(words[2]) {
-			e.log.Stray++
+			e.log.Unexpected++
 			return nil
 		}
 		e.log.SkippedCalls++
@@ -179,7 +179,7 @@
 			e.lastID++
 			r.id = e.lastID
 			e.onCores[r.id] = r
-			e.box.Begin(nowUS(), r.id, r.remainingWork)
+			e.box.Start(nowUS(), r.id, r.remainingWork)
 		}
 	default:
 		return errMalformed
@@ -191,11 +191,11 @@
 // halt stops a run that is on the cores. If halted runs keep their work, it waits
 // for RESUME; otherwise it is cancelled and may be started again.
 func (e *Engine) halt(r *activeRun) {
-	remaining, ok := e.box.Take(nowUS(), r.id)
+	remaining, ok := e.box.Remove(nowUS(), r.id)
 	if !ok || r.awaitedNotice != 0 || r.halted {
 		return
 	}
-	e.log.Halted++
+	e.log.HaltedRuns++
 	delete(e.onCores, r.id)
 	if !e.keepHalted || e.requestsOver[r.name] {
 		e.cancel(r)
@@ -212,8 +212,8 @@
 	}
 }
 
-// Cut closes the link to the server, which may attach again.
-func (e *Engine) Cut() {
+// Disconnect closes the link to the server, which may attach again.
+func (e *Engine) Disconnect() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.link != nil {
--- a/internal/standin/box/engine.go
+++ b/internal/standin/box/engine.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Engine is a Box on the system clock that serves the engine's protocol on a
+// Engine is a Machine on the system clock that serves the engine's protocol on a
 // loopback socket. The body of a request begins with its work, a number of
 // microseconds; a body without one takes no time. If '*' and a number follow, the
 // run makes that many downstream calls, which divide its work into equal segments
@@ -25,7 +25,7 @@
 	uwsgiListener  net.Listener // nil = no uwsgi
 	mu             sync.Mutex
 	cond           *sync.Cond
-	box            *Box
+	box            *Machine
 	lastID         uint64
 	onCores        map[uint64]*activeRun // runs on the cores, by ID
 	byName         map[string]*activeRun // runs that have started and not ended, by try ID
@@ -102,33 +102,33 @@
 	e.mu.Unlock()
 }
 
-// OnBegin calls f with the body of each run that starts from now on.
-func (e *Engine) OnBegin(f func(body string)) {
+// OnStart calls f with the body of each run that starts from now on.
+func (e *Engine) OnStart(f func(body string)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onBegin = f
 }
 
-// TellTook appends to the result of each run a space and the microseconds from its
+// ReportDurations appends to the result of each run a space and the microseconds from its
 // RUN command to its notice, delays of this process included. The rest of what a
 // caller waits is due to the way between.
-func (e *Engine) TellTook() {
+func (e *Engine) ReportDurations() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reportDuration = true
 }
 
-// Cold starts a warm-up of the cores: the speed rises from a share of the full
+// StartWarmup starts a warm-up of the cores: the speed rises from a share of the full
 // speed to all of it within the given time.
-func (e *Engine) Cold(from float64, within time.Duration) {
-	e.Change(func(b *Box, now int64) {
+func (e *Engine) StartWarmup(from float64, within time.Duration) {
+	e.WithMachine(func(b *Machine, now int64) {
 		e.coldSince = now
-		b.Cold(now, from, within.Microseconds())
+		b.StartWarmup(now, from, within.Microseconds())
 	})
 }
 
-// Change calls f with the Box and the present time, under the engine's lock.
-func (e *Engine) Change(f func(b *Box, now int64)) {
+// WithMachine calls f with the Machine and the present time, under the engine's lock.
+func (e *Engine) WithMachine(f func(b *Machine, now int64)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f(e.box, nowUS())
@@ -282,8 +282,8 @@
 	if e.byName[name] != nil {
 		return
 	}
-	if e.log.Begun != nil {
-		e.log.Begun[string(body)]++
+	if e.log.Started != nil {
+		e.log.Started[string(body)]++
 	}
 	if e.onBegin != nil {
 		e.onBegin(string(body))
--- a/internal/standin/box/uwsgi.go
+++ b/internal/standin/box/uwsgi.go
@@ -39,7 +39,7 @@
 func (e *Engine) handleUWSGI(c net.Conn) {
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(uwsgiTimeout)) //nolint:errcheck // supported by TCP connections
-	body, err := ReadCall(c)
+	body, err := ReadUWSGIRequest(c)
 	if err != nil {
 		return
 	}
@@ -51,7 +51,7 @@
 		}
 		e.lastID++
 		e.onCores[e.lastID] = &activeRun{body: body, done: done}
-		e.box.Begin(nowUS(), e.lastID, work)
+		e.box.Start(nowUS(), e.lastID, work)
 		e.advance()
 		e.mu.Unlock()
 		<-done
@@ -59,8 +59,8 @@
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body) //nolint:errcheck // the client may have closed the connection
 }
 
-// ReadCall reads a uwsgi request and returns its body.
-func ReadCall(c io.Reader) ([]byte, error) {
+// ReadUWSGIRequest reads a uwsgi request and returns its body.
+func ReadUWSGIRequest(c io.Reader) ([]byte, error) {
 	var buf []byte
 	chunk := make([]byte, 4096)
 	for {
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -23,7 +23,7 @@
 const waitTimeout = 20 * time.Second
 
 // Backend is a stand-in for a uwsgi server. Its work function decides how each
-// request ends: Work.End "error" answers 500, "break" closes the connection after
+// request ends: Work.Outcome "error" answers 500, "break" closes the connection after
 // a part of the response, "close" before any of it.
 type Backend struct {
 	Address    string
@@ -36,7 +36,7 @@
 	b := &Backend{runsByBody: map[string]int{}}
 	b.Address, _ = listen(t, func(c net.Conn) {
 		defer c.Close()
-		content, err := box.ReadCall(c)
+		content, err := box.ReadUWSGIRequest(c)
 		if err != nil {
 			return
 		}
@@ -45,8 +45,8 @@
 		b.runsByBody[body]++
 		b.mu.Unlock()
 		run := work(body)
-		time.Sleep(run.For)
-		switch run.End {
+		time.Sleep(run.Duration)
+		switch run.Outcome {
 		case "error":
 			fmt.Fprint(c, "HTTP/1.1 500 Oops\r\n\r\n")
 		case "break":
@@ -162,8 +162,8 @@
 // Write writes raw bytes. Errors are ignored: a closed connection shows in Replies.
 func (c *Caller) Write(b []byte) { c.Conn.Write(b) } //nolint:errcheck // see above
 
-// Vars returns the variables of such a request on the uwsgi front end.
-func Vars(class, tenant, key string, timeout time.Duration) []uwsgi.Var {
+// UWSGIVars returns the variables of such a request on the uwsgi front end.
+func UWSGIVars(class, tenant, key string, timeout time.Duration) []uwsgi.Var {
 	v := []uwsgi.Var{{Name: uwsgi.VarClass, Value: class}, {Name: uwsgi.VarTenant, Value: tenant},
 		{Name: uwsgi.VarTimeout, Value: strconv.FormatInt(timeout.Milliseconds(), 10)}}
 	if key != "" {
@@ -172,8 +172,8 @@
 	return v
 }
 
-// Packet returns a complete uwsgi request.
-func Packet(t testing.TB, vars []uwsgi.Var, body string) []byte {
+// UWSGIRequest returns a complete uwsgi request.
+func UWSGIRequest(t testing.TB, vars []uwsgi.Var, body string) []byte {
 	t.Helper()
 	vars = append([]uwsgi.Var{{Name: uwsgi.VarLength, Value: strconv.Itoa(len(body))}}, vars...)
 	b, err := uwsgi.AppendRequest(nil, vars)
@@ -183,9 +183,9 @@
 	return append(b, body...)
 }
 
-// Post sends packet to a uwsgi front end and reads the whole response. Status is 0
+// UWSGIExchange sends packet to a uwsgi front end and reads the whole response. Status is 0
 // if there was none; Body then has the error.
-func Post(address string, packet []byte) Reply {
+func UWSGIExchange(address string, packet []byte) Reply {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return Reply{Body: err.Error()}
@@ -208,9 +208,9 @@
 	return r
 }
 
-// Ask sends one command to the admin endpoint, in several writes if it is given in
+// AdminCommand sends one command to the admin endpoint, in several writes if it is given in
 // pieces, and returns the whole answer.
-func Ask(t testing.TB, address string, command ...string) string {
+func AdminCommand(t testing.TB, address string, command ...string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -18,15 +18,15 @@
 
 // Work describes one run.
 type Work struct {
-	For    time.Duration // how long the run takes
-	End    string        // outcome: complete, error, ...; "" = complete
-	Result string
+	Duration time.Duration // how long the run takes
+	Outcome  string        // outcome: complete, error, ...; "" = complete
+	Result   string
 }
 
 // Echo returns a work function whose runs take a fixed time and return "did " and
 // the body.
 func Echo(duration time.Duration) func(body string) Work {
-	return func(body string) Work { return Work{For: duration, Result: "did " + body} }
+	return func(body string) Work { return Work{Duration: duration, Result: "did " + body} }
 }
 
 // Engine is a stand-in for the engine. Each run takes the time that the work
@@ -123,16 +123,16 @@
 	e.running[id] = true
 	e.runsByBody[body]++
 	run := e.work(body)
-	time.AfterFunc(run.For, func() {
+	time.AfterFunc(run.Duration, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.running, id)
-		outcome := run.End
+		outcome := run.Outcome
 		if outcome == "" {
 			outcome = "complete"
 		}
 		notice := fmt.Sprintf("DONE %d %s %s %d %d\r\n%s\r\n", len(e.notices)+1, id, outcome,
-			run.For.Milliseconds(), len(run.Result), run.Result)
+			run.Duration.Milliseconds(), len(run.Result), run.Result)
 		e.notices = append(e.notices, notice)
 		if e.link != nil {
 			io.WriteString(e.link, notice)
@@ -140,15 +140,15 @@
 	})
 }
 
-// Move gives the engine another address; the old one accepts no new connections.
+// ChangeAddress gives the engine another address; the old one accepts no new connections.
 // Runs and notices go on, and an open link stays until the server replaces it.
-func (e *Engine) Move(t testing.TB) {
+func (e *Engine) ChangeAddress(t testing.TB) {
 	e.stopListening()
 	e.Address, e.stopListening = listen(t, e.serve)
 }
 
-// Cut closes the link to the server, which may attach again.
-func (e *Engine) Cut() {
+// Disconnect closes the link to the server, which may attach again.
+func (e *Engine) Disconnect() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.link != nil {
--- a/internal/standin/ledger/ledger.go
+++ b/internal/standin/ledger/ledger.go
@@ -22,21 +22,21 @@
 	Try     int           // number of this call among those with the same Ref, from 1
 }
 
-// Act says how a call is answered. The zero value is an immediate success.
-type Act struct {
-	After     time.Duration // delay of the answer; a call given up before its end takes effect only if Ran is set
-	Status    int           // 0 = 200
-	Untouched bool          // the answer says that the call took no effect
-	Ran       bool          // the call takes effect though its status is not 200
-	Break     bool          // the connection closes in the middle of the answer
-	Garble    bool          // the answer is not HTTP
-	Size      int           // of the reply in bytes; 0 = the reply is Reply(body)
+// Response says how a call is answered. The zero value is an immediate success.
+type Response struct {
+	Delay       time.Duration // delay of the answer; a call given up before its end takes effect only if TakesEffect is set
+	Status      int           // 0 = 200
+	Untouched   bool          // the answer says that the call took no effect
+	TakesEffect bool          // the call takes effect though its status is not 200
+	CloseEarly  bool          // the connection closes in the middle of the answer
+	Malformed   bool          // the answer is not HTTP
+	ReplyBytes  int           // size of the reply; 0 = the reply is Reply(body)
 }
 
 // Ledger is a running stand-in.
 type Ledger struct {
 	Address string
-	script  func(Call) Act
+	script  func(Call) Response
 
 	mu        sync.Mutex
 	server    *http.Server
@@ -50,16 +50,16 @@
 
 // Serve starts a ledger that answers as script says; nil = every call succeeds at
 // once.
-func Serve(script func(Call) Act) (*Ledger, error) {
+func Serve(script func(Call) Response) (*Ledger, error) {
 	if script == nil {
-		script = func(Call) Act { return Act{} }
+		script = func(Call) Response { return Response{} }
 	}
 	l := &Ledger{script: script, tries: map[string]int{}, effects: map[string]int{}}
-	return l, l.Up()
+	return l, l.Start()
 }
 
-// Up accepts calls again, at the same address.
-func (l *Ledger) Up() error {
+// Start accepts calls again, at the same address.
+func (l *Ledger) Start() error {
 	address := l.Address
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -72,12 +72,12 @@
 	l.mu.Lock()
 	l.Address, l.server = listener.Addr().String(), server
 	l.mu.Unlock()
-	go server.Serve(listener) //nolint:errcheck // it returns after Down
+	go server.Serve(listener) //nolint:errcheck // it returns after Stop
 	return nil
 }
 
-// Down refuses new connections and closes those that are open.
-func (l *Ledger) Down() {
+// Stop refuses new connections and closes those that are open.
+func (l *Ledger) Stop() {
 	l.mu.Lock()
 	server := l.server
 	l.mu.Unlock()
@@ -114,16 +114,16 @@
 	call.Try = l.tries[call.Ref]
 	l.mu.Unlock()
 	act := l.script(call)
-	if act.Ran {
+	if act.TakesEffect {
 		l.recordEffect(call.Body)
 	}
-	if !waitDelay(r.Context(), act.After) {
+	if !waitDelay(r.Context(), act.Delay) {
 		l.mu.Lock()
 		l.givenUp++
 		l.mu.Unlock()
 		return
 	}
-	if act.Break || act.Garble {
+	if act.CloseEarly || act.Malformed {
 		l.breakAnswer(w, act)
 		return
 	}
@@ -133,8 +133,8 @@
 	if act.Status == 0 || act.Status == http.StatusOK {
 		l.recordEffect(call.Body)
 		reply := []byte(Reply(call.Body))
-		if act.Size > 0 {
-			reply = make([]byte, act.Size)
+		if act.ReplyBytes > 0 {
+			reply = make([]byte, act.ReplyBytes)
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(reply)))
 		w.Write(reply) //nolint:errcheck // the server may have closed the connection
@@ -160,12 +160,12 @@
 
 // breakAnswer sends bytes that are not HTTP, or a partial answer, and closes the
 // connection.
-func (l *Ledger) breakAnswer(w http.ResponseWriter, act Act) {
+func (l *Ledger) breakAnswer(w http.ResponseWriter, act Response) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	if act.Garble {
+	if act.Malformed {
 		io.WriteString(c, "YES IT WENT WELL\r\n\r\n") //nolint:errcheck // the server may have closed the connection
 	} else {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\npart") //nolint:errcheck // the server may have closed the connection
@@ -179,8 +179,8 @@
 	l.effects[body]++
 }
 
-// Seen returns the number of calls received, and how many of them were given up.
-func (l *Ledger) Seen() (calls, givenUp int) {
+// Received returns the number of calls received, and how many of them were given up.
+func (l *Ledger) Received() (calls, givenUp int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.received, l.givenUp
--- a/internal/testfleet/control.go
+++ b/internal/testfleet/control.go
@@ -20,7 +20,7 @@
 	Folder  string // of the version log; "" = a temporary folder
 	Deltas  int    // 0 = the default
 	Follow  []ControlTarget
-	MayFail bool // if it ends before it serves, Again returns an error and does not fail the test
+	MayFail bool // if it ends before it serves, Restart returns an error and does not fail the test
 }
 
 // ControlTarget is a publisher that a control machine follows.
@@ -42,7 +42,7 @@
 	t.Helper()
 	c := &Control{Address: spec.Listen, Folder: spec.Folder, Spec: spec, workFolder: t.TempDir()}
 	if c.Address == "" {
-		c.Address = Address(t)
+		c.Address = FreeAddress(t)
 	}
 	if c.Folder == "" {
 		c.Folder = filepath.Join(c.workFolder, "log")
@@ -56,16 +56,16 @@
 			t.Logf("the log of %s:\n%s", spec.Name, strings.Join(c.LogLines(), "\n"))
 		}
 	})
-	if err := c.Again(); err != nil {
+	if err := c.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// Again starts a new process after the previous one has ended, and returns when
+// Restart starts a new process after the previous one has ended, and returns when
 // it serves. A process that ends before it serves fails the test, or is reported
 // as an error if Spec.MayFail is set.
-func (c *Control) Again() error {
+func (c *Control) Restart() error {
 	p := c.program
 	p.t.Helper()
 	var text strings.Builder
@@ -112,8 +112,8 @@
 // Kill sends SIGKILL and waits for the end of the process.
 func (c *Control) Kill() { c.program.Kill() }
 
-// Leave sends SIGTERM and waits for the end of the process.
-func (c *Control) Leave() { c.program.t.Helper(); c.program.Leave() }
+// Stop sends SIGTERM and waits for the end of the process.
+func (c *Control) Stop() { c.program.t.Helper(); c.program.Stop() }
 
 // PID returns the process ID.
 func (c *Control) PID() int { return c.program.cmd.Process.Pid }
--- a/internal/testfleet/testfleet.go
+++ b/internal/testfleet/testfleet.go
@@ -41,12 +41,12 @@
 // Program is a server that can be restarted: its addresses and its folder stay
 // the same for all of its processes.
 type Program struct {
-	Clients, Ops string // addresses of the listener for callers and of the admin endpoint
-	Folder       string
-	spec         Spec
-	t            testing.TB
-	cmd          *exec.Cmd
-	ended        chan error
+	CallerAddress, AdminAddress string // addresses of the listener for callers and of the admin endpoint
+	Folder                      string
+	spec                        Spec
+	t                           testing.TB
+	cmd                         *exec.Cmd
+	ended                       chan error
 
 	mu       sync.Mutex
 	logLines []string
@@ -56,7 +56,7 @@
 // ends; its log is shown if the test fails.
 func Start(t testing.TB, spec Spec) *Program {
 	t.Helper()
-	p := &Program{spec: spec, t: t, Folder: spec.Folder, Clients: Address(t), Ops: Address(t)}
+	p := &Program{spec: spec, t: t, Folder: spec.Folder, CallerAddress: FreeAddress(t), AdminAddress: FreeAddress(t)}
 	if p.Folder == "" {
 		p.Folder = t.TempDir()
 	}
@@ -68,12 +68,12 @@
 			t.Logf("the log of %s:\n%s", spec.Name, strings.Join(p.logLines, "\n"))
 		}
 	})
-	p.Again()
+	p.Restart()
 	return p
 }
 
-// Address returns a loopback address that nothing listens on.
-func Address(t testing.TB) string {
+// FreeAddress returns a loopback address that nothing listens on.
+func FreeAddress(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,11 +83,11 @@
 	return l.Addr().String()
 }
 
-// Again starts a new process of the server after the previous one has ended, and
+// Restart starts a new process of the server after the previous one has ended, and
 // waits until it serves.
-func (p *Program) Again() {
+func (p *Program) Restart() {
 	p.t.Helper()
-	config := map[string]any{"name": p.spec.Name, "listen": p.Clients, "ops": p.Ops}
+	config := map[string]any{"name": p.spec.Name, "listen": p.CallerAddress, "ops": p.AdminAddress}
 	for key, value := range p.spec.Config {
 		config[key] = value
 	}
@@ -127,7 +127,7 @@
 func (p *Program) Reload(config map[string]any) {
 	p.t.Helper()
 	p.spec.Config = config
-	complete := map[string]any{"name": p.spec.Name, "listen": p.Clients, "ops": p.Ops}
+	complete := map[string]any{"name": p.spec.Name, "listen": p.CallerAddress, "ops": p.AdminAddress}
 	for key, value := range config {
 		complete[key] = value
 	}
@@ -184,8 +184,8 @@
 	}
 }
 
-// Leave sends SIGTERM and waits for the end of the process.
-func (p *Program) Leave() {
+// Stop sends SIGTERM and waits for the end of the process.
+func (p *Program) Stop() {
 	p.t.Helper()
 	p.Signal(syscall.SIGTERM)
 	select {
@@ -219,8 +219,8 @@
 	return len(entries)
 }
 
-// Grant limits the file descriptors of the process, as the platform does.
-func (p *Program) Grant(descriptors uint64) {
+// LimitDescriptors limits the file descriptors of the process, as the platform does.
+func (p *Program) LimitDescriptors(descriptors uint64) {
 	p.t.Helper()
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: descriptors, Max: descriptors}, nil); err != nil {
 		p.t.Fatal(err)
