--- a/cmd/kitelab/fleetday.go
+++ b/cmd/kitelab/fleetday.go
@@ -43,7 +43,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	report, err := fleetday.Play(ctx, fleetday.Options{Form: form, Program: c.Program, Self: []string{self},
-		WithoutControl: c.WithoutControl, Watch: os.Stderr})
+		WithoutControl: c.WithoutControl, Progress: os.Stderr})
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	if len(report.Short) > 0 {
+	if len(report.Unmet) > 0 {
 		return errFallsShort
 	}
 	return nil
--- a/cmd/kitelab/slopes.go
+++ b/cmd/kitelab/slopes.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	file, short, err := slopes.Run(slopes.Options{Program: c.Program, Target: t, Short: c.Short, Only: c.Only,
-		Say: func(line string) { fmt.Println(line) }}, "bin/kitelab slopes")
+		Log: func(line string) { fmt.Println(line) }}, "bin/kitelab slopes")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/fleetday/day.go
+++ b/internal/lab/scale/fleetday/day.go
@@ -30,7 +30,7 @@
 	Program        string   // path of the kiteslip program
 	Self           []string // the laboratory's own binary, and its arguments before a hidden subcommand
 	WithoutControl bool     // only the real servers, configured by their files
-	Watch          io.Writer
+	Progress       io.Writer
 }
 
 // Play plays a day and evaluates it. It ends early when ctx is done. All processes
@@ -69,8 +69,8 @@
 }
 
 func (d *day) progressf(format string, args ...any) {
-	if d.options.Watch != nil {
-		fmt.Fprintf(d.options.Watch, format+"\n", args...)
+	if d.options.Progress != nil {
+		fmt.Fprintf(d.options.Progress, format+"\n", args...)
 	}
 }
 
--- a/internal/lab/scale/fleetday/day_test.go
+++ b/internal/lab/scale/fleetday/day_test.go
@@ -57,7 +57,7 @@
 	var text strings.Builder
 	report.Write(&text)
 	t.Log(text.String())
-	for _, s := range report.Short {
+	for _, s := range report.Unmet {
 		t.Error("short:", s)
 	}
 	return report
--- a/internal/lab/scale/fleetday/report.go
+++ b/internal/lab/scale/fleetday/report.go
@@ -15,7 +15,7 @@
 type Report struct {
 	Figures []figures.Figure
 	Notes   []string // observations in addition to the figures
-	Short   []string // unmet bounds, with the measured values
+	Unmet   []string // unmet bounds, with the measured values
 	Summary string   // the closing line
 }
 
@@ -46,7 +46,7 @@
 }
 
 func (s *reporter) unmet(format string, args ...any) {
-	s.Short = append(s.Short, fmt.Sprintf(format, args...))
+	s.Unmet = append(s.Unmet, fmt.Sprintf(format, args...))
 }
 
 func (s *reporter) note(format string, args ...any) {
@@ -68,7 +68,7 @@
 	for _, f := range r.Figures {
 		fmt.Fprintf(w, "%-58s %-13s %12.4g %12s %12s %12s  %s\n", f.Name, f.State, f.Value, number(f.P99), number(f.Worst), number(f.Bound), f.Unit)
 	}
-	for _, s := range r.Short {
+	for _, s := range r.Unmet {
 		fmt.Fprintln(w, "short:", s)
 	}
 	fmt.Fprintln(w, r.Summary)
@@ -96,7 +96,7 @@
 	}
 	s.Summary = fmt.Sprintf("fleetday: servers=%d real=%d hollow=%d control=%d callers=%d tenants=%d routes=%d %s short=%d",
 		d.rig.form.Servers, d.rig.form.Real, d.rig.form.Servers-d.rig.form.Real, d.rig.form.Machines, d.rig.form.Callers,
-		d.rig.form.Tenants, d.rig.form.Routes, strings.Join(s.keys, " "), len(s.Short))
+		d.rig.form.Tenants, d.rig.form.Routes, strings.Join(s.keys, " "), len(s.Unmet))
 	return &s.Report
 }
 
--- a/internal/lab/scale/slopes/slopes.go
+++ b/internal/lab/scale/slopes/slopes.go
@@ -27,7 +27,7 @@
 	Target  *target.Target
 	Short   bool     // three small sizes, one round
 	Only    []string // the parts to measure, of Parts; none = all
-	Say     func(line string)
+	Log     func(line string)
 }
 
 // Parts lists the parts that can be measured separately, in order.
@@ -45,8 +45,8 @@
 // Run measures the parts and returns the file, and the bounds of the target that are
 // not met.
 func Run(o Options, command string) (*figures.File, []string, error) {
-	if o.Say == nil {
-		o.Say = func(string) {}
+	if o.Log == nil {
+		o.Log = func(string) {}
 	}
 	m := &measurement{Options: o, short: o.Short, target: o.Target, file: figures.New(command)}
 	parts := map[string]func() error{"decision": m.decisions, "memory": m.memory, "start": m.starts, "traffic": m.traffic, "delta": m.deltas, "version": m.versions, "follow": m.follows, "connections": m.connections, "latency": m.latencies}
@@ -71,7 +71,7 @@
 	return m.file, m.unmet, errors.Join(errs...)
 }
 
-func (m *measurement) logf(format string, args ...any) { m.Say(fmt.Sprintf(format, args...)) }
+func (m *measurement) logf(format string, args ...any) { m.Log(fmt.Sprintf(format, args...)) }
 
 func (m *measurement) check(ok bool, format string, args ...any) {
 	if !ok {
--- a/internal/lab/scale/slopes/slopes_test.go
+++ b/internal/lab/scale/slopes/slopes_test.go
@@ -38,7 +38,7 @@
 	if testing.Short() {
 		t.Skip("starts processes for several seconds")
 	}
-	file, unmet, err := Run(Options{Program: buildProgram(t), Target: smallTarget(t), Short: true, Say: func(line string) { t.Log(line) }}, "test")
+	file, unmet, err := Run(Options{Program: buildProgram(t), Target: smallTarget(t), Short: true, Log: func(line string) { t.Log(line) }}, "test")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 func TestBoundIsCheckedAtTarget(t *testing.T) {
 	for bound, want := range map[float64]int{50: 1, 5000: 0} {
 		m := &measurement{target: smallTarget(t), file: figures.New("test")}
-		m.Say = func(string) {}
+		m.Log = func(string) {}
 		s := figures.Slope{Name: "x", Role: figures.Core, SizeName: "things", Target: 1000, Bound: bound}
 		for _, size := range []float64{10, 100, 1000} {
 			s.Points = append(s.Points, figures.Point{Size: size, Value: size})
