--- a/internal/lab/fleet/callers.go
+++ b/internal/lab/fleet/callers.go
@@ -244,10 +244,10 @@
 		m := sim.boxes[(f.FirstBox+i)%len(sim.boxes)]
 		at := epoch + f.At
 		switch f.Kind {
-		case Crash:
-			sim.scheduleAt(at, m.crash)
+		case Die:
+			sim.scheduleAt(at, m.kill)
 			sim.scheduleAt(at+f.Duration, func() { m.restart(f) })
-		case Slowdown:
+		case Slow:
 			sim.scheduleAt(at, func() { m.setSpeed(f.SpeedFactor) })
 			sim.scheduleAt(at+f.Duration, func() { m.setSpeed(1) })
 		case Pause:
@@ -261,7 +261,7 @@
 				}
 			})
 			sim.scheduleAt(at+drainUS, func() {
-				m.crash()
+				m.kill()
 				m.restart(f)
 			})
 		}
--- a/internal/lab/fleet/calls.go
+++ b/internal/lab/fleet/calls.go
@@ -137,7 +137,7 @@
 }
 
 // scheduleStep schedules f and then a step of the core. It does nothing if the box
-// has crashed by then, and is put off to the end of a pause.
+// is down by then, and is put off to the end of a pause.
 func (m *machine) scheduleStep(at int64, f func()) {
 	incarnation := m.incarnation
 	m.sim.scheduleAt(at, func() {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -70,10 +70,10 @@
 
 // The kinds of failures of boxes; LedgerDown is one more.
 const (
-	Crash    FailureKind = iota // the box stops at once, and restarts cold after Duration
-	Slowdown                    // the box runs at SpeedFactor of its speed
-	Pause                       // box and server stand still; what becomes due meanwhile happens at the end
-	Deploy                      // boxes are drained and replaced cold one after the other, within Duration
+	Die    FailureKind = iota // the box stops at once, and restarts cold after Duration
+	Slow                      // the box runs at SpeedFactor of its speed
+	Pause                     // box and server stand still; what becomes due meanwhile happens at the end
+	Deploy                    // boxes are drained and replaced cold one after the other, within Duration
 )
 
 // String returns the kind's name in scenario files.
@@ -88,8 +88,8 @@
 	Duration    int64       `json:"For"`
 	BoxShare    float64     `json:"Share"`  // of the boxes that fail
 	FirstBox    int         `json:"First"`  // number of the first box that fails; the others follow by number
-	SpeedFactor float64     `json:"Factor"` // share of the speed: during a Slowdown; at the restart after a Crash or Deploy
-	WarmupTime  int64       `json:"Warm"`   // Crash, Deploy: from the restart to full speed
+	SpeedFactor float64     `json:"Factor"` // share of the speed: during Slow; at the restart after Die or Deploy
+	WarmupTime  int64       `json:"Warm"`   // Die, Deploy: from the restart to full speed
 }
 
 // Day describes one simulation: the fleet, its settings, the traffic and the
@@ -119,10 +119,10 @@
 }
 
 const (
-	drainUS             = 3_000_000  // from the shutdown notice to the end, in a deploy
-	collapseDowntimeUS  = 6_000_000  // from the collapse of an overloaded box to its restart
-	collapseSpeedFactor = 0.21       // share of the speed after that restart
-	collapseWarmupUS    = 17_000_000 // from that restart to full speed
+	drainUS          = 3_000_000  // from the shutdown notice to the end, in a deploy
+	crashDowntimeUS  = 6_000_000  // from the crash of an overloaded box to its restart
+	crashSpeedFactor = 0.21       // share of the speed after that restart
+	crashWarmupUS    = 17_000_000 // from that restart to full speed
 )
 
 // request is one request of a client, with all its tries.
@@ -361,7 +361,7 @@
 }
 
 // advance processes what is due at the box: ends of runs, arrivals, a step of the
-// core, and its collapse. After a pause that is all that became due meanwhile.
+// core, and its crash. After a pause that is all that became due meanwhile.
 func (m *machine) advance() {
 	now := m.sim.now
 	if m.down || now < m.pausedUntil {
@@ -379,9 +379,9 @@
 	}
 	m.core.Step(now)
 	if m.box.Crashed() {
-		m.sim.Collapses++
-		m.crash()
-		m.sim.scheduleAt(now+collapseDowntimeUS, func() { m.restart(&Failure{SpeedFactor: collapseSpeedFactor, WarmupTime: collapseWarmupUS}) })
+		m.sim.Crashes++
+		m.kill()
+		m.sim.scheduleAt(now+crashDowntimeUS, func() { m.restart(&Failure{SpeedFactor: crashSpeedFactor, WarmupTime: crashWarmupUS}) })
 	}
 }
 
@@ -434,9 +434,9 @@
 	sim.scheduleAt(sim.now+sim.day.NetworkDelay, func() { sim.handleAnswer(t, a) })
 }
 
-// crash stops the box at once. All tries that it holds are lost; their callers see
+// kill stops the box at once. All tries that it holds are lost; their callers see
 // the connections end.
-func (m *machine) crash() {
+func (m *machine) kill() {
 	if m.down {
 		return
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -179,17 +179,17 @@
 	}
 }
 
-// Boxes that collapse under too many runs must do so if the server does not know
+// Boxes that crash under too many runs must do so if the server does not know
 // the bound, and must not if it does.
-func TestOverloadedBoxesCollapse(t *testing.T) {
+func TestOverloadedBoxesCrash(t *testing.T) {
 	t.Parallel()
-	collapses := func(maxRunsPerCore float64) float64 {
+	crashes := func(maxRunsPerCore float64) float64 {
 		return meanOverSeeds(t, "month-end", func(d *Day) {
 			d.Box.MaxRunsPerCore, d.Policy.MaxRunsPerCore, d.Load = 2, maxRunsPerCore, 1.2
-		}, func(o *Outcome) float64 { return float64(o.Collapses) })
+		}, func(o *Outcome) float64 { return float64(o.Crashes) })
 	}
-	if unknown, known := collapses(0), collapses(2); unknown == 0 || known > 0 {
-		t.Errorf("%.1f boxes collapse if the server does not know the bound, %.1f if it does", unknown, known)
+	if unknown, known := crashes(0), crashes(2); unknown == 0 || known > 0 {
+		t.Errorf("%.1f boxes crash if the server does not know the bound, %.1f if it does", unknown, known)
 	}
 }
 
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -23,14 +23,14 @@
 	TopSubjectFactor float64 `toml:"subject_poison"` // multiplies the work for the most popular subject
 	DelayMS          float64 `toml:"delay_ms"`
 	Fleet            struct {
-		Boxes   int     `toml:"boxes"`
-		Cores   int     `toml:"cores"`
-		Speed   float64 `toml:"speed"`
-		Spread  float64 `toml:"spread"`
-		Knee    float64 `toml:"knee"`    // runs per core beyond which throughput is lost
-		Loss    float64 `toml:"loss"`    // share lost for each run per core beyond the knee
-		Backend string  `toml:"backend"` // live days: engine or uwsgi
-		Falls   float64 `toml:"falls"`   // runs per core, in the mean of 1.5 s, beyond which a box collapses; 0 = never
+		Boxes          int     `toml:"boxes"`
+		Cores          int     `toml:"cores"`
+		Speed          float64 `toml:"speed"`
+		Spread         float64 `toml:"spread"`
+		Knee           float64 `toml:"knee"`    // runs per core beyond which throughput is lost
+		Loss           float64 `toml:"loss"`    // share lost for each run per core beyond the knee
+		Backend        string  `toml:"backend"` // live days: engine or uwsgi
+		MaxRunsPerCore float64 `toml:"falls"`   // runs per core, in the mean of 1.5 s, beyond which a box crashes; 0 = never
 	} `toml:"fleet"`
 	TimeoutsNotSent bool            `toml:"untold"` // requests carry no deadline
 	MarksRetries    bool            `toml:"marks_retries"`
@@ -123,7 +123,7 @@
 var (
 	effects      = map[string]kiteslip.Effect{"repeatable": kiteslip.Repeatable, "keyed": kiteslip.Keyed}
 	balancings   = map[string]Balancing{"": RoundRobin, "turn": RoundRobin, "two": LeastOpen, "subject": BySubject}
-	failureKinds = map[string]FailureKind{"die": Crash, "slow": Slowdown, "pause": Pause, "deploy": Deploy, "ledger_down": LedgerDown}
+	failureKinds = map[string]FailureKind{"die": Die, "slow": Slow, "pause": Pause, "deploy": Deploy, "ledger_down": LedgerDown}
 	stopModes    = map[string]kiteslip.Stop{"": kiteslip.StopNever, "never": kiteslip.StopNever, "discard": kiteslip.StopDiscard, "freeze": kiteslip.StopFreeze}
 )
 
@@ -190,7 +190,7 @@
 		return v
 	}
 	day := Day{Boxes: s.Fleet.Boxes, SpeedSpread: s.Fleet.Spread, Load: s.Load, SubjectSkew: s.SubjectSkew, Subjects: max(1, s.Subjects), TopSubjectFactor: s.TopSubjectFactor,
-		Box:    box.Spec{Cores: s.Fleet.Cores, Speed: orDefault(s.Fleet.Speed, 1), Knee: s.Fleet.Knee, Loss: s.Fleet.Loss, MaxRunsPerCore: s.Fleet.Falls},
+		Box:    box.Spec{Cores: s.Fleet.Cores, Speed: orDefault(s.Fleet.Speed, 1), Knee: s.Fleet.Knee, Loss: s.Fleet.Loss, MaxRunsPerCore: s.Fleet.MaxRunsPerCore},
 		Length: secondsToUS(s.Seconds), Warmup: secondsToUS(s.WarmupS), NetworkDelay: msToUS(orDefault(s.DelayMS, 1))}
 	switch s.Fleet.Backend {
 	case "", "engine":
--- a/internal/lab/fleet/score.go
+++ b/internal/lab/fleet/score.go
@@ -42,10 +42,10 @@
 	Asked            int `json:"Asked"`   // requests after the warm-up
 	Tries            int `json:"Tries"`   // of all requests
 	Runs             int `json:"Runs"`    // of all requests
-	BoxesLost        int `json:"Deaths"`  // crashes, replacements and collapses
+	BoxesLost        int `json:"Deaths"`  // by the failures Die and Deploy, and by crashes
 	Calls            int `json:"Calls"`   // downstream calls that were made
 	SkippedCalls     int `json:"Skips"`   // runs that continued without their call
-	Collapses        int `json:"Fallen"`  // boxes that failed because too much ran on them
+	Crashes          int `json:"Fallen"`  // boxes that crashed because too many runs were on them
 	DeadlineExceeded int `json:"Overdue"` // rule broken: answers after their deadline
 	DuplicateRuns    int `json:"Twice"`   // rule broken: further runs of a key on one box within its window
 	ScoreParts
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -18,8 +18,8 @@
 	return program
 }
 
-// A short day against the real program in which a box crashes and restarts. Requests
-// open at the crash must end, none after its deadline, and the requests must be the
+// A short day against the real program in which a box dies and restarts. Requests
+// open at that time must end, none after its deadline, and the requests must be the
 // same as in simulated time.
 func TestLiveDayWithCrash(t *testing.T) {
 	program := buildProgram(t)
