--- a/cmd/kitelab/calls.go
+++ b/cmd/kitelab/calls.go
@@ -24,7 +24,7 @@
 
 // Run plays the measurement.
 func (c *callsCmd) Run() error {
-	var v shortfalls
+	var v unmetBounds
 	rig, err := calls.Open(c.Program, calls.Faulty)
 	if err != nil {
 		return err
--- a/cmd/kitelab/door.go
+++ b/cmd/kitelab/door.go
@@ -46,7 +46,7 @@
 	}
 	fmt.Println("asking from the start: ", early)
 	fmt.Println("asking 1 s after it:   ", settled)
-	var v shortfalls
+	var v unmetBounds
 	v.require(early.late == 0, "%d answers came after their due time", early.late)
 	v.require(early.unanswered == 0, "%d requests had no answer", early.unanswered)
 	share := float64(early.minAnswers) / float64(max(1, early.medianAnswers))
--- a/cmd/kitelab/fleetday.go
+++ b/cmd/kitelab/fleetday.go
@@ -55,7 +55,7 @@
 		}
 	}
 	if len(report.Unmet) > 0 {
-		return errFallsShort
+		return errUnmet
 	}
 	return nil
 }
--- a/cmd/kitelab/keys.go
+++ b/cmd/kitelab/keys.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	defer rig.Close()
-	var v shortfalls
+	var v unmetBounds
 	kills, err := rig.Kills()
 	if err != nil {
 		return err
--- a/cmd/kitelab/lab.go
+++ b/cmd/kitelab/lab.go
@@ -48,7 +48,7 @@
 
 // Run plays the measurement.
 func (c *labCmd) Run() error {
-	var v shortfalls
+	var v unmetBounds
 	load := func(name string) (fleet.Day, error) {
 		day, _, err := fleet.Load(filepath.Join(c.Scenarios, name+".toml"))
 		return day, err
@@ -226,7 +226,7 @@
 // compareWithLoopback plays three scenarios on loopback and in simulated time, also
 // overloaded, one of them twice, and a change that is known to lower the score. It
 // returns the largest differences and lateness.
-func (c *labCmd) compareWithLoopback(v *shortfalls, load func(string) (fleet.Day, error)) (worst loopbackGap, late int64, err error) {
+func (c *labCmd) compareWithLoopback(v *unmetBounds, load func(string) (fleet.Day, error)) (worst loopbackGap, late int64, err error) {
 	var days []playedDay
 	for i, name := range []string{"calm-lunch", "slow-zone", "pause-burst"} {
 		day, err := load(name)
@@ -296,7 +296,7 @@
 // checkKnownChange checks that a change that is known to lower the score, from a to b,
 // is found to do so in simulated time, and that its effect on loopback is within half
 // an interval of its effect in simulated time on the same draws.
-func (c *labCmd) checkKnownChange(v *shortfalls, a, b *playedDay) error {
+func (c *labCmd) checkKnownChange(v *unmetBounds, a, b *playedDay) error {
 	const seeds = 24
 	before, after := make([]float64, seeds), make([]float64, seeds)
 	for i := range seeds {
--- a/cmd/kitelab/main.go
+++ b/cmd/kitelab/main.go
@@ -33,29 +33,29 @@
 	HollowCallers hollowCallersCmd `cmd:"" hidden:"" help:"Callers of a fleet day."`
 }
 
-// errFallsShort is returned if a figure is out of its bounds; what falls short has
+// errUnmet is returned if a figure is out of its bounds; the unmet bounds have
 // been printed.
-var errFallsShort = errors.New("a figure falls short")
+var errUnmet = errors.New("a figure falls short")
 
-// shortfalls are the descriptions of the figures that are out of their bounds.
-type shortfalls []string
+// unmetBounds are the descriptions of the figures that are out of their bounds.
+type unmetBounds []string
 
-// require adds a shortfall unless ok.
-func (v *shortfalls) require(ok bool, format string, args ...any) {
+// require adds an unmet bound unless ok.
+func (v *unmetBounds) require(ok bool, format string, args ...any) {
 	if !ok {
 		*v = append(*v, fmt.Sprintf(format, args...))
 	}
 }
 
-// finish prints the shortfalls and the closing line, and returns errFallsShort if
+// finish prints the unmet bounds and the closing line, and returns errUnmet if
 // there are any.
-func (v shortfalls) finish(line string) error {
+func (v unmetBounds) finish(line string) error {
 	for _, s := range v {
 		fmt.Println("short:", s)
 	}
 	fmt.Println(line)
 	if len(v) > 0 {
-		return errFallsShort
+		return errUnmet
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 func main() {
 	ctx := kong.Parse(&cli{}, kong.Name("kitelab"), kong.UsageOnError(), kong.Description("Measurements of kiteslip."))
 	if err := ctx.Run(); err != nil {
-		if !errors.Is(err, errFallsShort) {
+		if !errors.Is(err, errUnmet) {
 			fmt.Fprintln(os.Stderr, "kitelab:", err)
 		}
 		os.Exit(1)
--- a/cmd/kitelab/pools.go
+++ b/cmd/kitelab/pools.go
@@ -38,7 +38,7 @@
 	wg.Wait()
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "day\tgauges\tlandmark off\ton (worst)\tworth off\ton (mean)\tratio (worst)\tdone\tothers keep\t")
-	var v shortfalls
+	var v unmetBounds
 	worst := map[string]*lab.Comparison{}
 	for i := range list {
 		if errs[i] != nil {
@@ -47,7 +47,7 @@
 		r := &list[i]
 		fmt.Fprintf(w, "%s\t%v\t%.3f\t%.3f\t%.4f\t%.4f\t%.4f\t%.3f\t%.3f\t\n", r.Name, r.Gauges, r.CheapestOnTimeWithout, r.CheapestOnTimeWith,
 			r.WorthWithout, r.WorthWith, r.WorthRatio, r.ServedWorkRatio, r.ShareKept)
-		v.require(r.Overdue == 0, "%s: %d answers after their due time", r.Name, r.Overdue)
+		v.require(r.DeadlineExceeded == 0, "%s: %d answers after their due time", r.Name, r.DeadlineExceeded)
 		if o := worst[r.Name]; o == nil {
 			copied := *r
 			worst[r.Name] = &copied
--- a/cmd/kitelab/runs.go
+++ b/cmd/kitelab/runs.go
@@ -126,7 +126,7 @@
 func printRun(w io.Writer, run *experiment.Run) {
 	n := float64(len(run.Days))
 	var p fleet.ScoreParts
-	asked, tries, overdue, twice, boxesLost := 0, 0, 0, 0, 0
+	asked, tries, deadlineExceeded, repeatedRuns, boxesLost := 0, 0, 0, 0, 0
 	for _, d := range run.Days {
 		o := d.Outcome
 		p.Score += o.Score / n
@@ -134,11 +134,11 @@
 		p.WorstWindow += o.WorstWindow / n
 		p.WorstClass += o.WorstClass / n
 		p.WorstTeam += o.WorstTeam / n
-		asked, tries, overdue, twice, boxesLost = asked+o.Asked, tries+o.Tries, overdue+o.DeadlineExceeded, twice+o.DuplicateRuns, boxesLost+o.BoxesLost
+		asked, tries, deadlineExceeded, repeatedRuns, boxesLost = asked+o.Asked, tries+o.Tries, deadlineExceeded+o.DeadlineExceeded, repeatedRuns+o.RepeatedRuns, boxesLost+o.BoxesLost
 	}
 	fmt.Fprintf(w, "%s: score %.4f over %d days (whole %.4f, worst ten seconds %.4f, worst class %.4f, worst team %.4f)\n",
 		run.Name, p.Score, len(run.Days), p.Whole, p.WorstWindow, p.WorstClass, p.WorstTeam)
-	fmt.Fprintf(w, "%d requests counted, %d tries, %d boxes lost; rules broken: %d answers after their due time, %d second runs\n", asked, tries, boxesLost, overdue, twice)
+	fmt.Fprintf(w, "%d requests counted, %d tries, %d boxes lost; rules broken: %d answers after their due time, %d second runs\n", asked, tries, boxesLost, deadlineExceeded, repeatedRuns)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "of a day\tasked\tin time\tlate\trefused\tfailed\tmedian ms\t99th ms\tworth\t")
 	m := len(run.Days)
--- a/cmd/kitelab/shutdown.go
+++ b/cmd/kitelab/shutdown.go
@@ -34,7 +34,7 @@
 		o.Ready[len(o.Ready)-1].Round(time.Millisecond), len(o.Ready))
 	inHand, sent := shutdown.UpperBound(o.CallLimit), shutdown.UpperBound(o.WindowLimit)
 	fmt.Printf("the ledger, cold after each wave: %d calls in hand at once (%.1f allowed), %d within any span (%.1f allowed)\n", o.MaxCalls, inHand, o.MaxCallsInWindow, sent)
-	var v shortfalls
+	var v unmetBounds
 	v.require(o.Lost == 0, "%d requests are lost", o.Lost)
 	v.require(o.AnsweredTwice == 0, "%d requests are answered twice", o.AnsweredTwice)
 	v.require(o.Late == 0, "%d answers are late", o.Late)
--- a/cmd/kitelab/slopes.go
+++ b/cmd/kitelab/slopes.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	file, short, err := slopes.Run(slopes.Options{Program: c.Program, Target: t, Short: c.Short, Only: c.Only,
+	file, unmet, err := slopes.Run(slopes.Options{Program: c.Program, Target: t, Short: c.Short, Only: c.Only,
 		Log: func(line string) { fmt.Println(line) }}, "bin/kitelab slopes")
 	if err != nil {
 		return err
@@ -40,5 +40,5 @@
 		}
 		kept = c.Out
 	}
-	return shortfalls(short).finish(fmt.Sprintf("slopes: build=%s slopes=%d knees=%d short=%d kept=%s", file.Build, len(file.Slopes), knees, len(short), kept))
+	return unmetBounds(unmet).finish(fmt.Sprintf("slopes: build=%s slopes=%d knees=%d short=%d kept=%s", file.Build, len(file.Slopes), knees, len(unmet), kept))
 }
--- a/internal/lab/fleet/calls_test.go
+++ b/internal/lab/fleet/calls_test.go
@@ -31,8 +31,8 @@
 	if down, up := failedShare(o, "sale-record"), failedShare(up, "sale-record"); down < 0.15 || up > 0.02 {
 		t.Errorf("sale-record fails %.2f of its requests with the ledger down, %.2f with it up", down, up)
 	}
-	if o.DeadlineExceeded > 0 || o.DuplicateRuns > 0 {
-		t.Errorf("%d answers after their deadline, %d duplicate runs", o.DeadlineExceeded, o.DuplicateRuns)
+	if o.DeadlineExceeded > 0 || o.RepeatedRuns > 0 {
+		t.Errorf("%d answers after their deadline, %d repeated runs", o.DeadlineExceeded, o.RepeatedRuns)
 	}
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -408,7 +408,7 @@
 	m.sim.Runs++
 	if r.Key != "" && m.sim.day.Classes[r.Class].Effect == kiteslip.Keyed {
 		if last, ran := m.lastRunArrival[r.Key]; ran && r.Arrived <= last+m.sim.day.Classes[r.Class].Window {
-			m.sim.DuplicateRuns++
+			m.sim.RepeatedRuns++
 		}
 		m.lastRunArrival[r.Key] = r.Arrived
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -49,8 +49,8 @@
 			if again := play(t, day); !reflect.DeepEqual(o, again) {
 				t.Error("the same day and seed gave another outcome")
 			}
-			if o.DeadlineExceeded > 0 || o.DuplicateRuns > 0 {
-				t.Errorf("%d answers after their deadline, %d duplicate runs", o.DeadlineExceeded, o.DuplicateRuns)
+			if o.DeadlineExceeded > 0 || o.RepeatedRuns > 0 {
+				t.Errorf("%d answers after their deadline, %d repeated runs", o.DeadlineExceeded, o.RepeatedRuns)
 			}
 			ended := 0
 			for _, g := range o.Classes {
--- a/internal/lab/fleet/score.go
+++ b/internal/lab/fleet/score.go
@@ -47,7 +47,7 @@
 	SkippedCalls     int `json:"Skips"`   // runs that continued without their call
 	Crashes          int `json:"Fallen"`  // boxes that crashed because too many runs were on them
 	DeadlineExceeded int `json:"Overdue"` // rule broken: answers after their deadline
-	DuplicateRuns    int `json:"Twice"`   // rule broken: further runs of a key on one box within its window
+	RepeatedRuns     int `json:"Twice"`   // rule broken: further runs of a key on one box within its window
 	ScoreParts
 	Classes         []Group     `json:"Classes"`
 	Teams           []Group     `json:"Teams"`
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -81,10 +81,10 @@
 
 // Result is the outcome of a simulation.
 type Result struct {
-	Classes  []ClassCounts
-	Overdue  int // answers after their deadline; must be 0
-	Answered int // answers, those of retries included
-	Runs     int
+	Classes          []ClassCounts
+	DeadlineExceeded int // answers after their deadline; must be 0
+	Answered         int // answers, those of retries included
+	Runs             int
 }
 
 // WorthShare returns the work served over the work requested, weighted by the worth
@@ -276,7 +276,7 @@
 	w.tries[stream] = nil
 	w.Answered++
 	if w.now > t.deadline {
-		w.Overdue++
+		w.DeadlineExceeded++
 	}
 	if w.spec.RetryRefused && a.Code == core.Refused && !a.NoFailover && !t.retried && a.RetryAfter > 0 && w.now+a.RetryAfter < t.deadline {
 		t.retried = true
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -21,7 +21,7 @@
 // A short day against the real program in which a box dies and restarts. Requests
 // open at that time must end, none after its deadline, and the requests must be the
 // same as in simulated time.
-func TestLiveDayWithCrash(t *testing.T) {
+func TestLiveDayWithKilledBox(t *testing.T) {
 	program := buildProgram(t)
 	day, _, err := fleet.Load(filepath.Join("..", "..", "..", "scenarios", "fifth-dies.toml"))
 	if err != nil {
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -72,7 +72,7 @@
 	WorthWithout, WorthWith                   float64 // mean worth shares
 	ServedWorkRatio                           float64 // worst ratio of the work served, on over off
 	ShareKept                                 float64 // worst of the other pools: work served on time over the smaller of the pool's capacity and the work requested
-	Overdue                                   int     // answers after their deadline
+	DeadlineExceeded                          int     // answers after their deadline
 }
 
 // Compare simulates a scenario with and without pools for each of several seeds.
@@ -94,7 +94,7 @@
 			if requests := r.requests(); requests != r.answers() {
 				return c, fmt.Errorf("lab: %s, seed %d: %d requests, %d final answers", s.Name, seed, requests, r.answers())
 			}
-			c.Overdue += r.Overdue
+			c.DeadlineExceeded += r.DeadlineExceeded
 			results[on] = r
 		}
 		off, on := results[0], results[1]
--- a/internal/lab/pools_test.go
+++ b/internal/lab/pools_test.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.CheapestOnTimeWith < c.least || r.CheapestOnTimeWithout > c.off || r.WorthRatio < 0.98 || r.Overdue > 0 {
+			if r.CheapestOnTimeWith < c.least || r.CheapestOnTimeWithout > c.off || r.WorthRatio < 0.98 || r.DeadlineExceeded > 0 {
 				t.Errorf("%s, gauges %v: %+v", c.name, gauges, r)
 			}
 		}
@@ -102,9 +102,9 @@
 		return r
 	}
 	on, off := simulate(true), simulate(false)
-	if on.Overdue > 0 || on.Classes[LandmarkSearch].OnTimeShare() < 0.85 || off.Classes[LandmarkSearch].OnTimeShare() > 0.8 {
+	if on.DeadlineExceeded > 0 || on.Classes[LandmarkSearch].OnTimeShare() < 0.85 || off.Classes[LandmarkSearch].OnTimeShare() > 0.8 {
 		t.Errorf("landmark-search on time: %.3f with pools, %.3f without; %d overdue", on.Classes[LandmarkSearch].OnTimeShare(),
-			off.Classes[LandmarkSearch].OnTimeShare(), on.Overdue)
+			off.Classes[LandmarkSearch].OnTimeShare(), on.DeadlineExceeded)
 	}
 }
 
@@ -141,8 +141,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.requests() != r.answers() || r.Overdue > 0 || observations < 200 {
-		t.Errorf("%d requests, %d answered, %d overdue, %d observations", r.requests(), r.answers(), r.Overdue, observations)
+	if r.requests() != r.answers() || r.DeadlineExceeded > 0 || observations < 200 {
+		t.Errorf("%d requests, %d answered, %d after their deadline, %d observations", r.requests(), r.answers(), r.DeadlineExceeded, observations)
 	}
 }
 
--- a/internal/lab/scale/fleetday/day.go
+++ b/internal/lab/scale/fleetday/day.go
@@ -286,7 +286,7 @@
 		r.history.cut(e.Region, time.Now())
 		return r.cut(e.Region, true)
 	case HealRegion:
-		r.history.heal(e.Region, time.Now())
+		r.history.restore(e.Region, time.Now())
 		return r.cut(e.Region, false)
 	}
 	return nil
--- a/internal/lab/scale/fleetday/history.go
+++ b/internal/lab/scale/fleetday/history.go
@@ -131,7 +131,7 @@
 	h.Cuts[region] = append(h.Cuts[region], Span{From: at, To: at.Add(time.Hour)})
 }
 
-func (h *History) heal(region int, at time.Time) {
+func (h *History) restore(region int, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if list := h.Cuts[region]; len(list) > 0 {
--- a/internal/lab/scale/fleetday/history_test.go
+++ b/internal/lab/scale/fleetday/history_test.go
@@ -21,7 +21,7 @@
 	h.phase(RegionHealed, at(15))
 	h.phase(Zone, at(20))
 	h.cut(1, at(10))
-	h.heal(1, at(15))
+	h.restore(1, at(15))
 	for i, s := range []float64{1, 2, 12, 22} {
 		h.accepted(Accepted{Number: uint64(i + 1), Digest: string(rune('a' + i)), At: at(s)})
 	}
