--- a/internal/lab/fleet/callers.go
+++ b/internal/lab/fleet/callers.go
@@ -244,10 +244,10 @@
 		m := sim.boxes[(f.FirstBox+i)%len(sim.boxes)]
 		at := epoch + f.At
 		switch f.Kind {
-		case Crash:
-			sim.scheduleAt(at, m.crash)
+		case Die:
+			sim.scheduleAt(at, m.kill)
 			sim.scheduleAt(at+f.Duration, func() { m.restart(f) })
-		case Slowdown:
+		case Slow:
 			sim.scheduleAt(at, func() { m.setSpeed(f.SpeedFactor) })
 			sim.scheduleAt(at+f.Duration, func() { m.setSpeed(1) })
 		case Pause:
@@ -261,7 +261,7 @@
 				}
 			})
 			sim.scheduleAt(at+drainUS, func() {
-				m.crash()
+				m.kill()
 				m.restart(f)
 			})
 		}
@@ -283,7 +283,7 @@
 	if m.remote != nil {
 		m.remote.SetSpeed(factor)
 	} else if !m.down {
-		m.box.Scale(m.sim.now, factor)
+		m.box.SetSpeed(m.sim.now, factor)
 		m.sim.schedule.set(m.number, m.nextEvent())
 	}
 }
@@ -298,7 +298,7 @@
 		m.remote.Pause(duration)
 		return
 	}
-	m.box.Scale(m.sim.now, 0)
+	m.box.SetSpeed(m.sim.now, 0)
 	m.pausedUntil = m.sim.now + duration
 	incarnation := m.incarnation
 	m.sim.scheduleAt(m.pausedUntil, func() {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -70,10 +70,10 @@
 
 // The kinds of failures of boxes; LedgerDown is one more.
 const (
-	Crash    FailureKind = iota // the box stops at once, and restarts cold after Duration
-	Slowdown                    // the box runs at SpeedFactor of its speed
-	Pause                       // box and server stand still; what becomes due meanwhile happens at the end
-	Deploy                      // boxes are drained and replaced cold one after the other, within Duration
+	Die    FailureKind = iota // the box stops at once, and restarts cold after Duration
+	Slow                      // the box runs at SpeedFactor of its speed
+	Pause                     // box and server stand still; what becomes due meanwhile happens at the end
+	Deploy                    // boxes are drained and replaced cold one after the other, within Duration
 )
 
 // String returns the kind's name in scenario files.
@@ -88,8 +88,8 @@
 	Duration    int64       `json:"For"`
 	BoxShare    float64     `json:"Share"`  // of the boxes that fail
 	FirstBox    int         `json:"First"`  // number of the first box that fails; the others follow by number
-	SpeedFactor float64     `json:"Factor"` // share of the speed: during a Slowdown; at the restart after a Crash or Deploy
-	WarmupTime  int64       `json:"Warm"`   // Crash, Deploy: from the restart to full speed
+	SpeedFactor float64     `json:"Factor"` // share of the speed: during Slow; at the restart after Die or Deploy
+	WarmupTime  int64       `json:"Warm"`   // Die, Deploy: from the restart to full speed
 }
 
 // Day describes one simulation: the fleet, its settings, the traffic and the
@@ -119,10 +119,10 @@
 }
 
 const (
-	drainUS             = 3_000_000  // from the shutdown notice to the end, in a deploy
-	collapseDowntimeUS  = 6_000_000  // from the collapse of an overloaded box to its restart
-	collapseSpeedFactor = 0.21       // share of the speed after that restart
-	collapseWarmupUS    = 17_000_000 // from that restart to full speed
+	drainUS          = 3_000_000  // from the shutdown notice to the end, in a deploy
+	crashDowntimeUS  = 6_000_000  // from the crash of an overloaded box to its restart
+	crashSpeedFactor = 0.21       // share of the speed after that restart
+	crashWarmupUS    = 17_000_000 // from that restart to full speed
 )
 
 // request is one request of a client, with all its tries.
@@ -156,7 +156,7 @@
 type machine struct {
 	sim            *simulation
 	number         int
-	box            *box.Box
+	box            *box.Machine
 	core           *core.Core
 	incarnation    int
 	down           bool
@@ -361,7 +361,7 @@
 }
 
 // advance processes what is due at the box: ends of runs, arrivals, a step of the
-// core, and its collapse. After a pause that is all that became due meanwhile.
+// core, and its crash. After a pause that is all that became due meanwhile.
 func (m *machine) advance() {
 	now := m.sim.now
 	if m.down || now < m.pausedUntil {
@@ -378,10 +378,10 @@
 		m.submit(a)
 	}
 	m.core.Step(now)
-	if m.box.Fallen() {
-		m.sim.Collapses++
-		m.crash()
-		m.sim.scheduleAt(now+collapseDowntimeUS, func() { m.restart(&Failure{SpeedFactor: collapseSpeedFactor, WarmupTime: collapseWarmupUS}) })
+	if m.box.Crashed() {
+		m.sim.Crashes++
+		m.kill()
+		m.sim.scheduleAt(now+crashDowntimeUS, func() { m.restart(&Failure{SpeedFactor: crashSpeedFactor, WarmupTime: crashWarmupUS}) })
 	}
 }
 
@@ -408,7 +408,7 @@
 	m.sim.Runs++
 	if r.Key != "" && m.sim.day.Classes[r.Class].Effect == kiteslip.Keyed {
 		if last, ran := m.lastRunArrival[r.Key]; ran && r.Arrived <= last+m.sim.day.Classes[r.Class].Window {
-			m.sim.DuplicateRuns++
+			m.sim.RepeatedRuns++
 		}
 		m.lastRunArrival[r.Key] = r.Arrived
 	}
@@ -434,9 +434,9 @@
 	sim.scheduleAt(sim.now+sim.day.NetworkDelay, func() { sim.handleAnswer(t, a) })
 }
 
-// crash stops the box at once. All tries that it holds are lost; their callers see
+// kill stops the box at once. All tries that it holds are lost; their callers see
 // the connections end.
-func (m *machine) crash() {
+func (m *machine) kill() {
 	if m.down {
 		return
 	}
@@ -456,7 +456,7 @@
 	if m.remote != nil {
 		m.remote.Kill()
 	} else {
-		m.box.Die(m.sim.now)
+		m.box.DropRuns(m.sim.now)
 	}
 	m.sim.schedule.set(m.number, math.MaxInt64)
 	for _, t := range lost {
@@ -481,6 +481,6 @@
 	if err := m.start(true); err != nil {
 		panic(err) // the same settings were valid at the first start
 	}
-	m.box.Cold(m.sim.now, f.SpeedFactor, f.WarmupTime)
+	m.box.StartWarmup(m.sim.now, f.SpeedFactor, f.WarmupTime)
 	m.sim.schedule.set(m.number, m.sim.now)
 }
--- a/internal/lab/fleet/score.go
+++ b/internal/lab/fleet/score.go
@@ -42,12 +42,12 @@
 	Asked            int `json:"Asked"`   // requests after the warm-up
 	Tries            int `json:"Tries"`   // of all requests
 	Runs             int `json:"Runs"`    // of all requests
-	BoxesLost        int `json:"Deaths"`  // crashes, replacements and collapses
+	BoxesLost        int `json:"Deaths"`  // by the failures Die and Deploy, and by crashes
 	Calls            int `json:"Calls"`   // downstream calls that were made
 	SkippedCalls     int `json:"Skips"`   // runs that continued without their call
-	Collapses        int `json:"Fallen"`  // boxes that failed because too much ran on them
+	Crashes          int `json:"Fallen"`  // boxes that crashed because too many runs were on them
 	DeadlineExceeded int `json:"Overdue"` // rule broken: answers after their deadline
-	DuplicateRuns    int `json:"Twice"`   // rule broken: further runs of a key on one box within its window
+	RepeatedRuns     int `json:"Twice"`   // rule broken: further runs of a key on one box within its window
 	ScoreParts
 	Classes         []Group     `json:"Classes"`
 	Teams           []Group     `json:"Teams"`
@@ -210,7 +210,7 @@
 	}
 	want(d.Boxes > 0 && d.Boxes <= maxBoxes, "boxes", d.Boxes, "1 to 10,000")
 	want(d.Box.Cores > 0, "cores", d.Box.Cores, "above 0")
-	want(d.Box.Falls >= 0 && d.Box.Falls < 1e6, "falls", d.Box.Falls, "0 or more")
+	want(d.Box.MaxRunsPerCore >= 0 && d.Box.MaxRunsPerCore < 1e6, "falls", d.Box.MaxRunsPerCore, "0 or more")
 	want(d.Box.Speed > 0 && d.Box.Speed < 1e6, "speed", d.Box.Speed, "above 0")
 	want(d.SpeedSpread >= 0 && d.SpeedSpread < 1, "spread", d.SpeedSpread, "0 to below 1")
 	want(d.Load > 0 && d.Load <= 100, "load", d.Load, "above 0 and at most 100")
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
 // Package lab simulates traffic against a core with its policy and a model of the
-// machine (box.Box), in simulated time: the same seed gives the same result. It is
+// machine (box.Machine), in simulated time: the same seed gives the same result. It is
 // for measurements and tests; the server does not import it.
 //
 // Instants and durations are microseconds.
@@ -81,10 +81,10 @@
 
 // Result is the outcome of a simulation.
 type Result struct {
-	Classes  []ClassCounts
-	Overdue  int // answers after their deadline; must be 0
-	Answered int // answers, those of retries included
-	Runs     int
+	Classes          []ClassCounts
+	DeadlineExceeded int // answers after their deadline; must be 0
+	Answered         int // answers, those of retries included
+	Runs             int
 }
 
 // WorthShare returns the work served over the work requested, weighted by the worth
@@ -121,7 +121,7 @@
 // Simulation is the state of a running simulation.
 type Simulation struct {
 	Core         *core.Core
-	Box          *box.Box
+	Box          *box.Machine
 	spec         *Spec
 	rng          *rand.Rand
 	now          int64
@@ -259,7 +259,7 @@
 	w.lastID++
 	w.Runs++
 	w.running[w.lastID] = r
-	w.Box.Begin(w.now, w.lastID, box.Work(r.Body))
+	w.Box.Start(w.now, w.lastID, box.Work(r.Body))
 }
 
 func (w *Simulation) completeRuns() {
@@ -276,7 +276,7 @@
 	w.tries[stream] = nil
 	w.Answered++
 	if w.now > t.deadline {
-		w.Overdue++
+		w.DeadlineExceeded++
 	}
 	if w.spec.RetryRefused && a.Code == core.Refused && !a.NoFailover && !t.retried && a.RetryAfter > 0 && w.now+a.RetryAfter < t.deadline {
 		t.retried = true
