--- a/internal/config/change_builder.go
+++ b/internal/config/change_builder.go
@@ -132,10 +132,10 @@
 // checkSlotLimits reports lists of classes or teams that exceed their limits.
 func (d *changeBuilder) checkSlotLimits(errs *validationErrors) {
 	if n := len(d.result.Classes); n > maxClassSlots {
-		errs.add("settings", "raise the classes seen since the start to %d, over %d, and the slot of a class is never reused: restart", n, maxClassSlots)
+		errs.add("settings", "bring the classes since the start to %d, over %d, and a class's place is never used again: restart", n, maxClassSlots)
 	}
 	if n := len(d.result.Tenants); n > maxTeamSlots {
-		errs.add("settings", "raise the teams, recently dropped ones included, to %d, over %d: restart, or drop some and wait", n, maxTeamSlots)
+		errs.add("settings", "bring the teams, those dropped a short time ago included, to %d, over %d: restart, or drop them and wait", n, maxTeamSlots)
 	}
 }
 
--- a/internal/control/document/wire.go
+++ b/internal/control/document/wire.go
@@ -107,7 +107,7 @@
 		return digest, nil, fmt.Errorf("document: %w", err)
 	}
 	if len(record) > MaxRecordBytes {
-		return digest, nil, fmt.Errorf("document: over %d bytes uncompressed", MaxRecordBytes)
+		return digest, nil, fmt.Errorf("document: over %d bytes unpacked", MaxRecordBytes)
 	}
 	return digest, record, nil
 }
--- a/internal/control/follow/handle.go
+++ b/internal/control/follow/handle.go
@@ -34,7 +34,7 @@
 		s.ahead = 0
 		f.handleSnapshot(ctx, r.Snapshot)
 	default:
-		f.handleInvalid(errors.New("invalid message: want exactly one of heartbeat, delta and snapshot"))
+		f.handleInvalid(errors.New("a record that has not one part"))
 	}
 }
 
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -73,7 +73,7 @@
 }
 
 func errTruncatedField(i int) error {
-	return &reject.Error{Cause: "fields_cut_short", Err: fmt.Errorf("frame: field %d is truncated", i)}
+	return &reject.Error{Cause: "fields_cut_short", Err: fmt.Errorf("frame: field %d is cut short", i)}
 }
 
 // ParseFields validates the fields at the start of a payload and returns them and the
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -18,7 +18,7 @@
 // ErrModifier is the error of a packet that is not a request.
 var ErrModifier = errors.New("uwsgi: not a request packet")
 
-var errTruncated = errors.New("uwsgi: truncated variable")
+var errTruncated = errors.New("uwsgi: a variable is cut short")
 
 // Vars are the encoded variables of a request.
 type Vars struct{ raw []byte }
