--- a/calls_sum_test.go
+++ b/calls_sum_test.go
@@ -10,23 +10,23 @@
 // fleet is a number of workers that start at the same moment, know nothing of each other, and call one
 // dependency. It counts their calls: those outstanding at the dependency, and those sent.
 type fleet struct {
-	workers    []*Worker
-	now        int64
-	queue      []scheduled
-	inHand     int
-	maxInHand  int     // maximum of inHand
-	sent       []int64 // when each call was made
-	served     int
-	next       RequestID
-	callResult func(now int64) (int64, Outcome) // duration and outcome of a call made now
+	workers        []*Worker
+	now            int64
+	queue          []scheduled
+	outstanding    int
+	maxOutstanding int     // maximum of outstanding
+	sent           []int64 // when each call was made
+	served         int
+	next           RequestID
+	callResult     func(now int64) (int64, Outcome) // duration and outcome of a call made now
 }
 
 // scheduled is an event to come.
 type scheduled struct {
-	at          int64
-	worker      int
-	event       Event
-	inHandDelta int // change of inHand
+	at               int64
+	worker           int
+	event            Event
+	outstandingDelta int // change of outstanding
 }
 
 // newFleet returns n workers, each with that share of calls.
@@ -63,7 +63,7 @@
 		for len(c.queue) > 0 && c.queue[0].at <= c.now {
 			d := c.queue[0]
 			c.queue = c.queue[1:]
-			c.inHand += d.inHandDelta
+			c.outstanding += d.outstandingDelta
 			if d.event.Kind != Timer {
 				batch[d.worker] = append(batch[d.worker], d.event)
 			}
@@ -87,8 +87,8 @@
 	case Run:
 		c.schedule(scheduled{at: c.now + 20_000, worker: i, event: Event{Kind: NeedsCall, ID: a.ID}})
 	case Call:
-		c.inHand++
-		c.maxInHand = max(c.maxInHand, c.inHand)
+		c.outstanding++
+		c.maxOutstanding = max(c.maxOutstanding, c.outstanding)
 		c.sent = append(c.sent, c.now)
 		took, outcome := c.callResult(c.now)
 		lingers := took // when the dependency has ended it
@@ -97,7 +97,7 @@
 			lingers = min(lingers, a.After+c.workers[i].cfg.MaxCallLinger)
 		}
 		c.schedule(scheduled{at: c.now + took, worker: i, event: Event{Kind: CallDone, ID: a.ID, Outcome: outcome, Elapsed: took}})
-		c.schedule(scheduled{at: c.now + lingers, worker: i, event: Event{Kind: Timer}, inHandDelta: -1})
+		c.schedule(scheduled{at: c.now + lingers, worker: i, event: Event{Kind: Timer}, outstandingDelta: -1})
 		if outcome == OK {
 			c.served++
 			c.schedule(scheduled{at: c.now + took + 20_000, worker: i, event: Event{Kind: Done, ID: a.ID, Outcome: OK}})
@@ -137,8 +137,8 @@
 			for _, share := range []float64{0.1, 0.3, 0.5, 0.8, 1.3, 2.5} {
 				c := newFleet(t, n, share, result)
 				c.run(20_000_000, 250_000)
-				if budget := float64(n) * share; float64(c.maxInHand) > withChance(budget) {
-					t.Errorf("%s, %d workers with a share of %v: %d calls outstanding at once, %.1f allowed", name, n, share, c.maxInHand, withChance(budget))
+				if budget := float64(n) * share; float64(c.maxOutstanding) > withChance(budget) {
+					t.Errorf("%s, %d workers with a share of %v: %d calls outstanding at once, %.1f allowed", name, n, share, c.maxOutstanding, withChance(budget))
 				}
 				if name == "quick" && float64(c.served) < float64(n)*share*10 {
 					t.Errorf("%s, %d workers with a share of %v: only %d calls succeeded", name, n, share, c.served)
--- a/cmd/kiteslip/upgrade_test.go
+++ b/cmd/kiteslip/upgrade_test.go
@@ -97,7 +97,7 @@
 	defer c.Conn.Close()
 	c.Send(1, standin.Fields(class, "red", key, name, 2*time.Second), body)
 	got, _ := c.Next()
-	if got.Type == frame.GoAway { // the process is draining, and the request crossed its notice
+	if got.Type == frame.GoAway { // the process is draining, and the request raced its GOAWAY
 		got, _ = c.Next()
 	}
 	return got.Code
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -51,7 +51,7 @@
 	Ledger string // address for downstream calls; "" = none
 
 	InheritedFD   int    // descriptor of the callers' listening socket, inherited from the platform; 0 = none
-	HandoverDir   string // directory of the socket by which an upgrade's two processes meet; "" = the system's temporary directory
+	HandoverDir   string // directory of the socket at which an upgrade's two processes connect; "" = the system's temporary directory
 	Registry      string // address; "" = none
 	Seed          uint64
 	StopTimeoutUS int64 // from the shutdown notice to the kill
@@ -59,7 +59,7 @@
 	Policy        kiteslip.Settings
 	Gauges        []string
 
-	ListFollowsHealth bool // the callers' list leaves out a server that is not healthy
+	ListFollowsHealth bool // the registry's list leaves out a server that is not healthy
 
 	Classes []string
 	Tenants []string
--- a/internal/control/document/model_test.go
+++ b/internal/control/document/model_test.go
@@ -244,9 +244,8 @@
 
 // TestModel walks through random versions, and compares what is accepted, what is
 // refused, the contents and the digests with those of a plain model that checks all
-// entries. The same version must be checkSameVersion by the encoded delta, by a snapshot,
-// and, as to the content, by a Diff of the whole. Earlier versions must stay as they
-// were.
+// entries. The encoded delta, a snapshot and, as to the content, a Diff of the whole
+// must lead to the same version. Earlier versions must stay as they were.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, d, copied := newModel(), Empty(), Empty()
--- a/internal/control/follow/selector.go
+++ b/internal/control/follow/selector.go
@@ -33,11 +33,11 @@
 // available publishers, and those of a failed one spread over the rest. A relay has
 // the originator first.
 type selector struct {
-	order      []int
-	nearCount  int // the first so many of order are worth returning to
-	relay      bool
-	rng        *rand.Rand
-	publishers []publisherState // by publisher index
+	order          []int
+	preferredCount int // this many of order, from its start, are worth returning to
+	relay          bool
+	rng            *rand.Rand
+	publishers     []publisherState // by publisher index
 
 	active        int           // the publisher that is followed; -1 = none
 	establishedAt time.Duration // when active was established
@@ -96,11 +96,11 @@
 	})
 	for i := range s.order {
 		if preference(i) < 2 && !set.Relay || set.Relay && i == 0 {
-			s.nearCount++
+			s.preferredCount++
 		}
 	}
-	if s.nearCount == 0 { // no publisher in its region: all are equally near
-		s.nearCount = len(s.order)
+	if s.preferredCount == 0 { // no publisher in its region: all are equally near
+		s.preferredCount = len(s.order)
 	}
 	return s
 }
@@ -219,7 +219,7 @@
 			}
 			continue
 		}
-		if s.originatorLost || rank < s.nearCount {
+		if s.originatorLost || rank < s.preferredCount {
 			s.probes = append(s.probes, p)
 		}
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,8 @@
 // Package engine implements the protocol of the process that owns the cores. A
-// Link is the state of one conversation; it does no I/O itself. Received bytes
-// are passed to Feed, and bytes to send go out through the function that Attach
-// is given.
+// Link is the state of one conversation, and belongs to one goroutine. It does no
+// I/O itself: received bytes are passed to Feed, and bytes to send go out through
+// the function that Attach is given. Times are microseconds, instants since the
+// epoch.
 package engine
 
 import (
--- a/internal/handover/endpoint.go
+++ b/internal/handover/endpoint.go
@@ -17,8 +17,8 @@
 	maxNameBytes = 32  // bytes of the server's name used in file names
 )
 
-// Endpoint is where the processes of one server meet: a socket and a lock file in
-// a folder that they share.
+// Endpoint is the socket at which the processes of one server connect to each
+// other, and a lock file, in a folder that they share.
 type Endpoint struct {
 	base           string // path prefix of the files there
 	lock           *os.File
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,6 +1,7 @@
 // Package handover defines the messages between the two processes of a server
-// during an upgrade, and the endpoint where they meet, with a lock that tells which
-// of them owns the keys. It makes no decisions.
+// during an upgrade, and the endpoint at which the successor connects to its
+// predecessor, with a lock that shows which of them owns the keys. It makes no
+// decisions.
 package handover
 
 import (
@@ -18,7 +19,7 @@
 	Record                          // predecessor to successor: a key whose run was started
 	KeysTransferred                 // predecessor to successor: all records were sent, the successor owns the keys
 	Claim                           // to the key owner: may this request start?
-	Grant                           // from the owner: it may
+	Grant                           // from the key owner: it may
 	Deny                            // from the key owner: it may not; the outcome of its key
 	RunEnded                        // to the key owner: the end of a run that was granted or recorded
 	Load                            // both ways: the sender's load on the engine
@@ -32,12 +33,12 @@
 	WindowEnd int64  // Record: no other try that arrived up to then may start; KeysTransferred: the end of the in-doubt period
 	BodyHash  uint64 // Record, Claim
 	Finished  bool   // Record: the run has ended
-	Outcome   uint8  // Record, Had, Ended
+	Outcome   uint8  // Record, Deny, RunEnded
 	Runs      uint32 // Load: requests that run
 	MemoryKB  uint32 // Load: memory reserved
 	Text      string // Hello: the server's name; Record, Claim, RunEnded: the class
 	Key       string // Record, Claim, RunEnded
-	Result    []byte // Record, Had, Ended
+	Result    []byte // Record, Deny, RunEnded
 }
 
 // The limits of a message, for sending and receiving.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -59,7 +59,7 @@
 		end     EndReason
 	}{
 		{"good", standin.Act{}, kiteslip.OK, OK},
-		{"turned away", standin.Act{Status: 503, Untouched: true}, kiteslip.Rejected, Rejected},
+		{"rejected, never ran", standin.Act{Status: 503, Untouched: true}, kiteslip.Rejected, Rejected},
 		{"503 without the header", standin.Act{Status: 503}, kiteslip.Failed, Unconfirmed},
 		{"error", standin.Act{Status: 500}, kiteslip.Failed, ServerError},
 		{"error that claims nothing ran", standin.Act{Status: 500, Untouched: true}, kiteslip.Failed, ServerError},
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,4 +1,5 @@
-// Package registry reports this server to the registry, which lists it to callers.
+// Package registry reports this server to the registry, which lists it to callers. A
+// Heartbeat is used by one goroutine at a time.
 package registry
 
 import (
--- a/internal/server/accept_test.go
+++ b/internal/server/accept_test.go
@@ -9,7 +9,7 @@
 )
 
 // Connections that arrive while the loop is blocked are accepted meanwhile and
-// registered together afterwards. The failure: each accept waits until the
+// enrolled with the loop together afterwards. The failure: each accept waits until the
 // loop has taken over the connection before, so that a burst of callers waits for long.
 func TestConnectionsAreAcceptedWhileLoopIsBusy(t *testing.T) {
 	t.Parallel()
@@ -34,12 +34,12 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	registered := make(chan int, 1)
+	enrolled := make(chan int, 1)
 	close(release)
-	// New connections are registered before other tasks run, so a task of the next iteration sees all.
-	srv.onLoop(func() { srv.onLoop(func() { srv.onLoop(func() { registered <- len(srv.conns) }) }) })
-	if n := <-registered; n < callers {
-		t.Errorf("%d of %d connections are registered after the blocked loop iteration", n, callers)
+	// New connections are enrolled before other tasks run, so a task of the next iteration sees all.
+	srv.onLoop(func() { srv.onLoop(func() { srv.onLoop(func() { enrolled <- len(srv.conns) }) }) })
+	if n := <-enrolled; n < callers {
+		t.Errorf("%d of %d connections are enrolled after the blocked loop iteration", n, callers)
 	}
 	for i, c := range connected {
 		if got, _ := c.Next(); got.Code != frame.Served && got.Code != frame.Refused { // admission may refuse some of so many at once
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -134,7 +134,7 @@
 	return ops.DoneReply("ready")
 }
 
-// setWithdrawn takes the server off the callers' list, or puts it back. Requests
+// setWithdrawn takes the server off the registry's list, or puts it back. Requests
 // that run or still arrive are not affected.
 func (s *Server) setWithdrawn(on bool) {
 	if s.core.Withdrawn() != on {
--- a/internal/server/conn_close_test.go
+++ b/internal/server/conn_close_test.go
@@ -42,7 +42,7 @@
 	return
 }
 
-// frameConnCount returns the number of callers' connections of the frames front end.
+// frameConnCount returns the number of callers' connections of the frame front end.
 func (r *testServer) frameConnCount() int {
 	n := 0
 	for h := range r.conns {
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -41,8 +41,8 @@
 	}()
 }
 
-// stopFollower ends the follower, which then announces that the server leaves; no
-// version is applied from here on.
+// stopFollower ends the follower, which then announces that the server is shutting
+// down; no version is applied from here on.
 func (s *Server) stopFollower() {
 	if s.control.cancel != nil {
 		s.control.cancel()
--- a/internal/server/descriptors.go
+++ b/internal/server/descriptors.go
@@ -20,7 +20,7 @@
 	internalDescriptors  = 24 // 15 when idle, 19 while the engine is dialed beside a link in use
 	handoverDescriptors  = 8  // the handover endpoint, its lock and connections
 	keyDescriptors       = 64 // the key store: its lock, logs and tables
-	controlDescriptors   = 8  // a stream to a publisher and a probe of another one; the kept version, its lock and folder
+	controlDescriptors   = 8  // a stream to a publisher and a probe of another one; the stored version, its lock and folder
 	adminDivisor         = 8  // the admin endpoint may take this fraction of the descriptors
 	ledgerDivisor        = 8  // ... and connections to the ledger this one,
 	ledgerConnectionsCap = 64 // ... up to this many
--- a/internal/server/frame_conn_test.go
+++ b/internal/server/frame_conn_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// A connection of the frames front end with random requests, malformed ones,
+// A connection of the frame front end with random requests, malformed ones,
 // cancels and health checks, cut into random pieces, gives each stream the one
 // answer that the model allows, however the connection is closed.
 func TestConnectionAgainstModel(t *testing.T) {
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -22,8 +22,8 @@
 )
 
 var (
-	errSilent    = withCause("silent", "nothing that can be answered has come in time")
-	errHalfFrame = withCause("half_frame", "the rest of a frame has not come in time")
+	errSilent              = withCause("silent", "nothing that can be answered has come in time")
+	errPartialFrameTimeout = withCause("half_frame", "the rest of a frame has not come in time")
 )
 
 // idleState says whether a connection can be evicted when slots are short.
@@ -72,7 +72,7 @@
 		case f.discarding:
 			f.shutWhenDone(t)
 		case f.partialSince != 0 && t-f.partialSince >= within:
-			f.stopReading(errHalfFrame)
+			f.stopReading(errPartialFrameTimeout)
 		case state.since == 0:
 		case !state.answered && t-f.openedAt >= firstFrameTimeoutUS:
 			if !hasUnread(f.conn) {
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// onlyFrameConn waits for the only connection of the frames front end and returns it.
+// onlyFrameConn waits for the only connection of the frame front end and returns it.
 func (r *testServer) onlyFrameConn(t *testing.T) *frameConn {
 	t.Helper()
 	var serverConn *frameConn
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// reportsDraining says whether reports are to take the server off the callers'
-// list: it shuts down, an operator has withdrawn it, or, where the list follows
-// health, the policy reports it as unhealthy.
+// reportsDraining says whether reports are to take the server off the
+// registry's list: it shuts down, an operator has withdrawn it, or, where the list
+// follows health, the policy reports it as unhealthy.
 func (s *Server) reportsDraining() bool {
 	good, _ := s.health()
 	return s.core.Draining() || s.core.Withdrawn() || s.cfg.ListFollowsHealth && !good
--- a/internal/server/upgrade.go
+++ b/internal/server/upgrade.go
@@ -23,7 +23,7 @@
 // which of them may do what at which time; this file connects the two processes
 // to the loop.
 const (
-	greetTimeoutUS         = 1_000_000 // for the predecessor to pass its listener to the new process
+	handshakeTimeoutUS     = 1_000_000 // for the predecessor to pass its listener to the new process
 	tableTimeoutUS         = 4_000_000 // from the start, for the predecessor's keys; callers are then accepted with or without them
 	engineReadyTimeoutUS   = 4_500_000 // from the start, for the engine to answer; callers are then accepted without it
 	peerTimeoutUS          = 5_000_000 // a peer that is silent for longer has stalled
@@ -296,7 +296,7 @@
 		return nil
 	}
 	// The start goes on without a predecessor that is stuck; what that one runs is then in doubt, see watchKeyOwner.
-	if u.uwsgiListener, err = handover.ReceiveListener(u.predecessorConn, time.UnixMicro(u.startedAt+greetTimeoutUS)); err != nil {
+	if u.uwsgiListener, err = handover.ReceiveListener(u.predecessorConn, time.UnixMicro(u.startedAt+handshakeTimeoutUS)); err != nil {
 		s.log.Warn("upgrade", zap.Error(err))
 		u.predecessorConn.Close()
 		u.predecessorConn = nil
@@ -458,7 +458,7 @@
 // redialOwner dials the key owner again.
 func (s *Server) redialOwner() {
 	if c := s.upgrade.endpoint.Dial(); c != nil {
-		uwsgiListener, err := handover.ReceiveListener(c, time.Now().Add(greetTimeoutUS*time.Microsecond))
+		uwsgiListener, err := handover.ReceiveListener(c, time.Now().Add(handshakeTimeoutUS*time.Microsecond))
 		if uwsgiListener != nil {
 			uwsgiListener.Close() // this process has opened its listeners already
 		}
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -256,7 +256,7 @@
 	}
 }
 
-// When the successor dies before the old process has left, the old one acquires the
+// When the successor dies before the old process has ended, the old one acquires the
 // keys again: keys that the successor may have started are in doubt and fail,
 // everything else is served.
 func TestNewProcessDies(t *testing.T) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
 // Package wire decodes batches of events and encodes replies in the binary protocol of
 // the simulator. It makes no decisions. Numbers are little-endian, times are in
-// microseconds.
+// microseconds. A Reader and a Reply belong to one goroutine each.
 package wire
 
 import (
--- a/policy_test.go
+++ b/policy_test.go
@@ -872,7 +872,7 @@
 	}
 }
 
-// A minimum rank above the most requested class turned nearly all away, fell to zero, and rose again.
+// A minimum rank above the most requested class refused nearly all, fell to zero, and rose again.
 func TestMinRankStopsAtLeastValuableClass(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.LoadSignal = LoadSignalMinRank })
 	for now := int64(1); now < 20; now++ {
