--- a/internal/control/publish/serve_test.go
+++ b/internal/control/publish/serve_test.go
@@ -422,8 +422,7 @@
 	}
 }
 
-// TestShutdown: a machine that shuts down ends its streams and is gone within its
-// timeout.
+// TestShutdown: a machine that shuts down ends its streams within its timeout.
 func TestShutdown(t *testing.T) {
 	m := serve(t, Settings{})
 	m.versionsUpTo(t, 1)
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// A request without a deadline gets that of its class's timeout, and the policy is told that none was stated.
+// A request without a deadline gets that of its class's timeout, and the policy learns that none was stated.
 func TestMissingDeadline(t *testing.T) {
 	h := newCallHarness(t, downstreamSettings())
 	r := &Request{TryID: "untold", Class: 0, Arrived: h.now - 1000, SizeKB: 20, Body: []byte("untold")}
@@ -281,7 +281,7 @@
 		t.Errorf("deadline %d us after its arrival", r.Deadline-r.Arrived)
 	}
 	if e := h.core.events[len(h.core.events)-1]; e.Deadline != 0 {
-		t.Errorf("the policy is told a deadline %d us after arrival that the caller did not state", e.Deadline-r.Arrived)
+		t.Errorf("the policy gets a deadline %d us after arrival that the caller did not state", e.Deadline-r.Arrived)
 	}
 }
 
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// PeerLost reports that the peer is gone or silent. Its runs end without a
+// PeerLost reports that the peer is disconnected or silent. Its runs end without a
 // result, and claims that it has not answered fail.
 func (c *Core) PeerLost() {
 	c.peer = nil
--- a/internal/core/step.go
+++ b/internal/core/step.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if r == nil {
-		return // it ended before the policy heard of it
+		return // it has ended, and the policy did not know that yet
 	}
 	switch a.Kind {
 	case kiteslip.Run:
--- a/policy_start.go
+++ b/policy_start.go
@@ -5,7 +5,7 @@
 // start starts queued requests in their order, while the limits allow.
 func (w *Worker) start(acts []Action) []Action {
 	safe, limit := w.safeRuns(), w.limit
-	// Callers that leave before their requests are read hear neither refusal nor retry-after and send more: half
+	// Callers that leave before their requests are read get neither refusal nor retry-after and send more: half
 	// of the cores are left to reading until the backlog is gone.
 	if w.readDelay > backlogTargetShare*w.minTarget {
 		limit = max(1, w.cfg.Cores/2)
