--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -59,7 +59,7 @@
 		end     EndReason
 	}{
 		{"good", standin.Response{}, kiteslip.OK, OK},
-		{"turned away", standin.Response{Status: 503, Untouched: true}, kiteslip.Rejected, Rejected},
+		{"rejected, never ran", standin.Response{Status: 503, Untouched: true}, kiteslip.Rejected, Rejected},
 		{"503 without the header", standin.Response{Status: 503}, kiteslip.Failed, Unconfirmed},
 		{"error", standin.Response{Status: 500}, kiteslip.Failed, ServerError},
 		{"error that claims nothing ran", standin.Response{Status: 500, Untouched: true}, kiteslip.Failed, ServerError},
